--- a/src/constants.ts
+++ b/src/constants.ts
@@ -230,6 +230,13 @@
  * have had their time to find room. */
 export const GANG_RESERVE_MS = 25_000;
 
+/** ms; the leader counts this often at the most what teams run beyond their guarantees: it costs time
+ * in proportion to all that runs, and is needed only while a gang within its guarantee waits. */
+export const CLAIMS_MS = 1_000;
+/** ms; a part stops other teams' work for a gang only so long after it got the gang: what a team runs
+ * beyond its guarantee changes. */
+export const CLAIM_VALID_MS = 3_000;
+
 // --- Placement -------------------------------------------------------------------------------
 
 /** Task classes the bandit tells apart; the rest share one. The design's starting value. */
--- a/src/coordination/gang-placing.ts
+++ b/src/coordination/gang-placing.ts
@@ -1,5 +1,6 @@
-import { GANG_KEEP_TIMES } from '../constants.js';
+import { CLAIM_VALID_MS, GANG_KEEP_TIMES } from '../constants.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
+import type { Clock } from '../transport/clock.js';
 import { fits, take, type Machine, type Room } from './machines.js';
 import { fitCount } from './capacity.js';
 import type { Chunk, Slot, Tasks } from './tasks.js';
@@ -17,6 +18,20 @@
 
 export type Victim = [Slot, Chunk];
 
+/** A place while room is made on it: what is left, what may be stopped, and what will be. */
+interface State {
+  place: Place;
+  room: Room;
+  others: Victim[];
+  victims: Victim[];
+}
+
+/** Tasks to stop for one more task, and what that costs. */
+interface Choice {
+  victims: Victim[];
+  cost: number;
+}
+
 /** A gang's way onto machines: on each place so many tasks, once these others have left. */
 interface Layout {
   places: Place[];
@@ -27,10 +42,15 @@
 export class GangPlacing {
   constructor(
     private readonly tasks: Tasks,
-    /** Tasks on a place that a job of this rank may stop, the first to go first. */
-    private readonly victims: (place: Place, rank: number) => Victim[],
+    /** Tasks on a place that a job of this rank, or a claim on teams' arrays, may stop, in order. */
+    private readonly victims: (
+      place: Place,
+      rank: number,
+      teams: ReadonlyMap<string, number>,
+    ) => Victim[],
     private readonly costOf: (victim: Victim) => number,
     private readonly job: (id: string) => { spec: JobSpec } | null,
+    private readonly clock: Clock,
   ) {}
 
   /**
@@ -90,41 +110,29 @@
     return null;
   }
 
-  /** Free room, and room made by stopping as few lower tasks as will do. */
+  /** Free room, and room made by stopping as few other tasks as will do. */
   private byStopping(spec: JobSpec, chunk: Chunk, group: readonly Place[]): Layout | null {
+    const allowance = new Map(Object.entries(this.reclaimOf(chunk)));
     const rank = rankOf(spec.priority);
     const states = group.map((place) => ({
       place,
       room: { ...place.room },
-      lower: this.victims(place, rank),
+      others: this.victims(place, rank, allowance),
       victims: [] as Victim[],
     }));
     const places: Place[] = [];
     while (places.length < chunk.waiting.size) {
-      let best: (typeof states)[number] | null = null;
-      let bestCost = Infinity;
-      let bestCount = 0;
+      let best: State | null = null;
+      let chosen: Choice | null = null;
       for (const state of states) {
-        const room = { ...state.room };
-        let cost = 0;
-        let count = 0;
-        for (const victim of state.lower) {
-          if (fits(room, chunk.record)) break;
-          take(room, victim[1].record, -1);
-          cost += this.costOf(victim);
-          count++;
-        }
-        if (!fits(room, chunk.record) || cost >= bestCost) continue;
+        const choice = this.choose(state, rank, chunk.record, allowance);
+        if (!choice || choice.cost >= (chosen?.cost ?? Infinity)) continue;
         best = state;
-        bestCost = cost;
-        bestCount = count;
-        if (cost === 0) break;
-      }
-      if (!best) return null;
-      for (const victim of best.lower.splice(0, bestCount)) {
-        take(best.room, victim[1].record, -1);
-        best.victims.push(victim);
+        chosen = choice;
+        if (choice.cost === 0) break;
       }
+      if (!best || !chosen) return null;
+      this.stopOn(best, chosen, rank, allowance);
       take(best.room, chunk.record);
       places.push(best.place);
     }
@@ -135,6 +143,60 @@
     return { places, victims };
   }
 
+  /** The first tasks on a place whose end makes room for one more task; null: none do. */
+  private choose(
+    { room, others }: State,
+    rank: number,
+    task: Room,
+    allowance: ReadonlyMap<string, number>,
+  ): Choice | null {
+    const left = { ...room };
+    const claimed = new Map<string, number>();
+    const victims: Victim[] = [];
+    let cost = 0;
+    for (const victim of others) {
+      if (fits(left, task)) break;
+      const { record } = victim[1];
+      if (!this.isLower(victim, rank)) {
+        const cpus = (claimed.get(record.team) ?? 0) + record.cpus;
+        if (cpus > (allowance.get(record.team) ?? 0) + 1e-9) continue;
+        claimed.set(record.team, cpus);
+      }
+      take(left, record, -1);
+      cost += this.costOf(victim);
+      victims.push(victim);
+    }
+    return fits(left, task) ? { victims, cost } : null;
+  }
+
+  private stopOn(
+    state: State,
+    { victims }: Choice,
+    rank: number,
+    allowance: Map<string, number>,
+  ): void {
+    for (const victim of victims) {
+      const { record } = victim[1];
+      take(state.room, record, -1);
+      state.victims.push(victim);
+      if (this.isLower(victim, rank)) continue;
+      allowance.set(record.team, (allowance.get(record.team) ?? 0) - record.cpus);
+    }
+    state.others = state.others.filter((one) => !victims.includes(one));
+  }
+
+  private isLower([, chunk]: Victim, rank: number): boolean {
+    const spec = this.job(chunk.job)?.spec;
+    return spec !== undefined && rankOf(spec.priority) < rank;
+  }
+
+  /** CPUs of other teams' arrays that a gang may stop: only for a moment after it was handed out. */
+  private reclaimOf(chunk: Chunk): Record<string, number> {
+    const [first] = chunk.waiting;
+    const recent = first !== undefined && this.clock.now() - first.pendingSince < CLAIM_VALID_MS;
+    return recent ? (chunk.record.reclaim ?? {}) : {};
+  }
+
   /** Keeps room from arrays for the next gang of this kind. */
   keepFree(spec: JobSpec, places: readonly Place[]): void {
     const rooms = this.roomsFor(spec, places).sort((a, b) => b.now - a.now || b.later - a.later);
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -24,7 +24,8 @@
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import type { Team } from '../protocol/settings.js';
 import type { Clock } from '../transport/clock.js';
-import { Gangs, planGang, reservedMachines, type ImageHints } from './gangs.js';
+import { Gangs, planGang, reservedMachines, type GangPlan, type ImageHints } from './gangs.js';
+import { GuaranteeClaims, type Claim } from './guarantee-claims.js';
 import { Arrivals, Ledger, endsAt, type Usage } from './ledger.js';
 import { Inventory } from './inventory.js';
 import { schedulingOrder, type OpenJob } from './scheduling-order.js';
@@ -75,6 +76,7 @@
   private readonly arrivals: Arrivals;
   private readonly inventory: Inventory;
   private readonly gangs: Gangs;
+  private readonly claims: GuaranteeClaims;
   /** Jobs whose changes the state service called invalid. */
   private readonly invalidBackoff: InvalidChangeBackoff;
   private busy = false;
@@ -93,6 +95,7 @@
     this.ledger = new Ledger(replica, clock);
     this.arrivals = new Arrivals(replica, clock);
     this.gangs = new Gangs(options.term);
+    this.claims = new GuaranteeClaims(this.teams, replica, clock);
     this.inventory = new Inventory(options.members, replica, this.ledger);
   }
 
@@ -435,7 +438,7 @@
     spec: JobSpec,
     place: { part: string; zone: string },
     ids: number[],
-    attempt?: number,
+    gang: Pick<ChunkRecord, 'attempt' | 'reclaim'> = {},
   ): { key: string; value: ChunkRecord }[] {
     const chunks: { key: string; value: ChunkRecord }[] = [];
     const room = this.options.valueBytes * VALUE_SHARE - CHUNK_BASE_BYTES;
@@ -453,7 +456,7 @@
           gpus: spec.gpus,
           memoryGb: spec.memoryGb,
           zone: place.zone,
-          ...(attempt === undefined ? {} : { attempt }),
+          ...gang,
         },
       });
     }
@@ -487,7 +490,9 @@
     const over =
       use.cpus + whole.cpus > (team?.cpusMax ?? 0) + 1e-9 ||
       use.gpus + whole.gpus > (team?.gpusMax ?? 0) + 1e-9;
-    const plan = over ? null : planGang(spec, machines, this.imageHints(spec));
+    let plan = over ? null : planGang(spec, machines, this.imageHints(spec));
+    const claim = plan && job.guaranteed ? this.claimFor(spec, plan, machines) : null;
+    if (claim) plan = { shares: [claim.share], when: 'now' };
     // While it waits its share of the limit is kept too, but not for ever: what is small goes on.
     if (plan?.shares || keeps) {
       use.cpus += whole.cpus;
@@ -506,18 +511,37 @@
       return;
     }
     const attempt = this.gangs.attempt(job.id, now);
-    const [largest] = plan.shares;
+    const { shares } = plan;
+    const [largest] = shares;
     if (largest) this.gangs.placed(spec.image, largest);
     let first = 0;
-    for (const share of plan.shares) {
+    for (const share of shares) {
       const ids = Array.from({ length: share.count }, (_, at) => first + at);
       first += share.count;
-      const chunks = this.chunks(spec, share, ids, attempt);
+      const chunks = this.chunks(spec, share, ids, {
+        attempt,
+        ...(claim && { reclaim: claim.reclaim }),
+      });
       round.changes.push(...chunks);
       for (const { key } of chunks) round.urgentKeys.add(key);
       this.fillRoom(spec, share, share.count, machines);
     }
-    this.log.info({ job: job.id, attempt, shares: plan.shares, when: plan.when }, 'gang assigned');
+    const { when } = plan;
+    this.log.info(
+      { job: job.id, attempt, shares, when, ...(claim && { reclaim: claim.reclaim }) },
+      'gang assigned',
+    );
+  }
+
+  /** What a gang within its team's guarantee may claim of other teams; null: it has room, or none. */
+  private claimFor(
+    spec: JobSpec,
+    plan: GangPlan,
+    machines: readonly MachineCapacity[],
+  ): Claim | null {
+    // Urgent gangs stop lower work in any case.
+    if (plan.shares && (plan.when === 'now' || reclaimModeFor(spec) === 'stopping')) return null;
+    return this.claims.find(spec, machines);
   }
 
   private imageHints(spec: JobSpec): ImageHints {
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -34,6 +34,8 @@
   pauses: (id: string) => boolean;
 }
 
+const NO_TEAMS: ReadonlyMap<string, number> = new Map();
+
 export function taskClass(spec: JobSpec): string {
   return `${spec.class}/${spec.cpus}/${spec.gpus}`;
 }
@@ -54,9 +56,10 @@
   ) {
     this.gangs = new GangPlacing(
       tasks,
-      (place, rank) => this.victims(place, rank),
+      (place, rank, teams) => this.victims(place, rank, teams),
       (victim) => this.costOf(victim),
       options.job,
+      clock,
     );
   }
 
@@ -293,15 +296,20 @@
     return best.place;
   }
 
-  /** Tasks on a place that a job of this rank may stop, the first to go first. */
-  private victims(place: Place, rank: number): Victim[] {
+  /** Tasks on a place that a job of this rank may stop, or arrays of these teams, in order. */
+  private victims(
+    place: Place,
+    rank: number,
+    teams: ReadonlyMap<string, number> = NO_TEAMS,
+  ): Victim[] {
     return [...this.tasks.on(place.machine.name)]
       .filter(([slot, other]) => {
         const spec = slot.halting ? null : this.options.job(other.job)?.spec;
         if (!spec) return false;
         // The first tasks of a job that waited long are the newest, and would go again and again.
         if (!this.settled(slot) && this.options.beginner(other.job)) return false;
-        return rankOf(spec.priority) < rank;
+        if (rankOf(spec.priority) < rank) return true;
+        return spec.kind === 'array' && teams.has(spec.team);
       })
       .sort(
         (a, b) =>
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -32,6 +32,8 @@
   zone: string;
   /** Of a gang: the attempt under which all of its tasks start, in every part that has some. */
   attempt?: number;
+  /** Of a gang within its team's guarantee: CPUs of arrays that it may stop of teams beyond theirs. */
+  reclaim?: Record<string, number>;
   /** Of a gang: its attempt ends, so the other parts stop their shares of it as well. */
   stopping?: true;
 }
