--- a/test/gang-world.test.ts
+++ b/test/gang-world.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import { GANG_PEER_S, GANG_WAIT_S } from './world/gang.js';
 import type { SimWorker } from './world/worker.js';
-import { World, type SimJob } from './world/world.js';
+import type { SimJob } from './world/jobs.js';
+import { World } from './world/world.js';
 
 const JOB = 'j-000001';
 
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -3,7 +3,9 @@
 import { FINALS, readChunkKey, roleKey } from '../src/storage/keys.js';
 import { LEADER, partRole } from '../src/coordination/roles.js';
 import type { SimWorker } from './world/worker.js';
-import { FLEET, World, type SimJob } from './world/world.js';
+import type { SimJob } from './world/jobs.js';
+import { FLEET } from './world/settings.js';
+import { World } from './world/world.js';
 
 const GANG = 'j-000001';
 const OTHER = 'j-000002';
--- a/test/invalid.test.ts
+++ b/test/invalid.test.ts
@@ -10,7 +10,7 @@
 import type { Change, Guard } from '../src/protocol/state-api.js';
 import { SimClock } from './world/clock.js';
 import { SimState } from './world/state.js';
-import { TEAMS, TYPES, silent } from './world/world.js';
+import { TEAMS, TYPES, silent } from './world/settings.js';
 
 async function bare() {
   const clock = new SimClock();
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import { CHUNKS, nodeKey } from '../src/storage/keys.js';
 import type { SimWorker } from './world/worker.js';
-import { World, stageOf, type Reply, type SimJob } from './world/world.js';
+import { stageOf, type Reply, type SimJob } from './world/jobs.js';
+import { World } from './world/world.js';
 
 type Members = [string, string][];
 
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -11,7 +11,7 @@
 import { SimClock } from './world/clock.js';
 import { JOB, lone, ops } from './world/lone.js';
 import { SimState } from './world/state.js';
-import { TYPES, silent } from './world/world.js';
+import { TYPES, silent } from './world/settings.js';
 
 const SMALL = 2048;
 const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -18,7 +18,7 @@
 import { SimClock } from './world/clock.js';
 import { SPEC } from './world/lone.js';
 import { SimState } from './world/state.js';
-import { TYPES, silent } from './world/world.js';
+import { TYPES, silent } from './world/settings.js';
 
 async function viewOf(clock: SimClock, state: SimState): Promise<StoreReplica> {
   const replica = new StoreReplica(
--- a/test/units.test.ts
+++ b/test/units.test.ts
@@ -19,7 +19,7 @@
 import { encodeReportAnswer, parseReport } from '../src/protocol/worker-codec.js';
 import { FrameReader } from '../src/transport/peer-link.js';
 import { SimClock } from './world/clock.js';
-import { TEAMS, TYPES } from './world/world.js';
+import { TEAMS, TYPES } from './world/settings.js';
 
 test('ranges are written and read', () => {
   const cases: [number[], string][] = [
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -16,7 +16,9 @@
 import type { ChunkRecord, StatusRecord } from '../src/storage/records.js';
 import type { Settings } from '../src/protocol/settings.js';
 import { SPEC } from './world/lone.js';
-import { TYPES, World, type SimJob } from './world/world.js';
+import type { SimJob } from './world/jobs.js';
+import { TYPES } from './world/settings.js';
+import { World } from './world/world.js';
 
 /*
  * What the version before this one takes of each record, as it reads it: it checks nothing, so a
--- /dev/null
+++ b/test/world/judge.ts
@@ -0,0 +1,142 @@
+/** The judge of the simulated world: notes each breach of the rules. */
+import { stageOf, type Reply, type SimJob } from './jobs.js';
+import { TEAMS } from './settings.js';
+import type { SimWorker } from './worker.js';
+import type { World } from './world.js';
+
+/** What users ask of nodes. */
+export type AskKind = 'submit' | 'cancel' | 'poll';
+
+const isEnd = (stage: string): boolean => stage === 'done' || stage === 'withdrawn';
+
+/** Judges what nodes tell users, and what runs where. */
+export class Judge {
+  /** Each breach of a rule, and by what. */
+  readonly broken: string[] = [];
+  /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
+  readonly startsAfterCancel: string[] = [];
+  /** Jobs that a node called accepted, and the ends that nodes told of jobs, with the time. */
+  readonly accepted = new Set<string>();
+  readonly told = new Map<string, { stage: string; at: number }>();
+  /** Jobs whose users asked to cancel them. */
+  private readonly asked = new Set<string>();
+
+  constructor(private readonly world: World) {}
+
+  /** A user asks to cancel a job. */
+  cancelAsked(id: string): void {
+    this.asked.add(id);
+  }
+
+  /** What a node tells a user: ends stay, accepted jobs stay known, `done` means done. */
+  replied(kind: AskKind, id: string, askedAt: number, reply: Reply): void {
+    const now = this.world.clock.now();
+    const known = this.accepted.has(id);
+    if (reply.status === 404 && known) this.broken.push(`forgotten ${id} (${kind})`);
+    if (kind === 'submit' && (reply.status === 400 || reply.status === 422) && known) {
+      this.broken.push(`forgotten ${id} (submission ${reply.status})`);
+    }
+    if (reply.status !== 200 && reply.status !== 201) return;
+    const stage = stageOf(reply);
+    const job = this.world.jobs.get(id);
+    if (kind === 'submit') this.accepted.add(id);
+    else if (!job) this.broken.push(`invented ${id} (${kind})`);
+    this.judgeStage(id, stage, askedAt);
+    if (stage === 'done') this.judgeDone(id, job);
+    if (stage === 'withdrawn' && job) job.cancelledAt ??= now;
+    if (!this.told.has(id) && isEnd(stage)) this.told.set(id, { stage, at: now });
+  }
+
+  /** An end that was told stays, and only a user's wish withdraws a job. */
+  private judgeStage(id: string, stage: string, askedAt: number): void {
+    const before = this.told.get(id);
+    if (before && before.at <= askedAt && before.stage !== stage) {
+      this.broken.push(`went_back ${id} ${before.stage} to ${stage}`);
+    }
+    if (before && isEnd(stage) && before.stage !== stage) {
+      this.broken.push(`went_back ${id}: both ${before.stage} and ${stage}`);
+    }
+    if (stage === 'withdrawn' && !this.asked.has(id)) {
+      this.broken.push(`went_back ${id} withdrawn, though nobody asked for it`);
+    }
+  }
+
+  /** A job is done only when each of its tasks is. */
+  private judgeDone(id: string, job: SimJob | undefined): void {
+    for (let index = 0; index < (job?.tasks ?? 0); index++) {
+      if (!this.world.completed.has(`${id}/${index}`)) this.broken.push(`not_done ${id}/${index}`);
+    }
+  }
+
+  /** All tasks of a gang run: none of them may be of another attempt. */
+  gangStarted(id: string, attempt: number): void {
+    for (const worker of this.world.workers.values()) {
+      for (const [name, task] of worker.onMachine()) {
+        if (name.startsWith(`${id}/`) && task.state === 'running' && task.attempt !== attempt) {
+          this.broken.push(`two_attempts ${name}: ${task.attempt} and ${attempt}`);
+        }
+      }
+    }
+  }
+
+  /** A task got on a machine: it runs once, within its team's limit, and where its job may run. */
+  started(worker: SimWorker, task: string): void {
+    const [id = ''] = task.split('/');
+    const job = this.world.jobs.get(id);
+    let used = 0;
+    const zones = new Map<string, number>();
+    for (const other of this.world.workers.values()) {
+      for (const [name, on] of other.onMachine()) {
+        if (name === task && other !== worker) this.broken.push(`ran_twice ${task}`);
+        const otherJob = this.world.jobs.get(name.split('/')[0] ?? '');
+        if (otherJob?.team === job?.team) used += on.cpus;
+        if (name.startsWith(`${id}/`) && name !== task) {
+          zones.set(other.machine.zone, (zones.get(other.machine.zone) ?? 0) + 1);
+        }
+      }
+    }
+    if (!job) return;
+    this.judgeCancelled(job, task);
+    const most = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
+    if (used > most + 1e-6) this.broken.push(`quota ${job.team} ${used}`);
+    this.judgePlace(job, worker, task, zones);
+  }
+
+  private judgeCancelled(job: SimJob, task: string): void {
+    if (job.cancelledAt !== null) this.startsAfterCancel.push(task);
+    if (job.cancelledAt !== null && this.world.clock.now() - job.cancelledAt > 50_000) {
+      this.broken.push(`ran_cancelled ${task} starts`);
+    }
+  }
+
+  /** `zones`: how many other tasks of the job are in each. */
+  private judgePlace(
+    job: SimJob,
+    worker: SimWorker,
+    task: string,
+    zones: ReadonlyMap<string, number>,
+  ): void {
+    const { zone, spot } = worker.machine;
+    if ((spot && !job.spot) || (job.zone !== null && job.zone !== zone)) {
+      this.broken.push(`wrong_place ${task}`);
+    }
+    if (job.oneZone && [...zones.keys()].some((other) => other !== zone)) {
+      this.broken.push(`wrong_place ${task} (one zone)`);
+    }
+    if (job.spread && (zones.get(zone) ?? 0) + 1 > Math.ceil(job.tasks / 2)) {
+      this.broken.push(`wrong_place ${task} (spread)`);
+    }
+  }
+
+  /** Tasks of cancelled jobs that are still on a machine past their time. */
+  checkCancelled(cancelS: number): void {
+    for (const worker of this.world.workers.values()) {
+      for (const [name] of worker.onMachine()) {
+        const at = this.world.jobs.get(name.split('/')[0] ?? '')?.cancelledAt ?? null;
+        if (at !== null && this.world.clock.now() > at + cancelS * 1000) {
+          this.broken.push(`ran_cancelled ${name}`);
+        }
+      }
+    }
+  }
+}
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -8,7 +8,7 @@
 import type { Command, JobSpec, TaskReport, WorkerReport } from '../../src/protocol/model.js';
 import { SimClock } from './clock.js';
 import { SimState } from './state.js';
-import { TYPES, silent } from './world.js';
+import { TYPES, silent } from './settings.js';
 
 export const JOB = 'j-000001';
 const TERM = 5;
--- /dev/null
+++ b/test/world/outside.ts
@@ -0,0 +1,106 @@
+/** What a node of the simulated world reaches: time, state service, cloud, workers and peers. */
+import type { Outside } from '../../src/coordination/node.js';
+import type { Command } from '../../src/protocol/model.js';
+import type { PeerMessage } from '../../src/protocol/peer-messages.js';
+import type { StateApi } from '../../src/protocol/state-api.js';
+import type { DirectResult } from '../../src/protocol/worker-api.js';
+import { encodeDirect, parseReport } from '../../src/protocol/worker-codec.js';
+import type { Clock } from '../../src/transport/clock.js';
+import { NoAnswer } from '../../src/transport/http-client.js';
+import type { World } from './world.js';
+
+/** ms that messages between nodes take. */
+const PEER_MS = 2;
+/** ms after which a direct call without an answer has failed. */
+const DIRECT_LIMIT_MS = 2000;
+
+type Guarded = <T>(call: Promise<T>) => Promise<T>;
+
+/** The outside of a node. What comes while it stands still waits; a dead one gets nothing more. */
+export function outsideOf(world: World, name: string, isDead: () => boolean): Outside {
+  const guarded: Guarded = (call) =>
+    new Promise((resolve, reject) => {
+      call.then(
+        (value) => world.at(name, () => (isDead() ? undefined : resolve(value))),
+        (error: unknown) => world.at(name, () => (isDead() ? undefined : reject(error as Error))),
+      );
+    });
+  return {
+    clock: clockOf(world, name, isDead),
+    state: stateOf(world.state.api(name), guarded),
+    cloud: world.cloud.api(),
+    workers: {
+      full: false,
+      command: (address, token, session, commands) =>
+        guarded(callDirect(world, name, address, token, session, commands)),
+    },
+    peersThere: () =>
+      [...world.nodes.keys()].filter((peer) => peer !== name && !world.cut(name, peer)),
+    tellPeer: (peer, message) => tellPeer(world, name, peer, message),
+  };
+}
+
+function clockOf(world: World, name: string, isDead: () => boolean): Clock {
+  return {
+    now: () => world.clock.now(),
+    wall: () => world.clock.wall(),
+    after: (delay, run) =>
+      world.clock.after(delay, () => {
+        world.at(name, () => {
+          if (!isDead()) run();
+        });
+      }),
+  };
+}
+
+function stateOf(api: StateApi, guarded: Guarded): StateApi {
+  return {
+    get: (key) => guarded(api.get(key)),
+    list: (prefix, after) => guarded(api.list(prefix, after)),
+    txn: (guards, changes) => guarded(api.txn(guards, changes)),
+    grant: (ttl) => guarded(api.grant(ttl)),
+    extend: (lease) => guarded(api.extend(lease)),
+    watch: (prefix, since, wait) => guarded(api.watch(prefix, since, wait)),
+  };
+}
+
+function tellPeer(world: World, name: string, peer: string, message: PeerMessage): boolean {
+  const other = world.nodes.get(peer);
+  if (!other || world.cut(name, peer)) return false;
+  const back = (reply: PeerMessage): void => {
+    world.clock.after(PEER_MS, () => {
+      world.at(name, () => world.nodes.get(name)?.node.heard(reply, () => undefined));
+    });
+  };
+  world.clock.after(PEER_MS, () => {
+    world.at(peer, () => world.nodes.get(peer)?.node.heard(message, back));
+  });
+  return true;
+}
+
+function callDirect(
+  world: World,
+  node: string,
+  address: string,
+  token: number,
+  session: number,
+  commands: Command[],
+): Promise<DirectResult> {
+  return new Promise((resolve, reject) => {
+    const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
+    const cut = !worker || worker.deaf || world.cut(node, worker.machine.name);
+    const held = Math.max(worker?.holdDirectMs ?? 0, worker?.hungMs ?? 0);
+    const { calls } = encodeDirect(token, session, commands) as { calls: never[] };
+    world.clock.after(DIRECT_LIMIT_MS, () => reject(new NoAnswer('timed out')));
+    if (cut) return;
+    world.clock.after(world.linkMs + held, () => {
+      const reply = worker.command(token, session, calls);
+      for (const later of worker.repeatDirectMs) {
+        world.clock.after(later, () => worker.command(token, session, calls));
+      }
+      const parsed = parseReport(JSON.parse(reply.body) as Record<string, unknown>);
+      if (parsed.ok && held === 0)
+        resolve({ executed: reply.status === 200, report: parsed.value });
+    });
+  });
+}
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -1,4 +1,5 @@
-import { TYPES, type World } from './world.js';
+import { TYPES } from './settings.js';
+import type { World } from './world.js';
 
 export interface Task {
   attempt: number;
