--- /dev/null
+++ b/src/coordination/guarantee-claims.ts
@@ -0,0 +1,138 @@
+/**
+ * Room that a gang may claim for its team's guarantee: other teams' arrays, as far as these teams
+ * run beyond their own guarantees. This is the one case in which work stops work of equal priority.
+ */
+import { CLAIMS_MS } from '../constants.js';
+import type { StoreReplica } from '../storage/store-replica.js';
+import type { JobSpec } from '../protocol/model.js';
+import type { Team } from '../protocol/settings.js';
+import type { Clock } from '../transport/clock.js';
+import { fitCount, isEligible, type MachineCapacity } from './capacity.js';
+import type { Share } from './gangs.js';
+import { placeKey } from './priorities.js';
+
+/** Where a gang finds room by a claim, and how many CPUs it may stop of each team for it. */
+export interface Claim {
+  share: Share;
+  reclaim: Record<string, number>;
+}
+
+/** What stopping some arrays would free on one machine. */
+interface Reclaimable {
+  cpus: number;
+  memoryGb: number;
+}
+
+interface Place {
+  part: string;
+  zone: string;
+  free: number;
+  claimable: number;
+}
+
+/** Finds such room for the leader; what it counted holds for a moment, less what was claimed since. */
+export class GuaranteeClaims {
+  private countedAt = -Infinity;
+  /** CPUs that each team runs beyond its guarantee. */
+  private readonly excess = new Map<string, number>();
+  private readonly machines = new Map<string, Map<string, Reclaimable>>();
+
+  constructor(
+    private readonly teams: ReadonlyMap<string, Team>,
+    private readonly replica: StoreReplica,
+    private readonly clock: Clock,
+  ) {}
+
+  /** A place where all of the gang fits once such arrays are stopped; null: there is none. */
+  find(spec: JobSpec, machines: readonly MachineCapacity[]): Claim | null {
+    this.count();
+    const excess = [...this.excess].filter(([team]) => team !== spec.team);
+    const claimableCpus = excess.reduce((sum, [, cpus]) => sum + cpus, 0);
+    if (claimableCpus < spec.cpus) return null;
+    const teams = new Set(excess.map(([team]) => team));
+    let best: Place | null = null;
+    for (const place of this.places(spec, machines, teams)) {
+      const missing = Math.max(0, spec.tasks - place.free);
+      if (place.claimable < spec.tasks || missing * spec.cpus > claimableCpus) continue;
+      if (best === null || place.free > best.free) best = place;
+    }
+    if (best === null) return null;
+    const { part, zone } = best;
+    const reclaim = this.take(excess, Math.max(0, spec.tasks - best.free) * spec.cpus);
+    return { share: { part, zone, count: spec.tasks }, reclaim };
+  }
+
+  private places(
+    spec: JobSpec,
+    machines: readonly MachineCapacity[],
+    teams: ReadonlySet<string>,
+  ): Iterable<Place> {
+    const places = new Map<string, Place>();
+    for (const machine of machines) {
+      if (!isEligible(spec, machine)) continue;
+      const { part, zone } = machine;
+      const key = placeKey(part, zone);
+      const place = places.get(key) ?? { part, zone, free: 0, claimable: 0 };
+      places.set(key, place);
+      const room = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
+      place.free += fitCount(room, spec);
+      for (const [team, { cpus, memoryGb }] of this.machines.get(machine.name) ?? []) {
+        if (!teams.has(team)) continue;
+        room.cpus += cpus;
+        room.memoryGb += memoryGb;
+      }
+      place.claimable += fitCount(room, spec);
+    }
+    return places.values();
+  }
+
+  /** Takes so many CPUs of what the teams run beyond their guarantees, the largest excess first. */
+  private take(excess: [string, number][], cpus: number): Record<string, number> {
+    const taken: Record<string, number> = {};
+    let left = cpus;
+    for (const [team, most] of excess.sort(([, a], [, b]) => b - a)) {
+      const some = Math.min(left, most);
+      if (some <= 0) break;
+      taken[team] = some;
+      this.excess.set(team, most - some);
+      left -= some;
+    }
+    return taken;
+  }
+
+  private count(): void {
+    const now = this.clock.now();
+    if (now - this.countedAt < CLAIMS_MS) return;
+    this.countedAt = now;
+    this.countExcess();
+    this.countMachines();
+  }
+
+  private countExcess(): void {
+    this.excess.clear();
+    for (const { team, liveCount, cpus } of this.replica.chunks()) {
+      this.excess.set(team, (this.excess.get(team) ?? 0) + liveCount * cpus);
+    }
+    for (const [team, cpus] of this.excess) {
+      const beyond = cpus - (this.teams.get(team)?.cpus ?? 0);
+      if (beyond > 0) this.excess.set(team, beyond);
+      else this.excess.delete(team);
+    }
+  }
+
+  private countMachines(): void {
+    this.machines.clear();
+    for (const chunk of this.replica.chunks()) {
+      if (!this.excess.has(chunk.team)) continue;
+      if (this.replica.job(chunk.job)?.spec.kind !== 'array') continue;
+      for (const name of chunk.on) {
+        const teams = this.machines.get(name) ?? new Map<string, Reclaimable>();
+        this.machines.set(name, teams);
+        const found = teams.get(chunk.team) ?? { cpus: 0, memoryGb: 0 };
+        found.cpus += chunk.cpus;
+        found.memoryGb += chunk.memoryGb;
+        teams.set(chunk.team, found);
+      }
+    }
+  }
+}
