--- a/src/coordination/capacity.ts
+++ b/src/coordination/capacity.ts
@@ -78,18 +78,45 @@
 }
 
 /** What makes room on a machine: urgent work stops lower work, other work waits for arrays to end. */
-export type ReclaimMode = 'stopping' | 'ending';
+export type ReclaimMode = 'stoppingArrays' | 'stopping' | 'ending';
 
 export const reclaimModeFor = (spec: JobSpec): ReclaimMode =>
   rankOf(spec.priority) >= URGENT ? 'stopping' : 'ending';
 
+/**
+ * The ways to make room for a job, the least costly first: a task of an array that is stopped loses
+ * its own work, one of a gang that of the whole gang.
+ */
+export const reclaimModesFor = (spec: JobSpec): readonly ReclaimMode[] =>
+  reclaimModeFor(spec) === 'stopping' ? ['stoppingArrays', 'stopping'] : ['ending'];
+
+/** What other work leaves on a machine when it makes room. */
+function reclaimed(
+  machine: MachineCapacity,
+  mode: ReclaimMode,
+): { cpus: number; memoryGb: number } {
+  const { lowCpus, lowMemoryGb, endingCpus, endingMemoryGb } = machine;
+  switch (mode) {
+    case 'stopping':
+      return { cpus: lowCpus, memoryGb: lowMemoryGb };
+    case 'ending':
+      return { cpus: endingCpus, memoryGb: endingMemoryGb };
+    case 'stoppingArrays':
+      // Arrays may be urgent themselves.
+      return {
+        cpus: Math.min(lowCpus, endingCpus),
+        memoryGb: Math.min(lowMemoryGb, endingMemoryGb),
+      };
+  }
+}
+
 /** The room that a machine has once other work has made some. */
 export function reclaimableCapacity(machine: MachineCapacity, mode: ReclaimMode): Amounts {
-  const stopping = mode === 'stopping';
+  const { cpus, memoryGb } = reclaimed(machine, mode);
   return {
-    cpus: machine.cpus + (stopping ? machine.lowCpus : machine.endingCpus),
+    cpus: machine.cpus + cpus,
     gpus: machine.gpus,
-    memoryGb: machine.memoryGb + (stopping ? machine.lowMemoryGb : machine.endingMemoryGb),
+    memoryGb: machine.memoryGb + memoryGb,
   };
 }
 
--- a/src/coordination/gangs.ts
+++ b/src/coordination/gangs.ts
@@ -15,6 +15,8 @@
 import {
   fitCount,
   reclaimModeFor,
+  reclaimModesFor,
+  type ReclaimMode,
   isEligible,
   occupyReclaimable,
   reclaimableCapacity,
@@ -76,22 +78,37 @@
 
 const NO_HINTS: ImageHints = { lastPlace: null, fetchesInTime: () => true };
 
-/**
- * Decides where a gang goes. Machines that fetch its image in time come before others, since it
- * starts with its last fetch; only where they have no room do the others count.
- */
+/** Decides where a gang goes: where it costs the least to make room, if there is none. */
 export function planGang(
   spec: JobSpec,
   machines: readonly MachineCapacity[],
   hints: ImageHints = NO_HINTS,
+): GangPlan {
+  const modes = reclaimModesFor(spec);
+  for (const mode of modes.slice(0, -1)) {
+    const plan = planInTime(spec, machines, hints, mode);
+    if (plan.shares) return plan;
+  }
+  return planInTime(spec, machines, hints, modes.at(-1) ?? 'ending');
+}
+
+/**
+ * Machines that fetch a gang's image in time come before others, since it starts with its last
+ * fetch; only where they have no room do the others count.
+ */
+function planInTime(
+  spec: JobSpec,
+  machines: readonly MachineCapacity[],
+  hints: ImageHints,
+  mode: ReclaimMode,
 ): GangPlan {
   const quick = machines.filter(({ type }) => hints.fetchesInTime(type));
-  const plan = planAmong(spec, machines, hints.lastPlace);
+  const plan = planAmong(spec, machines, hints.lastPlace, mode);
   if (quick.length === machines.length || !plan.shares) return plan;
-  const inTime = planAmong(spec, quick, hints.lastPlace);
+  const inTime = planAmong(spec, quick, hints.lastPlace, mode);
   if (!inTime.shares) return plan;
   // Stopping other work takes less time than a slow fetch, waiting for its end takes more.
-  const soonEnough = inTime.when === 'now' || reclaimModeFor(spec) === 'stopping';
+  const soonEnough = inTime.when === 'now' || mode !== 'ending';
   return soonEnough || plan.when === 'soon' ? inTime : plan;
 }
 
@@ -103,6 +120,7 @@
   spec: JobSpec,
   machines: readonly MachineCapacity[],
   known: string | null,
+  mode: ReclaimMode,
 ): GangPlan {
   const places = new Map<string, Place>();
   for (const machine of machines) {
@@ -113,7 +131,7 @@
       places.set(key, (place = { part: machine.part, zone: machine.zone, now: 0, soon: 0 }));
     }
     place.now += fitCount(machine, spec);
-    place.soon += fitCount(reclaimableCapacity(machine, reclaimModeFor(spec)), spec);
+    place.soon += fitCount(reclaimableCapacity(machine, mode), spec);
   }
   const all = [...places.values()];
   const zones = new Map<string, Place[]>();
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -34,6 +34,7 @@
 import {
   fitCount,
   reclaimModeFor,
+  reclaimModesFor,
   isEligible,
   need,
   occupy,
@@ -396,11 +397,12 @@
       }
     }
     const urgent = rankOf(spec.priority) >= URGENT;
-    if (rooms.size === 0 && urgent) {
-      // No free room: the part may stop lower work for it.
+    // No free room: the part may stop lower work for it.
+    for (const mode of urgent ? reclaimModesFor(spec) : []) {
+      if (rooms.size > 0) break;
       for (const machine of machines) {
         if (machine.lowCpus <= 0 || !isEligible(spec, machine)) continue;
-        const count = fitCount(reclaimableCapacity(machine, 'stopping'), spec);
+        const count = fitCount(reclaimableCapacity(machine, mode), spec);
         if (count > 0) note(machine, count);
       }
     }
