--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -55,8 +55,8 @@
         state: new HttpStateApi(stateHttp, watchHttp, STATE_TIMEOUT_MS),
         cloud: new HttpCloudApi(cloudHttp, CLOUD_TIMEOUT_MS, LIST_PAGE),
         workers,
-        peersThere: () => [...links].filter(([, link]) => link.connected).map(([name]) => name),
-        tellPeer: (name, message) => links.get(name)?.send(encodePeer(message)) ?? false,
+        connectedPeers: () => [...links].filter(([, link]) => link.connected).map(([name]) => name),
+        sendToPeer: (name, message) => links.get(name)?.send(encodePeer(message)) ?? false,
       },
       log,
       incarnation,
@@ -67,7 +67,7 @@
       maxFrameBytes: PEER_FRAME_BYTES,
       onFrame: (frame: Buffer, answer: (frame: Uint8Array) => void) => {
         const message = decodePeer(frame);
-        if (message) node.heard(message, (reply) => answer(encodePeer(reply)));
+        if (message) node.receive(message, (reply) => answer(encodePeer(reply)));
       },
     };
     const routes: Route[] = [
@@ -84,7 +84,7 @@
         path: '/v2/runs/:id/cancel',
         handle: ({ id }) => node.serve('cancel', id, null),
       },
-      { method: 'GET', path: '/metrics', handle: () => node.figures() },
+      { method: 'GET', path: '/metrics', handle: () => node.metrics() },
       {
         method: 'GET',
         path: '/ready',
--- /dev/null
+++ b/src/coordination/node/environment.ts
@@ -0,0 +1,18 @@
+/** What a controller needs from its surroundings. */
+import type { CloudApi } from '../../protocol/cloud-api.js';
+import type { PeerMessage } from '../../protocol/peer-messages.js';
+import type { StateApi } from '../../protocol/state-api.js';
+import type { WorkerApi } from '../../protocol/worker-api.js';
+import type { Clock } from '../../transport/clock.js';
+
+/** The clock and the services that a node uses; tests pass simulated ones. */
+export interface Environment {
+  readonly clock: Clock;
+  readonly state: StateApi;
+  readonly cloud: CloudApi;
+  readonly workers: WorkerApi;
+  /** Sends a message to a peer; false: there is no connection to it. */
+  sendToPeer(node: string, message: PeerMessage): boolean;
+  /** Names of the peers to which a connection is open. */
+  connectedPeers(): string[];
+}
--- /dev/null
+++ b/src/coordination/node/node-services.ts
@@ -0,0 +1,143 @@
+/** Creates the services that all parts of a node share, in the order of their dependencies. */
+import {
+  CHECK_SHARE,
+  WATCH_GRACE_SHARE,
+  WATCH_HOLD_MS,
+  WATCH_SHARE,
+  WATCH_SPACING_MS,
+} from '../../constants.js';
+import { Committer } from '../../storage/committer.js';
+import type { Log } from '../../storage/log.js';
+import { RateLimiter } from '../../storage/rate-limiter.js';
+import { StoreReachability } from '../../storage/store-reachability.js';
+import { StoreReplica } from '../../storage/store-replica.js';
+import type { Settings } from '../../protocol/settings.js';
+import type { StateApi } from '../../protocol/state-api.js';
+import { randomOf } from '../../transport/backoff.js';
+import { hash, type Member } from '../rendezvous.js';
+import { Roles, graceMs } from '../roles.js';
+import { UserRequests } from '../user-requests.js';
+import type { Environment } from './environment.js';
+import { OwnerNotifier } from './owner-notifier.js';
+
+/** What a node is created from. */
+export interface NodeOptions {
+  readonly settings: Settings;
+  readonly environment: Environment;
+  readonly log: Log;
+  /** Identifies this process among all that ever ran as this node. */
+  readonly incarnation: string;
+}
+
+/** The services that the parts of a node share. */
+export interface NodeServices extends NodeOptions {
+  /** The state service; the outcome of every request to it is noted for `reachability`. */
+  readonly state: StateApi;
+  /** All nodes of the cluster, by name. */
+  readonly members: readonly Member[];
+  /** Uniform in [0, 1). */
+  readonly random: () => number;
+  readonly reachability: StoreReachability;
+  readonly limiter: RateLimiter;
+  readonly replica: StoreReplica;
+  readonly committer: Committer;
+  readonly roles: Roles;
+  readonly ownerNotifier: OwnerNotifier;
+  readonly userRequests: UserRequests;
+}
+
+type StoreServices = Omit<NodeServices, 'roles' | 'ownerNotifier' | 'userRequests'>;
+type RoleServices = Omit<NodeServices, 'userRequests'>;
+
+/** Creates the services of a node. */
+export function createNodeServices(options: NodeOptions): NodeServices {
+  const store = createStoreServices(options);
+  const roles = createRoles(store);
+  const { environment, settings } = options;
+  const { replica } = store;
+  const ownerNotifier = new OwnerNotifier({ node: settings.node, environment, roles, replica });
+  const withRoles = { ...store, roles, ownerNotifier };
+  return { ...withRoles, userRequests: createUserRequests(withRoles) };
+}
+
+/** ms between requests of all members that take `share` of the state service's limit. */
+function requestSpacingMs({ peers, stateRps }: Settings, share: number): number {
+  const memberCount = peers.length + 1;
+  return (1000 * memberCount) / (stateRps * share);
+}
+
+function createStoreServices(options: NodeOptions): StoreServices {
+  const { environment, incarnation, log, settings } = options;
+  const { clock } = environment;
+  const reachability = new StoreReachability(clock);
+  const state = reachability.watch(environment.state);
+  const limiter = new RateLimiter(
+    clock,
+    settings.stateRps,
+    settings.stateWriteRps,
+    settings.txnOps,
+    settings.peers.length + 1,
+  );
+  const random = randomOf(hash(incarnation));
+  const replica = new StoreReplica(
+    state,
+    limiter,
+    clock,
+    log,
+    random,
+    Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_SHARE)),
+    Math.max(WATCH_SPACING_MS, requestSpacingMs(settings, WATCH_SHARE)),
+  );
+  const committer = new Committer(state, limiter, replica, clock, log, random);
+  const members = [selfOf(settings), ...settings.peers].sort((a, b) => (a.node < b.node ? -1 : 1));
+  return {
+    ...options,
+    state,
+    members,
+    random,
+    reachability,
+    limiter,
+    replica,
+    committer,
+  };
+}
+
+function selfOf({ node, zone }: Settings): Member {
+  return { node, zone };
+}
+
+function createRoles(services: StoreServices): Roles {
+  const { committer, environment, incarnation, limiter, log, members, replica, settings, state } =
+    services;
+  return new Roles(
+    selfOf(settings),
+    incarnation,
+    members,
+    settings,
+    state,
+    limiter,
+    replica,
+    committer,
+    environment.clock,
+    log,
+    settings.txnOps,
+  );
+}
+
+function createUserRequests(services: RoleServices): UserRequests {
+  const { committer, environment, limiter, log, ownerNotifier, replica, settings, state } =
+    services;
+  return new UserRequests(
+    settings.teams,
+    settings.txnOps,
+    replica,
+    state,
+    limiter,
+    committer,
+    environment.clock,
+    log,
+    (jobs, cancelled) => ownerNotifier.notifyOfJobs(jobs, cancelled),
+    requestSpacingMs(settings, CHECK_SHARE),
+    settings.valueBytes,
+  );
+}
--- /dev/null
+++ b/src/coordination/node/peer-entry.ts
@@ -0,0 +1,63 @@
+/** Handles the messages of peers. */
+import { finalKey, jobKey } from '../../storage/keys.js';
+import type { FinalRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
+import type { HttpReply } from '../../transport/http-server.js';
+import type { PeerRelay } from './peer-relay.js';
+import type { UserEntry } from './user-entry.js';
+import type { WorkerEntry } from './worker-entry.js';
+
+type RelayMessage = Extract<PeerMessage, { kind: 'relay' }>;
+
+/** What the entry works with. */
+export interface PeerEntryOptions {
+  readonly replica: StoreReplica;
+  readonly relay: PeerRelay;
+  readonly userEntry: UserEntry;
+  readonly workerEntry: WorkerEntry;
+}
+
+/** The entry point of peers' messages. */
+export class PeerEntry {
+  constructor(private readonly options: PeerEntryOptions) {}
+
+  /** Handles a message; `answer` sends one back to its sender. */
+  receive(message: PeerMessage, answer: (message: PeerMessage) => void): void {
+    const { relay, replica } = this.options;
+    switch (message.kind) {
+      case 'poke':
+        if (message.cancelled) this.applyCancellation(message.cancelled, message.revision);
+        replica.hurry(message.revision);
+        return;
+      case 'relay':
+        void this.replyTo(message).then((reply) => {
+          if (!reply) return;
+          const { status, body } = reply;
+          answer({ kind: 'relayed', id: message.id, status, body: JSON.stringify(body) });
+        });
+        return;
+      case 'relayed':
+        relay.settle(message);
+    }
+  }
+
+  /**
+   * Applies a cancellation that a peer had confirmed, so that it is final: an owner that can't reach
+   * the state service stops the job's tasks now, long before its grace and their leases are over.
+   */
+  private applyCancellation({ job, tasks }: CancelledJob, revision: number): void {
+    const final: FinalRecord = { state: 'cancelled', tasks };
+    this.options.replica.applyOwn([
+      { key: finalKey(job), value: final, revision },
+      { key: jobKey(job), value: undefined, revision },
+    ]);
+  }
+
+  /** Null: this node can't answer the relayed request. */
+  private async replyTo({ ask, about, text }: RelayMessage): Promise<HttpReply | null> {
+    const { userEntry, workerEntry } = this.options;
+    if (ask === 'report') return workerEntry.replyToRelayed(text);
+    return userEntry.serveLocally({ ask, about, text });
+  }
+}
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,5 +1,5 @@
 /** The library's entry: what a program needs to embed a controller. */
 export { Controller } from './coordination/controller.js';
-export { ControllerNode, type Outside } from './coordination/node.js';
+export { ControllerNode, type Environment } from './coordination/node.js';
 export { readSettings, SettingsError, type Settings } from './protocol/settings.js';
 export type { Log } from './storage/log.js';
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -1,6 +1,6 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { ControllerNode, type Outside } from '../../src/coordination/node.js';
+import { ControllerNode, type Environment } from '../../src/coordination/node.js';
 import { readSettings, type Settings } from '../../src/protocol/settings.js';
 import type { CloudApi } from '../../src/protocol/cloud-api.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
@@ -221,7 +221,7 @@
         );
       });
     const api = this.state.api(name);
-    const outside: Outside = {
+    const environment: Environment = {
       clock,
       state: {
         get: (key) => guard(api.get(key)),
@@ -237,25 +237,25 @@
         command: (address, token, session, commands) =>
           guard(this.direct(name, address, token, session, commands)),
       },
-      peersThere: () =>
+      connectedPeers: () =>
         [...this.nodes.keys()].filter((peer) => peer !== name && !this.cut(name, peer)),
-      tellPeer: (peer, message) => {
+      sendToPeer: (peer, message) => {
         const other = this.nodes.get(peer);
         if (!other || this.cut(name, peer)) return false;
         const back = (reply: PeerMessage): void => {
           this.clock.after(2, () => {
-            this.at(name, () => this.nodes.get(name)?.node.heard(reply, () => undefined));
+            this.at(name, () => this.nodes.get(name)?.node.receive(reply, () => undefined));
           });
         };
         this.clock.after(2, () => {
-          this.at(peer, () => this.nodes.get(peer)?.node.heard(message, back));
+          this.at(peer, () => this.nodes.get(peer)?.node.receive(message, back));
         });
         return true;
       },
     };
     const node = new ControllerNode(
       { ...settingsOf(name, zone, this.members), ...this.overrides },
-      outside,
+      environment,
       silent,
       `${name}-${++this.incarnations}`,
     );
