--- a/src/coordination/fleet/machine-returns.ts
+++ b/src/coordination/fleet/machine-returns.ts
@@ -74,7 +74,7 @@
     return occupied;
   }
 
-  /** Tells of a machine whether it has been booting for much longer than its type takes. */
+  /** Returns a predicate: whether a machine has been booting for much longer than its type takes. */
   private stuckMachines(snapshot: FleetSnapshot): (name: string, record: MachineRecord) => boolean {
     const { clock, replica } = this.context;
     const wall = clock.wall();
--- a/src/coordination/node/node-services.ts
+++ b/src/coordination/node/node-services.ts
@@ -1,4 +1,4 @@
-/** Creates the services that all parts of a node share, in the order of their dependencies. */
+/** Creates the services that all modules of a node share, in the order of their dependencies. */
 import {
   CHECK_SHARE,
   WATCH_GRACE_SHARE,
@@ -29,7 +29,7 @@
   readonly incarnation: string;
 }
 
-/** The services that the parts of a node share. */
+/** The services that the modules of a node share. */
 export interface NodeServices extends NodeOptions {
   /** The state service; the outcome of every request to it is noted for `reachability`. */
   readonly state: StateApi;
