--- a/test/world/outside.ts
+++ b/test/world/environment.ts
@@ -1,5 +1,5 @@
 /** What a node of the simulated world reaches: time, state service, cloud, workers and peers. */
-import type { Outside } from '../../src/coordination/node.js';
+import type { Environment } from '../../src/coordination/node.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
 import type { StateApi } from '../../src/protocol/state-api.js';
@@ -17,7 +17,7 @@
 type Guarded = <T>(call: Promise<T>) => Promise<T>;
 
 /** The outside of a node. What comes while it stands still waits; a dead one gets nothing more. */
-export function outsideOf(world: World, name: string, isDead: () => boolean): Outside {
+export function environmentOf(world: World, name: string, isDead: () => boolean): Environment {
   const guarded: Guarded = (call) =>
     new Promise((resolve, reject) => {
       call.then(
@@ -34,9 +34,9 @@
       command: (address, token, session, commands) =>
         guarded(callDirect(world, name, address, token, session, commands)),
     },
-    peersThere: () =>
+    connectedPeers: () =>
       [...world.nodes.keys()].filter((peer) => peer !== name && !world.cut(name, peer)),
-    tellPeer: (peer, message) => tellPeer(world, name, peer, message),
+    sendToPeer: (peer, message) => sendToPeer(world, name, peer, message),
   };
 }
 
@@ -64,16 +64,16 @@
   };
 }
 
-function tellPeer(world: World, name: string, peer: string, message: PeerMessage): boolean {
+function sendToPeer(world: World, name: string, peer: string, message: PeerMessage): boolean {
   const other = world.nodes.get(peer);
   if (!other || world.cut(name, peer)) return false;
   const back = (reply: PeerMessage): void => {
     world.clock.after(PEER_MS, () => {
-      world.at(name, () => world.nodes.get(name)?.node.heard(reply, () => undefined));
+      world.at(name, () => world.nodes.get(name)?.node.receive(reply, () => undefined));
     });
   };
   world.clock.after(PEER_MS, () => {
-    world.at(peer, () => world.nodes.get(peer)?.node.heard(message, back));
+    world.at(peer, () => world.nodes.get(peer)?.node.receive(message, back));
   });
   return true;
 }
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -10,7 +10,7 @@
 import { SimGangs } from './gang.js';
 import { jobOf, submissionOf, unwrap, type Reply, type SimJob } from './jobs.js';
 import { Judge, type AskKind } from './judge.js';
-import { outsideOf } from './outside.js';
+import { environmentOf } from './environment.js';
 import { settingsOf, silent } from './settings.js';
 import { SimState } from './state.js';
 import type { SimWorker } from './worker.js';
@@ -87,7 +87,7 @@
     let dead = false;
     const node = new ControllerNode(
       { ...settingsOf(name, zone, this.members), ...this.overrides },
-      outsideOf(this, name, () => dead),
+      environmentOf(this, name, () => dead),
       silent,
       `${name}-${++this.incarnations}`,
     );
