--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -329,13 +329,13 @@
       if (!this.mayCall()) return;
       const request = `r-${this.options.term}-${++this.requests}`;
       const { type, zone, spot } = offer;
-      const result = await this.cloud.rent(
+      const result = await this.cloud.rent({
         request,
-        type.name,
+        type: type.name,
         zone,
         spot,
-        Math.min(count, RENT_MAX),
-      );
+        count: Math.min(count, RENT_MAX),
+      });
       const got = result.kind === 'rented' ? result.machines.length : 0;
       this.log.info({ type: type.name, zone, spot, count, got, result: result.kind }, 'renting');
       if (result.kind === 'noCapacity' || (result.kind === 'rented' && got < count)) {
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,5 @@
 /** The library's entry: what a program needs to embed a controller. */
+
 export { Controller } from './coordination/controller.js';
 export { ControllerNode, type Outside } from './coordination/node.js';
 export { readSettings, SettingsError, type Settings } from './protocol/settings.js';
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,19 +1,34 @@
+/** The command line: reads the settings and runs one controller until the process ends. */
+
 import { Command } from 'commander';
-import { pino } from 'pino';
+import { pino, type Logger } from 'pino';
 import { Controller, SettingsError, readSettings, type Settings } from './index.js';
 import { VERSION } from './constants.js';
 
-function load(config: string, operators: string | undefined): Settings {
+/** Names that LOG_LEVEL may have; any other counts as `info`. */
+const LOG_LEVELS = ['fatal', 'error', 'warn', 'info', 'debug', 'trace', 'silent'];
+/** Exit code for settings that can't be used. */
+const EXIT_SETTINGS = 2;
+/** The file descriptor that the log goes to. */
+const STDERR = 2;
+
+interface CommandLine {
+  config: string;
+  operators?: string;
+  check?: boolean;
+}
+
+function loadSettings(config: string, operators: string | undefined): Settings {
   try {
     return readSettings(config, operators ?? null);
   } catch (error) {
     if (!(error instanceof SettingsError)) throw error;
     process.stderr.write(`mothbank: ${error.message}\n`);
-    process.exit(2);
+    process.exit(EXIT_SETTINGS);
   }
 }
 
-async function main(): Promise<void> {
+function parseCommandLine(): CommandLine {
   const program = new Command('mothbank')
     .description('One controller of a mothbank cluster.')
     .version(VERSION)
@@ -22,18 +37,25 @@
     .option('--check', 'check the settings and exit')
     .addHelpText('after', '\nLOG_LEVEL sets what is written to stderr: error, info or debug.');
   program.parse();
-  const options = program.opts<{ config: string; operators?: string; check?: boolean }>();
-  const settings = load(options.config, options.operators);
+  return program.opts<CommandLine>();
+}
+
+function openLog(): Logger {
+  const level = process.env['LOG_LEVEL'] ?? 'info';
+  return pino(
+    { level: LOG_LEVELS.includes(level) ? level : 'info', base: null },
+    pino.destination({ dest: STDERR, sync: true }),
+  );
+}
+
+async function main(): Promise<void> {
+  const options = parseCommandLine();
+  const settings = loadSettings(options.config, options.operators);
   if (options.check) {
     process.stdout.write('settings are good\n');
     return;
   }
-  const level = process.env['LOG_LEVEL'] ?? 'info';
-  const known = ['fatal', 'error', 'warn', 'info', 'debug', 'trace', 'silent'];
-  const log = pino(
-    { level: known.includes(level) ? level : 'info', base: null },
-    pino.destination({ dest: 2, sync: true }),
-  );
+  const log = openLog();
   // Nothing unforeseen may end a controller: it would be missed more than what failed.
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught'));
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled'));
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -1,25 +1,35 @@
+/** The client of the cloud: the catalogue of machine types, rentals and returns. */
+
 import { NoAnswer, type HttpClient } from '../transport/http-client.js';
 import type { ListedMachine, MachineType } from './model.js';
 
+/**
+ * What became of a rental request: machines, none for lack of capacity, or neither for now
+ * because the cloud is busy or limits requests.
+ */
 export type RentResult =
   { kind: 'rented'; machines: string[] } | { kind: 'noCapacity' } | { kind: 'later' };
 
+/** A rental request. Sent again under the same `request`, it rents nothing twice. */
+export interface Rental {
+  request: string;
+  type: string;
+  zone: string;
+  spot: boolean;
+  count: number;
+}
+
 /** What the program needs of the cloud; tests put a stand-in here. */
 export interface CloudApi {
   /** Null: the cloud did not answer usefully; try later. */
   types(): Promise<MachineType[] | null>;
-  rent(
-    request: string,
-    type: string,
-    zone: string,
-    spot: boolean,
-    count: number,
-  ): Promise<RentResult>;
+  rent(rental: Rental): Promise<RentResult>;
   /** True: the machines and everything on them are gone. */
   giveBack(machines: string[]): Promise<boolean>;
   list(after: string): Promise<{ machines: ListedMachine[]; more: boolean } | null>;
 }
 
+/** A machine type as the cloud's catalogue has it. */
 interface WireType {
   label: string;
   cores: number;
@@ -32,6 +42,8 @@
   bootS?: number;
   groves: string[];
 }
+
+/** A rented machine as the cloud lists it. */
 interface WireMachine {
   ref: string;
   endpoint?: string;
@@ -42,6 +54,34 @@
   heldS?: number;
 }
 
+function readMachineType(wire: WireType): MachineType {
+  return {
+    name: wire.label,
+    cpus: wire.cores,
+    gpus: wire.gpus ?? 0,
+    memoryGb: wire.memGb,
+    cacheGb: wire.cacheGb ?? 0,
+    fetchGbPerS: wire.pullGbPerS ?? 1,
+    price: wire.rate,
+    spotPrice: wire.lowPrice ?? wire.rate,
+    bootS: wire.bootS ?? 60,
+    zones: wire.groves ?? [],
+  };
+}
+
+function readListedMachine(wire: WireMachine): ListedMachine {
+  return {
+    name: wire.ref,
+    address: wire.endpoint ?? '',
+    type: wire.breed,
+    zone: wire.grove,
+    spot: wire.windfall ?? false,
+    state: wire.stage === 'booting' || wire.stage === 'failed' ? wire.stage : 'running',
+    ageS: wire.heldS ?? 0,
+  };
+}
+
+/** The cloud over HTTP; the wire's names stay in here. */
 export class HttpCloudApi implements CloudApi {
   constructor(
     private readonly http: HttpClient,
@@ -53,27 +93,11 @@
     const answer = await this.http.call('GET', '/catalog', undefined, this.timeoutMs);
     const breeds = (answer.body as { breeds?: WireType[] } | null)?.breeds;
     if (answer.status !== 200 || !Array.isArray(breeds)) return null;
-    return breeds.map((one) => ({
-      name: one.label,
-      cpus: one.cores,
-      gpus: one.gpus ?? 0,
-      memoryGb: one.memGb,
-      cacheGb: one.cacheGb ?? 0,
-      fetchGbPerS: one.pullGbPerS ?? 1,
-      price: one.rate,
-      spotPrice: one.lowPrice ?? one.rate,
-      bootS: one.bootS ?? 60,
-      zones: one.groves ?? [],
-    }));
+    return breeds.map(readMachineType);
   }
 
-  async rent(
-    request: string,
-    type: string,
-    zone: string,
-    spot: boolean,
-    count: number,
-  ): Promise<RentResult> {
+  async rent(rental: Rental): Promise<RentResult> {
+    const { request, type, zone, spot, count } = rental;
     const answer = await this.http.call(
       'POST',
       '/rentals',
@@ -110,15 +134,7 @@
     const body = answer.body as { moths?: WireMachine[]; more?: boolean } | null;
     if (answer.status !== 200 || !Array.isArray(body?.moths)) return null;
     return {
-      machines: body.moths.map((one) => ({
-        name: one.ref,
-        address: one.endpoint ?? '',
-        type: one.breed,
-        zone: one.grove,
-        spot: one.windfall ?? false,
-        state: one.stage === 'booting' || one.stage === 'failed' ? one.stage : 'running',
-        ageS: one.heldS ?? 0,
-      })),
+      machines: body.moths.map(readListedMachine),
       more: body.more === true,
     };
   }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,8 +1,11 @@
-/** The field's own words for what the service deals with; the wire's names stay in this layer. */
+/** The types of the service's domain. The wire's names for them stay in this layer's codecs. */
 
+/** From the least to the greatest. */
 export const PRIORITIES = ['low', 'normal', 'high', 'production'] as const;
+/** How urgent a job is. */
 export type Priority = (typeof PRIORITIES)[number];
 
+/** A job as its user submitted it. */
 export interface JobSpec {
   id: string;
   class: string;
@@ -27,8 +30,10 @@
   deadlineS: number | null;
 }
 
+/** The states that users are told of. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
+/** A type of machine in the cloud's catalogue. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -42,6 +47,7 @@
   zones: string[];
 }
 
+/** One task of a job. */
 export interface TaskRef {
   job: string;
   index: number;
@@ -49,10 +55,12 @@
 
 /** `gathering`: waits for the other tasks of its gang. */
 export type TaskState = 'fetching' | 'gathering' | 'running' | 'saving' | 'exited';
+
 /** `peerLost`: another task of its gang is gone; `timedOut`: its gang was not complete in time. */
 export type ExitCause =
   'done' | 'stopped' | 'error' | 'noRoom' | 'busy' | 'unknown' | 'peerLost' | 'timedOut';
 
+/** A task as a worker reports it. */
 export interface TaskReport {
   task: TaskRef;
   attempt: number;
@@ -60,6 +68,7 @@
   cause: ExitCause | null;
 }
 
+/** A worker's report of its machine and of all tasks on it. */
 export interface WorkerReport {
   machine: string;
   address: string;
@@ -73,6 +82,7 @@
   tasks: TaskReport[];
 }
 
+/** An order to a worker about one task. */
 export interface Command {
   op: 'start' | 'stop' | 'forget';
   task: TaskRef;
@@ -80,6 +90,7 @@
   graceS?: number;
 }
 
+/** A rented machine as the cloud lists it. */
 export interface ListedMachine {
   name: string;
   address: string;
@@ -90,10 +101,12 @@
   ageS: number;
 }
 
+/** A task's name: `JOB/INDEX`. */
 export function taskName(task: TaskRef): string {
   return `${task.job}/${task.index}`;
 }
 
+/** The task that a name stands for; null: it is no task name. */
 export function parseTaskName(name: string): TaskRef | null {
   const slash = name.lastIndexOf('/');
   if (slash < 1) return null;
@@ -102,7 +115,7 @@
   return { job: name.slice(0, slash), index };
 }
 
-/** Greatest first: `production` outranks `high`, and so on. */
+/** A priority as a number: the greater, the more urgent. */
 export function rankOf(priority: Priority): number {
   return PRIORITIES.indexOf(priority);
 }
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -1,3 +1,5 @@
+/** The messages between controllers, in the protobuf encoding. Their field numbers never change. */
+
 import protobuf from 'protobufjs/minimal.js';
 
 const { Reader, Writer } = protobuf;
@@ -13,6 +15,7 @@
   | { kind: 'relay'; id: number; ask: Ask; about: string; text: string }
   | { kind: 'relayed'; id: number; status: number; body: string };
 
+/** A job that was cancelled, and how many tasks it had. */
 export interface CancelledJob {
   job: string;
   tasks: number;
@@ -20,37 +23,64 @@
 
 /** What a relayed request asks; `about` is the job's id where there is one. */
 export const ASKS = ['report', 'submit', 'poll', 'cancel'] as const;
+/** The kind of a relayed request. */
 export type Ask = (typeof ASKS)[number];
 
+/** Field numbers of the kinds of message in the envelope. */
 const POKE = 1;
 const RELAY = 2;
 const RELAYED = 3;
 
+/** Protobuf's wire types of the fields used here. */
+const VARINT = 0;
+const DELIMITED = 2;
+
+/** The low bits of a protobuf tag that hold the wire type; the others hold the field number. */
+const WIRE_TYPE_BITS = 3;
+const WIRE_TYPE_MASK = 7;
+
+const varint = (field: number): number => (field << WIRE_TYPE_BITS) | VARINT;
+const delimited = (field: number): number => (field << WIRE_TYPE_BITS) | DELIMITED;
+
+type Message<Kind extends PeerMessage['kind']> = Extract<PeerMessage, { kind: Kind }>;
+
+function writePoke(writer: protobuf.Writer, message: Message<'poke'>): void {
+  writer.uint32(delimited(POKE)).fork();
+  writer.uint32(delimited(1)).string(message.node);
+  writer.uint32(varint(2)).uint64(message.revision);
+  if (!message.cancelled) return;
+  writer.uint32(delimited(3)).string(message.cancelled.job);
+  writer.uint32(varint(4)).uint32(message.cancelled.tasks);
+}
+
+function writeRelay(writer: protobuf.Writer, message: Message<'relay'>): void {
+  writer.uint32(delimited(RELAY)).fork();
+  writer.uint32(varint(1)).uint64(message.id);
+  writer.uint32(varint(2)).uint32(ASKS.indexOf(message.ask));
+  writer.uint32(delimited(3)).string(message.about);
+  writer.uint32(delimited(4)).string(message.text);
+}
+
+function writeRelayed(writer: protobuf.Writer, message: Message<'relayed'>): void {
+  writer.uint32(delimited(RELAYED)).fork();
+  writer.uint32(varint(1)).uint64(message.id);
+  writer.uint32(varint(2)).uint32(message.status);
+  writer.uint32(delimited(3)).string(message.body);
+}
+
+/** A message as a frame, led by its length. */
 export function encodePeer(message: PeerMessage): Uint8Array {
   const writer = Writer.create();
   writer.fork();
   switch (message.kind) {
     case 'poke':
-      writer.uint32((POKE << 3) | 2).fork();
-      writer.uint32((1 << 3) | 2).string(message.node);
-      writer.uint32((2 << 3) | 0).uint64(message.revision);
-      if (message.cancelled) {
-        writer.uint32((3 << 3) | 2).string(message.cancelled.job);
-        writer.uint32((4 << 3) | 0).uint32(message.cancelled.tasks);
-      }
+      writePoke(writer, message);
       break;
     case 'relay':
-      writer.uint32((RELAY << 3) | 2).fork();
-      writer.uint32((1 << 3) | 0).uint64(message.id);
-      writer.uint32((2 << 3) | 0).uint32(ASKS.indexOf(message.ask));
-      writer.uint32((3 << 3) | 2).string(message.about);
-      writer.uint32((4 << 3) | 2).string(message.text);
+      writeRelay(writer, message);
       break;
     case 'relayed':
-      writer.uint32((RELAYED << 3) | 2).fork();
-      writer.uint32((1 << 3) | 0).uint64(message.id);
-      writer.uint32((2 << 3) | 0).uint32(message.status);
-      writer.uint32((3 << 3) | 2).string(message.body);
+      writeRelayed(writer, message);
       break;
   }
   writer.ldelim();
@@ -58,26 +88,27 @@
   return writer.finish();
 }
 
+/** Field values by their number; fields of other types than this version uses are passed over. */
+function readFields(reader: protobuf.Reader, end: number): Record<number, number | string> {
+  const fields: Record<number, number | string> = {};
+  while (reader.pos < end) {
+    const tag = reader.uint32();
+    const field = tag >>> WIRE_TYPE_BITS;
+    const wireType = tag & WIRE_TYPE_MASK;
+    if (wireType === VARINT) fields[field] = Number(reader.uint64());
+    else if (wireType === DELIMITED) fields[field] = reader.string();
+    else reader.skipType(wireType);
+  }
+  return fields;
+}
+
 /** Null for a message of a kind that this version does not know. Throws on broken ones. */
 export function decodePeer(frame: Uint8Array): PeerMessage | null {
   const reader = Reader.create(frame);
   if (reader.len === 0) return null;
-  const kind = reader.uint32() >>> 3;
+  const kind = reader.uint32() >>> WIRE_TYPE_BITS;
   const end = reader.uint32() + reader.pos;
-  const fields: Record<number, number | string> = {};
-  while (reader.pos < end) {
-    const tag = reader.uint32();
-    switch (tag & 7) {
-      case 0:
-        fields[tag >>> 3] = Number(reader.uint64());
-        break;
-      case 2:
-        fields[tag >>> 3] = reader.string();
-        break;
-      default:
-        reader.skipType(tag & 7);
-    }
-  }
+  const fields = readFields(reader, end);
   const text = (field: number): string => String(fields[field] ?? '');
   const integer = (field: number): number => Number(fields[field] ?? 0);
   switch (kind) {
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,3 +1,5 @@
+/** Reads and checks the settings: the file that the platform hands over, and the operators' own. */
+
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
@@ -6,7 +8,7 @@
 const positive = v.pipe(v.number(), v.gtValue(0));
 const amount = v.pipe(v.number(), v.minValue(0));
 
-/** The limits of the state service. */
+/** The limits of the state service. Names in these schemas are those of the files. */
 const stateLimits = {
   rps: positive,
   write_rps: positive,
@@ -86,6 +88,7 @@
   ),
 });
 
+/** A team's share of the cluster: what it is owed, and the most that it may use. */
 export interface Team {
   name: string;
   cpus: number;
@@ -94,6 +97,7 @@
   gpusMax: number;
 }
 
+/** All settings of one controller, checked, in the program's names and units. */
 export interface Settings {
   node: string;
   zone: string;
@@ -148,38 +152,104 @@
   }
 }
 
-function check<T extends v.GenericSchema>(file: string, schema: T, raw: unknown): v.InferOutput<T> {
+type PlatformFile = v.InferOutput<typeof platform>;
+type Params = PlatformFile['params'];
+
+function check<Schema extends v.GenericSchema>(
+  file: string,
+  schema: Schema,
+  raw: unknown,
+): v.InferOutput<Schema> {
   const result = v.safeParse(schema, raw);
   if (result.success) return result.output;
   const issue = result.issues[0];
   throw new SettingsError(file, `${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
 }
 
-export function readSettings(platformFile: string, operatorsFile: string | null): Settings {
-  const raw = check(platformFile, platform, readToml(platformFile));
-  const own = check(
-    operatorsFile ?? 'defaults',
-    operators,
-    operatorsFile === null ? {} : readToml(operatorsFile),
-  );
-  const { params } = raw;
-  // Announced limits come into force without notice, so they are kept from the start.
-  const { next, ...present } = params.state;
-  const stricter = (name: keyof typeof present): number =>
-    Math.min(present[name], next[name] ?? Infinity);
-  if (params.workers.lease_s >= params.workers.cancel_s) {
-    throw new SettingsError(platformFile, 'params.workers.cancel_s: must be above lease_s');
+/** What no schema says: relations between fields. */
+function checkRelations(file: string, raw: PlatformFile): void {
+  const { workers } = raw.params;
+  if (workers.lease_s >= workers.cancel_s) {
+    throw new SettingsError(file, 'params.workers.cancel_s: must be above lease_s');
   }
   const names = [raw.node_name, ...raw.members.map((member) => member.node_name)];
   if (new Set(names).size !== names.length) {
-    throw new SettingsError(platformFile, 'members.node_name: a name stands twice');
+    throw new SettingsError(file, 'members.node_name: a name stands twice');
   }
+}
+
+function readStartWithin(objectives: Params['objectives']): Record<string, number> {
   const startWithinS: Record<string, number> = {};
-  for (const objective of params.objectives) {
+  for (const objective of objectives) {
     if (objective.kind === 'wait' && objective.class && objective.within_s !== undefined) {
       startWithinS[objective.class] = objective.within_s;
     }
   }
+  return startWithinS;
+}
+
+function readTeams(teams: Params['teams']): Team[] {
+  return teams.map((team) => ({
+    name: team.name,
+    cpus: team.cpus,
+    cpusMax: team.cpus_max,
+    gpus: team.gpus,
+    gpusMax: team.gpus_max,
+  }));
+}
+
+type StateLimits = Pick<Settings, 'stateRps' | 'stateWriteRps' | 'valueBytes' | 'txnOps'>;
+
+/** Announced limits come into force without notice, so they are kept from the start. */
+function readStateLimits(state: Params['state']): StateLimits {
+  const { next, ...present } = state;
+  const stricter = (name: keyof typeof present): number =>
+    Math.min(present[name], next[name] ?? Infinity);
+  return {
+    stateRps: stricter('rps'),
+    stateWriteRps: stricter('write_rps'),
+    valueBytes: Math.floor(stricter('value_kb') * 1024),
+    txnOps: stricter('txn_ops'),
+  };
+}
+
+type WorkerSettings = Pick<Settings, 'reportS' | 'leaseS' | 'cancelS' | 'gangWaitS' | 'gangPeerS'>;
+
+function readWorkers(workers: Params['workers']): WorkerSettings {
+  return {
+    reportS: workers.report_s,
+    leaseS: workers.lease_s,
+    cancelS: workers.cancel_s,
+    gangWaitS: workers.gang_wait_s ?? null,
+    gangPeerS: workers.gang_peer_s ?? null,
+  };
+}
+
+type OwnSettings = Pick<Settings, 'placement' | 'fleet'>;
+
+function readOwn(own: v.InferOutput<typeof operators>): OwnSettings {
+  return {
+    placement: {
+      alpha: own.placement.alpha,
+      penalty: own.placement.penalty,
+      snapshotS: own.placement.snapshot_s,
+    },
+    fleet: {
+      idleS: own.fleet.idle_s,
+      headroomCpus: own.fleet.headroom_cpus,
+      spot: own.fleet.spot,
+      maxMachines: own.fleet.max_machines,
+    },
+  };
+}
+
+/** Reads both files; throws `SettingsError` at the first fault. */
+export function readSettings(platformFile: string, operatorsFile: string | null): Settings {
+  const raw = check(platformFile, platform, readToml(platformFile));
+  const rawOwn = operatorsFile === null ? {} : readToml(operatorsFile);
+  const own = check(operatorsFile ?? 'defaults', operators, rawOwn);
+  checkRelations(platformFile, raw);
+  const { params } = raw;
   return {
     node: raw.node_name,
     zone: raw.site,
@@ -194,36 +264,13 @@
     state: raw.services.state,
     zones: params.zones,
     skewMs: params.skew_ms,
-    teams: params.teams.map((team) => ({
-      name: team.name,
-      cpus: team.cpus,
-      cpusMax: team.cpus_max,
-      gpus: team.gpus,
-      gpusMax: team.gpus_max,
-    })),
-    startWithinS,
-    reportS: params.workers.report_s,
-    leaseS: params.workers.lease_s,
-    cancelS: params.workers.cancel_s,
-    gangWaitS: params.workers.gang_wait_s ?? null,
-    gangPeerS: params.workers.gang_peer_s ?? null,
-    stateRps: stricter('rps'),
-    stateWriteRps: stricter('write_rps'),
-    valueBytes: Math.floor(stricter('value_kb') * 1024),
-    txnOps: stricter('txn_ops'),
+    teams: readTeams(params.teams),
+    startWithinS: readStartWithin(params.objectives),
+    ...readWorkers(params.workers),
+    ...readStateLimits(params.state),
     cloudRps: params.cloud.rps,
     listLagS: params.cloud.list_lag_s,
     sockets: params.resources.fd_limit,
-    placement: {
-      alpha: own.placement.alpha,
-      penalty: own.placement.penalty,
-      snapshotS: own.placement.snapshot_s,
-    },
-    fleet: {
-      idleS: own.fleet.idle_s,
-      headroomCpus: own.fleet.headroom_cpus,
-      spot: own.fleet.spot,
-      maxMachines: own.fleet.max_machines,
-    },
+    ...readOwn(own),
   };
 }
--- a/src/protocol/state-api.ts
+++ b/src/protocol/state-api.ts
@@ -1,17 +1,28 @@
+/** The client of the state service: guarded transactions, leases and a watch over a key space. */
+
 import { NoAnswer, type HttpClient } from '../transport/http-client.js';
 
+/** A key with its value, at the revision of its last change. */
 export interface Entry {
   key: string;
   value: unknown;
   revision: number;
 }
+
+/** A condition of a transaction: the key is still at this revision; 0: it does not exist. */
 export interface Guard {
   key: string;
   revision: number;
 }
+
+/** One write of a transaction. A value under a lease goes when the lease ends. */
 export type Change =
   { key: string; value: unknown; lease?: number } | { key: string; remove: true };
+
+/** `failed`: the keys whose guards did not hold. */
 export type TxnResult = { ok: true; revision: number } | { ok: false; failed: string[] };
+
+/** The changes since the revision that was asked for. */
 export interface WatchResult {
   revision: number;
   /** `value` undefined stands for a removal. */
@@ -47,8 +58,44 @@
   watch(prefix: string, since: number, waitMs: number): Promise<WatchResult | null>;
 }
 
-type Body = Record<string, unknown> | null;
+type Body = Record<string, unknown>;
+
+/** A request to the state service. */
+interface StateRequest {
+  method: 'GET' | 'POST';
+  path: string;
+  body?: unknown;
+  /** Statuses that are answers; others are errors. */
+  expected: number[];
+}
+
+/** A put or removal as the watch reports it. */
+interface WireEvent {
+  put?: string;
+  remove?: string;
+  v?: unknown;
+  mark: number;
+}
+
+/** Keys that one page of a listing holds. */
+const LIST_PAGE_KEYS = 1000;
+
+function encodeChange(change: Change): unknown {
+  if ('remove' in change) return { remove: change.key };
+  const lease = change.lease === undefined ? {} : { perch: change.lease };
+  return { put: change.key, v: change.value, ...lease };
+}
 
+function readEvent(event: WireEvent): WatchResult['events'][number] {
+  return {
+    key: event.put ?? event.remove ?? '',
+    value: event.v,
+    revision: event.mark,
+    removed: event.put === undefined,
+  };
+}
+
+/** The state service over HTTP; the wire's names stay in here. */
 export class HttpStateApi implements StateApi {
   constructor(
     private readonly http: HttpClient,
@@ -57,34 +104,27 @@
   ) {}
 
   private async call(
-    client: HttpClient,
-    method: string,
-    path: string,
-    body: unknown,
-    expected: number[],
+    request: StateRequest,
+    client = this.http,
     timeoutMs = this.timeoutMs,
-  ): Promise<{ status: number; body: Record<string, unknown> }> {
-    const answer = await client.call(method, path, body, timeoutMs);
+  ): Promise<{ status: number; body: Body }> {
+    const { method, path, expected } = request;
+    const answer = await client.call(method, path, request.body, timeoutMs);
     if (answer.status === 429 || answer.status === 503) throw new Refused(answer.status);
     if (!expected.includes(answer.status)) {
       if (answer.status === 400) {
-        const reason = (answer.body as Body)?.['error'];
+        const reason = (answer.body as Body | null)?.['error'];
         throw new Refused(400, typeof reason === 'string' ? reason : null);
       }
       throw new NoAnswer(`${method} ${path}: odd status ${answer.status}`);
     }
-    const parsed = (answer.body as Body) ?? {};
+    const parsed = (answer.body as Body | null) ?? {};
     return { status: answer.status, body: parsed };
   }
 
   async get(key: string): Promise<{ value: unknown; revision: number } | null> {
-    const { status, body } = await this.call(
-      this.http,
-      'GET',
-      `/kv/${encodeURI(key)}`,
-      undefined,
-      [200, 404],
-    );
+    const path = `/kv/${encodeURI(key)}`;
+    const { status, body } = await this.call({ method: 'GET', path, expected: [200, 404] });
     return status === 404 ? null : { value: body['v'], revision: Number(body['mark']) };
   }
 
@@ -93,13 +133,8 @@
     after: string | null,
   ): Promise<{ entries: Entry[]; more: boolean; revision: number }> {
     const since = after === null ? '' : `&since=${encodeURIComponent(after)}`;
-    const { body } = await this.call(
-      this.http,
-      'GET',
-      `/kv?prefix=${encodeURIComponent(prefix)}${since}&page=1000`,
-      undefined,
-      [200],
-    );
+    const path = `/kv?prefix=${encodeURIComponent(prefix)}${since}&page=${LIST_PAGE_KEYS}`;
+    const { body } = await this.call({ method: 'GET', path, expected: [200] });
     const items = (body['items'] ?? []) as { path: string; v: unknown; mark: number }[];
     return {
       entries: items.map((item) => ({ key: item.path, value: item.v, revision: item.mark })),
@@ -109,68 +144,47 @@
   }
 
   async txn(guards: Guard[], changes: Change[]): Promise<TxnResult> {
-    const { status, body } = await this.call(
-      this.http,
-      'POST',
-      '/txn',
-      {
+    const { status, body } = await this.call({
+      method: 'POST',
+      path: '/txn',
+      body: {
         guards: guards.map((guard) => ({ path: guard.key, mark: guard.revision })),
-        apply: changes.map((change) =>
-          'remove' in change
-            ? { remove: change.key }
-            : {
-                put: change.key,
-                v: change.value,
-                ...(change.lease === undefined ? {} : { perch: change.lease }),
-              },
-        ),
+        apply: changes.map(encodeChange),
       },
-      [200, 409],
-    );
+      expected: [200, 409],
+    });
     if (status === 409) return { ok: false, failed: (body['failed'] ?? []) as string[] };
     return { ok: true, revision: Number(body['epoch']) };
   }
 
   async grant(ttlMs: number): Promise<number> {
-    const { body } = await this.call(this.http, 'POST', '/grants', { ttlMs }, [200]);
+    const { body } = await this.call({
+      method: 'POST',
+      path: '/grants',
+      body: { ttlMs },
+      expected: [200],
+    });
     return Number(body['perch']);
   }
 
   async extend(lease: number): Promise<boolean> {
-    const { status } = await this.call(
-      this.http,
-      'POST',
-      `/grants/${lease}/extend`,
-      undefined,
-      [200, 404],
-    );
+    const { status } = await this.call({
+      method: 'POST',
+      path: `/grants/${lease}/extend`,
+      expected: [200, 404],
+    });
     return status === 200;
   }
 
   async watch(prefix: string, since: number, waitMs: number): Promise<WatchResult | null> {
+    const path = `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`;
     const { status, body } = await this.call(
+      { method: 'GET', path, expected: [200, 410] },
       this.watchHttp,
-      'GET',
-      `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`,
-      undefined,
-      [200, 410],
       this.timeoutMs + waitMs,
     );
     if (status === 410) return null;
-    const log = (body['log'] ?? []) as {
-      put?: string;
-      remove?: string;
-      v?: unknown;
-      mark: number;
-    }[];
-    return {
-      revision: Number(body['epoch']),
-      events: log.map((one) => ({
-        key: one.put ?? one.remove ?? '',
-        value: one.v,
-        revision: one.mark,
-        removed: one.put === undefined,
-      })),
-    };
+    const events = (body['log'] ?? []) as WireEvent[];
+    return { revision: Number(body['epoch']), events: events.map(readEvent) };
   }
 }
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -1,3 +1,5 @@
+/** The users' wire format: submissions in, job states out. */
+
 import * as v from 'valibot';
 import { MAX_TASKS } from '../constants.js';
 import type { JobSpec, JobState, Priority } from './model.js';
@@ -33,6 +35,7 @@
   duskS: v.nullish(amount, null),
 });
 
+/** The wire's names of job kinds, priorities and states. */
 const KINDS: Record<'sweep' | 'standing' | 'group', JobSpec['kind']> = {
   sweep: 'array',
   standing: 'service',
@@ -51,12 +54,15 @@
   cancelled: 'withdrawn',
 };
 
+/** Whether a text has the form of a job id. */
 export function isJobId(id: string): boolean {
   return ID.test(id);
 }
 
+/** A value that was read, or a one-line reason for the sender why it could not be. */
 export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
 
+/** A body's JSON object; null stands for a body above the limit. */
 export function parseJson(text: string | null): Parsed<Record<string, unknown>> {
   if (text === null) return { ok: false, error: 'body: longer than 64 KiB' };
   let value: unknown;
@@ -76,44 +82,47 @@
   return typeof body['ref'] === 'string' && ID.test(body['ref']) ? body['ref'] : null;
 }
 
+/** The job that a submission describes. */
 export function parseSubmission(body: Record<string, unknown>): Parsed<JobSpec> {
   const result = v.safeParse(submission, body);
   if (!result.success) {
     const issue = result.issues[0];
     return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
   }
-  const o = result.output;
+  const wire = result.output;
   return {
     ok: true,
     value: {
-      id: o.ref,
-      class: o.lane,
-      team: o.crew,
-      kind: KINDS[o.shape],
-      priority: RANKS[o.rank] ?? 'normal',
-      tasks: o.larvae,
-      cpus: o.cores,
-      gpus: o.gpus,
-      memoryGb: o.memGb,
-      image: o.cocoon,
-      imageGb: o.imageGb,
-      types: o.breeds,
-      zone: o.grove,
-      oneZone: o.samePlace,
-      spread: o.apart,
-      spot: o.windfall,
-      estimateS: o.guessS,
-      checkpointS: o.moltS,
-      saveS: o.spinS,
-      deadlineS: o.duskS,
+      id: wire.ref,
+      class: wire.lane,
+      team: wire.crew,
+      kind: KINDS[wire.shape],
+      priority: RANKS[wire.rank] ?? 'normal',
+      tasks: wire.larvae,
+      cpus: wire.cores,
+      gpus: wire.gpus,
+      memoryGb: wire.memGb,
+      image: wire.cocoon,
+      imageGb: wire.imageGb,
+      types: wire.breeds,
+      zone: wire.grove,
+      oneZone: wire.samePlace,
+      spread: wire.apart,
+      spot: wire.windfall,
+      estimateS: wire.guessS,
+      checkpointS: wire.moltS,
+      saveS: wire.spinS,
+      deadlineS: wire.duskS,
     },
   };
 }
 
+/** The answer to a submission or cancellation. */
 export function encodeJobState(id: string, state: JobState): unknown {
   return { ref: id, stage: STATES[state] };
 }
 
+/** The answer to a poll. */
 export function encodeJobView(id: string, state: JobState, done: number, running: number): unknown {
   return { ref: id, stage: STATES[state], done, running };
 }
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -1,3 +1,5 @@
+/** The client of workers: commands sent without waiting for the next report. */
+
 import { NoAnswer, HttpClient } from '../transport/http-client.js';
 import type { Clock } from '../transport/clock.js';
 import type { Command, WorkerReport } from './model.js';
@@ -23,6 +25,7 @@
   ): Promise<DirectResult>;
 }
 
+/** Workers over HTTP, on a bounded number of kept connections. */
 export class HttpWorkerApi implements WorkerApi {
   private readonly clients = new Map<string, HttpClient>();
   /** Addresses with a call under way, one each. */
@@ -72,6 +75,7 @@
     return { executed: answer.status === 200, report: parsed.value };
   }
 
+  /** Ends all connections. */
   close(): void {
     for (const client of this.clients.values()) client.close();
   }
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -1,3 +1,5 @@
+/** The workers' wire format: reports in, commands out. */
+
 import * as v from 'valibot';
 import type { Parsed } from './user-codec.js';
 import {
@@ -35,6 +37,7 @@
   ),
 });
 
+/** The wire's names of task states, causes and commands. */
 const STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   gathering: 'gathering',
@@ -54,15 +57,16 @@
 };
 const OPS: Record<Command['op'], string> = { start: 'launch', stop: 'halt', forget: 'reap' };
 
+/** The report that a body holds; workers also answer commands with one. */
 export function parseReport(body: Record<string, unknown>): Parsed<WorkerReport> {
   const result = v.safeParse(report, body);
   if (!result.success) {
     const issue = result.issues[0];
     return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
   }
-  const o = result.output;
+  const wire = result.output;
   const tasks: TaskReport[] = [];
-  for (const entry of o.larvae) {
+  for (const entry of wire.larvae) {
     const task = parseTaskName(entry.larva);
     const state = STATES[entry.stage];
     if (!task || !state) return { ok: false, error: 'larvae: unreadable task' };
@@ -72,15 +76,15 @@
   return {
     ok: true,
     value: {
-      machine: o.moth,
-      address: o.endpoint,
-      type: o.breed,
-      zone: o.grove,
-      spot: o.windfall,
-      session: o.flight,
-      seq: o.wingbeat,
-      token: o.mandate,
-      noticeS: o.warningS,
+      machine: wire.moth,
+      address: wire.endpoint,
+      type: wire.breed,
+      zone: wire.grove,
+      spot: wire.windfall,
+      session: wire.flight,
+      seq: wire.wingbeat,
+      token: wire.mandate,
+      noticeS: wire.warningS,
       tasks,
     },
   };
@@ -95,14 +99,17 @@
   }));
 }
 
+/** The answer to a report: our token and the commands for the worker. */
 export function encodeReportAnswer(token: number, commands: Command[]): unknown {
   return { mandate: token, calls: encodeCommands(commands) };
 }
 
+/** Commands sent straight to a worker, for the session that the sender knows of. */
 export function encodeDirect(token: number, session: number, commands: Command[]): unknown {
   return { mandate: token, flight: session, calls: encodeCommands(commands) };
 }
 
+/** The answer of a node that does not own the worker's part; null: the owner is unknown. */
 export function encodeRedirect(node: string | null): unknown {
   return node === null ? {} : { hive: node };
 }
--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -1,3 +1,5 @@
+/** Randomised exponential backoff, and the seeded random numbers behind it. */
+
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
@@ -19,12 +21,14 @@
     this.pause = firstMs;
   }
 
+  /** Milliseconds to wait before the next try. */
   next(): number {
     const pause = this.pause * (1 - this.random() / 2);
     this.pause = Math.min(this.pause * 2, this.lastMs);
     return pause;
   }
 
+  /** A try succeeded: the next pause is the shortest again. */
   reset(): void {
     this.pause = this.firstMs;
   }
--- a/src/transport/budget.ts
+++ b/src/transport/budget.ts
@@ -1,3 +1,5 @@
+/** A token bucket for requests to a service with a rate limit. */
+
 import type { Clock } from './clock.js';
 
 /** A token bucket that keeps this process within its share of a limit of requests a second. */
@@ -20,11 +22,13 @@
     this.at = now;
   }
 
+  /** Tokens in the bucket; below 0 where some were borrowed. */
   get left(): number {
     this.refill();
     return this.level;
   }
 
+  /** Changes the rate from now on; what was saved up stays. */
   setRate(perSecond: number): void {
     this.refill();
     this.perSecond = perSecond;
@@ -43,6 +47,7 @@
     return this.level >= need ? 0 : Math.ceil(((need - this.level) / this.perSecond) * 1000);
   }
 
+  /** Takes tokens that `waitFor` said are there. */
   spend(cost: number): void {
     this.level -= cost;
   }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,3 +1,5 @@
+/** The clock: the only way in which the program reads time or waits. */
+
 /** Time as the program sees it; tests put simulated time in its place. */
 export interface Clock {
   /** Steady time in ms from an arbitrary start; drifts by the protocol's bound. */
@@ -8,6 +10,7 @@
   after(delayMs: number, callback: () => void): () => void;
 }
 
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -17,6 +20,7 @@
   },
 };
 
+/** Resolves after a delay in ms of this clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.after(ms, resolve));
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,6 +1,10 @@
+/** An HTTP/1.1 client for JSON requests to one address. */
+
 import http from 'node:http';
+import { parseAddress } from './address.js';
 import type { Clock } from './clock.js';
 
+/** A complete response, whatever its status. */
 export interface HttpAnswer {
   status: number;
   /** Parsed JSON, or null where the body was empty or no JSON. */
@@ -15,6 +19,31 @@
   }
 }
 
+/** A body that is no JSON counts as none; the status alone then decides. */
+function parseBody(parts: Buffer[]): unknown {
+  if (parts.length === 0) return null;
+  try {
+    return JSON.parse(Buffer.concat(parts).toString());
+  } catch {
+    return null;
+  }
+}
+
+/** Collects a response; the first of the two callbacks that is called is the outcome. */
+function readAnswer(
+  response: http.IncomingMessage,
+  succeed: (answer: HttpAnswer) => void,
+  fail: (error: Error) => void,
+): void {
+  const parts: Buffer[] = [];
+  response.on('data', (part: Buffer) => parts.push(part));
+  response.on('error', fail);
+  response.on('aborted', () => fail(new Error('connection ended')));
+  response.on('end', () => {
+    succeed({ status: response.statusCode ?? 0, body: parseBody(parts) });
+  });
+}
+
 /** JSON over HTTP/1.1 to one address, on connections that are kept. */
 export class HttpClient {
   private readonly agent: http.Agent;
@@ -26,25 +55,17 @@
     private readonly clock: Clock,
     maxSockets: number,
   ) {
-    const colon = address.lastIndexOf(':');
-    this.host = address.slice(0, colon);
-    this.port = Number(address.slice(colon + 1));
+    const { host, port } = parseAddress(address);
+    this.host = host;
+    this.port = port;
     this.agent = new http.Agent({ keepAlive: true, maxSockets });
   }
 
+  /** Sends one request; rejects with `NoAnswer` where no whole response comes within the timeout. */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
-      const request = http.request({
-        agent: this.agent,
-        host: this.host,
-        port: this.port,
-        method,
-        path,
-        headers: payload
-          ? { 'content-type': 'application/json', 'content-length': payload.length }
-          : {},
-      });
+      const request = this.open(method, path, payload);
       const stopTimer = this.clock.after(timeoutMs, () => {
         request.destroy(new Error('timed out'));
       });
@@ -52,27 +73,25 @@
         stopTimer();
         reject(new NoAnswer(`${method} ${path.split('?')[0]}: ${error.message}`));
       };
+      const succeed = (answer: HttpAnswer): void => {
+        stopTimer();
+        resolve(answer);
+      };
       request.on('error', fail);
-      request.on('response', (response) => {
-        const parts: Buffer[] = [];
-        response.on('data', (part: Buffer) => parts.push(part));
-        response.on('error', fail);
-        response.on('aborted', () => fail(new Error('connection ended')));
-        response.on('end', () => {
-          stopTimer();
-          let parsed: unknown = null;
-          try {
-            if (parts.length > 0) parsed = JSON.parse(Buffer.concat(parts).toString());
-          } catch {
-            // A body that is no JSON counts as none; the status alone then decides.
-          }
-          resolve({ status: response.statusCode ?? 0, body: parsed });
-        });
-      });
+      request.on('response', (response) => readAnswer(response, succeed, fail));
       request.end(payload);
     });
   }
 
+  private open(method: string, path: string, payload: Buffer | undefined): http.ClientRequest {
+    const headers = payload
+      ? { 'content-type': 'application/json', 'content-length': payload.length }
+      : {};
+    const { agent, host, port } = this;
+    return http.request({ agent, host, port, method, path, headers });
+  }
+
+  /** Ends all connections; requests under way fail. */
   close(): void {
     this.agent.destroy();
   }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,6 +1,38 @@
+/** Connections between controllers: length-prefixed frames over TCP. */
+
 import net from 'node:net';
+import { parseAddress } from './address.js';
 import type { Clock } from './clock.js';
 
+/** Bits that a frame's length may take as a varint: more can't be a length. */
+const LENGTH_BITS = 35;
+/** Retry pauses after which a silent outgoing connection is given up. */
+const SILENT_RETRIES = 5;
+/** Retry pauses after which a silent incoming connection is given up: its other end redials. */
+const INCOMING_SILENT_RETRIES = 30;
+
+/** A frame's length, and how many bytes the length itself takes. */
+interface LengthPrefix {
+  length: number;
+  bytes: number;
+}
+
+/** Null where the bytes end within the length. Throws where they can't be a length. */
+function readLength(bytes: Buffer, maxBytes: number): LengthPrefix | null {
+  let length = 0;
+  let shift = 0;
+  for (const [at, byte] of bytes.entries()) {
+    length += (byte & 0x7f) * 2 ** shift;
+    shift += 7;
+    if (shift >= LENGTH_BITS) break;
+    if ((byte & 0x80) !== 0) continue;
+    if (length > maxBytes) break;
+    return { length, bytes: at + 1 };
+  }
+  if (length > maxBytes || shift >= LENGTH_BITS) throw new Error('frame too long');
+  return null;
+}
+
 /** Cuts a byte stream into frames, each led by its length as a varint (protobuf's delimiting). */
 export class FrameReader {
   private held: Buffer = Buffer.alloc(0);
@@ -12,27 +44,17 @@
     this.held = this.held.length === 0 ? part : Buffer.concat([this.held, part]);
     const frames: Buffer[] = [];
     for (;;) {
-      let length = 0;
-      let shift = 0;
-      let at = 0;
-      let whole = false;
-      while (at < this.held.length && shift < 35) {
-        const byte = this.held[at++] ?? 0;
-        length += (byte & 0x7f) * 2 ** shift;
-        shift += 7;
-        if ((byte & 0x80) === 0) {
-          whole = true;
-          break;
-        }
-      }
-      if (length > this.maxBytes || shift >= 35) throw new Error('frame too long');
-      if (!whole || this.held.length < at + length) return frames;
-      frames.push(this.held.subarray(at, at + length));
-      this.held = this.held.subarray(at + length);
+      const prefix = readLength(this.held, this.maxBytes);
+      if (!prefix) return frames;
+      const end = prefix.bytes + prefix.length;
+      if (this.held.length < end) return frames;
+      frames.push(this.held.subarray(prefix.bytes, end));
+      this.held = this.held.subarray(end);
     }
   }
 }
 
+/** What outgoing and incoming connections share. */
 export interface PeerLinkOptions {
   clock: Clock;
   retryMs: number;
@@ -70,20 +92,17 @@
     this.connect();
   }
 
+  /** Whether a frame can be sent now. */
   get connected(): boolean {
     return this.open;
   }
 
   private connect(): void {
     if (this.closed) return;
-    const colon = this.address.lastIndexOf(':');
-    const socket = net.connect({
-      host: this.address.slice(0, colon),
-      port: Number(this.address.slice(colon + 1)),
-    });
+    const socket = net.connect(parseAddress(this.address));
     this.socket = socket;
     // A connection that hangs behind a cut is given up, so that a new one finds the peer again.
-    socket.setTimeout(this.options.retryMs * 5, () => socket.destroy());
+    socket.setTimeout(this.options.retryMs * SILENT_RETRIES, () => socket.destroy());
     socket.on('connect', () => {
       this.open = true;
     });
@@ -106,21 +125,23 @@
     return true;
   }
 
+  /** Ends the connection for good. */
   close(): void {
     this.closed = true;
     this.socket?.destroy();
   }
 }
 
+/** Takes connections from peers; resolves once the server listens. */
 export function listenPeers(address: string, options: PeerLinkOptions): Promise<net.Server> {
-  const colon = address.lastIndexOf(':');
+  const { host, port } = parseAddress(address);
   return new Promise((resolve, reject) => {
     const server = net.createServer((socket) => {
       socket.on('error', () => undefined);
-      socket.setTimeout(options.retryMs * 30, () => socket.destroy());
+      socket.setTimeout(options.retryMs * INCOMING_SILENT_RETRIES, () => socket.destroy());
       attach(socket, options);
     });
     server.on('error', reject);
-    server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), () => resolve(server));
+    server.listen(port, host, () => resolve(server));
   });
 }
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -316,7 +316,7 @@
         this.catalog
           ? Promise.resolve(structuredClone(TYPES))
           : Promise.reject(new NoAnswer('no catalogue')),
-      rent: (request, type, zone, spot, count) => {
+      rent: ({ request, type, zone, spot, count }) => {
         const before = this.requests.get(request);
         if (before) return Promise.resolve({ kind: 'rented', machines: before });
         const got = Math.min(count, this.capacity);
