--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,3 +1,4 @@
+import { existsSync } from 'node:fs';
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
@@ -88,6 +89,12 @@
   ],
 };
 
+for (const file of Object.values(exceptions).flat()) {
+  if (!existsSync(new URL(file, import.meta.url))) {
+    throw new Error(`eslint.config.js: the list of exceptions names ${file}, which is not there`);
+  }
+}
+
 /** Each module begins with a doc comment of its own, apart from that of its first declaration. */
 const moduleComment = {
   meta: { type: 'suggestion', messages: { missing: 'Module has no doc comment at its top.' } },
@@ -145,12 +152,18 @@
     files: ['src/**/*.ts'],
     plugins: { jsdoc, mothbank: { rules: { 'module-comment': moduleComment } } },
     rules: {
+      // The two sides of a comparison are `a` and `b`, and valibot's schemas are written with `v`.
+      'id-length': ['error', { min: 2, properties: 'never', exceptions: ['a', 'b', 'v', '_'] }],
       'jsdoc/require-jsdoc': [
         'error',
         {
           publicOnly: true,
           enableFixer: false,
-          require: { ClassDeclaration: true, FunctionDeclaration: true },
+          require: {
+            ClassDeclaration: true,
+            FunctionDeclaration: true,
+            ArrowFunctionExpression: true,
+          },
           contexts: ['TSInterfaceDeclaration', 'TSTypeAliasDeclaration'],
         },
       ],
--- a/src/coordination/bandit.ts
+++ b/src/coordination/bandit.ts
@@ -6,9 +6,11 @@
 
 /** What one arm has learned: A and b of ridge regression, with A's inverse kept beside it. */
 interface Arm {
-  a: Matrix;
+  /** A: the identity and the outer products of all contexts. */
+  design: Matrix;
   inverted: Matrix;
-  b: Matrix;
+  /** b: the contexts weighted by their payoffs. */
+  response: Matrix;
 }
 
 type Cells = [row: number, column: number, value: number][];
@@ -69,9 +71,9 @@
     let arm = this.arms.get(type);
     if (!arm) {
       arm = {
-        a: Matrix.eye(this.size),
+        design: Matrix.eye(this.size),
         inverted: Matrix.eye(this.size),
-        b: Matrix.zeros(this.size, 1),
+        response: Matrix.zeros(this.size, 1),
       };
       this.arms.set(type, arm);
     }
@@ -80,23 +82,24 @@
 
   /** The context of giving a task of this class to this type, as a plain vector. */
   context(taskClass: string, type: string, load: ReadonlyMap<string, number>): number[] {
-    const x = new Array<number>(this.size).fill(0);
-    x[this.classAt(taskClass)] = 1;
+    const vector = new Array<number>(this.size).fill(0);
+    vector[this.classAt(taskClass)] = 1;
     let total = 0;
     for (const count of load.values()) total += count;
     this.types.forEach((name, at) => {
-      x[CLASS_CAP + 1 + at] = total === 0 ? 0 : (load.get(name) ?? 0) / total;
-      if (name === type) x[CLASS_CAP + 1 + this.types.length + at] = 1;
+      vector[CLASS_CAP + 1 + at] = total === 0 ? 0 : (load.get(name) ?? 0) / total;
+      if (name === type) vector[CLASS_CAP + 1 + this.types.length + at] = 1;
     });
-    return x;
+    return vector;
   }
 
+  /** The upper confidence bound of an arm's payoff in a context: the greater, the better. */
   score(type: string, context: number[]): number {
-    const { inverted, b } = this.arm(type);
-    const x = Matrix.columnVector(context);
-    const half = inverted.mmul(x);
-    const mean = half.dot(b);
-    return mean + this.alpha * Math.sqrt(Math.max(0, x.dot(half)));
+    const { inverted, response } = this.arm(type);
+    const vector = Matrix.columnVector(context);
+    const half = inverted.mmul(vector);
+    const mean = half.dot(response);
+    return mean + this.alpha * Math.sqrt(Math.max(0, vector.dot(half)));
   }
 
   /** A finish: its payoff is minus what its run cost. */
@@ -114,12 +117,12 @@
 
   private learn(type: string, context: number[], payoff: number): void {
     const arm = this.arm(type);
-    const x = Matrix.columnVector(context);
-    arm.a.add(x.mmul(x.transpose()));
-    arm.b.add(Matrix.mul(x, payoff));
+    const vector = Matrix.columnVector(context);
+    arm.design.add(vector.mmul(vector.transpose()));
+    arm.response.add(Matrix.mul(vector, payoff));
     // Sherman and Morrison: the inverse after adding x·xᵀ, without inverting anew.
-    const half = arm.inverted.mmul(x);
-    arm.inverted.sub(half.mmul(half.transpose()).div(1 + x.dot(half)));
+    const half = arm.inverted.mmul(vector);
+    arm.inverted.sub(half.mmul(half.transpose()).div(1 + vector.dot(half)));
   }
 
   /**
@@ -132,10 +135,10 @@
     const record: ArmRecord = { classes: [...this.classes], types: [...this.types], a: [], b: [] };
     for (let row = 0; row < this.size; row++) {
       for (let column = 0; column <= row; column++) {
-        const value = arm.a.get(row, column);
+        const value = arm.design.get(row, column);
         if (value !== 0) record.a.push([row, column, round(value)]);
       }
-      const value = arm.b.get(row, 0);
+      const value = arm.response.get(row, 0);
       if (value !== 0) record.b.push([row, round(value)]);
     }
     if (bytesOf(record) <= maxBytes) return [record];
@@ -183,14 +186,14 @@
     const both = Math.min(this.classes.length, record.classes.length);
     if (this.classes.slice(0, both).join() !== record.classes.slice(0, both).join()) return;
     this.classes.push(...record.classes.slice(both, CLASS_CAP));
-    const a = Matrix.zeros(this.size, this.size);
+    const design = Matrix.zeros(this.size, this.size);
     for (const [row, column, value] of record.a) {
-      a.set(row, column, value);
-      a.set(column, row, value);
+      design.set(row, column, value);
+      design.set(column, row, value);
     }
-    const b = Matrix.zeros(this.size, 1);
-    for (const [row, value] of record.b) b.set(row, 0, value);
-    this.arms.set(type, { a, inverted: inverse(a), b });
+    const response = Matrix.zeros(this.size, 1);
+    for (const [row, value] of record.b) response.set(row, 0, value);
+    this.arms.set(type, { design, inverted: inverse(design), response });
   }
 }
 
