--- a/src/coordination/fleet/renting.ts
+++ b/src/coordination/fleet/renting.ts
@@ -30,7 +30,7 @@
       const request = `r-${term}-${++this.requestCount}`;
       const { type, zone, spot } = rental.offer;
       const count = Math.min(rental.count, RENT_MAX);
-      const result = await cloud.rent(request, type.name, zone, spot, count);
+      const result = await cloud.rent({ request, type: type.name, zone, spot, count });
       this.handleResult(rental, result);
       if (result.kind !== 'rented') continue;
       await this.records.recordState(
--- a/src/coordination/gang-placing.ts
+++ b/src/coordination/gang-placing.ts
@@ -1,7 +1,8 @@
 import { CLAIM_VALID_MS, GANG_KEEP_TIMES } from '../constants.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import type { Clock } from '../transport/clock.js';
-import { fits, take, type Machine, type Room } from './machines.js';
+import type { Machine } from './machine.js';
+import { fits, take, type Room } from './room.js';
 import { fitCount } from './capacity.js';
 import type { Chunk, Slot, Tasks } from './tasks.js';
 
--- a/src/coordination/node/node-services.ts
+++ b/src/coordination/node/node-services.ts
@@ -15,7 +15,8 @@
 import type { StateApi } from '../../protocol/state-api.js';
 import { randomOf } from '../../transport/backoff.js';
 import { hash, type Member } from '../rendezvous.js';
-import { Roles, graceMs } from '../roles.js';
+import { graceMs } from '../role-timing.js';
+import { Roles } from '../roles.js';
 import { UserRequests } from '../user-requests.js';
 import type { Environment } from './environment.js';
 import { OwnerNotifier } from './owner-notifier.js';
@@ -71,24 +72,16 @@
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
   const state = reachability.watch(environment.state);
-  const limiter = new RateLimiter(
-    clock,
-    settings.stateRps,
-    settings.stateWriteRps,
-    settings.txnOps,
-    settings.peers.length + 1,
-  );
+  const { stateRps: rps, stateWriteRps: writeRps, txnOps } = settings;
+  const limiter = new RateLimiter(clock, { rps, writeRps, txnOps }, settings.peers.length + 1);
   const random = randomOf(hash(incarnation));
-  const replica = new StoreReplica(
-    state,
-    limiter,
-    clock,
-    log,
-    random,
-    Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_SHARE)),
-    Math.max(WATCH_SPACING_MS, requestSpacingMs(settings, WATCH_SHARE)),
-  );
-  const committer = new Committer(state, limiter, replica, clock, log, random);
+  const common = { api: state, limiter, clock, log, random };
+  const replica = new StoreReplica({
+    ...common,
+    holdMs: Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_SHARE)),
+    spacingMs: Math.max(WATCH_SPACING_MS, requestSpacingMs(settings, WATCH_SHARE)),
+  });
+  const committer = new Committer({ ...common, replica });
   const members = [selfOf(settings), ...settings.peers].sort((a, b) => (a.node < b.node ? -1 : 1));
   return {
     ...options,
@@ -107,21 +100,21 @@
 }
 
 function createRoles(services: StoreServices): Roles {
-  const { committer, environment, incarnation, limiter, log, members, replica, settings, state } =
-    services;
-  return new Roles(
-    selfOf(settings),
+  const { environment, settings, state } = services;
+  const { committer, incarnation, limiter, log, members, replica } = services;
+  return new Roles({
+    self: selfOf(settings),
     incarnation,
     members,
-    settings,
-    state,
+    timing: settings,
+    api: state,
     limiter,
     replica,
     committer,
-    environment.clock,
+    clock: environment.clock,
     log,
-    settings.txnOps,
-  );
+    txnOps: settings.txnOps,
+  });
 }
 
 function createUserRequests(services: RoleServices): UserRequests {
