--- a/test/gang-rules.test.ts
+++ b/test/gang-rules.test.ts
@@ -261,6 +261,30 @@
       await hand.goesOnFrom(hand.savedS(), 60);
     },
   },
+  {
+    // Only one owner has a reason to stop its share; the others must hear of it in time.
+    rule: 'orderly stop',
+    name: 'one task makes way in one zone: the shares in the other are told in time as well',
+    zones: ['a', 'a', 'b', 'b'],
+    maxMachines: 4,
+    done: [GANG, OTHER],
+    act: async (hand) => {
+      const job = { ...WIDE, team: 'wide', tasks: 8, checkpointS: 50 };
+      const attempt = await hand.running(job, 20);
+      await hand.accepted(OTHER, { ...URGENT, gang: false, tasks: 1, zone: 'b' });
+      await hand.until('the urgent task starts', 30, () =>
+        hand.world.starts.some(({ task }) => task === `${OTHER}/0`),
+      );
+      const ends = hand.watch.endsOf(GANG, attempt);
+      assert.deepEqual(
+        ends.map(({ cause, stored }) => `${cause} ${stored}`),
+        Array.from({ length: 8 }, () => 'stopped true'),
+      );
+      assert.ok(hand.watch.toldWithinS(GANG, attempt) <= GANG_PEER_S);
+      assert.ok(hand.savedS() >= 20, `saved ${hand.savedS()} s`);
+      await hand.goesOnFrom(hand.savedS(), 60);
+    },
+  },
   {
     // Most is lost if the next owner stops the rest too late; then the last checkpoint counts.
     rule: 'orderly stop',
@@ -329,6 +353,30 @@
       await hand.begins(120, 2);
     },
   },
+  {
+    // One share is proven gone at once, the other only when its machine goes on.
+    rule: 'restart',
+    name: 'one of two shares hangs: the other waits for the proof of its end before it starts anew',
+    zones: ['a', 'a', 'a', 'a', 'b', 'b', 'b', 'b'],
+    act: async (hand) => {
+      const { world } = hand;
+      await hand.running({ ...LONG, tasks: 6, spread: true }, 7);
+      const hung = hand.holders().find((one) => one.machine.zone === 'b');
+      assert.ok(hung);
+      hung.hang(20);
+      // A machine that is returned proves its tasks' end as well.
+      world.cloudTrouble = true;
+      const since = world.clock.now();
+      await world.run(19.5);
+      assert.deepEqual(
+        world.starts.filter((one) => one.at > since),
+        [],
+        'starts while a task may still be on its machine',
+      );
+      world.cloudTrouble = false;
+      await hand.begins(120, 2);
+    },
+  },
   // --- One done, all done --------------------------------------------------------------------
   {
     rule: 'done',
