--- /dev/null
+++ b/test/gang-part.test.ts
@@ -0,0 +1,121 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { chunkKey } from '../src/bookkeeping/keys.js';
+import type { ChunkRecord } from '../src/bookkeeping/records.js';
+import type { Command, TaskReport } from '../src/protocol/terms.js';
+import { JOB, lone } from './world/lone.js';
+
+const ATTEMPT = 900;
+const SAVE_S = 2;
+const LIVE: ChunkRecord['live'] = { '0': ['m-1', ATTEMPT], '1': ['m-1', ATTEMPT] };
+
+/** A part that takes over its share of a gang, as a former owner stored it. */
+async function takeOver(change: Partial<ChunkRecord>, tasks = 2, other?: Partial<ChunkRecord>) {
+  const share: ChunkRecord = {
+    ...{ ids: '0-1', done: '', live: LIVE, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 },
+    ...{ zone: 'a', attempt: ATTEMPT },
+  };
+  const world = await lone({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S } });
+  world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+  await world.clock.run(world.clock.now() + 300);
+  const live: ChunkRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
+  world.state.change([
+    { key: chunkKey('p', JOB, 1), value: { ...share, ...change } },
+    ...(other
+      ? [{ key: chunkKey('q', JOB, 2), value: { ...share, ids: '2-3', live, ...other } }]
+      : []),
+  ]);
+  await world.clock.run(world.clock.now() + 300);
+  return world;
+}
+
+type Lone = Awaited<ReturnType<typeof takeOver>>;
+
+const task = (index: number, state: TaskReport['state'], cause: TaskReport['cause'] = null) => ({
+  ...{ task: { job: JOB, index }, attempt: ATTEMPT, state, cause },
+});
+const wire = (commands: Command[]): string[] =>
+  commands.map((one) =>
+    one.op === 'stop'
+      ? `stop ${one.task.index} ${one.graceS}`
+      : `${one.op} ${one.task.index} of ${one.attempt === ATTEMPT ? 'the old' : 'another'} attempt`,
+  );
+/** Everything that the part told its machine by itself. */
+const sent = (world: Lone): string[] => world.sent.flatMap(({ commands }) => wire(commands));
+
+const ROWS: { name: string; check: () => Promise<void> }[] = [
+  {
+    // The former owner knew that task 1 had ended: its attempt can be placed no more.
+    name: 'a share of which one task has no place any more ends, and goes back',
+    check: async () => {
+      const world = await takeOver({ live: { '0': ['m-1', ATTEMPT] } });
+      world.report({}, [task(0, 'running')]);
+      await world.round(500);
+      assert.deepEqual(wire(world.report({}, [task(0, 'running')])), [`stop 0 ${SAVE_S}`]);
+      world.report({}, [task(0, 'exited', 'stopped')]);
+      await world.round(6000);
+      assert.equal(world.stored(), undefined);
+      assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
+    },
+  },
+  {
+    name: 'a share whose stop has begun is stopped to the end, with the time to save',
+    check: async () => {
+      const world = await takeOver({ stopping: true }, 4, {});
+      const both = [task(0, 'running'), task(1, 'running')];
+      world.report({}, both);
+      await world.round(500);
+      assert.deepEqual(wire(world.report({}, both)), [`stop 0 ${SAVE_S}`, `stop 1 ${SAVE_S}`]);
+    },
+  },
+  {
+    // Placed on a machine that has lost it, it would start beside mates that are gone.
+    name: 'nothing starts in a share whose stop has begun elsewhere',
+    check: async () => {
+      const world = await takeOver({}, 4, { stopping: true });
+      const commands = wire(world.report());
+      await world.round(1000);
+      assert.deepEqual([...commands, ...sent(world)], []);
+    },
+  },
+  ...(['timedOut', 'peerLost', 'error', 'noRoom', 'stopped'] as const).map((cause) => ({
+    name: `a task exits with ${cause}: the other is stopped, nothing starts again, all goes back`,
+    check: async () => {
+      const world = await takeOver({});
+      world.report({}, [task(0, 'gathering'), task(1, 'gathering')]);
+      world.report({}, [task(0, 'exited', cause), task(1, 'gathering')]);
+      await world.round(500);
+      const told = wire(world.report({}, [task(0, 'exited', cause), task(1, 'gathering')]));
+      assert.ok(told.includes(`stop 1 ${SAVE_S}`), told.join());
+      world.report({}, [task(0, 'exited', cause), task(1, 'exited', 'stopped')]);
+      await world.round(6000);
+      assert.equal(world.stored(), undefined);
+      assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
+    },
+  })),
+  {
+    // Mates that have saved wait only some seconds for the last halt.
+    name: 'other parts are told of a stop at once, before ends are gathered',
+    check: async () => {
+      const world = await takeOver({}, 4, {});
+      world.report({}, [task(0, 'running'), task(1, 'running')]);
+      await world.round(250);
+      world.report({}, [task(0, 'exited', 'peerLost'), task(1, 'running')]);
+      await world.round(500);
+      assert.equal(world.stored()?.stopping, true);
+    },
+  },
+  {
+    name: 'a task that is done is stored as done, and nothing starts again',
+    check: async () => {
+      const world = await takeOver({});
+      world.report({}, [task(0, 'running'), task(1, 'running')]);
+      world.report({}, [task(0, 'exited', 'done'), task(1, 'running')]);
+      await world.round(6000);
+      assert.equal(world.stored()?.done, '0');
+      assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
+    },
+  },
+];
+
+for (const { name, check } of ROWS) test(`gang in a part: ${name}`, check);
