--- a/test/gang-rules.test.ts
+++ b/test/gang-rules.test.ts
@@ -118,11 +118,12 @@
     return count;
   }
 
-  /** Attempts of a job under which parts hold tasks. */
+  /** Attempts under which a job's tasks were ever handed out to parts. */
   attempts(id = GANG): Set<number | undefined> {
     const attempts = new Set<number | undefined>();
-    for (const [key, cell] of this.world.state.cells) {
-      if (readChunkKey(key)?.job === id) attempts.add((cell.value as ChunkRecord).attempt);
+    for (const { key, value, removed } of this.world.state.log) {
+      if (removed || readChunkKey(key)?.job !== id) continue;
+      attempts.add((value as ChunkRecord).attempt);
     }
     return attempts;
   }
