--- a/test/gang-input.test.ts
+++ b/test/gang-input.test.ts
@@ -1,12 +1,13 @@
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
+import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { readSettings } from '../src/protocol/settings.js';
-import type { HttpReply } from '../src/transport/http-server.js';
+import { listenHttp, type HttpReply } from '../src/transport/http-server.js';
 import { World } from './world/world.js';
 
 const GANG = 'j-000001';
@@ -153,6 +154,21 @@
   assert.equal((await post(world, SUBMISSION)).status, 201);
 });
 
+test('gang input: the user is sent when to come again', async () => {
+  const handle = (): HttpReply => ({ status: 503, body: { error: 'not yet' }, retryAfterS: 2 });
+  const limits = { bodyBytes: 65_536, connections: 10, crowded: 10, keepAliveMs: 1000 };
+  const routes = [{ method: 'POST' as const, path: '/v2/runs', handle }];
+  const server = await listenHttp('127.0.0.1:0', routes, limits, () => undefined);
+  try {
+    const { port } = server.address() as AddressInfo;
+    const reply = await fetch(`http://127.0.0.1:${port}/v2/runs`, { method: 'POST', body: '{}' });
+    assert.deepEqual([reply.status, reply.headers.get('retry-after')], [503, '2']);
+  } finally {
+    server.closeAllConnections();
+    server.close();
+  }
+});
+
 // --- Settings ----------------------------------------------------------------------------------
 
 const SETTINGS = `
