--- a/eslint.config.js
+++ b/eslint.config.js
@@ -39,6 +39,7 @@
     'src/coordination/part.ts',
     'src/coordination/placing.ts',
     'src/coordination/tasks.ts',
+    'test/gang-rules.test.ts',
     'test/gang-world.test.ts',
     'test/records.test.ts',
   ],
--- a/test/gang-part.test.ts
+++ b/test/gang-part.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chunkKey } from '../src/bookkeeping/keys.js';
-import type { ChunkRecord } from '../src/bookkeeping/records.js';
-import type { Command, TaskReport } from '../src/protocol/terms.js';
+import { chunkKey } from '../src/storage/keys.js';
+import type { ChunkRecord } from '../src/storage/records.js';
+import type { Command, TaskReport } from '../src/protocol/model.js';
 import { JOB, lone } from './world/lone.js';
 
 const ATTEMPT = 900;
--- a/test/gang-rules.test.ts
+++ b/test/gang-rules.test.ts
@@ -1,12 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FINALS, readChunkKey, roleKey } from '../src/bookkeeping/keys.js';
-import type { ChunkRecord } from '../src/bookkeeping/records.js';
+import { FINALS, readChunkKey, roleKey } from '../src/storage/keys.js';
+import type { ChunkRecord } from '../src/storage/records.js';
 import { partRole } from '../src/coordination/roles.js';
 import { GANG_PEER_S, GANG_WAIT_S } from './world/gang.js';
 import { GangWatch } from './world/gang-watch.js';
 import type { SimWorker } from './world/worker.js';
-import { FLEET, World, stageOf, type Reply, type SimJob } from './world/world.js';
+import { stageOf, type Reply, type SimJob } from './world/jobs.js';
+import { FLEET } from './world/settings.js';
+import { World } from './world/world.js';
 
 const GANG = 'j-000001';
 const OTHER = 'j-000002';
