--- /dev/null
+++ b/test/upgrade-records.test.ts
@@ -0,0 +1,354 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { readCatalog } from '../src/bookkeeping/catalog.js';
+import { Gate } from '../src/bookkeeping/gate.js';
+import { View } from '../src/bookkeeping/view.js';
+import { SimClock } from './world/clock.js';
+import { JOB, lone } from './world/lone.js';
+import { OLDER } from './world/older-versions.js';
+import { SimState } from './world/state.js';
+import { TYPES, World, silent, stageOf } from './world/world.js';
+
+/*
+ * Records pass between this version and two older ones: 89f79d3, in production and without gangs,
+ * and df7a3ba. Records of theirs stand here as their code writes them, each with a field that a
+ * later version may add.
+ */
+
+type Records = Record<string, unknown>;
+
+const LATER = { later: { added: [1] } };
+
+const put = (state: SimState, records: Records): void =>
+  state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
+
+/** What a node holds of these records. */
+async function viewOf(records: Records): Promise<View> {
+  const clock = new SimClock();
+  const state = new SimState(clock);
+  put(state, records);
+  const view = new View(state.api('p'), new Gate(clock, 1000, 1000, 8), clock, silent, () => 0.5);
+  void view.follow();
+  await clock.run(500);
+  return view;
+}
+
+/** A node that starts with what others left behind. */
+async function started(records: Records, members: [string, string][]): Promise<World> {
+  const world = new World(4, members, { placement: { alpha: 2, penalty: 2, snapshotS: 5 } });
+  for (const [name] of members) world.kill(name);
+  put(world.state, { 'mb/live/catalog': TYPES, ...records });
+  await world.clock.run(2);
+  world.boot('n0');
+  return world;
+}
+
+const valueOf = <T>(state: SimState, key: string): T => state.cells.get(key)?.value as T;
+
+// --- Records of older versions -----------------------------------------------------------------
+
+const SPEC = {
+  id: JOB,
+  class: 'work',
+  team: 'red',
+  kind: 'array',
+  priority: 'normal',
+  tasks: 4,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  image: 'img-1',
+  imageGb: 1,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: true,
+  estimateS: 10,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+};
+const KIND = { team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' };
+const SUMMARY = { part: 'p', job: JOB, ...KIND };
+const TERM = 3;
+const ATTEMPT = 900_000_000_000_000;
+const role = (owner: string, movedAt = 0) => ({
+  owner,
+  incarnation: `${owner}-before`,
+  term: TERM,
+  movedAt,
+  ...LATER,
+});
+/** A as a new arm has it, but for this class's own cell: it is all that 89f79d3 would keep of it. */
+const diagonal = (own: number): number[][] =>
+  Array.from({ length: 21 + 2 * TYPES.length }, (_, at) => [at, at, at === 0 ? own : 1]);
+const ARM = { classes: ['work/1/0'], types: ['small'], a: diagonal(9), b: [[0, -0.5]] };
+const typesNamed = (...names: string[]): object[] =>
+  names.map((name) => ({ ...TYPES[0], name, ...LATER }));
+
+interface ReadRow {
+  name: string;
+  records: Records;
+  check: (records: Records) => Promise<void>;
+}
+
+const CHUNK_1 = `mb/live/chunk/p/${JOB}/3000001`;
+
+const READ: ReadRow[] = [
+  {
+    name: 'jobs, of every kind there is',
+    records: {
+      'mb/live/job/j-000001': { spec: { ...SPEC, ...LATER }, at: 5, ...LATER },
+      'mb/live/job/j-000002': { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 6 },
+      // Only df7a3ba writes this one.
+      'mb/live/job/j-000003': { spec: { ...SPEC, id: 'j-000003', kind: 'gang' }, at: 7 },
+    },
+    check: async (records) => {
+      const view = await viewOf(records);
+      for (const [key, value] of Object.entries(records))
+        assert.deepEqual(view.job(key.slice('mb/live/job/'.length)), value);
+      assert.equal([...view.openJobs()].length, 3);
+    },
+  },
+  {
+    name: 'final states, which users are told for ever',
+    records: {
+      'mb/final/j-000001': { state: 'done', tasks: 4, ...LATER },
+      'mb/final/j-000002': { state: 'cancelled', tasks: 4, ...LATER },
+    },
+    check: async (records) => {
+      const world = await started(records, [['n0', 'a']]);
+      await world.run(20);
+      const asked = ['j-000001', 'j-000002'].map((id) => world.poll(id));
+      await world.run(5);
+      const replies = await Promise.all(asked);
+      assert.deepEqual(
+        replies.map((reply) => stageOf(reply)),
+        ['done', 'withdrawn'],
+      );
+    },
+  },
+  {
+    name: 'a chunk of 89f79d3 is no share of a gang',
+    records: {
+      [CHUNK_1]: { ids: '0-3,7', done: '1', live: { '2': ['m-1', ATTEMPT] }, ...KIND, ...LATER },
+    },
+    check: async (records) => {
+      const view = await viewOf(records);
+      assert.deepEqual(view.chunk(CHUNK_1), {
+        ...SUMMARY,
+        number: 3_000_001,
+        ids: [0, 1, 2, 3, 7],
+        done: 1,
+        on: ['m-1'],
+        liveCount: 1,
+        active: 4,
+        waiting: 3,
+        attempt: null,
+        stopping: false,
+      });
+    },
+  },
+  {
+    name: 'shares of a gang keep their attempt, and that it ends',
+    records: {
+      [CHUNK_1]: { ids: '0', done: '', live: {}, ...KIND, attempt: ATTEMPT, ...LATER },
+      [`mb/live/chunk/q/${JOB}/3000002`]: {
+        ...{ ids: '1', done: '', live: { '1': ['m-1', ATTEMPT] }, ...KIND },
+        ...{ attempt: ATTEMPT, stopping: true },
+      },
+    },
+    check: async (records) => {
+      const view = await viewOf(records);
+      const shares = view.chunksOf(JOB).map(({ part, attempt, stopping, waiting }) => {
+        return { part, attempt, stopping, waiting };
+      });
+      assert.deepEqual(shares, [
+        { part: 'p', attempt: ATTEMPT, stopping: false, waiting: 1 },
+        { part: 'q', attempt: ATTEMPT, stopping: true, waiting: 0 },
+      ]);
+    },
+  },
+  {
+    name: 'a chunk that was taken apart counts with all its pieces',
+    records: {
+      [CHUNK_1]: { ids: '0-1', done: '0', live: {}, ...KIND },
+      [`${CHUNK_1}.1`]: { ids: '2', done: '', live: { '2': ['m-2', ATTEMPT] }, ...KIND },
+      [`${CHUNK_1}.2`]: { ids: '3', done: '', live: {}, ...KIND },
+    },
+    check: async (records) => {
+      const view = await viewOf(records);
+      const chunks = view.chunksOf(JOB).sort((a, b) => a.number - b.number);
+      assert.deepEqual(
+        chunks.map(({ part, number, ids, on }) => ({ part, number, ids, on })),
+        [
+          { part: 'p', number: 3_000_001, ids: [0, 1], on: [] },
+          { part: 'p', number: 3_000_001.1, ids: [2], on: ['m-2'] },
+          { part: 'p', number: 3_000_001.2, ids: [3], on: [] },
+        ],
+      );
+    },
+  },
+  {
+    name: "the leader's word on a machine, and none",
+    records: {
+      'mb/live/machine/m-1': {
+        ...{ state: 'rented', type: 'small', zone: 'a', spot: false, at: 5 },
+        ...LATER,
+      },
+    },
+    check: async (records) => {
+      const [[key = '', value] = []] = Object.entries(records);
+      for (const state of ['rented', 'drain', 'gone', null]) {
+        const held = state === null ? [] : [{ key, value: { ...(value as object), state } }];
+        const world = await lone({ held });
+        world.report();
+        await world.round();
+        const placed = Object.keys(world.stored()?.live ?? {}).length;
+        assert.equal(placed, state === 'rented' || state === null ? 1 : 0, `${state}`);
+      }
+    },
+  },
+  {
+    name: "all shards of a part's status, and machines that leave",
+    records: {
+      'mb/live/status/p/0': { machines: { 'm-1': ['small', 'a', 0, 'ok'] }, ...LATER },
+      'mb/live/status/p/1': {
+        machines: { 'm-2': ['small', 'a', 1, 'leaving'], 'm-3': ['small', 'b', 0, 'silent'] },
+      },
+    },
+    check: async (records) => {
+      const held = Object.entries(records).map(([key, value]) => ({ key, value }));
+      const world = await lone({ held });
+      const from = world.state.log.length;
+      world.report({ machine: 'm-4' });
+      await world.round(8000);
+      assert.ok(world.state.log.slice(from).some(({ key }) => key.startsWith('mb/live/status/p/')));
+      const machines = Object.assign(
+        {},
+        ...['0', '1'].map((shard) => {
+          return valueOf<{ machines: object }>(world.state, `mb/live/status/p/${shard}`).machines;
+        }),
+      ) as Record<string, unknown[]>;
+      assert.deepEqual(Object.keys(machines).sort(), ['m-1', 'm-2', 'm-3', 'm-4']);
+      assert.deepEqual(machines['m-2'], ['small', 'a', 1, 'leaving']);
+      assert.deepEqual(machines['m-3']?.slice(0, 3), ['small', 'b', 0]);
+    },
+  },
+  {
+    name: 'roles go on from their term, and tell when they moved',
+    records: {
+      'mb/live/role/leader': role('n1'),
+      'mb/live/role/part-n0': role('n0', 7),
+      'mb/live/node/n1': { incarnation: 'n1-later', ...LATER },
+    },
+    check: async (records) => {
+      const world = await started(records, [
+        ['n0', 'a'],
+        ['n1', 'a'],
+      ]);
+      const from = world.clock.wall();
+      await world.run(60);
+      type Role = { owner: string; term: number; movedAt: number };
+      const leader = valueOf<Role>(world.state, 'mb/live/role/leader');
+      const part = valueOf<Role>(world.state, 'mb/live/role/part-n0');
+      assert.deepEqual([leader.owner, leader.term], ['n0', TERM + 1]);
+      assert.ok(leader.movedAt >= from);
+      assert.deepEqual([part.owner, part.term, part.movedAt], ['n0', TERM + 1, 7]);
+    },
+  },
+  {
+    name: 'a node that is there keeps its roles',
+    records: {
+      'mb/live/role/leader': role('n1'),
+      'mb/live/node/n1': { incarnation: 'n1-before', ...LATER },
+    },
+    check: async (records) => {
+      const world = await started(records, [
+        ['n0', 'a'],
+        ['n1', 'a'],
+      ]);
+      await world.run(60);
+      assert.deepEqual(valueOf(world.state, 'mb/live/role/leader'), records['mb/live/role/leader']);
+      assert.equal(valueOf<{ owner: string }>(world.state, 'mb/live/role/part-n0').owner, 'n0');
+    },
+  },
+  {
+    name: 'an arm in one record, as 89f79d3 has it',
+    records: { 'mb/live/arm/n0/small': { ...ARM, ...LATER } },
+    check: async (records) => {
+      const { own, beside } = await learnedOn(records);
+      assert.ok(own > 9, `${own}`);
+      assert.equal(beside, undefined);
+    },
+  },
+  {
+    name: 'an arm in several records, as df7a3ba has it',
+    records: {
+      'mb/live/arm/n0/small': { ...ARM, stamp: 5, further: 2, ...LATER },
+      'mb/live/arm/n0/small+1': {
+        ...{ classes: [], types: [], a: [], b: [], stamp: 5 },
+        ...{ moreClasses: ['other/1/0'], moreA: [[1, 1, 3]], moreB: [] },
+      },
+      'mb/live/arm/n0/small+2': {
+        ...{ classes: [], types: [], a: [], b: [], stamp: 5 },
+        ...{ moreClasses: [], moreA: [[2, 1, 0.25]], moreB: [[1, -0.5]] },
+      },
+    },
+    check: async (records) => {
+      const { own, beside, classes } = await learnedOn(records);
+      assert.ok(own > 9, `${own}`);
+      assert.equal(beside, 0.25);
+      assert.deepEqual(classes, ['work/1/0', 'other/1/0']);
+    },
+  },
+  {
+    name: 'the catalogue in one record, as 89f79d3 has it',
+    records: { 'mb/live/catalog': typesNamed('small', 'large') },
+    check: async (records) => {
+      assert.deepEqual(readCatalog(await viewOf(records)), typesNamed('small', 'large'));
+    },
+  },
+  {
+    name: 'the catalogue in several records, as df7a3ba has it',
+    records: {
+      'mb/live/catalog': typesNamed('small', 'large'),
+      'mb/live/catalog/1': typesNamed('large', 'huge'),
+      'mb/live/catalog/2': typesNamed('vast'),
+    },
+    check: async (records) => {
+      const types = readCatalog(await viewOf(records));
+      assert.deepEqual(types, typesNamed('small', 'large', 'huge', 'vast'));
+    },
+  },
+];
+
+/** What a node has learned after some tasks of a class that these records know. */
+async function learnedOn(records: Records) {
+  const world = await started(records, [['n0', 'a']]);
+  await world.run(10);
+  void world.submit(JOB, {});
+  await world.run(80);
+  type Arm = { classes: string[]; a: [number, number, number][] };
+  const arm = valueOf<Arm>(world.state, 'mb/live/arm/n0/small');
+  const cell = (row: number, column: number): number | undefined =>
+    arm.a.find(([one, other]) => one === row && other === column)?.[2];
+  return { own: cell(0, 0) ?? 0, beside: cell(2, 1), classes: arm.classes };
+}
+
+test('records of older versions are read, with fields that a later one adds', async (t) => {
+  for (const { name, records, check } of READ) {
+    await t.test(name, async () => {
+      // The rows are what those versions hold: their own readers take them too.
+      const [production, gangs] = OLDER;
+      for (const [key, value] of Object.entries(records))
+        assert.deepEqual(gangs?.objections(key, value), [], `${key} by ${gangs?.commit}`);
+      if (name.includes('89f79d3')) {
+        for (const [key, value] of Object.entries(records))
+          assert.deepEqual(production?.objections(key, value), [], key);
+      }
+      await check(records);
+    });
+  }
+});
