--- a/test/upgrade-records.test.ts
+++ b/test/upgrade-records.test.ts
@@ -5,7 +5,7 @@
 import { View } from '../src/bookkeeping/view.js';
 import { SimClock } from './world/clock.js';
 import { JOB, lone } from './world/lone.js';
-import { OLDER } from './world/older-versions.js';
+import { OLDER, writtenByProduction } from './world/older-versions.js';
 import { SimState } from './world/state.js';
 import { TYPES, World, silent, stageOf } from './world/world.js';
 
@@ -160,14 +160,20 @@
       },
     },
     check: async (records) => {
-      const view = await viewOf(records);
-      const shares = view.chunksOf(JOB).map(({ part, attempt, stopping, waiting }) => {
-        return { part, attempt, stopping, waiting };
-      });
-      assert.deepEqual(shares, [
-        { part: 'p', attempt: ATTEMPT, stopping: false, waiting: 1 },
-        { part: 'q', attempt: ATTEMPT, stopping: true, waiting: 0 },
-      ]);
+      // As they are, and after 89f79d3 has written them anew.
+      const rewritten = Object.fromEntries(
+        Object.entries(records).map(([key, value]) => [key, writtenByProduction(value, {})]),
+      );
+      for (const one of [records, rewritten]) {
+        const view = await viewOf(one);
+        const shares = view.chunksOf(JOB).map(({ part, attempt, stopping, waiting }) => {
+          return { part, attempt, stopping, waiting };
+        });
+        assert.deepEqual(shares, [
+          { part: 'p', attempt: ATTEMPT, stopping: false, waiting: 1 },
+          { part: 'q', attempt: ATTEMPT, stopping: true, waiting: 0 },
+        ]);
+      }
     },
   },
   {
