--- a/eslint.config.js
+++ b/eslint.config.js
@@ -42,6 +42,9 @@
     'test/gang-rules.test.ts',
     'test/gang-world.test.ts',
     'test/records.test.ts',
+    'test/upgrade-records.test.ts',
+    'test/upgrade-writes.test.ts',
+    'test/world/older-versions.ts',
   ],
   'max-lines-per-function': [
     'src/coordination/chunk-writer.ts',
--- a/test/upgrade-records.test.ts
+++ b/test/upgrade-records.test.ts
@@ -1,13 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readCatalog } from '../src/bookkeeping/catalog.js';
-import { Gate } from '../src/bookkeeping/gate.js';
-import { View } from '../src/bookkeeping/view.js';
+import { readCatalog } from '../src/storage/catalog.js';
+import { RateLimiter } from '../src/storage/rate-limiter.js';
+import { StoreReplica } from '../src/storage/store-replica.js';
 import { SimClock } from './world/clock.js';
 import { JOB, lone } from './world/lone.js';
 import { OLDER, writtenByProduction } from './world/older-versions.js';
 import { SimState } from './world/state.js';
-import { TYPES, World, silent, stageOf } from './world/world.js';
+import { stageOf } from './world/jobs.js';
+import { TYPES, silent } from './world/settings.js';
+import { World } from './world/world.js';
 
 /*
  * Records pass between this version and two older ones: 89f79d3, in production and without gangs,
@@ -23,14 +25,20 @@
   state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
 
 /** What a node holds of these records. */
-async function viewOf(records: Records): Promise<View> {
+async function replicaOf(records: Records): Promise<StoreReplica> {
   const clock = new SimClock();
   const state = new SimState(clock);
   put(state, records);
-  const view = new View(state.api('p'), new Gate(clock, 1000, 1000, 8), clock, silent, () => 0.5);
-  void view.follow();
+  const replica = new StoreReplica({
+    api: state.api('p'),
+    limiter: new RateLimiter(clock, { rps: 1000, writeRps: 1000, txnOps: 8 }),
+    clock,
+    log: silent,
+    random: () => 0.5,
+  });
+  void replica.follow();
   await clock.run(500);
-  return view;
+  return replica;
 }
 
 /** A node that starts with what others left behind. */
@@ -105,10 +113,10 @@
       'mb/live/job/j-000003': { spec: { ...SPEC, id: 'j-000003', kind: 'gang' }, at: 7 },
     },
     check: async (records) => {
-      const view = await viewOf(records);
+      const replica = await replicaOf(records);
       for (const [key, value] of Object.entries(records))
-        assert.deepEqual(view.job(key.slice('mb/live/job/'.length)), value);
-      assert.equal([...view.openJobs()].length, 3);
+        assert.deepEqual(replica.job(key.slice('mb/live/job/'.length)), value);
+      assert.equal([...replica.openJobs()].length, 3);
     },
   },
   {
@@ -135,8 +143,8 @@
       [CHUNK_1]: { ids: '0-3,7', done: '1', live: { '2': ['m-1', ATTEMPT] }, ...KIND, ...LATER },
     },
     check: async (records) => {
-      const view = await viewOf(records);
-      assert.deepEqual(view.chunk(CHUNK_1), {
+      const replica = await replicaOf(records);
+      assert.deepEqual(replica.chunk(CHUNK_1), {
         ...SUMMARY,
         number: 3_000_001,
         ids: [0, 1, 2, 3, 7],
@@ -165,8 +173,8 @@
         Object.entries(records).map(([key, value]) => [key, writtenByProduction(value, {})]),
       );
       for (const one of [records, rewritten]) {
-        const view = await viewOf(one);
-        const shares = view.chunksOf(JOB).map(({ part, attempt, stopping, waiting }) => {
+        const replica = await replicaOf(one);
+        const shares = replica.chunksOf(JOB).map(({ part, attempt, stopping, waiting }) => {
           return { part, attempt, stopping, waiting };
         });
         assert.deepEqual(shares, [
@@ -184,8 +192,8 @@
       [`${CHUNK_1}.2`]: { ids: '3', done: '', live: {}, ...KIND },
     },
     check: async (records) => {
-      const view = await viewOf(records);
-      const chunks = view.chunksOf(JOB).sort((a, b) => a.number - b.number);
+      const replica = await replicaOf(records);
+      const chunks = replica.chunksOf(JOB).sort((a, b) => a.number - b.number);
       assert.deepEqual(
         chunks.map(({ part, number, ids, on }) => ({ part, number, ids, on })),
         [
@@ -313,7 +321,7 @@
     name: 'the catalogue in one record, as 89f79d3 has it',
     records: { 'mb/live/catalog': typesNamed('small', 'large') },
     check: async (records) => {
-      assert.deepEqual(readCatalog(await viewOf(records)), typesNamed('small', 'large'));
+      assert.deepEqual(readCatalog(await replicaOf(records)), typesNamed('small', 'large'));
     },
   },
   {
@@ -325,7 +333,7 @@
       'mb/live/catalog/2': typesNamed('vast'),
     },
     check: async (records) => {
-      const types = readCatalog(await viewOf(records));
+      const types = readCatalog(await replicaOf(records));
       assert.deepEqual(types, typesNamed('small', 'large', 'huge', 'vast'));
     },
   },
--- a/test/upgrade-writes.test.ts
+++ b/test/upgrade-writes.test.ts
@@ -1,14 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { writeCatalog } from '../src/bookkeeping/catalog.js';
-import { Gate } from '../src/bookkeeping/gate.js';
-import { View } from '../src/bookkeeping/view.js';
-import type { TaskReport } from '../src/protocol/terms.js';
+import { writeCatalog } from '../src/storage/catalog.js';
+import { RateLimiter } from '../src/storage/rate-limiter.js';
+import { StoreReplica } from '../src/storage/store-replica.js';
+import type { TaskReport } from '../src/protocol/model.js';
 import { SimClock } from './world/clock.js';
 import { JOB, SPEC, lone, ops } from './world/lone.js';
 import { OLDER, rangesAsRead, writtenByProduction } from './world/older-versions.js';
 import { SimState } from './world/state.js';
-import { TYPES, World, silent } from './world/world.js';
+import { TYPES, silent } from './world/settings.js';
+import { World } from './world/world.js';
 
 /*
  * Records that this version writes, as two older ones need them (world/older-versions.ts): 89f79d3, in
@@ -330,14 +331,20 @@
     write: async () => {
       const clock = new SimClock();
       const state = new SimState(clock);
-      const view = new View(state.api('p'), new Gate(clock, 100, 100, 8), clock, silent, () => 0.5);
-      void view.follow();
+      const replica = new StoreReplica({
+        api: state.api('p'),
+        limiter: new RateLimiter(clock, { rps: 100, writeRps: 100, txnOps: 8 }),
+        clock,
+        log: silent,
+        random: () => 0.5,
+      });
+      void replica.follow();
       await clock.run(500);
       const types = Array.from({ length: 30 }, (_, at) => ({
         ...(TYPES[0] as (typeof TYPES)[number]),
         name: `type-${at}`,
       }));
-      const changes = writeCatalog(view, types, 1024);
+      const changes = writeCatalog(replica, types, 1024);
       // The one that 89f79d3 reads comes last: until then it goes on with the one before.
       assert.equal(changes.at(-1)?.key, 'mb/live/catalog');
       state.change(changes);
@@ -390,9 +397,9 @@
 /** After each transaction each task is in one chunk, neither lost nor doubled. */
 function assertWhole(log: Written, before: Map<string, unknown>, tasks: number): void {
   const held = new Map(before);
-  const marks = [...new Set(log.map((one) => one.mark))];
-  for (const mark of marks) {
-    for (const { key, value, removed } of log.filter((one) => one.mark === mark)) {
+  const revisions = [...new Set(log.map((one) => one.revision))];
+  for (const revision of revisions) {
+    for (const { key, value, removed } of log.filter((one) => one.revision === revision)) {
       if (!key.startsWith(CHUNKS)) continue;
       if (removed) held.delete(key);
       else held.set(key, value);
@@ -402,7 +409,7 @@
     assert.deepEqual(
       ids.sort((a, b) => a - b),
       all,
-      `at ${mark}`,
+      `at ${revision}`,
     );
   }
 }
