--- /dev/null
+++ b/test/gang-claims.test.ts
@@ -0,0 +1,148 @@
+/** Gangs within their team's guarantee stop arrays that other teams run beyond theirs. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { MachineCapacity } from '../src/coordination/capacity.js';
+import { GuaranteeClaims } from '../src/coordination/guarantee-claims.js';
+import type { JobSpec, TaskReport } from '../src/protocol/model.js';
+import { chunkKey, jobKey } from '../src/storage/keys.js';
+import type { ChunkRecord } from '../src/storage/records.js';
+import type { StoreReplica } from '../src/storage/store-replica.js';
+import { SimClock } from './world/clock.js';
+import { JOB, SPEC, lone, ops } from './world/lone.js';
+
+const ARRAY_JOB = 'j-000009';
+const GANG: JobSpec = { ...SPEC, kind: 'gang', team: 'red', tasks: 2, cpus: 2, memoryGb: 6 };
+const TEAMS = new Map(
+  [
+    { name: 'red', cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 0 },
+    { name: 'blue', cpus: 4, cpusMax: 12, gpus: 0, gpusMax: 0 },
+  ].map((team) => [team.name, team]),
+);
+
+/** One machine of part p with this much free, and arrays of blue on it. */
+const machine = (cpus: number, zone = 'a'): MachineCapacity => ({
+  name: 'm-1',
+  part: 'p',
+  type: 'small',
+  zone,
+  spot: false,
+  health: 'ok',
+  cpus,
+  gpus: 0,
+  memoryGb: 12,
+  tasks: 1,
+  lowCpus: 0,
+  lowMemoryGb: 0,
+  endingCpus: 0,
+  endingMemoryGb: 0,
+});
+
+/** A replica that shows an array, or a service, of `team` with so many tasks of 1 CPU on m-1. */
+function running(team: string, tasks: number, kind: JobSpec['kind']): StoreReplica {
+  const chunk = { team, cpus: 1, memoryGb: 1, liveCount: tasks, job: ARRAY_JOB };
+  const on = Array.from({ length: tasks }, () => 'm-1');
+  return {
+    chunks: () => [{ ...chunk, on }],
+    job: () => ({ spec: { ...SPEC, kind, team } }),
+  } as unknown as StoreReplica;
+}
+
+test('a claim stops no more than what other teams run beyond their guarantees', () => {
+  const cases: {
+    name: string;
+    team?: string;
+    tasks: number;
+    kind?: JobSpec['kind'];
+    free?: number;
+    zone?: string;
+    want: Record<string, number> | null;
+  }[] = [
+    { name: 'enough beyond the guarantee', tasks: 8, want: { blue: 4 } },
+    { name: 'some room is free', tasks: 6, free: 2, want: { blue: 2 } },
+    { name: 'too little beyond it', tasks: 7, want: null },
+    { name: 'all within it', tasks: 4, want: null },
+    { name: 'its own team', team: 'red', tasks: 14, want: null },
+    { name: 'services stay', tasks: 8, kind: 'service', want: null },
+    { name: 'not where it may go', tasks: 8, zone: 'b', want: null },
+  ];
+  for (const { name, team = 'blue', tasks, kind = 'array', free = 0, zone = 'a', want } of cases) {
+    const claims = new GuaranteeClaims(TEAMS, running(team, tasks, kind), new SimClock());
+    const spec = { ...GANG, zone: 'a' };
+    const claim = claims.find(spec, [machine(free, zone)]);
+    assert.deepEqual(claim?.reclaim ?? null, want, name);
+    if (want === null) continue;
+    assert.deepEqual(claim?.share, { part: 'p', zone: 'a', count: 2 }, name);
+    // What was claimed is not claimed again before it is counted anew.
+    assert.equal(claims.find(spec, [machine(free, zone)]), null, `${name}, again`);
+  }
+});
+
+const SHARE: ChunkRecord = {
+  ids: '0-1',
+  done: '',
+  live: {},
+  team: 'red',
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  zone: 'a',
+  attempt: 900,
+};
+const ARRAY: ChunkRecord = {
+  ...SHARE,
+  ids: '0-2',
+  live: { '0': ['m-1', 71], '1': ['m-1', 72], '2': ['m-1', 73] },
+  team: 'blue',
+};
+delete ARRAY.attempt;
+
+/** Time of day in ms: the array came a moment ago, so that nothing protects its first tasks. */
+const LATELY = Date.UTC(2100, 0);
+
+const arrayTask = (index: number): TaskReport => ({
+  task: { job: ARRAY_JOB, index },
+  attempt: 71 + index,
+  state: 'running',
+  cause: null,
+});
+
+test('a part stops just the arrays that a claim allows, and only at once', async () => {
+  const cases: {
+    name: string;
+    reclaim?: Record<string, number>;
+    lateMs?: number;
+    kind?: JobSpec['kind'];
+    want: string[];
+  }[] = [
+    { name: 'no claim', want: [] },
+    { name: 'a claim', reclaim: { blue: 1 }, want: ['stop'] },
+    { name: 'a larger claim', reclaim: { blue: 3 }, want: ['stop'] },
+    { name: 'too small a claim', reclaim: { blue: 0.5 }, want: [] },
+    { name: 'of another team', reclaim: { green: 3 }, want: [] },
+    { name: 'services stay', reclaim: { blue: 3 }, kind: 'service', want: [] },
+    { name: 'a claim of long ago', reclaim: { blue: 3 }, lateMs: 3500, want: [] },
+  ];
+  for (const { name, reclaim, lateMs = 0, kind = 'array', want } of cases) {
+    const world = await lone({
+      spec: { kind: 'gang', tasks: 2 },
+      held: [
+        {
+          key: jobKey(ARRAY_JOB),
+          value: { spec: { ...SPEC, kind, team: 'blue', tasks: 3 }, at: LATELY },
+        },
+        { key: chunkKey('p', ARRAY_JOB, 5), value: ARRAY },
+      ],
+    });
+    world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+    await world.clock.run(world.clock.now() + 300);
+    const share = { ...SHARE, ...(reclaim && { reclaim }) };
+    world.state.change([{ key: chunkKey('p', JOB, 1), value: share }]);
+    await world.clock.run(world.clock.now() + 300 + lateMs);
+    const tasks = [0, 1, 2].map(arrayTask);
+    world.report({}, tasks);
+    await world.round(1500);
+    const sent = world.sent.flatMap(({ commands }) => ops(commands)).filter((op) => op === 'stop');
+    assert.deepEqual(sent, want, name);
+    assert.equal(Object.keys(world.stored()?.live ?? {}).length, want.length * 2, name);
+  }
+});
--- a/test/gang-plan.test.ts
+++ b/test/gang-plan.test.ts
@@ -87,3 +87,46 @@
   );
   assert.deepEqual([missing?.spec.zone, missing?.count], ['a', 3]);
 });
+
+test('where a gang goes: machines that fetch its image in time come first, arrays make room first', () => {
+  const urgent: Partial<JobSpec> = { priority: 'high' };
+  /** Full of tasks that rank lower and are no arrays: of a gang, say. */
+  const gangs = { ...FULL, endingCpus: 0, endingMemoryGb: 0 };
+  const slow = { type: 'slow' };
+  const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
+    [
+      'a quick type, though another has more room',
+      {},
+      [machine('p', { ...slow, cpus: 16, memoryGb: 64 }), machine('q')],
+      'now q',
+    ],
+    [
+      'a slow one, where no other has room',
+      {},
+      [machine('p', slow), machine('q', { cpus: 0 })],
+      'now p',
+    ],
+    // A slow fetch takes less time than arrays do to end, and more than they do to be stopped.
+    ['a slow one before arrays end', {}, [machine('p', slow), machine('q', FULL)], 'now p'],
+    [
+      'arrays are stopped before a slow fetch',
+      urgent,
+      [machine('p', slow), machine('q', FULL)],
+      'soon q',
+    ],
+    // Urgent gangs stopped normal ones that had just begun, where there was more of them.
+    [
+      'arrays are stopped before gangs',
+      urgent,
+      [machine('p', { ...gangs, lowCpus: 16, lowMemoryGb: 64 }), machine('q', FULL)],
+      'soon q',
+    ],
+    ['gangs are stopped where there are no arrays', urgent, [machine('p', gangs)], 'soon p'],
+  ];
+  const hints = { lastPlace: null, fetchesInTime: (type: string) => type !== 'slow' };
+  for (const [name, change, machines, want] of cases) {
+    const plan = planGang({ ...GANG, ...change }, machines, hints);
+    const got = plan.shares ? `${plan.when} ${plan.shares.map(({ part }) => part).join()}` : 'none';
+    assert.equal(got, want, name);
+  }
+});
