--- a/src/coordination/gang-share.ts
+++ b/src/coordination/gang-share.ts
@@ -79,16 +79,21 @@
       }
       // Another part stops its share: ours must hear of it within the time that peers wait.
       const alone = chunk.slots.size === spec.tasks;
-      if (!alone && this.replica.chunksOf(chunk.job).some((share) => share.stopping)) {
-        chunk.broken = true;
-      }
-      if (chunk.broken && !alone && !chunk.stored.stopping) this.tasks.touch(chunk);
-      if (chunk.broken) this.end(chunk, stopped);
-      else if (chunk.placed === 0) this.release(chunk, spec, now);
+      if (!alone && this.stopsElsewhere(chunk)) chunk.broken = true;
+      // Progress is saved only where all are told at about the same time: the parts of the others
+      // must be able to see the stop before the first is told, which an outage would prevent.
+      const told = alone || chunk.stored.stopping === true || this.stopsElsewhere(chunk);
+      if (chunk.broken && !told) this.tasks.touch(chunk);
+      if (chunk.broken && told) this.end(chunk, stopped);
+      else if (!chunk.broken && chunk.placed === 0) this.release(chunk, spec, now);
     }
     return stopped;
   }
 
+  private stopsElsewhere(chunk: Chunk): boolean {
+    return this.replica.chunksOf(chunk.job).some((share) => share.stopping);
+  }
+
   /**
    * Whether tasks here have waited for the others until just before they end by themselves, one by
    * one. Withdrawn together they free their machines sooner, and nothing is lost.
