--- a/src/coordination/gang-share.ts
+++ b/src/coordination/gang-share.ts
@@ -116,7 +116,7 @@
    */
   mayStop(chunk: Chunk): boolean {
     const spec = this.spec(chunk);
-    if (spec === null || spec.checkpointS === 0) return true;
+    if (spec === null) return true;
     return this.reachable(chunk, spec) || this.progressAtRiskS(chunk, spec) <= GANG_LOSS_S;
   }
 
@@ -130,7 +130,7 @@
     });
   }
 
-  /** Seconds that the gang ran since its last checkpoint, at the most. */
+  /** Seconds that the gang ran since its last checkpoint, at the most; 0 where it never saves. */
   private progressAtRiskS(chunk: Chunk, spec: JobSpec): number {
     let since = Infinity;
     for (const slot of chunk.slots.values()) since = Math.min(since, slot.runningAt ?? Infinity);
