--- a/src/constants.ts
+++ b/src/constants.ts
@@ -138,6 +138,8 @@
 export const CHUNK_BYTES = 600;
 /** Bytes that a submission takes in a transaction beside its job's record: its keys, twice. */
 export const SUBMIT_BYTES = 400;
+/** KiB; with smaller values a chunk of a few tasks, or a job, could not be stored. */
+export const VALUE_KB_LEAST = 0.5;
 /** Share of a value's limit that is filled when records are cut to it: the state service may count
  * other spaces, escapes or digits than we do. */
 export const VALUE_SHARE = 0.95;
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -3,17 +3,17 @@
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
-import { GANG_PEER_S, GANG_WAIT_S } from '../constants.js';
+import { GANG_PEER_S, GANG_WAIT_S, VALUE_KB_LEAST } from '../constants.js';
 
 const address = v.pipe(v.string(), v.regex(/^[^:]+:\d{1,5}$/, 'must be ADDRESS:PORT'));
-const positive = v.pipe(v.number(), v.gtValue(0));
-const amount = v.pipe(v.number(), v.minValue(0));
+const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
+const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 
 /** The limits of the state service. Names in these schemas are those of the files. */
 const stateLimits = {
   rps: positive,
   write_rps: positive,
-  value_kb: positive,
+  value_kb: v.pipe(v.number(), v.finite(), v.minValue(VALUE_KB_LEAST)),
   txn_ops: v.pipe(v.number(), v.integer(), v.minValue(2)),
 };
 
--- a/test/gang-input.test.ts
+++ b/test/gang-input.test.ts
@@ -210,7 +210,7 @@
   return file;
 }
 
-const UNUSABLE = ['0', '-1.0', '"8"', 'true', 'nan', '[8.0]'];
+const UNUSABLE = ['0', '-1.0', '"8"', 'true', 'nan', 'inf', '[8.0]'];
 const BAD: { place: 'workers' | 'state'; lines: string; field: string }[] = [
   ...['gang_wait_s', 'gang_peer_s'].flatMap((name) =>
     UNUSABLE.map((value) => ({
@@ -227,6 +227,11 @@
     })),
   ),
   { place: 'state', lines: 'next = 5', field: 'params.state.next' },
+  {
+    place: 'state',
+    lines: '[params.state.next]\nvalue_kb = 0.001',
+    field: 'params.state.next.value_kb',
+  },
 ];
 
 test('gang input: settings that can not be used are told by file and field', () => {
