--- a/src/coordination/gangs.ts
+++ b/src/coordination/gangs.ts
@@ -7,6 +7,7 @@
   GANG_KEEP_FROM_MS,
   GANG_RETRY_MS,
   GANG_RETRY_MOST_MS,
+  GANG_SHARE_LEAST,
   GANGS_MS,
 } from '../constants.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
@@ -68,6 +69,25 @@
   return null;
 }
 
+/**
+ * Shares of a gang that waits for arrays to end, by what falls free in each part: several parts free
+ * some places each sooner than one of them frees all. Null: there is no room to come for it.
+ */
+function divide(places: readonly Place[], tasks: number): Share[] | null {
+  const most = Math.max(1, Math.floor(tasks / GANG_SHARE_LEAST));
+  const chosen = [...places].sort((a, b) => b.soon - a.soon).slice(0, most);
+  let room = chosen.reduce((sum, place) => sum + place.soon, 0);
+  let left = tasks;
+  const shares: Share[] = [];
+  for (const { part, zone, soon } of chosen) {
+    const count = Math.min(soon, Math.round((left * soon) / Math.max(1, room)));
+    room -= soon;
+    left -= count;
+    if (count > 0) shares.push({ part, zone, count });
+  }
+  return left === 0 ? shares : null;
+}
+
 /** What the leader knows of a gang's image. */
 export interface ImageHints {
   /** The place that had a gang with this image last; null: none. */
@@ -141,6 +161,12 @@
   const sum = (group: readonly Place[], when: 'now' | 'soon'): number =>
     group.reduce((total, place) => total + place[when], 0);
   for (const when of ['now', 'soon'] as const) {
+    if (when === 'soon' && mode === 'ending' && !spec.spread) {
+      for (const group of [...groups].sort((a, b) => sum(b, when) - sum(a, when))) {
+        const shares = divide(group, spec.tasks);
+        if (shares) return { shares, when };
+      }
+    }
     if (!spec.spread || spec.tasks === 1) {
       const most = all.reduce<Place | null>(
         (found, place) => (found === null || place[when] > found[when] ? place : found),
