--- /dev/null
+++ b/src/coordination/candidates.ts
@@ -0,0 +1,57 @@
+/** The machines that may take tasks in one round of placing. */
+
+import type { JobSpec } from '../protocol/model.js';
+import { isEligible } from './capacity.js';
+import type { Machine } from './machine.js';
+import type { Machines } from './machines.js';
+import { take, type Room } from './room.js';
+import type { Chunk, Slot, Tasks } from './tasks.js';
+
+/** A machine that may take tasks, and what is left of it in this round. */
+export interface Candidate {
+  machine: Machine;
+  /** The room that is left on it. */
+  room: Room;
+  /** Whether it holds no tasks. */
+  empty: boolean;
+  /** Its room is reserved for a gang that does not fit yet. */
+  reserved: boolean;
+  /** Its room is reserved for the next gang: most arrays may not use it. */
+  excludesArrays: boolean;
+}
+
+/** A placed task that may be stopped for another one. */
+export type Victim = [Slot, Chunk];
+
+/** Looks up a job's description and the time of day of its acceptance; null: it is over. */
+export type JobLookup = (id: string) => { spec: JobSpec; at: number } | null;
+
+/** The healthy machines of a part in their fixed order, with the room that their tasks leave. */
+export function listCandidates(machines: Machines, tasks: Tasks): Candidate[] {
+  const candidates: Candidate[] = [];
+  for (const machine of machines.inOrder()) {
+    if (machine.closing || !machines.usable(machine)) continue;
+    if (machines.health(machine) !== 'ok') continue;
+    const room = machines.capacity(machine.type);
+    const placed = tasks.on(machine.name);
+    for (const [slot, chunk] of placed) if (!slot.halting) take(room, chunk.record);
+    const empty = placed.size === 0;
+    candidates.push({ machine, room, empty, reserved: false, excludesArrays: false });
+  }
+  return candidates;
+}
+
+/** Whether tasks of a chunk may run on a machine: in its zone, and as its job's user allows. */
+export function mayRunOn(machine: Machine, spec: JobSpec, chunk: Chunk): boolean {
+  return machine.zone === chunk.record.zone && isEligible(spec, machine);
+}
+
+/** Queued and running tasks by machine type. */
+export function countTasksByType(machines: Machines, tasks: Tasks): Map<string, number> {
+  const counts = new Map<string, number>();
+  for (const name of tasks.machines()) {
+    const type = machines.all.get(name)?.type;
+    if (type) counts.set(type, (counts.get(type) ?? 0) + tasks.on(name).size);
+  }
+  return counts;
+}
--- a/src/coordination/fleet/renting.ts
+++ b/src/coordination/fleet/renting.ts
@@ -2,7 +2,7 @@
 import { RENT_MAX } from '../../constants.js';
 import type { RentResult } from '../../protocol/cloud-api.js';
 import type { FleetSnapshot } from '../capacity.js';
-import { missingGangCapacity } from '../gangs.js';
+import { missingGangCapacity } from '../gang-capacity.js';
 import { demandBeyondFleet } from './capacity-demand.js';
 import { machineTypes, type FleetContext } from './fleet-context.js';
 import type { MachineRecords } from './machine-records.js';
--- /dev/null
+++ b/src/coordination/gang-capacity.ts
@@ -0,0 +1,128 @@
+/** Capacity for gangs that have not come yet: which machines are reserved, and what the fleet lacks. */
+
+import { GANG_ENDING_SHARE } from '../constants.js';
+import type { JobSpec } from '../protocol/model.js';
+import {
+  fitCount,
+  isEligible,
+  occupyReclaimable,
+  reclaimableCapacity,
+  reclaimModeFor,
+  type MachineCapacity,
+} from './capacity.js';
+import { placeKey } from './priorities.js';
+
+/** Tasks of a gang for which capacity is missing; the description names the zone. */
+export interface MissingCapacity {
+  spec: JobSpec;
+  count: number;
+}
+
+/** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
+interface MachineFit {
+  name: string;
+  now: number;
+  later: number;
+}
+
+/**
+ * Where gangs like these would lack room if they came now, one after the other: with the zone where
+ * they lack the least. Only part of what would make room counts, since it does so one by one.
+ */
+export function missingGangCapacity(
+  gangs: readonly JobSpec[],
+  machines: readonly MachineCapacity[],
+): MissingCapacity[] {
+  const remaining = machines.filter((machine) => !machine.spot).map((machine) => ({ ...machine }));
+  const missing: MissingCapacity[] = [];
+  for (const spec of [...gangs].sort((a, b) => b.tasks * b.cpus - a.tasks * a.cpus)) {
+    const zone = zoneWithMostRoom(spec, remaining);
+    const count = occupyZone(spec, zone, remaining);
+    if (count > 0) missing.push({ spec: { ...spec, zone }, count });
+  }
+  return missing;
+}
+
+/** The zone with the most room for a gang, in part counting room to come; null: any is as good. */
+function zoneWithMostRoom(spec: JobSpec, machines: readonly MachineCapacity[]): string | null {
+  const zones = new Map<string, number>();
+  for (const machine of machines) {
+    if (!isEligible(spec, machine)) continue;
+    const now = fitCount(machine, spec);
+    const later = fitCount(reclaimableCapacity(machine, reclaimModeFor(spec)), spec) - now;
+    zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + now + later * GANG_ENDING_SHARE);
+  }
+  const [best] = [...zones].sort((a, b) => b[1] - a[1]);
+  return best?.[0] ?? spec.zone;
+}
+
+/** Takes room for a gang in a zone, free room first; returns how many tasks found none. */
+function occupyZone(spec: JobSpec, zone: string | null, machines: MachineCapacity[]): number {
+  let left = spec.tasks;
+  for (const reclaims of [false, true]) {
+    for (const machine of machines) {
+      if (left <= 0 || machine.zone !== zone || !isEligible(spec, machine)) continue;
+      const room = reclaims ? reclaimableCapacity(machine, reclaimModeFor(spec)) : machine;
+      const fitting = fitCount(room, spec);
+      const count = Math.min(left, reclaims ? Math.floor(fitting * GANG_ENDING_SHARE) : fitting);
+      occupyReclaimable(machine, spec, count);
+      left -= count;
+    }
+  }
+  return left;
+}
+
+/**
+ * The one place that reserves room for such a gang: where most ordinary machines are that it may
+ * use. Leader and parts compute it alike, and if they differ for a moment, arrays wait a little.
+ */
+export function reservingPlace(
+  spec: JobSpec,
+  machines: Iterable<{ part: string; type: string; zone: string; spot: boolean }>,
+): string | null {
+  const counts = new Map<string, number>();
+  for (const machine of machines) {
+    if (machine.spot || !isEligible(spec, machine)) continue;
+    const place = placeKey(machine.part, machine.zone);
+    counts.set(place, (counts.get(place) ?? 0) + 1);
+  }
+  let best: string | null = null;
+  let most = 0;
+  for (const [place, count] of counts) {
+    if (count < most || (count === most && best !== null && place > best)) continue;
+    best = place;
+    most = count;
+  }
+  return best;
+}
+
+/** Names of the machines that are reserved for a gang like this one: arrays may not use them. */
+export function reservedMachines(spec: JobSpec, machines: readonly MachineCapacity[]): Set<string> {
+  const place = reservingPlace(spec, machines);
+  const fits = machines
+    .filter(
+      (machine) =>
+        !machine.spot &&
+        placeKey(machine.part, machine.zone) === place &&
+        isEligible(spec, machine),
+    )
+    .map((machine) => fitOn(spec, machine))
+    .sort((a, b) => b.now - a.now || b.later - a.later || (a.name < b.name ? -1 : 1));
+  const reserved = new Set<string>();
+  let count = 0;
+  for (const { name, later } of fits) {
+    if (count >= spec.tasks) break;
+    if (later === 0) continue;
+    reserved.add(name);
+    count += later;
+  }
+  return reserved;
+}
+
+function fitOn(spec: JobSpec, machine: MachineCapacity): MachineFit {
+  return {
+    name: machine.name,
+    now: fitCount(machine, spec),
+    later: fitCount(reclaimableCapacity(machine, 'ending'), spec),
+  };
+}
--- a/src/coordination/gang-share.ts
+++ b/src/coordination/gang-share.ts
@@ -1,3 +1,5 @@
+/** The life of a part's shares of gangs: their common start, their common end, their return. */
+
 import {
   GANG_HOLD_MS,
   GANG_LOSS_S,
@@ -20,6 +22,15 @@
   gangPeerS: number;
 }
 
+/** What the shares read and write. */
+export interface GangShareDependencies {
+  tasks: Tasks;
+  machines: Machines;
+  replica: StoreReplica;
+  clock: Clock;
+  log: Log;
+}
+
 /**
  * A part's shares of gangs. A share's placements are reserved when they are committed; they start
  * once every task of the gang is reserved, here and in other parts, all under one attempt. When one
@@ -29,15 +40,11 @@
 export class GangShares {
   constructor(
     private readonly options: GangTimes,
-    private readonly tasks: Tasks,
-    private readonly machines: Machines,
-    private readonly replica: StoreReplica,
-    private readonly clock: Clock,
-    private readonly log: Log,
+    private readonly dependencies: GangShareDependencies,
   ) {}
 
   private spec(chunk: Chunk): JobSpec | null {
-    return this.replica.job(chunk.job)?.spec ?? null;
+    return this.dependencies.replica.job(chunk.job)?.spec ?? null;
   }
 
   /** Whether tasks of this chunk may start now. */
@@ -49,7 +56,7 @@
   /** Whether all tasks of the gang have their machines, by what the state service holds. */
   private whole(chunk: Chunk): boolean {
     let placed = 0;
-    for (const share of this.replica.chunksOf(chunk.job)) {
+    for (const share of this.dependencies.replica.chunksOf(chunk.job)) {
       if (share.attempt !== chunk.record.attempt || share.stopping) return false;
       placed += share.liveCount + share.done;
     }
@@ -62,33 +69,43 @@
    */
   reconcile(): Set<string> {
     const stopped = new Set<string>();
-    const now = this.clock.now();
-    for (const chunk of this.tasks.gangs) {
+    const now = this.dependencies.clock.now();
+    for (const chunk of this.dependencies.tasks.gangs) {
       const spec = this.spec(chunk);
       if (spec === null) continue;
-      const all = chunk.waiting.size === 0;
-      chunk.placedAt = all ? (chunk.placedAt ?? now) : null;
-      const late = chunk.placedAt !== null && now - chunk.placedAt >= GANG_RESERVE_MS;
-      if (!chunk.broken && late && !this.whole(chunk)) {
-        chunk.broken = true;
-        this.log.info({ job: chunk.job }, 'gang not reserved in time');
-      }
-      if (!chunk.broken && this.waitsInVain(chunk, now)) {
-        chunk.broken = true;
-        this.log.info({ job: chunk.job }, 'gang withdrawn, it was not complete in time');
-      }
-      // Another part stops its share: ours must hear of it within the time that peers wait.
-      const alone = chunk.slots.size === spec.tasks;
-      if (!alone && this.replica.chunksOf(chunk.job).some((share) => share.stopping)) {
-        chunk.broken = true;
-      }
-      if (chunk.broken && !alone && !chunk.stored.stopping) this.tasks.touch(chunk);
+      this.breakOverdue(chunk, now);
+      this.shareBreak(chunk, spec);
       if (chunk.broken) this.end(chunk, stopped);
       else if (chunk.placed === 0) this.release(chunk, spec, now);
     }
     return stopped;
   }
 
+  /** Breaks a share for which the rest of its gang was not reserved, or did not come, in time. */
+  private breakOverdue(chunk: Chunk, now: number): void {
+    const { log } = this.dependencies;
+    const allPlaced = chunk.waiting.size === 0;
+    chunk.placedAt = allPlaced ? (chunk.placedAt ?? now) : null;
+    const late = chunk.placedAt !== null && now - chunk.placedAt >= GANG_RESERVE_MS;
+    if (!chunk.broken && late && !this.whole(chunk)) {
+      chunk.broken = true;
+      log.info({ job: chunk.job }, 'gang not reserved in time');
+    }
+    if (!chunk.broken && this.waitsInVain(chunk, now)) {
+      chunk.broken = true;
+      log.info({ job: chunk.job }, 'gang withdrawn, it was not complete in time');
+    }
+  }
+
+  /** Breaks a share when another part stops its own, and tells the other parts of a broken one. */
+  private shareBreak(chunk: Chunk, spec: JobSpec): void {
+    const { replica, tasks } = this.dependencies;
+    if (chunk.slots.size === spec.tasks) return;
+    // All parts must stop their shares within the time that tasks wait for lost peers.
+    if (replica.chunksOf(chunk.job).some((share) => share.stopping)) chunk.broken = true;
+    if (chunk.broken && !chunk.stored.stopping) tasks.touch(chunk);
+  }
+
   /**
    * Whether tasks here have waited for the others until just before they end by themselves, one by
    * one. Withdrawn together they free their machines sooner, and nothing is lost.
@@ -120,8 +137,12 @@
     const shared = chunk.slots.size < spec.tasks;
     if (shared && this.options.gangPeerS * 1000 < SHARED_STOP_MS) return false;
     return [...this.machinesOf(chunk.job)].every((name) => {
-      const machine = this.machines.all.get(name);
-      return machine?.proven === true && !machine.direct && this.machines.health(machine) === 'ok';
+      const machine = this.dependencies.machines.all.get(name);
+      return (
+        machine?.proven === true &&
+        !machine.direct &&
+        this.dependencies.machines.health(machine) === 'ok'
+      );
     });
   }
 
@@ -131,7 +152,7 @@
     for (const slot of chunk.slots.values()) since = Math.min(since, slot.runningAt ?? Infinity);
     if (since === Infinity) return 0;
     // Where its last attempt ended is not known here: its checkpoints may come at any moment.
-    return Math.min(spec.checkpointS, (this.clock.now() - since) / 1000);
+    return Math.min(spec.checkpointS, (this.dependencies.clock.now() - since) / 1000);
   }
 
   private end(chunk: Chunk, stopped: Set<string>): void {
@@ -139,38 +160,42 @@
     for (const slot of [...chunk.slots.values()]) {
       if (slot.state !== 'live' || slot.halting) continue;
       // What was never committed was never sent either.
-      if (this.tasks.committed(chunk, slot)) {
+      if (this.dependencies.tasks.committed(chunk, slot)) {
         slot.halting = true;
         machines.push(slot.machine);
         stopped.add(slot.machine);
-      } else this.tasks.requeue(chunk, slot);
+      } else this.dependencies.tasks.requeue(chunk, slot);
     }
     if (machines.length > 0) {
-      this.log.info({ job: chunk.job, attempt: chunk.record.attempt, machines }, 'gang stops');
+      this.dependencies.log.info(
+        { job: chunk.job, attempt: chunk.record.attempt, machines },
+        'gang stops',
+      );
     }
     if (chunk.placed > 0) return;
-    this.log.info({ job: chunk.job, attempt: chunk.record.attempt }, 'gang goes back');
+    this.dependencies.log.info({ job: chunk.job, attempt: chunk.record.attempt }, 'gang goes back');
     this.giveBack(chunk);
   }
 
   private release(chunk: Chunk, spec: JobSpec, now: number): void {
     const urgent = rankOf(spec.priority) >= URGENT;
-    const patience = urgent || chunk.hopeless ? RELEASE_MS : GANG_HOLD_MS;
+    const patience = urgent || chunk.infeasible ? RELEASE_MS : GANG_HOLD_MS;
     const [first] = chunk.waiting;
     if (first && now - first.pendingSince >= patience) this.giveBack(chunk);
   }
 
   private giveBack(chunk: Chunk): void {
-    for (const slot of [...chunk.waiting]) this.tasks.giveBack(chunk, slot);
+    for (const slot of [...chunk.waiting]) this.dependencies.tasks.giveBack(chunk, slot);
   }
 
   /** Machines of a gang of which another part has written something. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
-    for (const chunk of this.tasks.of(job)) {
+    for (const chunk of this.dependencies.tasks.of(job)) {
       if (chunk.record.attempt === undefined) continue;
-      for (const slot of chunk.slots.values())
+      for (const slot of chunk.slots.values()) {
         if (slot.state === 'live') machines.add(slot.machine);
+      }
     }
     return machines;
   }
--- a/src/coordination/guarantee-claims.ts
+++ b/src/coordination/guarantee-claims.ts
@@ -8,7 +8,7 @@
 import type { Team } from '../protocol/settings.js';
 import type { Clock } from '../transport/clock.js';
 import { fitCount, isEligible, type MachineCapacity } from './capacity.js';
-import type { Share } from './gangs.js';
+import type { Share } from './gang-plan.js';
 import { placeKey } from './priorities.js';
 
 /** Where a gang finds room by a claim, and how many CPUs it may stop of each team for it. */
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -24,7 +24,9 @@
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import type { Team } from '../protocol/settings.js';
 import type { Clock } from '../transport/clock.js';
-import { Gangs, planGang, reservedMachines, type GangPlan, type ImageHints } from './gangs.js';
+import { reservedMachines } from './gang-capacity.js';
+import { GangHistory } from './gang-history.js';
+import { planGang, type GangPlan, type ImageHints } from './gang-plan.js';
 import { GuaranteeClaims, type Claim } from './guarantee-claims.js';
 import { Arrivals, Ledger, endsAt, type Usage } from './ledger.js';
 import { Inventory } from './inventory.js';
@@ -76,7 +78,7 @@
   private readonly ledger: Ledger;
   private readonly arrivals: Arrivals;
   private readonly inventory: Inventory;
-  private readonly gangs: Gangs;
+  private readonly gangs: GangHistory;
   private readonly claims: GuaranteeClaims;
   /** Jobs whose changes the state service called invalid. */
   private readonly invalidBackoff: InvalidChangeBackoff;
@@ -95,7 +97,7 @@
     this.invalidBackoff = new InvalidChangeBackoff(clock);
     this.ledger = new Ledger(replica, clock);
     this.arrivals = new Arrivals(replica, clock);
-    this.gangs = new Gangs(options.term);
+    this.gangs = new GangHistory(options.term);
     this.claims = new GuaranteeClaims(this.teams, replica, clock);
     this.inventory = new Inventory(options.members, replica, this.ledger);
   }
@@ -168,7 +170,7 @@
     const unmet: UnmetDemand[] = [];
     const queues = new Map<string, Queue>();
     const byPart = [...machines.values()].filter((one) => one.health === 'ok');
-    const patient = this.arrivals.gangs.patient;
+    const patient = this.arrivals.gangs.largestNotUrgent;
     const kept = patient ? reservedMachines(patient, byPart) : new Set<string>();
     const forArrays = byPart.filter((one) => !kept.has(one.name));
     const open = this.openJobs(used, byPart, kept, queues, unmet);
@@ -484,7 +486,7 @@
     const { spec } = job;
     // Some of its tasks are still in the hands of a part: they end first.
     if (job.unassigned < spec.tasks || !this.gangs.mayTry(job.id, now)) return;
-    const keeps = this.gangs.keeps(job.id, now);
+    const keeps = this.gangs.reservesRoom(job.id, now);
     const team = this.teams.get(spec.team);
     const use = used.get(spec.team) ?? { cpus: 0, gpus: 0 };
     used.set(spec.team, use);
--- a/src/coordination/ledger.ts
+++ b/src/coordination/ledger.ts
@@ -6,7 +6,7 @@
 import type { StoreReplica } from '../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import type { Clock } from '../transport/clock.js';
-import { RecentGangs } from './gangs.js';
+import { RecentGangs } from './recent-gangs.js';
 import { URGENT, placeKey } from './priorities.js';
 
 /** What a team uses. */
--- a/src/coordination/part.ts
+++ b/src/coordination/part.ts
@@ -28,12 +28,13 @@
 import type { Clock } from '../transport/clock.js';
 import type { ArmRecord, Bandit } from './bandit.js';
 import { GangShares } from './gang-share.js';
-import { RecentGangs, reservingPlace } from './gangs.js';
+import { reservingPlace } from './gang-capacity.js';
 import { machinesOf } from './inventory.js';
 import type { Direct, Machine } from './machine.js';
 import { Machines } from './machines.js';
 import { fits, take, type Room } from './room.js';
 import { Placing } from './placing.js';
+import { RecentGangs } from './recent-gangs.js';
 import { Status } from './status.js';
 import { Tasks, type Chunk, type Slot } from './tasks.js';
 import { placeKey } from './priorities.js';
@@ -104,7 +105,13 @@
   ) {
     this.machines = new Machines(options, replica, clock);
     this.tasks = new Tasks(options.part, replica, clock);
-    this.gangs = new GangShares(options, this.tasks, this.machines, replica, clock, log);
+    this.gangs = new GangShares(options, {
+      tasks: this.tasks,
+      machines: this.machines,
+      replica,
+      clock,
+      log,
+    });
     this.recentGangs = new RecentGangs(clock);
     this.writer = new ChunkWriter(
       options,
@@ -461,11 +468,13 @@
         mayStopGang: (chunk) => this.gangs.mayStop(chunk),
         gangWaitS: this.options.gangWaitS,
       },
-      this.tasks,
-      this.machines,
-      bandit,
-      this.clock,
-      this.log,
+      {
+        tasks: this.tasks,
+        machines: this.machines,
+        bandit,
+        clock: this.clock,
+        log: this.log,
+      },
     );
     return this.placing;
   }
@@ -481,7 +490,7 @@
     const now = this.clock.now();
     if (now < this.reservedGangCheckedAt) return this.reservedGang;
     this.reservedGangCheckedAt = now + GANG_RESERVING_PLACE_MS;
-    const next = this.recentGangs.patient;
+    const next = this.recentGangs.largestNotUrgent;
     if (!next) return (this.reservedGang = null);
     const place = reservingPlace(next, machinesOf(this.replica));
     const ours = this.machines
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -1,214 +1,147 @@
-import {
-  ATTEMPT_PARTS,
-  ATTEMPT_STEP,
-  FETCH_SHARE,
-  FETCH_SLOWEST,
-  CONSOLIDATE_MS,
-  CONSOLIDATE_SETTLED_MS,
-  CONSOLIDATE_SHARE,
-  CONSOLIDATE_USE,
-  IMAGE_VICTIMS,
-} from '../constants.js';
-import type { Log } from '../storage/log.js';
+/** One part's rounds of placing: waiting tasks go to machines, in the order of their priorities. */
+
+import { ATTEMPT_PARTS, ATTEMPT_STEP, FETCH_SLOWEST } from '../constants.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
+import type { Log } from '../storage/log.js';
 import type { Clock } from '../transport/clock.js';
 import type { Bandit } from './bandit.js';
-import { GangPlacing, type Place, type Victim } from './gang-placing.js';
-import type { Machine } from './machine.js';
-import type { Machines } from './machines.js';
-import { fits, take } from './room.js';
+import { countTasksByType, listCandidates, mayRunOn, type Candidate } from './candidates.js';
 import { isEligible } from './capacity.js';
+import { Consolidation } from './consolidation.js';
+import { GangLayouts, type GangLayout } from './gang-layout.js';
+import { GangReservations } from './gang-reservation.js';
+import { MachineChoice, type MachineChoiceOptions } from './machine-choice.js';
+import type { Machines } from './machines.js';
+import { Preemption, type PreemptionRules } from './preemption.js';
+import { take } from './room.js';
 import type { Chunk, Slot, Tasks } from './tasks.js';
 
-export interface PlacingOptions {
+/** What placing needs of its part, beside tasks and machines. */
+export interface PlacingOptions extends MachineChoiceOptions, PreemptionRules {
+  /** The part's number and the term of its owner; both are in the attempt numbers. */
   number: number;
   term: number;
-  /** Seconds within which tasks of a class should start. */
-  startWithinS: Readonly<Record<string, number>>;
-  /** A job's description and the time of day of its acceptance; null: it is over. */
-  job: (id: string) => { spec: JobSpec; at: number } | null;
-  /** Whether a job waited long to begin and none of its tasks has ended yet. */
-  beginner: (id: string) => boolean;
   /** Whether nothing of a job runs long after it came. */
   waitsLong: (id: string) => boolean;
-  /** The gang for which this part keeps some room free; null: it keeps none. */
+  /** The gang for which this part reserves some room; null: it reserves none. */
   nextGang: () => JobSpec | null;
   /** Whether a job waits after failures. */
   pauses: (id: string) => boolean;
-  /** Whether a gang may be stopped for other work. */
-  mayStopGang: (chunk: Chunk) => boolean;
   /** Seconds for which a gang's task waits for the others. */
   gangWaitS: number;
 }
 
-const NO_TEAMS: ReadonlyMap<string, number> = new Map();
+/** What placing reads and writes. */
+export interface PlacingDependencies {
+  tasks: Tasks;
+  machines: Machines;
+  bandit: Bandit;
+  clock: Clock;
+  log: Log;
+}
 
-export function taskClass(spec: JobSpec): string {
-  return `${spec.class}/${spec.cpus}/${spec.gpus}`;
+/** A chunk with tasks that wait for a place, and its job's description. */
+interface WaitingChunk {
+  chunk: Chunk;
+  spec: JobSpec;
 }
 
-/** Decides where a part's waiting tasks go: the bandit picks the type, first fit fills it. */
+/** The state of one round. */
+interface Round {
+  /** All machines that may take tasks; their room shrinks with each placement. */
+  candidates: readonly Candidate[];
+  /** The gang for which some room is reserved against arrays. */
+  nextGang: JobSpec | null;
+  /** Queued and running tasks by machine type. */
+  load: Map<string, number>;
+  /** The lowest rank of all work that is placed: what doesn't rank above it can't stop anything. */
+  lowestRank: number;
+  /** Machines on which tasks must now be stopped. */
+  stopped: Set<string>;
+}
+
+/** Decides where a part's waiting tasks go. */
 export class Placing {
   private attempts = 0;
-  private consolidateAt = 0;
-  private readonly gangs: GangPlacing;
+  private readonly choice: MachineChoice;
+  private readonly preemption: Preemption;
+  private readonly layouts: GangLayouts;
+  private readonly reservations: GangReservations;
+  private readonly consolidation: Consolidation;
 
   constructor(
     private readonly options: PlacingOptions,
-    private readonly tasks: Tasks,
-    private readonly machines: Machines,
-    private readonly bandit: Bandit,
-    private readonly clock: Clock,
-    private readonly log: Log,
+    private readonly dependencies: PlacingDependencies,
   ) {
-    this.gangs = new GangPlacing(
-      tasks,
-      (place, rank, teams) => this.victims(place, rank, teams),
-      (victim) => this.costOf(victim),
-      options.job,
-      clock,
-    );
+    const { tasks, machines, bandit, clock } = dependencies;
+    this.choice = new MachineChoice(options, machines, bandit);
+    this.preemption = new Preemption(options, dependencies);
+    this.layouts = new GangLayouts(this.preemption, options.job, clock);
+    this.reservations = new GangReservations(tasks, options.job);
+    this.consolidation = new Consolidation(options.job, dependencies);
+  }
+
+  /** Moves services off little-used machines; returns those on which tasks must now be stopped. */
+  consolidate(): Set<string> {
+    return this.consolidation.run();
   }
 
   /** Places what waits; returns the machines on which tasks must now be stopped. */
   place(): Set<string> {
-    const stopped = new Set<string>();
-    const waiting: { chunk: Chunk; spec: JobSpec }[] = [];
-    for (const chunk of this.tasks.waiting) {
-      const job = this.options.job(chunk.job);
-      if (!job || this.options.pauses(chunk.job)) continue;
-      const { spec } = job;
-      waiting.push({ chunk, spec });
-    }
-    if (waiting.length === 0) return stopped;
-    // In the leader's order, which is that of the chunks' numbers. By deadline, hopeless jobs would
-    // pass all others here, and one whose turn came late would be passed until it is given back.
-    waiting.sort(
-      (a, b) =>
-        rankOf(b.spec.priority) - rankOf(a.spec.priority) || a.chunk.number - b.chunk.number,
-    );
-    const places = this.places();
-    const next = this.options.nextGang();
-    if (next) {
-      this.gangs.keepFree(
-        next,
-        places.filter(({ machine }) => !machine.spot && isEligible(next, machine)),
-      );
-    }
-    const load = this.load();
-    const lowest = this.lowestRank();
+    const waiting = this.waitingChunks();
+    if (waiting.length === 0) return new Set();
+    const round = this.startRound();
     let short = false;
-    for (const { chunk, spec } of waiting) {
-      const yields = next !== null && spec.kind === 'array' && !this.options.waitsLong(chunk.job);
-      const open = places.filter(
-        ({ machine, kept, noArrays }) =>
-          !kept && !(noArrays && yields) && this.allows(spec, chunk, machine),
-      );
-      if (chunk.record.attempt !== undefined) {
-        if (chunk.broken || chunk.placed > 0) continue;
-        if (!this.placeGang(spec, chunk, open, load, stopped)) {
-          short = true;
-          chunk.hopeless = !this.gangs.keep(chunk, open);
-        }
-        continue;
-      }
-      for (const slot of [...chunk.waiting]) {
-        let target = this.choose(spec, chunk, open, load);
-        if (!target && rankOf(spec.priority) > lowest) {
-          target = this.preempt(spec, chunk, open, stopped);
-        }
-        if (!target) {
-          // No room for one task of a chunk is none for the others: they are alike.
-          short = true;
-          break;
-        }
-        take(target.room, chunk.record);
-        target.empty = false;
-        const { type, name } = target.machine;
-        load.set(type, (load.get(type) ?? 0) + 1);
-        const context = this.bandit.context(taskClass(spec), type, load);
-        this.tasks.place(chunk, slot, name, this.nextAttempt(), context);
-      }
+    for (const entry of waiting) {
+      const open = this.openTo(entry, round);
+      const isGang = entry.chunk.record.attempt !== undefined;
+      const placed = isGang
+        ? this.placeShare(entry, open, round)
+        : this.placeTasks(entry, open, round);
+      if (!placed) short = true;
     }
     // Room is short: a machine that was being emptied is needed after all.
-    if (short) for (const machine of this.machines.all.values()) machine.closing = false;
-    return stopped;
-  }
-
-  /** All tasks of a gang's share at once, under the attempt that the leader gave it; or none. */
-  private placeGang(
-    spec: JobSpec,
-    chunk: Chunk,
-    open: Place[],
-    load: Map<string, number>,
-    stopped: Set<string>,
-  ): boolean {
-    const name = taskClass(spec);
-    const types = [...new Set(open.map(({ machine }) => machine.type))];
-    const scored = types.map((type) => ({
-      type,
-      score:
-        types.length === 1 ? 0 : this.bandit.score(type, this.bandit.context(name, type, load)),
-    }));
-    scored.sort((a, b) => b.score - a.score);
-    const layout = this.gangs.lay(
-      spec,
-      chunk,
-      open,
-      scored.map(({ type }) => type),
-      {
-        inTime: (machine) => this.fetchesInTime(machine, spec),
-        whileOthersWait: (machine) =>
-          this.fetchS(machine, spec) * FETCH_SLOWEST <= this.options.gangWaitS,
-      },
-    );
-    if (!layout) return false;
-    for (const [place, victims] of layout.victims) this.stop(spec, place, victims, stopped);
-    for (const [at, slot] of [...chunk.waiting].entries()) {
-      const place = layout.places[at];
-      if (!place) break;
-      take(place.room, chunk.record);
-      place.empty = false;
-      const { type } = place.machine;
-      load.set(type, (load.get(type) ?? 0) + 1);
-      const context = this.bandit.context(name, type, load);
-      const attempt = chunk.record.attempt ?? this.nextAttempt();
-      this.tasks.place(chunk, slot, place.machine.name, attempt, context);
+    if (short) {
+      for (const machine of this.dependencies.machines.all.values()) machine.closing = false;
     }
-    return true;
-  }
-
-  private nextAttempt(): number {
-    const { term, number } = this.options;
-    return (term * ATTEMPT_PARTS + number) * ATTEMPT_STEP + ++this.attempts;
+    return round.stopped;
   }
 
-  private places(): Place[] {
-    const places: Place[] = [];
-    for (const machine of this.machines.inOrder()) {
-      if (machine.closing || !this.machines.usable(machine)) continue;
-      if (this.machines.health(machine) !== 'ok') continue;
-      const room = this.machines.capacity(machine.type);
-      const placed = this.tasks.on(machine.name);
-      for (const [slot, chunk] of placed) if (!slot.halting) take(room, chunk.record);
-      places.push({ machine, room, empty: placed.size === 0, kept: false, noArrays: false });
+  /**
+   * What waits, by priority, then in the leader's order, which is that of the chunks' numbers. By
+   * deadline, jobs that can't meet theirs would pass all others here, and one whose turn came late
+   * would be passed until it is given back.
+   */
+  private waitingChunks(): WaitingChunk[] {
+    const waiting: WaitingChunk[] = [];
+    for (const chunk of this.dependencies.tasks.waiting) {
+      const job = this.options.job(chunk.job);
+      if (!job || this.options.pauses(chunk.job)) continue;
+      waiting.push({ chunk, spec: job.spec });
     }
-    return places;
+    return waiting.sort(
+      (a, b) =>
+        rankOf(b.spec.priority) - rankOf(a.spec.priority) || a.chunk.number - b.chunk.number,
+    );
   }
 
-  /** Queued and running tasks by machine type. */
-  private load(): Map<string, number> {
-    const load = new Map<string, number>();
-    for (const name of this.tasks.machines()) {
-      const type = this.machines.all.get(name)?.type;
-      if (type) load.set(type, (load.get(type) ?? 0) + this.tasks.on(name).size);
+  private startRound(): Round {
+    const { machines, tasks } = this.dependencies;
+    const candidates = listCandidates(machines, tasks);
+    const nextGang = this.options.nextGang();
+    if (nextGang) {
+      this.reservations.excludeArrays(
+        nextGang,
+        candidates.filter(({ machine }) => !machine.spot && isEligible(nextGang, machine)),
+      );
     }
-    return load;
+    const load = countTasksByType(machines, tasks);
+    return { candidates, nextGang, load, lowestRank: this.lowestRank(), stopped: new Set() };
   }
 
   private lowestRank(): number {
     let lowest = Infinity;
-    for (const chunk of this.tasks.chunks.values()) {
+    for (const chunk of this.dependencies.tasks.chunks.values()) {
       if (chunk.placed === 0) continue;
       const spec = this.options.job(chunk.job)?.spec;
       if (spec) lowest = Math.min(lowest, rankOf(spec.priority));
@@ -216,202 +149,91 @@
     return lowest;
   }
 
-  private allows(spec: JobSpec, chunk: Chunk, machine: Machine): boolean {
-    return (
-      machine.zone === chunk.record.zone &&
-      (spec.zone === null || spec.zone === machine.zone) &&
-      (spec.types === null || spec.types.includes(machine.type)) &&
-      (spec.spot || !machine.spot)
+  /** The machines that a chunk may use, less those whose room is reserved for gangs. */
+  private openTo({ chunk, spec }: WaitingChunk, round: Round): Candidate[] {
+    const isExcluded =
+      round.nextGang !== null && spec.kind === 'array' && !this.options.waitsLong(chunk.job);
+    return round.candidates.filter(
+      ({ machine, reserved, excludesArrays }) =>
+        !reserved && !(excludesArrays && isExcluded) && mayRunOn(machine, spec, chunk),
     );
   }
 
-  /** The design's ordinary path: the bandit picks the type, first fit in fixed order fills it. */
-  private choose(
-    spec: JobSpec,
-    chunk: Chunk,
-    open: Place[],
-    load: Map<string, number>,
-  ): Place | null {
-    const free = open.filter(({ room }) => fits(room, chunk.record));
-    if (free.length === 0) return null;
-    // Work with an aim for its start goes where its image is there in time, if that is anywhere.
-    const quick = free.filter(({ machine }) => this.fetchesInTime(machine, spec));
-    const good = quick.length > 0 ? quick : free;
-    const types = new Set(good.map(({ machine }) => machine.type));
-    let best = '';
-    let bestScore = -Infinity;
-    for (const type of types) {
-      const score =
-        types.size === 1
-          ? 0
-          : this.bandit.score(type, this.bandit.context(taskClass(spec), type, load));
-      if (score > bestScore) {
-        bestScore = score;
-        best = type;
+  /** Places tasks one by one; false: there is no room for some. */
+  private placeTasks(entry: WaitingChunk, open: readonly Candidate[], round: Round): boolean {
+    const { chunk, spec } = entry;
+    for (const slot of [...chunk.waiting]) {
+      let target = this.choice.choose(spec, chunk.record, open, round.load);
+      if (!target && rankOf(spec.priority) > round.lowestRank) {
+        target = this.preemption.makeRoom(spec, chunk.record, open, round.stopped);
       }
+      // No room for one task of a chunk is none for the others: they are alike.
+      if (!target) return false;
+      this.assign(entry, slot, target, round);
     }
-    // Services fill the fixed order from its start, arrays from its end, where the spot machines
-    // are: what runs for long stays together, and the machines between the two fall idle. A machine
-    // with the image comes first, an empty one last: it may soon be returned.
-    let chosen: Place | null = null;
-    let chosenWorth = -1;
-    for (const place of good) {
-      if (place.machine.type !== best) continue;
-      const worth = (place.machine.images.has(spec.image) ? 2 : 0) + (place.empty ? 0 : 1);
-      if (worth > chosenWorth || (worth === chosenWorth && spec.kind === 'array')) {
-        chosen = place;
-        chosenWorth = worth;
-      }
-    }
-    return chosen;
-  }
-
-  /** Whether a machine has a job's image soon enough for the start aim of its class, if it has one. */
-  private fetchesInTime(machine: Machine, spec: JobSpec): boolean {
-    const withinS = this.options.startWithinS[spec.class];
-    return withinS === undefined || this.fetchS(machine, spec) <= withinS * FETCH_SHARE;
-  }
-
-  /** Seconds that a machine will take to fetch a job's image. */
-  private fetchS(machine: Machine, spec: JobSpec): number {
-    if (machine.images.has(spec.image)) return 0;
-    return spec.imageGb / Math.max(1e-6, this.machines.type(machine.type)?.fetchGbPerS ?? 0);
-  }
-
-  /** Room made by stopping work of lower priority; the newest of the lowest goes first. */
-  private preempt(spec: JobSpec, chunk: Chunk, open: Place[], stopped: Set<string>): Place | null {
-    const rank = rankOf(spec.priority);
-    let best: { place: Place; victims: Victim[] } | null = null;
-    let bestCost = Infinity;
-    for (const place of open) {
-      const lower = this.victims(place, rank);
-      const room = { ...place.room };
-      const victims: Victim[] = [];
-      for (const [slot, other] of lower) {
-        if (fits(room, chunk.record)) break;
-        take(room, other.record, -1);
-        victims.push([slot, other]);
-      }
-      if (!fits(room, chunk.record)) continue;
-      // The fetch of an image can take as long as an urgent start may; stopped tasks only lose work.
-      const cost =
-        victims.reduce((sum, victim) => sum + this.costOf(victim), 0) +
-        (place.machine.images.has(spec.image) ? 0 : IMAGE_VICTIMS);
-      if (cost >= bestCost) continue;
-      best = { place, victims };
-      bestCost = cost;
-      if (cost <= 1) break;
-    }
-    if (best === null) return null;
-    this.stop(spec, best.place, best.victims, stopped);
-    return best.place;
-  }
-
-  /** Tasks on a place that a job of this rank may stop, or arrays of these teams, in order. */
-  private victims(
-    place: Place,
-    rank: number,
-    teams: ReadonlyMap<string, number> = NO_TEAMS,
-  ): Victim[] {
-    return [...this.tasks.on(place.machine.name)]
-      .filter(([slot, other]) => {
-        const spec = slot.halting ? null : this.options.job(other.job)?.spec;
-        if (!spec) return false;
-        // The first tasks of a job that waited long are the newest, and would go again and again.
-        if (!this.settled(slot) && this.options.beginner(other.job)) return false;
-        if (other.record.attempt !== undefined && !this.options.mayStopGang(other)) return false;
-        if (rankOf(spec.priority) < rank) return true;
-        return spec.kind === 'array' && teams.has(spec.team);
-      })
-      .sort(
-        (a, b) =>
-          this.costOf(a) - this.costOf(b) ||
-          (b[0].runningAt ?? Infinity) - (a[0].runningAt ?? Infinity),
-      );
-  }
-
-  /** Tasks that are stopped with a victim: of a gang all, wherever they run. */
-  private costOf([, chunk]: Victim): number {
-    if (chunk.record.attempt === undefined) return 1;
-    return (this.options.job(chunk.job)?.spec.tasks ?? chunk.slots.size) + 1;
-  }
-
-  private stop(spec: JobSpec, place: Place, victims: Victim[], stopped: Set<string>): void {
-    for (const [slot, other] of victims) {
-      take(place.room, other.record, -1);
-      // All of a gang is stopped together: see `GangShares.reconcile`, in the same round.
-      if (other.record.attempt !== undefined) other.broken = true;
-      // What was never committed was never sent either.
-      if (!this.tasks.committed(other, slot)) this.tasks.requeue(other, slot);
-      else if (other.record.attempt === undefined) slot.halting = true;
-    }
-    if (victims.length === 0) return;
-    stopped.add(place.machine.name);
-    this.log.info(
-      { job: spec.id, machine: place.machine.name, victims: victims.length },
-      'stopping lower work to make room',
-    );
-  }
-
-  /** Whether a task ran long enough for its start to have been worth it. */
-  private settled(slot: Slot): boolean {
-    return slot.runningAt !== null && this.clock.now() - slot.runningAt > CONSOLIDATE_SETTLED_MS;
+    return true;
   }
 
   /**
-   * Moves the services of little-used machines to others that have room and their images, so that
-   * these machines fall idle and are returned. A replica is away for well under a second; one that
-   * started a moment ago stays, and nothing moves while tasks wait. Returns the machines on which
-   * tasks must now be stopped.
+   * All tasks of a gang's share at once, under the attempt that the leader gave it; or none: then
+   * room is reserved for it. False: there was no room.
    */
-  consolidate(): Set<string> {
-    const now = this.clock.now();
-    const emptied = new Set<string>();
-    if (this.tasks.waiting.size > 0 || now < this.consolidateAt) return emptied;
-    this.consolidateAt = now + CONSOLIDATE_MS;
-    for (const machine of this.machines.all.values()) machine.closing = false;
-    const places = this.places().filter((place) => !place.empty);
-    places.sort((a, b) => this.use(a) - this.use(b));
-    const most = Math.max(1, Math.round(places.length * CONSOLIDATE_SHARE));
-    for (const [at, place] of places.entries()) {
-      if (this.use(place) > CONSOLIDATE_USE || emptied.size >= most) return emptied;
-      const tasks = [...this.tasks.on(place.machine.name)];
-      const movable = tasks.every(([slot, chunk]) => {
-        const service = this.options.job(chunk.job)?.spec.kind === 'service';
-        return service && this.settled(slot) && !slot.halting;
-      });
-      if (!movable || tasks.length === 0) continue;
-      const targets = places.slice(at + 1).filter((other) => !other.machine.closing);
-      const taken: { place: Place; chunk: Chunk }[] = [];
-      const fit = tasks.every(([, chunk]) => {
-        const spec = this.options.job(chunk.job)?.spec;
-        const target = targets.find(
-          ({ machine, room }) =>
-            spec !== undefined &&
-            fits(room, chunk.record) &&
-            this.allows(spec, chunk, machine) &&
-            machine.images.has(spec.image),
-        );
-        if (!target) return false;
-        take(target.room, chunk.record);
-        taken.push({ place: target, chunk });
-        return true;
-      });
-      if (!fit) {
-        for (const one of taken) take(one.place.room, one.chunk.record, -1);
-        continue;
-      }
-      place.machine.closing = true;
-      for (const [slot] of tasks) slot.halting = true;
-      emptied.add(place.machine.name);
-      this.log.info({ machine: place.machine.name, tasks: tasks.length }, 'moving services away');
+  private placeShare(entry: WaitingChunk, open: readonly Candidate[], round: Round): boolean {
+    const { chunk, spec } = entry;
+    if (chunk.broken || chunk.placed > 0) return true;
+    const layout = this.layOut(entry, open, round);
+    if (!layout) {
+      chunk.infeasible = !this.reservations.reserve(chunk, open);
+      return false;
+    }
+    for (const [candidate, victims] of layout.victims) {
+      this.preemption.stop(spec, candidate, victims, round.stopped);
     }
-    return emptied;
+    for (const [at, slot] of [...chunk.waiting].entries()) {
+      const target = layout.places[at];
+      if (!target) break;
+      this.assign(entry, slot, target, round);
+    }
+    return true;
   }
 
-  /** Share of a machine's CPUs in use. */
-  private use(place: Place): number {
-    const { cpus } = this.machines.capacity(place.machine.type);
-    return cpus > 0 ? 1 - place.room.cpus / cpus : 1;
+  private layOut(
+    { chunk, spec }: WaitingChunk,
+    open: readonly Candidate[],
+    round: Round,
+  ): GangLayout | null {
+    return this.layouts.find({
+      spec,
+      chunk,
+      candidates: open,
+      types: this.choice.rankTypes(spec, open, round.load),
+      fetches: {
+        inTime: (machine) => this.choice.fetchesInTime(machine, spec),
+        whileOthersWait: (machine) =>
+          this.choice.fetchSeconds(machine, spec) * FETCH_SLOWEST <= this.options.gangWaitS,
+      },
+    });
+  }
+
+  /** Places one task on a machine. */
+  private assign(
+    { chunk, spec }: WaitingChunk,
+    slot: Slot,
+    target: Candidate,
+    { load }: Round,
+  ): void {
+    take(target.room, chunk.record);
+    target.empty = false;
+    const { type, name } = target.machine;
+    load.set(type, (load.get(type) ?? 0) + 1);
+    const context = this.choice.context(spec, type, load);
+    const attempt = chunk.record.attempt ?? this.nextAttempt();
+    this.dependencies.tasks.place(chunk, slot, name, attempt, context);
+  }
+
+  /** A number that no other attempt has, of any term or part. */
+  private nextAttempt(): number {
+    const { term, number } = this.options;
+    return (term * ATTEMPT_PARTS + number) * ATTEMPT_STEP + ++this.attempts;
   }
 }
--- /dev/null
+++ b/src/coordination/preemption.ts
@@ -0,0 +1,147 @@
+/** Preemption: which tasks are stopped to make room for work of higher priority, and at what cost. */
+
+import { IMAGE_VICTIMS } from '../constants.js';
+import { rankOf, type JobSpec } from '../protocol/model.js';
+import type { Log } from '../storage/log.js';
+import type { Clock } from '../transport/clock.js';
+import type { Candidate, JobLookup, Victim } from './candidates.js';
+import { isSettled } from './consolidation.js';
+import { fits, take, type Room } from './room.js';
+import type { Chunk, Tasks } from './tasks.js';
+
+/** What decides whether a task may be stopped for other work. */
+export interface PreemptionRules {
+  job: JobLookup;
+  /** Whether a job waited long to begin and none of its tasks has ended yet. */
+  beginner: (id: string) => boolean;
+  /** Whether a gang may be stopped for other work. */
+  mayStopGang: (chunk: Chunk) => boolean;
+}
+
+/** What preemption reads and writes. */
+interface PreemptionDependencies {
+  tasks: Tasks;
+  clock: Clock;
+  log: Log;
+}
+
+/** A machine and the tasks whose end makes enough room on it, with what their stop costs. */
+interface PreemptionPlan {
+  candidate: Candidate;
+  victims: Victim[];
+  cost: number;
+}
+
+/** No team's arrays may be stopped for a claim. */
+const NO_TEAMS: ReadonlyMap<string, number> = new Map();
+
+/** Finds tasks that may be stopped for other work, and stops them. */
+export class Preemption {
+  constructor(
+    private readonly rules: PreemptionRules,
+    private readonly dependencies: PreemptionDependencies,
+  ) {}
+
+  /**
+   * Makes room for one task where that costs the least; returns that machine, or null if none has
+   * enough to stop. Adds machines on which tasks must now be stopped to `stopped`.
+   */
+  makeRoom(
+    spec: JobSpec,
+    task: Room,
+    candidates: readonly Candidate[],
+    stopped: Set<string>,
+  ): Candidate | null {
+    let best: PreemptionPlan | null = null;
+    for (const candidate of candidates) {
+      const plan = this.plan(spec, task, candidate);
+      if (!plan || plan.cost >= (best?.cost ?? Infinity)) continue;
+      best = plan;
+      if (plan.cost <= 1) break;
+    }
+    if (best === null) return null;
+    this.stop(spec, best.candidate, best.victims, stopped);
+    return best.candidate;
+  }
+
+  /** The first tasks on a machine whose end makes room for one task; null: that is not enough. */
+  private plan(spec: JobSpec, task: Room, candidate: Candidate): PreemptionPlan | null {
+    const room = { ...candidate.room };
+    const victims: Victim[] = [];
+    for (const victim of this.victims(candidate, rankOf(spec.priority))) {
+      if (fits(room, task)) break;
+      take(room, victim[1].record, -1);
+      victims.push(victim);
+    }
+    if (!fits(room, task)) return null;
+    // The fetch of an image can take as long as an urgent start may; stopped tasks only lose work.
+    const cost =
+      victims.reduce((sum, victim) => sum + this.costOf(victim), 0) +
+      (candidate.machine.images.has(spec.image) ? 0 : IMAGE_VICTIMS);
+    return { candidate, victims, cost };
+  }
+
+  /**
+   * Tasks on a machine that a job of this rank may stop, and arrays of these teams. The order is that
+   * in which they are stopped: the cheapest first, among those the newest.
+   */
+  victims(
+    candidate: Candidate,
+    rank: number,
+    teams: ReadonlyMap<string, number> = NO_TEAMS,
+  ): Victim[] {
+    return [...this.dependencies.tasks.on(candidate.machine.name)]
+      .filter((victim) => this.mayStop(victim, rank, teams))
+      .sort(
+        (a, b) =>
+          this.costOf(a) - this.costOf(b) ||
+          (b[0].runningAt ?? Infinity) - (a[0].runningAt ?? Infinity),
+      );
+  }
+
+  private mayStop(
+    [slot, chunk]: Victim,
+    rank: number,
+    teams: ReadonlyMap<string, number>,
+  ): boolean {
+    const { job, beginner, mayStopGang } = this.rules;
+    const spec = slot.halting ? null : job(chunk.job)?.spec;
+    if (!spec) return false;
+    // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
+    if (!isSettled(slot, this.dependencies.clock) && beginner(chunk.job)) return false;
+    if (chunk.record.attempt !== undefined && !mayStopGang(chunk)) return false;
+    if (rankOf(spec.priority) < rank) return true;
+    return spec.kind === 'array' && teams.has(spec.team);
+  }
+
+  /** How many tasks are stopped with a victim: of a gang all, wherever they run. */
+  costOf([, chunk]: Victim): number {
+    if (chunk.record.attempt === undefined) return 1;
+    return (this.rules.job(chunk.job)?.spec.tasks ?? chunk.slots.size) + 1;
+  }
+
+  /** Stops tasks on a machine for a job; adds the machine to `stopped`. */
+  stop(
+    spec: JobSpec,
+    candidate: Candidate,
+    victims: readonly Victim[],
+    stopped: Set<string>,
+  ): void {
+    const { tasks, log } = this.dependencies;
+    for (const [slot, chunk] of victims) {
+      take(candidate.room, chunk.record, -1);
+      // All of a gang is stopped together: see `GangShares.reconcile`, in the same round.
+      if (chunk.record.attempt !== undefined) chunk.broken = true;
+      // What was never committed was never sent either.
+      if (!tasks.committed(chunk, slot)) tasks.requeue(chunk, slot);
+      else if (chunk.record.attempt === undefined) slot.halting = true;
+    }
+    if (victims.length === 0) return;
+    const machine = candidate.machine.name;
+    stopped.add(machine);
+    log.info(
+      { job: spec.id, machine, victims: victims.length },
+      'stopping lower work to make room',
+    );
+  }
+}
--- a/src/coordination/tasks.ts
+++ b/src/coordination/tasks.ts
@@ -36,8 +36,8 @@
   placed: number;
   /** Of a gang: its attempt failed, so that all of it ends and goes back to the leader. */
   broken: boolean;
-  /** Of a gang: there is no room to come here for it. */
-  hopeless: boolean;
+  /** Of a gang: it does not fit here even once the arrays here have ended. */
+  infeasible: boolean;
   /** Of a gang: steady time since which all of its tasks here are placed; null: they are not. */
   placedAt: number | null;
   /** As last committed. */
@@ -103,7 +103,7 @@
       waiting: new Set(),
       placed: 0,
       broken: false,
-      hopeless: false,
+      infeasible: false,
       placedAt: null,
       dirtySince: null,
     };
--- a/test/gang-plan.test.ts
+++ b/test/gang-plan.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { reservingPlace, missingGangCapacity, planGang } from '../src/coordination/gangs.js';
+import { missingGangCapacity, reservingPlace } from '../src/coordination/gang-capacity.js';
+import { planGang } from '../src/coordination/gang-plan.js';
 import type { MachineCapacity } from '../src/coordination/capacity.js';
 import type { JobSpec } from '../src/protocol/model.js';
 import { SPEC } from './world/lone.js';
