--- a/src/coordination/gang-share.ts
+++ b/src/coordination/gang-share.ts
@@ -1,4 +1,4 @@
-/** The life of a part's shares of gangs: their common start, their common end, their return. */
+/** Decides when a part's shares of gangs start, when they are stopped, and when they are given back. */
 
 import {
   GANG_HOLD_MS,
@@ -50,11 +50,11 @@
   /** Whether tasks of this chunk may start now. */
   mayStart(chunk: Chunk): boolean {
     if (chunk.record.attempt === undefined) return true;
-    return !chunk.broken && this.whole(chunk);
+    return !chunk.broken && this.isFullyPlaced(chunk);
   }
 
   /** Whether all tasks of the gang have their machines, by what the state service holds. */
-  private whole(chunk: Chunk): boolean {
+  private isFullyPlaced(chunk: Chunk): boolean {
     let placed = 0;
     for (const share of this.dependencies.replica.chunksOf(chunk.job)) {
       if (share.attempt !== chunk.record.attempt || share.stopping) return false;
@@ -64,8 +64,9 @@
   }
 
   /**
-   * Ends what is broken, gives back what found no room or whose other shares don't come. Returns the
-   * machines on which tasks must now be stopped: all at once, so that their progress is saved.
+   * Stops shares that failed, gives back those that found no room or whose other shares are missing.
+   * Returns the machines on which tasks must now be stopped: all at once, so that their progress is
+   * saved.
    */
   reconcile(): Set<string> {
     const stopped = new Set<string>();
@@ -73,32 +74,32 @@
     for (const chunk of this.dependencies.tasks.gangs) {
       const spec = this.spec(chunk);
       if (spec === null) continue;
-      this.breakOverdue(chunk, now);
-      this.shareBreak(chunk, spec);
+      this.failOverdue(chunk, now);
+      this.propagateFailure(chunk, spec);
       if (chunk.broken) this.end(chunk, stopped);
-      else if (chunk.placed === 0) this.release(chunk, spec, now);
+      else if (chunk.placed === 0) this.giveBackLate(chunk, spec, now);
     }
     return stopped;
   }
 
-  /** Breaks a share for which the rest of its gang was not reserved, or did not come, in time. */
-  private breakOverdue(chunk: Chunk, now: number): void {
+  /** Fails a share if the rest of its gang was not reserved, or did not start, in time. */
+  private failOverdue(chunk: Chunk, now: number): void {
     const { log } = this.dependencies;
     const allPlaced = chunk.waiting.size === 0;
     chunk.placedAt = allPlaced ? (chunk.placedAt ?? now) : null;
     const late = chunk.placedAt !== null && now - chunk.placedAt >= GANG_RESERVE_MS;
-    if (!chunk.broken && late && !this.whole(chunk)) {
+    if (!chunk.broken && late && !this.isFullyPlaced(chunk)) {
       chunk.broken = true;
       log.info({ job: chunk.job }, 'gang not reserved in time');
     }
-    if (!chunk.broken && this.waitsInVain(chunk, now)) {
+    if (!chunk.broken && this.hasWaitedTooLong(chunk, now)) {
       chunk.broken = true;
       log.info({ job: chunk.job }, 'gang withdrawn, it was not complete in time');
     }
   }
 
-  /** Breaks a share when another part stops its own, and tells the other parts of a broken one. */
-  private shareBreak(chunk: Chunk, spec: JobSpec): void {
+  /** Fails a share if another part stops its own, and tells the other parts of a failed one. */
+  private propagateFailure(chunk: Chunk, spec: JobSpec): void {
     const { replica, tasks } = this.dependencies;
     if (chunk.slots.size === spec.tasks) return;
     // All parts must stop their shares within the time that tasks wait for lost peers.
@@ -110,7 +111,7 @@
    * Whether tasks here have waited for the others until just before they end by themselves, one by
    * one. Withdrawn together they free their machines sooner, and nothing is lost.
    */
-  private waitsInVain(chunk: Chunk, now: number): boolean {
+  private hasWaitedTooLong(chunk: Chunk, now: number): boolean {
     const { gangWaitS, reportS } = this.options;
     const patienceMs = Math.max(gangWaitS / 2, gangWaitS - reportS) * 1000;
     let since = Infinity;
@@ -129,11 +130,11 @@
   mayStop(chunk: Chunk): boolean {
     const spec = this.spec(chunk);
     if (spec === null || spec.checkpointS === 0) return true;
-    return this.reachable(chunk, spec) || this.progressAtRiskS(chunk, spec) <= GANG_LOSS_S;
+    return this.isReachable(chunk, spec) || this.progressAtRiskS(chunk, spec) <= GANG_LOSS_S;
   }
 
   /** Whether a stop reaches all tasks of the gang in time. */
-  private reachable(chunk: Chunk, spec: JobSpec): boolean {
+  private isReachable(chunk: Chunk, spec: JobSpec): boolean {
     const shared = chunk.slots.size < spec.tasks;
     if (shared && this.options.gangPeerS * 1000 < SHARED_STOP_MS) return false;
     return [...this.machinesOf(chunk.job)].every((name) => {
@@ -155,6 +156,7 @@
     return Math.min(spec.checkpointS, (this.dependencies.clock.now() - since) / 1000);
   }
 
+  /** Stops all tasks of a failed share; once none is left it goes back to the leader. */
   private end(chunk: Chunk, stopped: Set<string>): void {
     const machines: string[] = [];
     for (const slot of [...chunk.slots.values()]) {
@@ -177,7 +179,8 @@
     this.giveBack(chunk);
   }
 
-  private release(chunk: Chunk, spec: JobSpec, now: number): void {
+  /** Gives a share back that has waited for room for its time; infeasible ones wait less. */
+  private giveBackLate(chunk: Chunk, spec: JobSpec, now: number): void {
     const urgent = rankOf(spec.priority) >= URGENT;
     const patience = urgent || chunk.infeasible ? RELEASE_MS : GANG_HOLD_MS;
     const [first] = chunk.waiting;
@@ -188,7 +191,7 @@
     for (const slot of [...chunk.waiting]) this.dependencies.tasks.giveBack(chunk, slot);
   }
 
-  /** Machines of a gang of which another part has written something. */
+  /** Names of the machines on which this part has placed tasks of a job's gang. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
     for (const chunk of this.dependencies.tasks.of(job)) {
