--- a/src/coordination/capacity.ts
+++ b/src/coordination/capacity.ts
@@ -1,3 +1,4 @@
+/** Room on machines: what tasks take, what is left, and what other work could free. */
 import type { MachineHealth } from '../storage/records.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import { URGENT } from './priorities.js';
@@ -38,34 +39,40 @@
   at: number;
 }
 
+/** The fleet as the leader's last round left it, with the demand that it does not meet. */
 export interface FleetSnapshot {
   machines: MachineCapacity[];
   unmet: UnmetDemand[];
-  /** CPUs that lower work takes if it goes on coming as lately, and its last kind of task. */
+  /** CPUs that lower work will take if it goes on arriving as it did lately. */
   comingCpus: number;
+  /** The array of lower work that arrived last. */
   coming: JobSpec | null;
-  /** The largest gang of each class that came lately. */
+  /** The largest gang of each class that arrived lately. */
   gangs: JobSpec[];
 }
 
-export const need = (spec: Amounts, times: number): Amounts => ({
-  cpus: spec.cpus * times,
-  gpus: spec.gpus * times,
-  memoryGb: spec.memoryGb * times,
+/** What so many tasks take. */
+export const need = (task: Amounts, count: number): Amounts => ({
+  cpus: task.cpus * count,
+  gpus: task.gpus * count,
+  memoryGb: task.memoryGb * count,
 });
 
+/** Sums of decimals may miss a whole task by this share of it. */
+const SLACK = 1e-9;
+
 /** How many tasks of a kind fit into a room. */
 export function fitCount(room: Amounts, task: Amounts): number {
-  const slack = 1e-9;
   let count = Infinity;
-  if (task.cpus > 0) count = Math.min(count, Math.floor(room.cpus / task.cpus + slack));
-  if (task.gpus > 0) count = Math.min(count, Math.floor(room.gpus / task.gpus + slack));
+  if (task.cpus > 0) count = Math.min(count, Math.floor(room.cpus / task.cpus + SLACK));
+  if (task.gpus > 0) count = Math.min(count, Math.floor(room.gpus / task.gpus + SLACK));
   if (task.memoryGb > 0) {
-    count = Math.min(count, Math.floor(room.memoryGb / task.memoryGb + slack));
+    count = Math.min(count, Math.floor(room.memoryGb / task.memoryGb + SLACK));
   }
   return Math.max(0, count);
 }
 
+/** Whether a job's tasks may run on a machine, by its type, its zone and whether it is spot. */
 export function isEligible(
   spec: JobSpec,
   machine: { type: string; zone: string; spot: boolean },
@@ -80,6 +87,7 @@
 /** What makes room on a machine: urgent work stops lower work, other work waits for arrays to end. */
 export type ReclaimMode = 'stoppingArrays' | 'stopping' | 'ending';
 
+/** How the leader counts on room being made for a job. */
 export const reclaimModeFor = (spec: JobSpec): ReclaimMode =>
   rankOf(spec.priority) >= URGENT ? 'stopping' : 'ending';
 
@@ -120,7 +128,7 @@
   };
 }
 
-/** Takes the room of so many tasks, of other work what is not free. */
+/** Takes the room of so many tasks from a machine: what is free, and the rest from other work. */
 export function occupyReclaimable(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const taken = need(spec, count);
   const cpus = Math.max(0, taken.cpus - Math.max(0, machine.cpus));
--- /dev/null
+++ b/src/coordination/deadline-selection.ts
@@ -0,0 +1,48 @@
+/** Selects which jobs may miss their deadlines where not all of them can be in time. */
+
+/** What a job still needs of the fleet until its deadline; times in seconds from now. */
+export interface DeadlineDemand {
+  /** CPU seconds. */
+  work: number;
+  /** Run time of one task. */
+  runS: number;
+  dueS: number;
+}
+
+/** Inserts a demand behind those with as much work or less: a burst brings hundreds of demands. */
+function insertByWork(demands: DeadlineDemand[], demand: DeadlineDemand): void {
+  let low = 0;
+  for (let high = demands.length; low < high;) {
+    const middle = (low + high) >> 1;
+    if ((demands[middle]?.work ?? 0) <= demand.work) low = middle + 1;
+    else high = middle;
+  }
+  demands.splice(low, 0, demand);
+}
+
+/**
+ * Which demands to let be late so that most of them are in time, by the algorithm of Moore and
+ * Hodgson: in the order of the deadlines, and whenever one would be late, the largest so far is
+ * taken out.
+ */
+export function letBeLate(demands: readonly DeadlineDemand[], cpus: number): Set<DeadlineDemand> {
+  const late = new Set<DeadlineDemand>();
+  /** Demands that are in time, the one with the most work last. */
+  const inTime: DeadlineDemand[] = [];
+  let work = 0;
+  for (const demand of [...demands].sort((a, b) => a.dueS - b.dueS)) {
+    if (demand.runS > demand.dueS) {
+      late.add(demand);
+      continue;
+    }
+    insertByWork(inTime, demand);
+    work += demand.work;
+    while (work / Math.max(1, cpus) > demand.dueS) {
+      const largest = inTime.pop();
+      if (!largest) break;
+      work -= largest.work;
+      late.add(largest);
+    }
+  }
+  return late;
+}
--- a/src/coordination/guarantee-claims.ts
+++ b/src/coordination/guarantee-claims.ts
@@ -23,18 +23,22 @@
   memoryGb: number;
 }
 
-interface Place {
+/** A place where a gang may go. */
+interface CandidatePlace {
   part: string;
   zone: string;
+  /** Tasks of the gang that have free room. */
   free: number;
+  /** Tasks that have room once other teams' arrays are stopped, those with free room included. */
   claimable: number;
 }
 
-/** Finds such room for the leader; what it counted holds for a moment, less what was claimed since. */
+/** Finds such room; its counts are valid for a moment, less what was claimed since. */
 export class GuaranteeClaims {
   private countedAt = -Infinity;
   /** CPUs that each team runs beyond its guarantee. */
   private readonly excess = new Map<string, number>();
+  /** What stopping arrays of each team would free, by machine. */
   private readonly machines = new Map<string, Map<string, Reclaimable>>();
 
   constructor(
@@ -45,12 +49,12 @@
 
   /** A place where all of the gang fits once such arrays are stopped; null: there is none. */
   find(spec: JobSpec, machines: readonly MachineCapacity[]): Claim | null {
-    this.count();
+    this.refresh();
     const excess = [...this.excess].filter(([team]) => team !== spec.team);
     const claimableCpus = excess.reduce((sum, [, cpus]) => sum + cpus, 0);
     if (claimableCpus < spec.cpus) return null;
     const teams = new Set(excess.map(([team]) => team));
-    let best: Place | null = null;
+    let best: CandidatePlace | null = null;
     for (const place of this.places(spec, machines, teams)) {
       const missing = Math.max(0, spec.tasks - place.free);
       if (place.claimable < spec.tasks || missing * spec.cpus > claimableCpus) continue;
@@ -58,7 +62,7 @@
     }
     if (best === null) return null;
     const { part, zone } = best;
-    const reclaim = this.take(excess, Math.max(0, spec.tasks - best.free) * spec.cpus);
+    const reclaim = this.claimCpus(excess, Math.max(0, spec.tasks - best.free) * spec.cpus);
     return { share: { part, zone, count: spec.tasks }, reclaim };
   }
 
@@ -66,8 +70,8 @@
     spec: JobSpec,
     machines: readonly MachineCapacity[],
     teams: ReadonlySet<string>,
-  ): Iterable<Place> {
-    const places = new Map<string, Place>();
+  ): Iterable<CandidatePlace> {
+    const places = new Map<string, CandidatePlace>();
     for (const machine of machines) {
       if (!isEligible(spec, machine)) continue;
       const { part, zone } = machine;
@@ -86,21 +90,22 @@
     return places.values();
   }
 
-  /** Takes so many CPUs of what the teams run beyond their guarantees, the largest excess first. */
-  private take(excess: [string, number][], cpus: number): Record<string, number> {
-    const taken: Record<string, number> = {};
+  /** Claims CPUs of what the teams run beyond their guarantees, the largest excess first. */
+  private claimCpus(excess: [string, number][], cpus: number): Record<string, number> {
+    const claimed: Record<string, number> = {};
     let left = cpus;
     for (const [team, most] of excess.sort(([, a], [, b]) => b - a)) {
-      const some = Math.min(left, most);
-      if (some <= 0) break;
-      taken[team] = some;
-      this.excess.set(team, most - some);
-      left -= some;
+      const count = Math.min(left, most);
+      if (count <= 0) break;
+      claimed[team] = count;
+      this.excess.set(team, most - count);
+      left -= count;
     }
-    return taken;
+    return claimed;
   }
 
-  private count(): void {
+  /** Counts anew when the counts are no longer valid. */
+  private refresh(): void {
     const now = this.clock.now();
     if (now - this.countedAt < CLAIMS_MS) return;
     this.countedAt = now;
--- /dev/null
+++ b/src/coordination/leader/assignment-round.ts
@@ -0,0 +1,24 @@
+/** What the pieces of one assigning round share. */
+import type { MachineCapacity, UnmetDemand } from '../capacity.js';
+import type { Queue } from '../queues.js';
+import type { NewChunk } from './chunk-factory.js';
+
+/** One assigning round: what it works on, and what comes of it. */
+export interface AssignmentRound {
+  /** Time at which the round started, in ms. */
+  readonly startedAt: number;
+  /** Healthy machines; the room left on them decreases as tasks are assigned. */
+  readonly machines: readonly MachineCapacity[];
+  /** The same without those whose room is reserved for the next gang. */
+  readonly unreservedMachines: readonly MachineCapacity[];
+  /** Names of the machines whose room is reserved for the next gang. */
+  readonly reserved: ReadonlySet<string>;
+  /** The queues of the parts, by place. */
+  readonly queues: ReadonlyMap<string, Queue>;
+  /** Tasks for which no room was found. */
+  readonly unmet: UnmetDemand[];
+  /** Chunks that assign tasks to parts, in the order of the jobs' turns. */
+  readonly chunks: NewChunk[];
+  /** Keys of the chunks that hold urgent work. */
+  readonly urgentKeys: Set<string>;
+}
--- /dev/null
+++ b/src/coordination/leader/chunk-factory.ts
@@ -0,0 +1,61 @@
+/** Creates the chunk records that assign tasks of a job to a part. */
+import { CHUNK_BASE_BYTES, CHUNK_TASK_BYTES, VALUE_SHARE } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
+import { chunkKey } from '../../storage/keys.js';
+import { writeRanges } from '../../storage/ranges.js';
+import type { ChunkRecord } from '../../storage/records.js';
+
+/** The machines of one part in one zone. */
+export interface Place {
+  readonly part: string;
+  readonly zone: string;
+}
+
+/** A chunk record that is not committed yet. */
+export interface NewChunk {
+  readonly key: string;
+  readonly value: ChunkRecord;
+}
+
+/** What a chunk of a gang says beyond that of an array: its attempt, and what it may reclaim. */
+export type GangFields = Pick<ChunkRecord, 'attempt' | 'reclaim'>;
+
+/** Chunk numbers of one term begin at a multiple of this, so that no term repeats a number. */
+const NUMBERS_PER_TERM = 1e6;
+
+/** Creates chunk records with numbers that no other chunk has. */
+export class ChunkFactory {
+  private created = 0;
+  private readonly tasksPerChunk: number;
+
+  constructor(
+    private readonly term: number,
+    valueBytes: number,
+  ) {
+    const bytes = valueBytes * VALUE_SHARE - CHUNK_BASE_BYTES;
+    this.tasksPerChunk = Math.max(1, Math.floor(bytes / CHUNK_TASK_BYTES));
+  }
+
+  /** Records that assign these tasks to a place, each small enough for one value. */
+  create(spec: JobSpec, place: Place, ids: readonly number[], gang: GangFields = {}): NewChunk[] {
+    const chunks: NewChunk[] = [];
+    for (let start = 0; start < ids.length; start += this.tasksPerChunk) {
+      const number = this.term * NUMBERS_PER_TERM + ++this.created;
+      chunks.push({
+        key: chunkKey(place.part, spec.id, number),
+        value: {
+          ids: writeRanges(ids.slice(start, start + this.tasksPerChunk)),
+          done: '',
+          live: {},
+          team: spec.team,
+          cpus: spec.cpus,
+          gpus: spec.gpus,
+          memoryGb: spec.memoryGb,
+          zone: place.zone,
+          ...gang,
+        },
+      });
+    }
+    return chunks;
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/job-completion.ts
@@ -0,0 +1,87 @@
+/** Replaces the records of jobs whose tasks are all done by final records. */
+import type { Change, Guard } from '../../protocol/state-api.js';
+import type { InvalidChangeBackoff } from '../../storage/invalid-change-backoff.js';
+import { finalKey, jobKey } from '../../storage/keys.js';
+import type { Log } from '../../storage/log.js';
+import type { FinalRecord, JobRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { GuardedWriter } from '../guarded-writer.js';
+import { endsAt, type Ledger } from '../ledger.js';
+
+/** What the completion of jobs works with. */
+export interface JobCompletionOptions {
+  readonly writer: GuardedWriter;
+  /** Changes that one transaction may hold. */
+  readonly txnOps: number;
+  readonly replica: StoreReplica;
+  readonly ledger: Ledger;
+  readonly invalidBackoff: InvalidChangeBackoff;
+  readonly log: Log;
+}
+
+/** A job whose tasks are all done, with the revision of its record. */
+interface CompletedJob {
+  readonly id: string;
+  readonly revision: number;
+  readonly tasks: number;
+}
+
+/** A completed job takes two changes: its record is removed, and its final record is written. */
+const CHANGES_PER_JOB = 2;
+
+function completionOf(jobs: readonly CompletedJob[]): { guards: Guard[]; changes: Change[] } {
+  const guards: Guard[] = [];
+  const changes: Change[] = [];
+  for (const { id, revision, tasks } of jobs) {
+    const value: FinalRecord = { state: 'done', tasks };
+    guards.push({ key: jobKey(id), revision });
+    changes.push({ key: jobKey(id), remove: true }, { key: finalKey(id), value });
+  }
+  return { guards, changes };
+}
+
+/** Completes jobs: several in one transaction, each only if its record is unchanged. */
+export class JobCompletion {
+  private readonly jobsPerTransaction: number;
+
+  constructor(private readonly options: JobCompletionOptions) {
+    this.jobsPerTransaction = Math.max(1, Math.floor(options.txnOps / CHANGES_PER_JOB));
+  }
+
+  /** Completes all jobs whose tasks are done, until the writer gives up. */
+  async run(): Promise<void> {
+    const { invalidBackoff, log, writer } = this.options;
+    const completed = this.completedJobs();
+    for (let start = 0; start < completed.length;) {
+      const ids = completed.slice(start).map((job) => job.id);
+      const end = start + invalidBackoff.together(ids, this.jobsPerTransaction);
+      const group = completed.slice(start, end);
+      start = end;
+      const { guards, changes } = completionOf(group);
+      const result = await writer.commit('leader', guards, changes);
+      log.info({ jobs: group.map((job) => job.id), result: result.kind }, 'jobs done');
+      if (result.kind === 'givenUp') return;
+      for (const { id } of group) {
+        if (result.kind === 'invalid') invalidBackoff.add(id);
+        else invalidBackoff.clear(id);
+      }
+    }
+  }
+
+  /** Jobs that the ledger takes for done and that are; the others are taken off its list. */
+  private completedJobs(): CompletedJob[] {
+    const { invalidBackoff, ledger, replica } = this.options;
+    const completed: CompletedJob[] = [];
+    for (const id of ledger.ripe) {
+      if (invalidBackoff.has(id)) continue;
+      const held = replica.get<JobRecord>(jobKey(id));
+      const done = ledger.jobs.get(id)?.done ?? 0;
+      if (held && done >= endsAt(held.value.spec)) {
+        completed.push({ id, revision: held.revision, tasks: held.value.spec.tasks });
+      } else {
+        ledger.ripe.delete(id);
+      }
+    }
+    return completed;
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/part-assignment.ts
@@ -0,0 +1,85 @@
+/** Assigns tasks of arrays and services to parts, within the limits of their teams. */
+import { BEGIN_SHARE, KEPT_FROM_MS, STARVED_SHARE } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Clock } from '../../transport/clock.js';
+import { fitCount, need, type MachineCapacity } from '../capacity.js';
+import { URGENT } from '../priorities.js';
+import type { OpenJob } from '../scheduling-order.js';
+import type { AssignmentHistory } from './assignment-history.js';
+import type { AssignmentRound } from './assignment-round.js';
+import type { TaskDistribution } from './task-distribution.js';
+import type { TeamLimits } from './team-limits.js';
+
+/** What the assignment of arrays and services works with. */
+export interface PartAssignmentOptions {
+  readonly limits: TeamLimits;
+  readonly history: AssignmentHistory;
+  readonly distribution: TaskDistribution;
+  readonly clock: Clock;
+}
+
+function isUrgent(spec: JobSpec): boolean {
+  return rankOf(spec.priority) >= URGENT;
+}
+
+/** Assigns tasks of arrays and services whose turn it is. */
+export class PartAssignment {
+  constructor(private readonly options: PartAssignmentOptions) {}
+
+  /** Assigns tasks of a job, and records how many of them find no room. */
+  assign(job: OpenJob, round: AssignmentRound): void {
+    const { history, limits } = this.options;
+    const allowed = this.allowedTasks(job, round.startedAt);
+    if (allowed <= 0) {
+      limits.noteWaiting(job);
+      return;
+    }
+    // Tasks that end one by one would each bring a chunk of their own: those that follow them wait
+    // until some have come together.
+    const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
+    const short = recent
+      ? Math.min(allowed, recent.short)
+      : this.assignAllowed(job, allowed, round);
+    if (short > 0) round.unmet.push({ spec: job.spec, count: short, at: job.at });
+  }
+
+  /** Assigns up to `allowed` tasks of a job; returns how many of them have no free room. */
+  private assignAllowed(job: OpenJob, allowed: number, round: AssignmentRound): number {
+    const { distribution, history, limits } = this.options;
+    const { chunks, assigned, queued } = distribution.distribute(job, allowed, {
+      machines: this.usableMachines(job, round),
+      queues: round.queues,
+    });
+    round.chunks.push(...chunks);
+    if (isUrgent(job.spec)) for (const { key } of chunks) round.urgentKeys.add(key);
+    limits.use(job.spec, assigned);
+    const unassigned = allowed - assigned;
+    if (assigned > 0) history.assigned(job.id, round.startedAt, unassigned);
+    return unassigned + queued;
+  }
+
+  /** How many tasks of a job may be assigned now, by its team's limit. */
+  private allowedTasks(job: OpenJob, now: number): number {
+    const { history, limits } = this.options;
+    const { spec } = job;
+    const room = { ...limits.remaining(spec.team), memoryGb: 0 };
+    let wanted = job.overdue ? Math.ceil(spec.tasks * BEGIN_SHARE) : job.unassigned;
+    // Lower work leaves some of its team's limit to urgent work, for which nothing else makes room
+    // there. Where services fill all but this reserve, lower work would wait for ever in front of
+    // free machines: after a while some of it may use the reserve.
+    if (!isUrgent(spec)) {
+      const cpus = room.cpus - limits.urgentReserve(spec.team);
+      if (!history.isStarved(job, now)) room.cpus = cpus;
+      else if (fitCount({ ...room, cpus }, spec) === 0) {
+        wanted = Math.min(wanted, Math.ceil(spec.tasks * STARVED_SHARE));
+      }
+    }
+    return Math.min(wanted, fitCount(room, { ...need(spec, 1), memoryGb: 0 }));
+  }
+
+  /** Machines that a job may use: an array those reserved for a gang only after a while. */
+  private usableMachines(job: OpenJob, round: AssignmentRound): readonly MachineCapacity[] {
+    const waitsLong = job.live === 0 && this.options.clock.wall() - job.at > KEPT_FROM_MS;
+    return job.spec.kind === 'array' && !waitsLong ? round.unreservedMachines : round.machines;
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/room-search.ts
@@ -0,0 +1,87 @@
+/** Finds the places whose machines have room for tasks of a job. */
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import {
+  fitCount,
+  isEligible,
+  reclaimModesFor,
+  reclaimableCapacity,
+  type MachineCapacity,
+} from '../capacity.js';
+import { URGENT, placeKey } from '../priorities.js';
+import type { Place } from './chunk-factory.js';
+
+/** How many tasks of a job a place has room for. */
+export interface PlaceRoom extends Place {
+  readonly count: number;
+}
+
+/** Sums of room by place, in the order in which the places were found. */
+class RoomSums {
+  private readonly sums = new Map<string, Place & { count: number }>();
+
+  get isEmpty(): boolean {
+    return this.sums.size === 0;
+  }
+
+  get rooms(): PlaceRoom[] {
+    return [...this.sums.values()];
+  }
+
+  add({ part, zone }: Place, count: number): void {
+    if (count <= 0) return;
+    const key = placeKey(part, zone);
+    const sum = this.sums.get(key);
+    if (sum) sum.count += count;
+    else this.sums.set(key, { part, zone, count });
+  }
+}
+
+/**
+ * Adds free room. Room beside other tasks comes first, and empty machines count only where it does
+ * not suffice: machines that nothing needs then become idle and are returned.
+ */
+function addFreeRoom(
+  sums: RoomSums,
+  spec: JobSpec,
+  wanted: number,
+  machines: readonly MachineCapacity[],
+): void {
+  let besideOthers = 0;
+  for (const busy of [true, false]) {
+    if (!busy && besideOthers >= wanted) break;
+    for (const machine of machines) {
+      if (machine.cpus < spec.cpus || machine.tasks > 0 !== busy) continue;
+      if (!isEligible(spec, machine)) continue;
+      const count = fitCount(machine, spec);
+      sums.add(machine, count);
+      if (busy) besideOthers += count;
+    }
+  }
+}
+
+/** Adds room that a part makes by stopping lower work, in the least costly way that makes some. */
+function addReclaimableRoom(
+  sums: RoomSums,
+  spec: JobSpec,
+  machines: readonly MachineCapacity[],
+): void {
+  for (const mode of reclaimModesFor(spec)) {
+    if (!sums.isEmpty) break;
+    for (const machine of machines) {
+      if (machine.lowCpus <= 0 || !isEligible(spec, machine)) continue;
+      sums.add(machine, fitCount(reclaimableCapacity(machine, mode), spec));
+    }
+  }
+}
+
+/** The places with room for up to `wanted` tasks: free room, and for urgent work what it may stop. */
+export function findRooms(
+  spec: JobSpec,
+  wanted: number,
+  machines: readonly MachineCapacity[],
+): PlaceRoom[] {
+  const sums = new RoomSums();
+  addFreeRoom(sums, spec, wanted, machines);
+  if (rankOf(spec.priority) >= URGENT) addReclaimableRoom(sums, spec, machines);
+  return sums.rooms;
+}
--- /dev/null
+++ b/src/coordination/leader/task-distribution.ts
@@ -0,0 +1,109 @@
+/** Distributes tasks of an array or a service over the places with room for them. */
+import { rankOf } from '../../protocol/model.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { MachineCapacity } from '../capacity.js';
+import { URGENT } from '../priorities.js';
+import { queueRoom, shortQueues, type Queue } from '../queues.js';
+import type { OpenJob } from '../scheduling-order.js';
+import type { ChunkFactory, NewChunk, Place } from './chunk-factory.js';
+import { occupyPlace } from './room-occupation.js';
+import { findRooms } from './room-search.js';
+import { ZoneLimits } from './zone-limits.js';
+
+/** What the tasks of a job are distributed over. */
+export interface DistributionTarget {
+  readonly machines: readonly MachineCapacity[];
+  /** The queues of the parts, by place. */
+  readonly queues: ReadonlyMap<string, Queue>;
+}
+
+/** The result of distributing tasks of a job. */
+export interface DistributionResult {
+  readonly chunks: readonly NewChunk[];
+  /** Tasks that were assigned. */
+  readonly assigned: number;
+  /** Tasks among them that wait in their part until other tasks end. */
+  readonly queued: number;
+}
+
+/** Numbers of a job's tasks that are in no chunk, lowest first. */
+function unassignedIds({ id: job, spec }: OpenJob, replica: StoreReplica): number[] {
+  const taken = new Uint8Array(spec.tasks);
+  for (const chunk of replica.chunksOf(job)) {
+    for (const id of chunk.ids) taken[id] = 1;
+  }
+  const ids: number[] = [];
+  for (let id = 0; id < spec.tasks; id++) if (taken[id] === 0) ids.push(id);
+  return ids;
+}
+
+/** Queues of the parts that a job may join: an array that is not urgent waits for others to end. */
+function queuesFor(job: OpenJob, queues: ReadonlyMap<string, Queue>): Queue[] {
+  const { kind, priority } = job.spec;
+  return kind === 'array' && rankOf(priority) < URGENT ? shortQueues(job, queues) : [];
+}
+
+/** Tasks of one job that are being assigned: how many are left, and the chunks created so far. */
+class TaskAllotment {
+  readonly chunks: NewChunk[] = [];
+
+  constructor(
+    /** Tasks that may still be assigned. */
+    public left: number,
+    private readonly ids: number[],
+    private readonly zones: ZoneLimits,
+    private readonly createChunks: (place: Place, ids: number[]) => NewChunk[],
+  ) {}
+
+  /** Assigns up to `most` tasks to a place, as its zone allows; returns how many. */
+  assign(place: Place, most: number): number {
+    const count = Math.min(this.left, most, this.zones.remaining(place.zone));
+    if (count <= 0) return 0;
+    this.zones.use(place.zone, count);
+    this.left -= count;
+    this.chunks.push(...this.createChunks(place, this.ids.splice(0, count)));
+    return count;
+  }
+}
+
+/** Distributes tasks over places: the place with the most room first, then the shortest queue. */
+export class TaskDistribution {
+  constructor(
+    private readonly replica: StoreReplica,
+    private readonly chunkFactory: ChunkFactory,
+  ) {}
+
+  /**
+   * Assigns up to `allowed` tasks: as many as there is free room for and, of arrays that are not
+   * urgent, as many as there will soon be room for.
+   */
+  distribute(job: OpenJob, allowed: number, target: DistributionTarget): DistributionResult {
+    const { spec } = job;
+    const rooms = findRooms(spec, allowed, target.machines);
+    const queues = queuesFor(job, target.queues);
+    const queueRooms = queues.map((queue) => ({
+      zone: queue.zone,
+      count: queueRoom(job, queue),
+    }));
+    const allotment = new TaskAllotment(
+      allowed,
+      unassignedIds(job, this.replica),
+      new ZoneLimits(job, allowed, [...rooms, ...queueRooms], this.replica),
+      (place, ids) => this.chunkFactory.create(spec, place, ids),
+    );
+    for (const room of rooms.sort((a, b) => b.count - a.count)) {
+      const count = allotment.assign(room, room.count);
+      if (count > 0) occupyPlace(spec, room, count, target.machines);
+    }
+    const leftForQueues = allotment.left;
+    for (const queue of queues) {
+      const count = allotment.assign(queue, queueRoom(job, queue));
+      queue.waitingCpus += count * spec.cpus;
+    }
+    return {
+      chunks: allotment.chunks,
+      assigned: allowed - allotment.left,
+      queued: leftForQueues - allotment.left,
+    };
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/team-limits.ts
@@ -0,0 +1,111 @@
+/** What each team uses of its limits while the leader assigns tasks, and what it may still use. */
+import { RESERVE_SHARE, URGENT_RESERVE } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Team } from '../../protocol/settings.js';
+import type { Log } from '../../storage/log.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import { need, type Amounts } from '../capacity.js';
+import type { Ledger, Usage } from '../ledger.js';
+import { URGENT } from '../priorities.js';
+import type { OpenJob } from '../scheduling-order.js';
+
+/** Sums of decimals may exceed a limit by this much. */
+const SLACK = 1e-9;
+
+/** What the team limits are calculated from. */
+export interface TeamLimitsOptions {
+  readonly teams: ReadonlyMap<string, Team>;
+  readonly replica: StoreReplica;
+  readonly ledger: Ledger;
+  readonly log: Log;
+}
+
+/** The limits of all teams, and what is used of them. */
+export class TeamLimits {
+  private readonly used = new Map<string, Usage>();
+  /** CPUs of each team's limit that its urgent work may want at any moment. */
+  private urgentReserves: ReadonlyMap<string, number> = new Map();
+  /** Jobs that came to wait for their team's limit: logged once each. */
+  private readonly waitingJobs = new Set<string>();
+
+  constructor(private readonly options: TeamLimitsOptions) {}
+
+  /** What each team uses, with what this round assigned. */
+  get usage(): ReadonlyMap<string, Usage> {
+    return this.used;
+  }
+
+  /** Starts a round: counts what the teams use and what their urgent work may want. */
+  beginRound(): void {
+    this.used.clear();
+    for (const [team, usage] of this.options.ledger.teams) this.used.set(team, { ...usage });
+    this.urgentReserves = this.countUrgentReserves();
+  }
+
+  /** Ends a round: forgets jobs that are no longer open. */
+  endRound(): void {
+    for (const job of this.waitingJobs) {
+      if (!this.options.replica.job(job)) this.waitingJobs.delete(job);
+    }
+  }
+
+  /** What a team's limit still allows, its reserve for urgent work included. */
+  remaining(name: string): Usage {
+    const team = this.options.teams.get(name);
+    const usage = this.usageOf(name);
+    return {
+      cpus: (team?.cpusMax ?? 0) - usage.cpus,
+      gpus: (team?.gpusMax ?? 0) - usage.gpus,
+    };
+  }
+
+  /** CPUs of a team's limit that lower work must leave to the team's urgent work. */
+  urgentReserve(team: string): number {
+    return this.urgentReserves.get(team) ?? 0;
+  }
+
+  /** Whether a team's limit does not allow so much more. */
+  wouldExceed(name: string, more: Amounts): boolean {
+    const team = this.options.teams.get(name);
+    const usage = this.usageOf(name);
+    return (
+      usage.cpus + more.cpus > (team?.cpusMax ?? 0) + SLACK ||
+      usage.gpus + more.gpus > (team?.gpusMax ?? 0) + SLACK
+    );
+  }
+
+  /** Counts so many tasks of a job as used by its team. */
+  use(spec: JobSpec, count: number): void {
+    const usage = this.usageOf(spec.team);
+    const taken = need(spec, count);
+    usage.cpus += taken.cpus;
+    usage.gpus += taken.gpus;
+  }
+
+  /** Notes that a job waits for its team's limit. */
+  noteWaiting({ id, spec }: OpenJob): void {
+    if (this.waitingJobs.has(id)) return;
+    this.waitingJobs.add(id);
+    const use = this.usageOf(spec.team);
+    this.options.log.info({ job: id, team: spec.team, use }, 'waits: its team is at its limit');
+  }
+
+  private usageOf(team: string): Usage {
+    const usage = this.used.get(team) ?? { cpus: 0, gpus: 0 };
+    this.used.set(team, usage);
+    return usage;
+  }
+
+  private countUrgentReserves(): Map<string, number> {
+    const reserves = new Map<string, number>();
+    for (const { spec } of this.options.replica.openJobs()) {
+      if (rankOf(spec.priority) < URGENT) continue;
+      const tasks = spec.kind === 'array' ? 1 : spec.tasks;
+      const cpus = spec.cpus * tasks * URGENT_RESERVE;
+      const most = (this.options.teams.get(spec.team)?.cpusMax ?? 0) * RESERVE_SHARE;
+      const reserve = Math.min(cpus, most);
+      reserves.set(spec.team, Math.max(reserves.get(spec.team) ?? 0, reserve));
+    }
+    return reserves;
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -0,0 +1,89 @@
+/** Occupies room for tasks that were assigned to a part earlier and still wait there. */
+import type { JobSpec } from '../../protocol/model.js';
+import type { ChunkSummary, JobRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import { fitCount, isEligible, occupy, type MachineCapacity } from '../capacity.js';
+import type { Ledger } from '../ledger.js';
+import { placeKey } from '../priorities.js';
+import type { AssignmentRound } from './assignment-round.js';
+import { occupyPlace } from './room-occupation.js';
+
+/** Share of a place's machines that must have become full for its list to be shortened. */
+const FULL_SHARE = 1 / 4;
+
+/** Machines with free CPUs, by place. */
+type FreeMachines = Map<string, readonly MachineCapacity[]>;
+
+/** Most machines of a busy fleet are full: those are not looked at again for each chunk. */
+function freeMachinesByPlace(machines: readonly MachineCapacity[]): FreeMachines {
+  const places = new Map<string, MachineCapacity[]>();
+  for (const machine of machines) {
+    if (machine.cpus <= 0) continue;
+    const key = placeKey(machine.part, machine.zone);
+    const place = places.get(key);
+    if (place) place.push(machine);
+    else places.set(key, [machine]);
+  }
+  return places;
+}
+
+/** Occupies free room as the part's first fit will; returns how many tasks found none. */
+function occupyFirstFit(
+  spec: JobSpec,
+  chunk: ChunkSummary,
+  free: FreeMachines,
+  reserved: ReadonlySet<string>,
+): number {
+  const key = placeKey(chunk.part, chunk.zone);
+  const machines = free.get(key) ?? [];
+  let left = chunk.waiting;
+  let full = 0;
+  for (const machine of machines) {
+    if (left === 0) break;
+    if (machine.cpus < spec.cpus || !isEligible(spec, machine)) continue;
+    if (spec.kind === 'array' && reserved.has(machine.name)) continue;
+    const count = Math.min(left, fitCount(machine, spec));
+    occupy(machine, spec, count);
+    left -= count;
+    if (machine.cpus <= 0) full++;
+  }
+  if (full > machines.length * FULL_SHARE) {
+    free.set(
+      key,
+      machines.filter((machine) => machine.cpus > 0),
+    );
+  }
+  return left;
+}
+
+/** Occupies room to come for waiting tasks of a chunk, and records them as unmet demand. */
+function addUnmet(
+  { spec, at }: JobRecord,
+  chunk: ChunkSummary,
+  count: number,
+  round: AssignmentRound,
+): void {
+  const isGang = chunk.attempt !== null;
+  // Its part reserves room to come for a gang: other jobs must not count on it.
+  if (isGang) occupyPlace(spec, chunk, count, round.machines);
+  const queue = round.queues.get(placeKey(chunk.part, chunk.zone));
+  if (queue) queue.waitingCpus += count * spec.cpus;
+  // A gang's machines must be where the rest of it has its room.
+  const demand = isGang && spec.oneZone ? { ...spec, zone: chunk.zone } : spec;
+  round.unmet.push({ spec: demand, count, at });
+}
+
+/** Occupies room for all waiting tasks of open jobs; those without free room join the queues. */
+export function occupyForWaitingTasks(
+  round: AssignmentRound,
+  ledger: Ledger,
+  replica: StoreReplica,
+): void {
+  const free = freeMachinesByPlace(round.machines);
+  for (const chunk of ledger.waiting.values()) {
+    const job = replica.job(chunk.job);
+    if (!job) continue;
+    const left = occupyFirstFit(job.spec, chunk, free, round.reserved);
+    if (left > 0) addUnmet(job, chunk, left, round);
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/zone-limits.ts
@@ -0,0 +1,66 @@
+/** How many tasks of a job each zone may take, by the job's `oneZone` and `spread`. */
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { OpenJob } from '../scheduling-order.js';
+
+/** Room for tasks of a job in a zone. */
+export interface ZoneRoom {
+  readonly zone: string;
+  readonly count: number;
+}
+
+/** Tasks of a job that are assigned and not done, by zone. */
+function activeTasks(job: string, replica: StoreReplica): Map<string, number> {
+  const active = new Map<string, number>();
+  for (const chunk of replica.chunksOf(job)) {
+    const count = chunk.ids.length - chunk.done;
+    if (count > 0) active.set(chunk.zone, (active.get(chunk.zone) ?? 0) + count);
+  }
+  return active;
+}
+
+function roomByZone(rooms: readonly ZoneRoom[]): Map<string, number> {
+  const sums = new Map<string, number>();
+  for (const { zone, count } of rooms) sums.set(zone, (sums.get(zone) ?? 0) + count);
+  return sums;
+}
+
+/** The zone of a job that must have one: where tasks of it are, or where it has the most room. */
+function onlyZone(
+  active: ReadonlyMap<string, number>,
+  rooms: ReadonlyMap<string, number>,
+): string | undefined {
+  const settled = active.keys().next();
+  if (!settled.done) return settled.value;
+  const [best] = [...rooms].sort(([, a], [, b]) => b - a);
+  return best?.[0];
+}
+
+/** How many more tasks of a job each zone with room may take. */
+export class ZoneLimits {
+  private readonly limits = new Map<string, number>();
+
+  constructor(job: OpenJob, allowed: number, rooms: readonly ZoneRoom[], replica: StoreReplica) {
+    const { spec } = job;
+    const active = activeTasks(job.id, replica);
+    const sums = roomByZone(rooms);
+    const most = Math.ceil(spec.tasks / 2);
+    for (const zone of sums.keys()) {
+      this.limits.set(zone, spec.spread ? most - (active.get(zone) ?? 0) : allowed);
+    }
+    if (!spec.oneZone) return;
+    const only = onlyZone(active, sums);
+    for (const zone of this.limits.keys()) {
+      if (zone !== only) this.limits.set(zone, 0);
+    }
+  }
+
+  /** How many more tasks a zone may take. */
+  remaining(zone: string): number {
+    return this.limits.get(zone) ?? 0;
+  }
+
+  /** Counts tasks that were assigned to a zone. */
+  use(zone: string, count: number): void {
+    this.limits.set(zone, this.remaining(zone) - count);
+  }
+}
--- a/src/coordination/ledger.ts
+++ b/src/coordination/ledger.ts
@@ -1,12 +1,11 @@
-/** The leader's running sums over all chunks, and over the jobs that came lately. */
+/** The leader's running sums over all chunks. */
 
-import { ARRIVALS_MS, LEDGER_REBUILD_MS } from '../constants.js';
+import { LEDGER_REBUILD_MS } from '../constants.js';
 import { CHUNKS, JOBS } from '../storage/keys.js';
 import type { ChunkSummary } from '../storage/records.js';
 import type { StoreReplica } from '../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import type { Clock } from '../transport/clock.js';
-import { RecentGangs } from './gangs.js';
 import { URGENT, placeKey } from './priorities.js';
 
 /** What a team uses. */
@@ -43,7 +42,7 @@
   };
 }
 
-/** How far the tasks of a job are handed out. */
+/** How many tasks of a job are assigned to parts, done, and placed on machines. */
 export interface Progress {
   assigned: number;
   done: number;
@@ -56,7 +55,7 @@
   return spec.kind === 'gang' ? 1 : spec.tasks;
 }
 
-/** What one chunk counts for, kept so that exactly this can be taken back. */
+/** What one chunk adds to the sums, stored so that exactly this can be subtracted again. */
 interface Entry {
   chunk: ChunkSummary;
   low: boolean;
@@ -65,59 +64,18 @@
   ending: number;
 }
 
-/** What comes of lower work, by the jobs of the last minutes: the fleet should be ready for as much. */
-export class Arrivals {
-  private readonly known = new Set<string>();
-  private readonly late: { at: number; work: number }[] = [];
-  readonly gangs: RecentGangs;
-  private readonly from: number;
-  /** The kind of task that came last. */
-  last: JobSpec | null = null;
-
-  constructor(
-    private readonly replica: StoreReplica,
-    private readonly clock: Clock,
-  ) {
-    this.from = clock.now();
-    this.gangs = new RecentGangs(clock);
-    // What is there already came some time ago: it is not counted, but known.
-    for (const { spec } of replica.openJobs()) this.known.add(spec.id);
-  }
-
-  /** A job is new, or its record is gone. */
-  changed(job: string): void {
-    const spec = this.replica.job(job)?.spec;
-    if (!spec) {
-      this.known.delete(job);
-      return;
-    }
-    if (this.known.has(job)) return;
-    this.known.add(job);
-    if (spec.kind === 'gang') this.gangs.add(spec);
-    if (spec.kind !== 'array' || rankOf(spec.priority) >= URGENT) return;
-    this.last = spec;
-    const work = spec.tasks * spec.cpus * Math.max(1, spec.estimateS);
-    this.late.push({ at: this.clock.now(), work });
-  }
-
-  /** CPUs that run all the time if it goes on like this. */
-  get cpus(): number {
-    const now = this.clock.now();
-    while (this.late[0] && now - this.late[0].at > ARRIVALS_MS) this.late.shift();
-    const span = Math.min(ARRIVALS_MS, now - this.from);
-    if (span < ARRIVALS_MS / 3) return 0;
-    return this.late.reduce((sum, one) => sum + one.work, 0) / (span / 1000);
-  }
-}
-
 /**
- * The leader's sums over all chunks, kept up with each change of one: a round then costs what is
- * open and free, not what runs. They are made anew now and then, since sums of decimals drift.
+ * The leader's sums over all chunks, updated with each change of one: the cost of a round then
+ * depends on what is open and free, not on what runs. They are calculated anew now and then, since
+ * sums of decimals drift.
  */
 export class Ledger {
   private entries = new Map<string, Entry>();
+  /** What is placed on each machine. */
   readonly machines = new Map<string, Placed>();
+  /** What each team uses. */
   readonly teams = new Map<string, Usage>();
+  /** How far each job has got. */
   readonly jobs = new Map<string, Progress>();
   /** CPUs of arrays that end in a second, by place. */
   readonly ending = new Map<string, number>();
@@ -132,7 +90,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Called before a round: makes the sums anew when that is due. */
+  /** Called before a round: calculates the sums anew when that is due. */
   refresh(): void {
     const now = this.clock.now();
     if (now - this.builtAt < LEDGER_REBUILD_MS) return;
@@ -147,13 +105,13 @@
 
   /** A key changed in the replica. */
   changed(key: string): void {
-    if (key.startsWith(CHUNKS)) this.renew(key);
+    if (key.startsWith(CHUNKS)) this.recount(key);
     else if (key.startsWith(JOBS)) {
-      for (const chunk of this.replica.chunkKeysOf(key.slice(JOBS.length))) this.renew(chunk);
+      for (const chunk of this.replica.chunkKeysOf(key.slice(JOBS.length))) this.recount(chunk);
     }
   }
 
-  private renew(key: string): void {
+  private recount(key: string): void {
     const entry = this.entries.get(key);
     if (entry) {
       this.entries.delete(key);
@@ -181,7 +139,7 @@
     if (spec && done >= endsAt(spec)) this.ripe.add(chunk.job);
   }
 
-  /** Adds what a chunk counts for, or takes it back. */
+  /** Adds what a chunk counts for, or subtracts it. */
   private count(entry: Entry, sign: 1 | -1): void {
     const { chunk, ending } = entry;
     this.countTeam(chunk, sign);
--- a/src/coordination/queues.ts
+++ b/src/coordination/queues.ts
@@ -1,6 +1,8 @@
-/** Queues of the parts: work that is given to a part ahead of its free room. */
+/** Queues of the parts: work that is assigned to a part ahead of its free room. */
 
 import { QUEUE_REFILL, QUEUE_S } from '../constants.js';
+import type { MachineCapacity } from './capacity.js';
+import { placeKey } from './priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
 /** What waits in a part beyond its free room, and what its machines finish meanwhile. */
@@ -12,24 +14,40 @@
   endingCpus: number;
 }
 
+/** Empty queues of all places that have machines; `endingCpus`: CPUs that end there in a second. */
+export function queuesByPlace(
+  machines: readonly MachineCapacity[],
+  endingCpus: ReadonlyMap<string, number>,
+): Map<string, Queue> {
+  const queues = new Map<string, Queue>();
+  for (const { part, zone } of machines) {
+    const key = placeKey(part, zone);
+    if (queues.has(key)) continue;
+    queues.set(key, { part, zone, waitingCpus: 0, endingCpus: endingCpus.get(key) ?? 0 });
+  }
+  return queues;
+}
+
 /**
  * Tasks of a job that a part should get beyond its room: as many as end there in the next
  * seconds. A job that is overdue does not wait for the queue: the part takes the earliest first.
  */
 export function queueRoom(job: OpenJob, queue: Queue): number {
-  const waiting = job.overdue ? 0 : queue.waitingCpus;
-  return Math.floor((queue.endingCpus * QUEUE_S - waiting) / job.spec.cpus);
+  const waitingCpus = job.overdue ? 0 : queue.waitingCpus;
+  return Math.floor((queue.endingCpus * QUEUE_S - waitingCpus) / job.spec.cpus);
 }
 
-/** Parts whose queues are short enough to be filled again: seldom, and then with many tasks. */
-export function shortQueues(job: OpenJob, queues: Map<string, Queue>): Queue[] {
+function mayRefill(job: OpenJob, queue: Queue): boolean {
   const { spec } = job;
+  if (spec.zone !== null && spec.zone !== queue.zone) return false;
+  const room = queueRoom(job, queue);
+  if (room <= 0) return false;
+  return job.overdue || queue.waitingCpus <= room * spec.cpus * QUEUE_REFILL;
+}
+
+/** Queues short enough to be refilled with a job, the shortest first: seldom, but with many tasks. */
+export function shortQueues(job: OpenJob, queues: ReadonlyMap<string, Queue>): Queue[] {
   return [...queues.values()]
-    .filter((queue) => {
-      if (spec.zone !== null && spec.zone !== queue.zone) return false;
-      const room = queueRoom(job, queue);
-      if (room <= 0) return false;
-      return job.overdue || queue.waitingCpus <= room * spec.cpus * QUEUE_REFILL;
-    })
+    .filter((queue) => mayRefill(job, queue))
     .sort((a, b) => a.waitingCpus - b.waitingCpus);
 }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -4,7 +4,7 @@
 import { Bandit } from '../src/coordination/bandit.js';
 import { fitCount } from '../src/coordination/capacity.js';
 import { partOf } from '../src/coordination/rendezvous.js';
-import { letBeLate } from '../src/coordination/scheduling-order.js';
+import { letBeLate } from '../src/coordination/deadline-selection.js';
 
 test('the bandit agrees with a case worked by hand', () => {
   // One class and two types: x has 1 at the class, at the type, and the load shares in between.
