--- a/src/coordination/leader/assignment-round.ts
+++ b/src/coordination/leader/assignment-round.ts
@@ -7,9 +7,11 @@
 export interface AssignmentRound {
   /** Time at which the round started, in ms. */
   readonly startedAt: number;
+  /** All machines, also those that boot or take no new tasks. */
+  readonly fleet: MachineCapacity[];
   /** Healthy machines; the room left on them decreases as tasks are assigned. */
   readonly machines: readonly MachineCapacity[];
-  /** The same without those whose room is reserved for the next gang. */
+  /** The healthy machines without those whose room is reserved for the next gang. */
   readonly unreservedMachines: readonly MachineCapacity[];
   /** Names of the machines whose room is reserved for the next gang. */
   readonly reserved: ReadonlySet<string>;
--- a/src/coordination/leader/team-limits.ts
+++ b/src/coordination/leader/team-limits.ts
@@ -42,10 +42,10 @@
     this.urgentReserves = this.countUrgentReserves();
   }
 
-  /** Ends a round: forgets jobs that are no longer open. */
-  endRound(): void {
+  /** Forgets jobs that are no longer open. */
+  forgetClosed(isOpen: (job: string) => boolean): void {
     for (const job of this.waitingJobs) {
-      if (!this.options.replica.job(job)) this.waitingJobs.delete(job);
+      if (!isOpen(job)) this.waitingJobs.delete(job);
     }
   }
 
