--- a/eslint.config.js
+++ b/eslint.config.js
@@ -14,13 +14,10 @@
  * keeps all rules, and a file that was brought in line is taken off.
  */
 const exceptions = {
-  '@typescript-eslint/consistent-type-imports': ['src/coordination/chunk-writer.ts'],
   complexity: [
-    'src/coordination/chunk-writer.ts',
     'src/coordination/gang-share.ts',
     'src/coordination/gangs.ts',
     'src/coordination/leader.ts',
-    'src/coordination/part.ts',
     'src/coordination/placing.ts',
     'test/world/worker.ts',
   ],
@@ -28,17 +25,13 @@
     'src/coordination/capacity.ts',
     'src/coordination/gang-placing.ts',
     'src/coordination/leader.ts',
-    'src/coordination/part.ts',
     'src/coordination/placing.ts',
-    'src/coordination/tasks.ts',
   ],
   'max-lines': [
     'src/constants.ts',
     'src/coordination/gangs.ts',
     'src/coordination/leader.ts',
-    'src/coordination/part.ts',
     'src/coordination/placing.ts',
-    'src/coordination/tasks.ts',
     'test/gang-rules.test.ts',
     'test/gang-world.test.ts',
     'test/records.test.ts',
@@ -47,35 +40,27 @@
     'test/world/older-versions.ts',
   ],
   'max-lines-per-function': [
-    'src/coordination/chunk-writer.ts',
     'src/coordination/leader.ts',
     'src/coordination/placing.ts',
     'src/coordination/scheduling-order.ts',
     'test/world/lone.ts',
   ],
   'max-params': [
-    'src/coordination/chunk-writer.ts',
     'src/coordination/gang-placing.ts',
     'src/coordination/gang-share.ts',
     'src/coordination/leader.ts',
-    'src/coordination/part.ts',
     'src/coordination/placing.ts',
     'src/coordination/scheduling-order.ts',
-    'src/coordination/status.ts',
-    'src/coordination/tasks.ts',
     'test/world/environment.ts',
   ],
   'mothbank/module-comment': [
     'src/coordination/capacity.ts',
-    'src/coordination/chunk-writer.ts',
     'src/coordination/gang-placing.ts',
     'src/coordination/gang-share.ts',
     'src/coordination/gangs.ts',
     'src/coordination/leader.ts',
-    'src/coordination/part.ts',
     'src/coordination/placing.ts',
     'src/coordination/scheduling-order.ts',
-    'src/coordination/tasks.ts',
   ],
 };
 
--- a/src/coordination/node/active-roles.ts
+++ b/src/coordination/node/active-roles.ts
@@ -79,15 +79,14 @@
 
   private createPart(name: string, number: number, owned: Owned): Part {
     const { committer, environment, log, replica } = this.services;
-    return new Part(
-      this.partOptions(name, number, owned),
+    return new Part(this.partOptions(name, number, owned), {
       replica,
       committer,
-      environment.workers,
-      environment.clock,
+      workers: environment.workers,
+      clock: environment.clock,
       log,
-      this.callbacks.onPartWork,
-    );
+      wake: this.callbacks.onPartWork,
+    });
   }
 
   private partOptions(name: string, number: number, owned: Owned): PartOptions {
--- /dev/null
+++ b/src/coordination/part/cost-learning.ts
@@ -0,0 +1,45 @@
+/** Tells the bandit what tasks cost that it placed. */
+import type { Clock } from '../../transport/clock.js';
+import type { Bandit } from '../bandit.js';
+import type { Machine } from '../machine.js';
+import type { Machines } from '../machines.js';
+import type { Room } from '../room.js';
+import type { TaskSlot } from '../tasks.js';
+
+/** Passes the ends of tasks on to the bandit, once it is loaded. */
+export class CostLearning {
+  /** Null until it is loaded. */
+  bandit: Bandit | null = null;
+
+  constructor(
+    private readonly machines: Machines,
+    private readonly clock: Clock,
+  ) {}
+
+  /** A task ended well on the machine. */
+  finished(machine: Machine, { chunk, slot }: TaskSlot): void {
+    if (!slot.context || slot.runningAt === null || !this.bandit) return;
+    const ranS = (this.clock.now() - slot.runningAt) / 1000;
+    this.bandit.finished(machine.type, slot.context, ranS * this.pricePerS(machine, chunk.record));
+  }
+
+  /** A task failed on the machine. */
+  failed(machine: Machine, { slot }: TaskSlot): void {
+    if (slot.context) this.bandit?.failed(machine.type, slot.context);
+  }
+
+  /**
+   * What a task costs per second on a machine. The paper's workers run one task at a time; ours
+   * share a machine, so a task pays for the share that it keeps others from.
+   */
+  private pricePerS(machine: Machine, task: Room): number {
+    const type = this.machines.type(machine.type);
+    if (!type) return 0;
+    const share = Math.max(
+      task.cpus / type.cpus,
+      type.gpus > 0 ? task.gpus / type.gpus : 0,
+      task.memoryGb / type.memoryGb,
+    );
+    return ((machine.spot ? type.spotPrice : type.price) * share) / 3600;
+  }
+}
--- /dev/null
+++ b/src/coordination/part/gang-reservation.ts
@@ -0,0 +1,41 @@
+/** Decides for which gang the part keeps some room free. */
+import { GANG_RESERVING_PLACE_MS } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
+import { RecentGangs, reservingPlace } from '../gangs.js';
+import { machinesOf } from '../inventory.js';
+import { placeKey } from '../priorities.js';
+import type { PartContext } from './part-context.js';
+
+/** Some room for the next gang is kept free by the part that has most machines for it. */
+export class GangReservation {
+  private readonly recentGangs: RecentGangs;
+  private reserved: JobSpec | null = null;
+  private checkAgainAt = -Infinity;
+
+  constructor(private readonly context: PartContext) {
+    this.recentGangs = new RecentGangs(context.clock);
+  }
+
+  /** Notes a job that is new or has changed. */
+  noteJob(spec: JobSpec | null): void {
+    if (spec?.kind === 'gang') this.recentGangs.add(spec);
+  }
+
+  /** The gang for which this part keeps some room free; null: it keeps none. */
+  next(): JobSpec | null {
+    const now = this.context.clock.now();
+    if (now < this.checkAgainAt) return this.reserved;
+    this.checkAgainAt = now + GANG_RESERVING_PLACE_MS;
+    this.reserved = this.findReserved();
+    return this.reserved;
+  }
+
+  private findReserved(): JobSpec | null {
+    const { machines, options, replica } = this.context;
+    const next = this.recentGangs.patient;
+    if (!next) return null;
+    const place = reservingPlace(next, machinesOf(replica));
+    const ours = machines.inOrder().some(({ zone }) => placeKey(options.part, zone) === place);
+    return ours ? next : null;
+  }
+}
--- /dev/null
+++ b/src/coordination/part/lost-machines.ts
@@ -0,0 +1,26 @@
+/** Requeues the tasks of machines that are lost. */
+import { SWEEP_MS } from '../../constants.js';
+import type { PartContext } from './part-context.js';
+
+/** Looks periodically for machines that are gone or whose lease has surely run out. */
+export class LostMachines {
+  private sweptAt = -Infinity;
+
+  constructor(private readonly context: PartContext) {}
+
+  /** Requeues the tasks of lost machines, if a sweep is due. */
+  sweep(): void {
+    const { clock, log, machines, tasks } = this.context;
+    const now = clock.now();
+    if (now - this.sweptAt < SWEEP_MS) return;
+    this.sweptAt = now;
+    for (const name of [...tasks.machines()]) {
+      const gone = machines.recordedState(name) === 'gone';
+      if (!gone && now < machines.deadAt(name)) continue;
+      const lost = [...tasks.on(name)];
+      log.info({ machine: name, tasks: lost.length, gone }, 'machine lost, its tasks wait');
+      for (const [slot, chunk] of lost) tasks.requeue(chunk, slot);
+    }
+    machines.sweep();
+  }
+}
--- /dev/null
+++ b/src/coordination/part/placing-loader.ts
@@ -0,0 +1,82 @@
+/** Creates the placing of a part with what its bandit has learned. */
+import { BEGIN_WITHIN_S, KEPT_FROM_MS } from '../../constants.js';
+import { ARMS } from '../../storage/keys.js';
+import type { ArmRecord, Bandit } from '../bandit.js';
+import { Placing, type PlacingOptions } from '../placing.js';
+import type { GangReservation } from './gang-reservation.js';
+import { machineTypeNames, type PartContext } from './part-context.js';
+
+/** Creates the placing once the catalog of machine types is known. */
+export class PlacingLoader {
+  private loaded: Placing | null = null;
+
+  constructor(
+    private readonly context: PartContext,
+    private readonly reservation: GangReservation,
+  ) {}
+
+  /** The placing; null: it is not loaded yet. */
+  get placing(): Placing | null {
+    return this.loaded;
+  }
+
+  /** Loads the placing; null: there is no catalog yet. */
+  async load(): Promise<Placing | null> {
+    const types = machineTypeNames(this.context);
+    if (types.length === 0) return null;
+    const { clock, costLearning, log, machines, options, tasks } = this.context;
+    // Loaded late: the matrix library is the largest of all, and start-up time is dear.
+    const { Bandit: BanditClass } = await import('../bandit.js');
+    const bandit = new BanditClass(types, options.alpha, options.penalty);
+    this.restore(bandit);
+    costLearning.bandit = bandit;
+    this.loaded = new Placing(this.placingOptions(), tasks, machines, bandit, clock, log);
+    return this.loaded;
+  }
+
+  /** Gives the bandit what was stored of its arms. */
+  private restore(bandit: Bandit): void {
+    const { options, replica } = this.context;
+    for (const [key, held] of replica.below<ArmRecord>(`${ARMS}${options.part}/`)) {
+      const further = (at: number) => replica.get<ArmRecord>(`${key}+${at}`)?.value;
+      bandit.restore(key.slice(key.lastIndexOf('/') + 1), held.value, further);
+    }
+  }
+
+  private placingOptions(): PlacingOptions {
+    const { failurePauses, gangs, options, replica } = this.context;
+    return {
+      number: options.number,
+      term: options.term,
+      startWithinS: options.startWithinS,
+      job: (id) => replica.job(id),
+      beginner: (id) => this.isBeginner(id),
+      waitsLong: (id) => this.waitsLong(id),
+      nextGang: () => this.reservation.next(),
+      pauses: (id) => failurePauses.isPaused(id),
+      mayStopGang: (chunk) => gangs.mayStop(chunk),
+      gangWaitS: options.gangWaitS,
+    };
+  }
+
+  /** Whether a job waited long to begin and none of its tasks has ended yet. */
+  private isBeginner(job: string): boolean {
+    const { replica } = this.context;
+    if (!this.isOlderThan(job, BEGIN_WITHIN_S * 1000)) return false;
+    return replica.chunksOf(job).every((chunk) => chunk.done === 0);
+  }
+
+  /** Whether nothing of a job runs long after it came. */
+  private waitsLong(job: string): boolean {
+    const { replica } = this.context;
+    if (!this.isOlderThan(job, KEPT_FROM_MS)) return false;
+    return replica.chunksOf(job).every((chunk) => chunk.liveCount === 0);
+  }
+
+  /** Whether a job was accepted at least so many ms ago and is not over. */
+  private isOlderThan(job: string, ageMs: number): boolean {
+    const { clock, replica } = this.context;
+    const record = replica.job(job);
+    return record !== null && clock.wall() - record.at >= ageMs;
+  }
+}
--- /dev/null
+++ b/src/coordination/part/reported-task.ts
@@ -0,0 +1,14 @@
+/** Finds the placement to which a reported task belongs. */
+import type { TaskReport } from '../../protocol/model.js';
+import type { Machine } from '../machine.js';
+import type { Tasks, TaskSlot } from '../tasks.js';
+
+/** The placement that a task reported by the machine is; null: it is none of ours. */
+export function findReported(tasks: Tasks, machine: Machine, report: TaskReport): TaskSlot | null {
+  const found = tasks.find(report.task.job, report.task.index);
+  if (!found) return null;
+  const { slot } = found;
+  const isSame =
+    slot.state === 'live' && slot.machine === machine.name && slot.attempt === report.attempt;
+  return isSame ? found : null;
+}
--- /dev/null
+++ b/src/coordination/part/task-release.ts
@@ -0,0 +1,21 @@
+/** Gives tasks back to the leader for which the part has no room. */
+import { QUEUE_RELEASE_MS, RELEASE_MS } from '../../constants.js';
+import { rankOf } from '../../protocol/model.js';
+import { jobSpec, type PartContext } from './part-context.js';
+
+/** Gives tasks of arrays and services back to the leader that found no room here for a while. */
+export function releaseWaitingTasks(context: PartContext): void {
+  const { clock, failurePauses, tasks } = context;
+  const now = clock.now();
+  for (const chunk of [...tasks.waiting]) {
+    const spec = jobSpec(context, chunk.job);
+    if (chunk.record.attempt !== undefined) continue;
+    if (spec === null || failurePauses.isPaused(chunk.job)) continue;
+    // The leader queues lower work here ahead of the room for it; urgent work must not wait.
+    const urgent = rankOf(spec.priority) >= rankOf('high');
+    const patience = urgent ? RELEASE_MS : QUEUE_RELEASE_MS;
+    for (const slot of [...chunk.waiting]) {
+      if (now - slot.pendingSince >= patience) tasks.giveBack(chunk, slot);
+    }
+  }
+}
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -127,7 +127,7 @@
         const { type, name } = target.machine;
         load.set(type, (load.get(type) ?? 0) + 1);
         const context = this.bandit.context(taskClass(spec), type, load);
-        this.tasks.place(chunk, slot, name, this.nextAttempt(), context);
+        this.tasks.place(chunk, slot, { machine: name, attempt: this.nextAttempt(), context });
       }
     }
     // Room is short: a machine that was being emptied is needed after all.
@@ -173,7 +173,7 @@
       load.set(type, (load.get(type) ?? 0) + 1);
       const context = this.bandit.context(name, type, load);
       const attempt = chunk.record.attempt ?? this.nextAttempt();
-      this.tasks.place(chunk, slot, place.machine.name, attempt, context);
+      this.tasks.place(chunk, slot, { machine: place.machine.name, attempt, context });
     }
     return true;
   }
--- a/src/coordination/status.ts
+++ b/src/coordination/status.ts
@@ -24,14 +24,21 @@
   limiter: Pick<RateLimiter, 'supply'>;
 }
 
+/** The services that a status uses. */
+export interface StatusServices {
+  readonly replica: StoreReplica;
+  readonly committer: Committer;
+  readonly clock: Clock;
+}
+
 type Entry = StatusRecord['machines'][string];
 
-/** The longest word on a machine: what it may grow to must not make it change its shard. */
-const LONGEST: MachineHealth = 'leaving';
+/** The longest health of all: a change of health must not make a machine change its shard. */
+const LONGEST_HEALTH: MachineHealth = 'leaving';
 
 /** Bytes that a machine takes in a status record at the most, with its comma. */
 function sizeOf(name: string, [type, zone, spot]: Entry): number {
-  return bytesOf({ [name]: [type, zone, spot, LONGEST] });
+  return bytesOf({ [name]: [type, zone, spot, LONGEST_HEALTH] });
 }
 
 /** One status record as it is to be: its machines, and the room that is left in it. */
@@ -52,11 +59,10 @@
 
   constructor(
     private readonly options: StatusOptions,
-    private readonly replica: StoreReplica,
-    private readonly committer: Committer,
+    private readonly services: StatusServices,
     private readonly machines: Machines,
-    private readonly clock: Clock,
   ) {
+    const { clock } = services;
     this.invalidBackoff = new InvalidChangeBackoff(clock);
     this.snapshotAt = clock.now() + options.snapshotMs;
     this.inherit();
@@ -69,7 +75,7 @@
    */
   private inherit(): void {
     const prefix = `${STATUSES}${this.options.part}/`;
-    for (const [key, held] of this.replica.below<StatusRecord>(prefix)) {
+    for (const [key, held] of this.services.replica.below<StatusRecord>(prefix)) {
       this.sent.set(Number(key.slice(prefix.length)), held.value.machines);
       for (const [name, [type, zone, spot, health]] of Object.entries(held.value.machines)) {
         const machine = this.machines.add(name, type, zone, spot === 1);
@@ -155,7 +161,7 @@
   }
 
   private async writeStatus(): Promise<void> {
-    const now = this.clock.now();
+    const now = this.services.clock.now();
     if (now - this.statusAt < STATUS_PACE_MS[this.options.limiter.supply]) return;
     this.statusAt = now;
     const entries = new Map<string, Entry>();
@@ -190,9 +196,10 @@
   /** False: not written; what the state service calls invalid is left alone for a while. */
   private async write(purpose: 'status' | 'part', changes: Change[]): Promise<boolean> {
     const guards: Guard[] = [{ key: this.options.roleKey, revision: this.options.roleRevision }];
-    for (const { key } of changes) guards.push({ key, revision: this.replica.revisionOf(key) });
+    for (const { key } of changes)
+      guards.push({ key, revision: this.services.replica.revisionOf(key) });
     const { alive } = this.options;
-    const result = await this.committer.commit(purpose, guards, changes, alive);
+    const result = await this.services.committer.commit(purpose, guards, changes, alive);
     for (const { key } of changes) {
       if (result.kind === 'invalid') this.invalidBackoff.add(key);
       else this.invalidBackoff.clear(key);
@@ -203,17 +210,17 @@
   // --- What was learned ----------------------------------------------------------------------
 
   private async snapshot(bandit: Bandit | null, types: readonly string[]): Promise<void> {
-    const now = this.clock.now();
+    const now = this.services.clock.now();
     if (now < this.snapshotAt || !bandit) return;
     this.snapshotAt = now + this.options.snapshotMs;
     const most = Math.floor(this.options.valueBytes * VALUE_SHARE);
     for (const type of types) {
       const keyOf = (at: number): string =>
         armKey(this.options.part, at === 0 ? type : `${type}+${at}`);
-      const held = this.replica.get<ArmRecord>(keyOf(0))?.value;
+      const held = this.services.replica.get<ArmRecord>(keyOf(0))?.value;
       const same = bandit.records(type, most, held?.stamp ?? 0);
       const isHeld = (record: ArmRecord, at: number): boolean =>
-        JSON.stringify(this.replica.get(keyOf(at))?.value) === JSON.stringify(record);
+        JSON.stringify(this.services.replica.get(keyOf(at))?.value) === JSON.stringify(record);
       if (same.length === 0 || same.every(isHeld)) continue;
       const records = bandit.records(type, most, (held?.stamp ?? 0) + 1);
       if (records.some((_, at) => this.invalidBackoff.has(keyOf(at)))) continue;
--- /dev/null
+++ b/src/coordination/tasks/chunk.ts
@@ -0,0 +1,115 @@
+/** Chunks of tasks and their slots as the owner of a part keeps them in memory. */
+import { readRanges } from '../../storage/ranges.js';
+import type { ChunkRecord } from '../../storage/records.js';
+
+/** One task of a chunk: waiting, placed on a machine, or done. */
+export interface Slot {
+  index: number;
+  state: 'pending' | 'live' | 'done';
+  /** Name of the machine on which it is placed; empty: on none. */
+  machine: string;
+  attempt: number;
+  /** Steady time at which a report first showed it running; null: not yet. */
+  runningAt: number | null;
+  /** Of a gang: steady time at which a report first showed it waiting for the others. */
+  gatheringAt: number | null;
+  /** Being stopped to make room. */
+  halting: boolean;
+  /** Its start was sent, and no later report shows that it was lost. */
+  startSent: boolean;
+  /** Its stop was sent, and no later report shows that it was lost. */
+  stopSent: boolean;
+  /** Steady time since which it waits for a place. */
+  pendingSince: number;
+  /** What the bandit based the placement on; null: it was not placed by the bandit. */
+  context: number[] | null;
+}
+
+/** A chunk of a job's tasks that is assigned to the part. */
+export interface Chunk {
+  key: string;
+  job: string;
+  /** Greater than those of all chunks that the leader made before. */
+  number: number;
+  record: ChunkRecord;
+  slots: Map<number, Slot>;
+  /** Its slots that wait for a place, in the order of their numbers. */
+  waiting: Set<Slot>;
+  /** How many of its slots are placed. */
+  placed: number;
+  /** Of a gang: its attempt failed, so that all of it ends and goes back to the leader. */
+  broken: boolean;
+  /** Of a gang: there is no room to come here for it. */
+  hopeless: boolean;
+  /** Of a gang: steady time since which all of its tasks here are placed; null: they are not. */
+  placedAt: number | null;
+  /** As last committed. */
+  stored: ChunkRecord;
+  /** Steady time of the oldest change that is not committed; null: none. */
+  dirtySince: number | null;
+}
+
+/** A chunk as it is stored, without its slots. */
+export function createChunk(
+  identity: Pick<Chunk, 'key' | 'job' | 'number'>,
+  record: ChunkRecord,
+): Chunk {
+  return {
+    ...identity,
+    record,
+    stored: record,
+    slots: new Map(),
+    waiting: new Set(),
+    placed: 0,
+    broken: false,
+    hopeless: false,
+    placedAt: null,
+    dirtySince: null,
+  };
+}
+
+/** The slots of a stored chunk, of whose tasks no report was seen yet. */
+export function readSlots(stored: ChunkRecord, now: number): Slot[] {
+  const done = new Set(readRanges(stored.done));
+  return readRanges(stored.ids).map((index) => {
+    const live = stored.live[String(index)];
+    return {
+      index,
+      state: done.has(index) ? 'done' : live ? 'live' : 'pending',
+      machine: live?.[0] ?? '',
+      attempt: live?.[1] ?? 0,
+      runningAt: null,
+      gatheringAt: null,
+      halting: false,
+      startSent: false,
+      stopSent: false,
+      pendingSince: now,
+      context: null,
+    };
+  });
+}
+
+/** Resets what belongs to a slot's placement. */
+export function clearPlacement(slot: Slot): void {
+  slot.machine = '';
+  slot.runningAt = null;
+  slot.gatheringAt = null;
+  slot.halting = false;
+  slot.startSent = false;
+  slot.stopSent = false;
+  slot.context = null;
+}
+
+/** Whether the state service holds this placement: only then may its start be sent. */
+export function isCommitted(chunk: Chunk, slot: Slot): boolean {
+  return chunk.stored.live[String(slot.index)]?.[1] === slot.attempt;
+}
+
+/** Machines with placements of this chunk that are not committed yet. */
+export function uncommittedMachines(chunk: Chunk): Set<string> {
+  const machines = new Set<string>();
+  for (const slot of chunk.slots.values()) {
+    if (slot.state === 'live' && !isCommitted(chunk, slot)) machines.add(slot.machine);
+  }
+  return machines;
+}
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -117,23 +117,25 @@
       limiter: { supply: 'scarce', hasRoom: () => true },
       written: () => undefined,
     },
-    replica,
-    new Committer({ ...store, replica }),
     {
-      full: false,
-      command: (_address, token, _session, commands) =>
-        new Promise((resolve, reject) => {
-          sent.push({
-            token,
-            commands,
-            fail: () => reject(new Error('no answer')),
-            done: (report) => resolve({ executed: true, report }),
-          });
-        }),
+      replica,
+      committer: new Committer({ ...store, replica }),
+      workers: {
+        full: false,
+        command: (_address, token, _session, commands) =>
+          new Promise((resolve, reject) => {
+            sent.push({
+              token,
+              commands,
+              fail: () => reject(new Error('no answer')),
+              done: (report) => resolve({ executed: true, report }),
+            });
+          }),
+      },
+      clock,
+      log: silent,
+      wake: () => undefined,
     },
-    clock,
-    silent,
-    () => undefined,
   );
   replica.onChange((keys) => keys.forEach((key) => part.changed(key)));
   let seq = 0;
