--- a/src/coordination/part/part-context.ts
+++ b/src/coordination/part/part-context.ts
@@ -21,10 +21,11 @@
   number: number;
   /** Term of the owner's role. */
   term: number;
-  /** Key and revision of the role, which guard every write. */
+  /** Key of the owner's role, which guards every write. */
   roleKey: string;
+  /** Revision at which this owner holds the role. */
   roleRevision: number;
-  /** Steady time until which the owner before may still act. */
+  /** Steady time from which no machine that never spoke to this owner has tasks left. */
   fenceAt: number;
   /** Seconds that a worker's tasks outlive its last answered report. */
   leaseS: number;
@@ -38,9 +39,9 @@
   txnOps: number;
   /** Bytes that one stored value may have. */
   valueBytes: number;
-  /** The bandit's weight of exploration. */
+  /** How much the bandit explores; 0: never. */
   alpha: number;
-  /** The bandit's factor for the cost of a failure. */
+  /** Cost of a failure, in worst costs of the task's class. */
   penalty: number;
   /** ms between two writes of what the bandit has learned. */
   snapshotMs: number;
