--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -14,6 +14,14 @@
 /** ms after which a direct call without an answer has failed. */
 const DIRECT_LIMIT_MS = 2000;
 
+/** Commands from a node to a machine, without waiting for its next report. */
+interface DirectCall {
+  address: string;
+  token: number;
+  session: number;
+  commands: Command[];
+}
+
 type Guarded = <T>(call: Promise<T>) => Promise<T>;
 
 /** The outside of a node. What comes while it stands still waits; a dead one gets nothing more. */
@@ -32,7 +40,7 @@
     workers: {
       full: false,
       command: (address, token, session, commands) =>
-        guarded(callDirect(world, name, address, token, session, commands)),
+        guarded(callDirect(world, name, { address, token, session, commands })),
     },
     connectedPeers: () =>
       [...world.nodes.keys()].filter((peer) => peer !== name && !world.cut(name, peer)),
@@ -81,10 +89,7 @@
 function callDirect(
   world: World,
   node: string,
-  address: string,
-  token: number,
-  session: number,
-  commands: Command[],
+  { address, token, session, commands }: DirectCall,
 ): Promise<DirectResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -37,25 +37,25 @@
   deadlineS: null,
 };
 
-/** One part on its own, with its state service; `placed`: a former owner placed its task. */
-export async function lone(
-  options: {
-    placed?: boolean;
-    spec?: Partial<JobSpec>;
-    zone?: string;
-    ids?: string;
-    agedMs?: number;
-    txnOps?: number;
-    valueBytes?: number;
-    /** Placements beside the first. */
-    live?: ChunkRecord['live'];
-    done?: string;
-    /** What else is there from the start. */
-    held?: { key: string; value: unknown }[];
-  } = {},
-) {
-  const clock = new SimClock();
-  const state = new SimState(clock);
+/** What differs from the default: one task of one job, with room for all changes at once. */
+interface LoneOptions {
+  /** A former owner placed the task. */
+  placed?: boolean;
+  spec?: Partial<JobSpec>;
+  zone?: string;
+  ids?: string;
+  agedMs?: number;
+  txnOps?: number;
+  valueBytes?: number;
+  /** Placements beside the first. */
+  live?: ChunkRecord['live'];
+  done?: string;
+  /** What else is there from the start. */
+  held?: { key: string; value: unknown }[];
+}
+
+/** Stores what is there from the start: the role, the catalogue, a job and its only chunk. */
+function fill(state: SimState, clock: SimClock, options: LoneOptions): void {
   const chunk: ChunkRecord = {
     ids: options.ids ?? '0',
     done: options.done ?? '',
@@ -80,6 +80,13 @@
     { key: chunkKey('p', JOB, 1), value: chunk },
     ...(options.held ?? []),
   ]);
+}
+
+/** One part on its own, with its state service. */
+export async function lone(options: LoneOptions = {}) {
+  const clock = new SimClock();
+  const state = new SimState(clock);
+  fill(state, clock, options);
   state.txnOps = options.txnOps ?? 8;
   state.valueBytes = options.valueBytes ?? 8192;
   const api = state.api('p');
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -1,4 +1,7 @@
+/** A stand-in for the worker of a machine. */
+import type { SimJob } from './jobs.js';
 import { TYPES } from './settings.js';
+import { bodyOf, type Answer, type WireAnswer, type WireCommand } from './worker-wire.js';
 import type { World } from './world.js';
 
 export interface Task {
@@ -12,12 +15,14 @@
   stored?: boolean;
 }
 
-interface WireCommand {
-  verb: string;
-  larva: string;
-  try: number;
-  settleS?: number;
-}
+/** ms between two reports when nothing changes. */
+const REPORT_MS = 3000;
+/** ms after which a report that was not taken goes to the next node. */
+const RETRY_MS = 1000;
+/** ms after which a report without an answer has failed. */
+const ANSWER_LIMIT_MS = 4000;
+/** ms that a machine takes to fetch an image. */
+const IMAGE_MS = 1000;
 
 /** A stand-in for a machine's worker: reports, leases, tokens, sessions and commands. */
 export class SimWorker {
@@ -140,11 +145,40 @@
     const { world } = this;
     this.reporting = true;
     this.changed = false;
-    this.due = world.clock.now() + 3000;
+    this.due = world.clock.now() + REPORT_MS;
     const sentAt = world.clock.now();
     const session = this.session;
     const [name = ''] = world.members[this.target] ?? [];
-    const body = this.reportBody();
+    const reply = await this.send(name, this.reportBody());
+    this.reporting = false;
+    if (this.dead) return;
+    const parsed = bodyOf(reply);
+    if (reply?.status === 421 && parsed?.hive && parsed.hive !== name) {
+      this.target = world.members.findIndex(([one]) => one === parsed.hive);
+      this.changed = true;
+      return;
+    }
+    if (reply?.status !== 200) {
+      this.target = (this.target + 1) % world.members.length;
+      this.due = world.clock.now() + RETRY_MS;
+      return;
+    }
+    if (session === this.session) this.take(parsed, sentAt);
+  }
+
+  /** An answer to a report of this session: the lease is renewed, unless its token is older. */
+  private take(answer: WireAnswer | null, sentAt: number): void {
+    const token = answer?.mandate ?? -1;
+    if (token < this.token) return;
+    if (token > this.token) this.changed = true;
+    this.token = token;
+    this.renewedAt = sentAt;
+    for (const command of answer?.calls ?? []) this.execute(command);
+  }
+
+  /** Sends a report to a node, with its copies; null: no answer in time. */
+  private send(name: string, body: string): Promise<Answer | null> {
+    const { world } = this;
     const held = this.holdReportsMs;
     const entry = world.nodes.get(name);
     const reach = entry !== undefined && !this.mute && !world.cut(name, this.machine.name);
@@ -152,8 +186,8 @@
       const [copyTo = ''] = world.members[world.chance(world.members.length)] ?? [];
       world.clock.after(later, () => void world.nodes.get(copyTo)?.node.report(body));
     }
-    const answer = new Promise<{ status: number; body: unknown } | null>((resolve) => {
-      world.clock.after(4000, () => resolve(null));
+    return new Promise<Answer | null>((resolve) => {
+      world.clock.after(ANSWER_LIMIT_MS, () => resolve(null));
       if (!reach || !entry) return;
       world.clock.after(world.linkMs + held, () => {
         world.at(name, () => {
@@ -164,47 +198,32 @@
         });
       });
     });
-    const reply = await answer;
-    this.reporting = false;
-    if (this.dead) return;
-    const parsed = (typeof reply?.body === 'string' ? JSON.parse(reply.body) : reply?.body) as {
-      mandate?: number;
-      calls?: WireCommand[];
-      hive?: string;
-    } | null;
-    if (reply?.status === 421 && parsed?.hive && parsed.hive !== name) {
-      this.target = world.members.findIndex(([one]) => one === parsed.hive);
-      this.changed = true;
-      return;
-    }
-    if (reply?.status !== 200) {
-      this.target = (this.target + 1) % world.members.length;
-      this.due = world.clock.now() + 1000;
-      return;
-    }
-    if (session !== this.session || (parsed?.mandate ?? -1) < this.token) return;
-    if ((parsed?.mandate ?? 0) > this.token) this.changed = true;
-    this.token = parsed?.mandate ?? 0;
-    this.renewedAt = sentAt;
-    for (const command of parsed?.calls ?? []) this.execute(command);
   }
 
   private execute(command: WireCommand): void {
+    if (command.verb === 'reap') this.forget(command);
+    else if (command.verb === 'halt') this.halt(command);
+    else this.launch(command);
+  }
+
+  private forget(command: WireCommand): void {
     const known = this.tasks.get(command.larva);
-    const job = this.world.jobs.get(command.larva.split('/')[0] ?? '');
-    if (command.verb === 'reap') {
-      if (known?.state === 'exited' && known.attempt === command.try) {
-        this.tasks.delete(command.larva);
-      }
-      return;
-    }
-    if (command.verb === 'halt') {
-      if (known && known.state !== 'exited' && known.attempt === command.try) {
-        if (job?.gang) this.world.gangs.halt(this, command.larva, known, command.settleS ?? 0);
-        else this.end(known, 'stopped');
-      }
-      return;
+    if (known?.state === 'exited' && known.attempt === command.try) {
+      this.tasks.delete(command.larva);
     }
+  }
+
+  private halt(command: WireCommand): void {
+    const known = this.tasks.get(command.larva);
+    if (!known || known.state === 'exited' || known.attempt !== command.try) return;
+    if (this.jobOf(command.larva)?.gang) {
+      this.world.gangs.halt(this, command.larva, known, command.settleS ?? 0);
+    } else this.end(known, 'stopped');
+  }
+
+  private launch(command: WireCommand): void {
+    const known = this.tasks.get(command.larva);
+    const job = this.jobOf(command.larva);
     if (known?.attempt === command.try || (known && known.state !== 'exited')) return;
     if (!job) return;
     const task: Task = { attempt: command.try, state: 'pulling', cpus: job.cpus };
@@ -216,37 +235,45 @@
       this.end(task, 'full');
       return;
     }
-    this.world.clock.after(1000, () => {
+    this.world.clock.after(IMAGE_MS, () => {
       if (this.dead || this.tasks.get(command.larva) !== task || task.state !== 'pulling') return;
-      if (job.broken) {
-        this.end(task, 'error');
-        return;
-      }
-      if (job.gang) {
-        // The result of what is done is kept.
-        if (this.world.completed.has(command.larva)) {
-          this.end(task, 'done');
-          return;
-        }
-        task.state = 'gathering';
-        this.changed = true;
-        this.world.started(this, command.larva);
-        this.world.gangs.gather(this, command.larva, task);
-        return;
+      if (job.broken) this.end(task, 'error');
+      else if (job.gang) this.joinGang(command.larva, task);
+      else this.run(command.larva, task, job);
+    });
+  }
+
+  /** The image of a gang's task is there: it waits for the others. */
+  private joinGang(name: string, task: Task): void {
+    // The result of what is done is kept.
+    if (this.world.completed.has(name)) {
+      this.end(task, 'done');
+      return;
+    }
+    task.state = 'gathering';
+    this.changed = true;
+    this.world.started(this, name);
+    this.world.gangs.gather(this, name, task);
+  }
+
+  /** The image of an ordinary task is there: it runs, a service for ever. */
+  private run(name: string, task: Task, job: SimJob): void {
+    task.state = 'running';
+    this.changed = true;
+    this.world.started(this, name);
+    if (job.service) return;
+    this.world.clock.after(job.runS * 1000, () => {
+      if (this.tasks.get(name) === task && task.state === 'running') {
+        this.end(task, 'done');
+        this.world.completed.add(name);
       }
-      task.state = 'running';
-      this.changed = true;
-      this.world.started(this, command.larva);
-      if (job.service) return;
-      this.world.clock.after(job.runS * 1000, () => {
-        if (this.tasks.get(command.larva) === task && task.state === 'running') {
-          this.end(task, 'done');
-          this.world.completed.add(command.larva);
-        }
-      });
     });
   }
 
+  private jobOf(name: string): SimJob | undefined {
+    return this.world.jobs.get(name.split('/')[0] ?? '');
+  }
+
   /** All of a task's gang have their image. */
   runs(task: Task): void {
     task.state = 'running';
