--- a/eslint.config.js
+++ b/eslint.config.js
@@ -22,7 +22,6 @@
     'src/coordination/leader.ts',
     'src/coordination/part.ts',
     'src/coordination/placing.ts',
-    'test/world/worker.ts',
   ],
   'jsdoc/require-jsdoc': [
     'src/coordination/capacity.ts',
@@ -39,19 +38,12 @@
     'src/coordination/part.ts',
     'src/coordination/placing.ts',
     'src/coordination/tasks.ts',
-    'test/gang-rules.test.ts',
-    'test/gang-world.test.ts',
-    'test/records.test.ts',
-    'test/upgrade-records.test.ts',
-    'test/upgrade-writes.test.ts',
-    'test/world/older-versions.ts',
   ],
   'max-lines-per-function': [
     'src/coordination/chunk-writer.ts',
     'src/coordination/leader.ts',
     'src/coordination/placing.ts',
     'src/coordination/scheduling-order.ts',
-    'test/world/lone.ts',
   ],
   'max-params': [
     'src/coordination/chunk-writer.ts',
@@ -63,7 +55,6 @@
     'src/coordination/scheduling-order.ts',
     'src/coordination/status.ts',
     'src/coordination/tasks.ts',
-    'test/world/environment.ts',
   ],
   'mothbank/module-comment': [
     'src/coordination/capacity.ts',
--- /dev/null
+++ b/test/gang-rules-restarts.test.ts
@@ -0,0 +1,160 @@
+/** Rules for gangs: restarts, ends, placement, and what users are told. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { LEASE_S, LONG, playRule, type Row } from './world/gang-scenario.js';
+import { GANG, OTHER } from './world/gang-script.js';
+import { stageOf } from './world/jobs.js';
+
+const ROWS: Row[] = [
+  // --- Restarts ------------------------------------------------------------------------------
+  {
+    rule: 'restart',
+    name: 'one place: no task starts in another zone while an old one is not proven gone',
+    zones: ['a', 'a', 'b', 'b'],
+    maxMachines: 4,
+    act: async (scenario) => {
+      const { world } = scenario;
+      const attempt = await scenario.running({ ...LONG, oneZone: true }, 7);
+      const [first, second] = scenario.holders();
+      assert.ok(first && second);
+      // Neither is room left in its zone, nor is it heard that its tasks have ended.
+      first.hang(20);
+      scenario.cut(second);
+      world.cloudTrouble = true;
+      const lastAt = world.clock.now();
+      await world.run(LEASE_S - 6);
+      const later = world.starts.filter((one) => one.at > lastAt);
+      assert.deepEqual(later, [], `while attempt ${attempt} is not proven gone`);
+      world.cuts.clear();
+      world.cloudTrouble = false;
+      await scenario.begins(120, 2);
+    },
+  },
+  {
+    // One share is proven gone at once, the other only when its machine goes on.
+    rule: 'restart',
+    name: 'one of two shares hangs: the other waits for the proof of its end before it starts anew',
+    zones: ['a', 'a', 'a', 'a', 'b', 'b', 'b', 'b'],
+    act: async (scenario) => {
+      const { world } = scenario;
+      await scenario.running({ ...LONG, tasks: 6, cpus: 1, spread: true }, 7);
+      const hung = scenario.holders().find((one) => one.machine.zone === 'b');
+      assert.ok(hung);
+      hung.hang(20);
+      // A machine that is returned proves its tasks' end as well.
+      world.cloudTrouble = true;
+      const since = world.clock.now();
+      await world.run(19.5);
+      assert.deepEqual(
+        world.starts.filter((one) => one.at > since),
+        [],
+        'starts while a task may still be on its machine',
+      );
+      assert.equal(scenario.attempts().size, 1, 'nor is it handed out anew');
+      world.cloudTrouble = false;
+      await scenario.begins(120, 2);
+    },
+  },
+  // --- One done, all done --------------------------------------------------------------------
+  {
+    rule: 'done',
+    name: 'all are done, one machine is not heard for 15 s: nothing starts again',
+    act: async (scenario) => {
+      const { world } = scenario;
+      await scenario.running(LONG, 25);
+      scenario.cut(scenario.holder());
+      await scenario.until('all is complete', 20, () => world.completed.size === 4);
+      const starts = world.starts.length;
+      await world.run(15);
+      assert.equal(world.starts.length, starts);
+      world.cuts.clear();
+      await world.run(5);
+      assert.equal(world.starts.length, starts);
+    },
+  },
+  ...['dies', 'is cut for longer than its lease'].map((fate): Row => ({
+    rule: 'done',
+    name: `all are done, one machine ${fate} before it says so: the job gets done`,
+    act: async (scenario) => {
+      const { world } = scenario;
+      await scenario.running(LONG, 25);
+      const lost = scenario.holder();
+      scenario.cut(lost);
+      await scenario.until('all is complete', 20, () => world.completed.size === 4);
+      if (fate === 'dies') lost.die();
+      await world.run(LEASE_S + 16);
+      world.cuts.clear();
+      await scenario.over(GANG, 'done', 120);
+      // Its place is free for the next.
+      await scenario.accepted(OTHER, { tasks: 4, cpus: 2 });
+      await scenario.begins(60, 1, OTHER);
+    },
+  })),
+  // --- Placement -----------------------------------------------------------------------------
+  {
+    rule: 'placement',
+    name: 'apart: at most half of it in one zone, all at once',
+    zones: ['a', 'a', 'b', 'b'],
+    maxMachines: 4,
+    act: async (scenario) => {
+      await scenario.accepted(GANG, { ...LONG, tasks: 6, spread: true });
+      await scenario.begins(60);
+    },
+  },
+  {
+    rule: 'placement',
+    name: 'one place: not split over two zones though both together have the room',
+    zones: ['a', 'b'],
+    act: async (scenario) => {
+      await scenario.accepted(GANG, { ...LONG, oneZone: true });
+      await scenario.begins(60);
+    },
+  },
+  // --- Users ---------------------------------------------------------------------------------
+  {
+    rule: 'submission',
+    name: 'submitted again while it waits, runs and is done: known, and run once',
+    act: async (scenario) => {
+      const { world } = scenario;
+      const again = async (stages: string[]): Promise<void> => {
+        for (const [node] of world.members) {
+          const reply = await scenario.submit(GANG, LONG, node);
+          assert.equal(reply.status, 200);
+          assert.ok(stages.includes(stageOf(reply)), stageOf(reply));
+          // What is known stays accepted, even if a retry says what nobody could run.
+          const other = world.submit(GANG, { gang: true, ...LONG }, node, { larvae: 90_000 });
+          assert.equal((await scenario.settled(other)).status, 200);
+        }
+      };
+      const both = [scenario.submit(GANG, LONG, 'n0'), scenario.submit(GANG, LONG, 'n2')];
+      const statuses = (await Promise.all(both)).map((one) => one.status).sort();
+      assert.deepEqual(statuses, [200, 201]);
+      await again(['queued', 'running']);
+      await scenario.begins(20);
+      await again(['running']);
+      await scenario.over(GANG, 'done', 90);
+      await again(['done']);
+      assert.equal(scenario.starts().length, 1);
+      assert.equal(world.starts.length, 4);
+    },
+  },
+  {
+    rule: 'submission',
+    name: 'submitted again after it was cancelled: stays so, nothing starts',
+    done: [],
+    act: async (scenario) => {
+      const { world } = scenario;
+      await scenario.running({ ...LONG, runS: 200 }, 5);
+      await scenario.settled(world.cancel(GANG, 'n1'));
+      const reply = await scenario.submit(GANG, LONG, 'n2');
+      assert.equal(reply.status, 200);
+      assert.equal(stageOf(reply), 'withdrawn');
+      await scenario.over(GANG, 'withdrawn', 50);
+      assert.equal(scenario.starts().length, 1);
+    },
+  },
+];
+
+for (const row of ROWS) {
+  test(`gang rule, ${row.rule}: ${row.name}`, () => playRule(row));
+}
--- /dev/null
+++ b/test/gang-world-saves.test.ts
@@ -0,0 +1,174 @@
+/** The stand-in for gangs: halts, what they save, and what the judge sees. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { JOB, playCommanded, same, type Row } from './world/commanded-gang.js';
+import { GANG_PEER_S } from './world/gang.js';
+import { settled } from './world/gang-script.js';
+
+const ROWS: Row[] = [
+  {
+    name: 'all told with grace: they save, exit together, and the next attempt goes on from there',
+    job: { checkpointS: 5, saveS: 3, runS: 12 },
+    act: async ({ world, call, start, all, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 3);
+      await world.run(2);
+      assert.deepEqual(all(), same('running'));
+      await world.run(1.5);
+      assert.deepEqual(all(), same('exited stopped stored'));
+      assert.ok(progress() >= 6.5 && progress() <= 7.5, String(progress()));
+      for (const index of [0, 1, 2]) call(index, 'reap', index);
+      for (const index of [0, 1, 2]) call(index, 'launch', index, 2);
+      await world.run(1 + 4);
+      assert.deepEqual(all(), same('running'));
+      await world.run(1.5);
+      assert.deepEqual(all(), same('exited done'));
+    },
+  },
+  {
+    name: 'the last is told late but in time: saved, progress as at the first halt',
+    job: { checkpointS: 5, saveS: 3, runS: 30 },
+    act: async ({ world, call, start, all, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      call(0, 'halt', 0, 1, 10);
+      call(1, 'halt', 1, 1, 10);
+      await world.run(GANG_PEER_S - 1);
+      assert.deepEqual(all(), same('running'));
+      call(2, 'halt', 2, 1, 10);
+      await world.run(4);
+      assert.deepEqual(all(), same('exited stopped stored'));
+      assert.ok(progress() >= 6.5 && progress() <= 7.5, String(progress()));
+    },
+  },
+  {
+    name: 'one is not told in time: it exits with mates_gone and the save fails',
+    job: { checkpointS: 5, saveS: 3, runS: 30 },
+    act: async ({ world, call, start, all, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      call(0, 'halt', 0, 1, 10);
+      call(1, 'halt', 1, 1, 10);
+      await world.run(GANG_PEER_S + 0.5);
+      assert.deepEqual(all(), ['exited stopped', 'exited stopped', 'exited mates_gone']);
+      assert.equal(progress(), 5);
+    },
+  },
+  {
+    name: 'too little grace for one: nothing is saved',
+    job: { checkpointS: 5, saveS: 3, runS: 30 },
+    act: async ({ world, call, start, seen, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      call(0, 'halt', 0, 1, 2);
+      call(1, 'halt', 1, 1, 3);
+      assert.equal(seen(0), 'exited stopped');
+      await world.run(GANG_PEER_S + 0.5);
+      assert.deepEqual([seen(1), seen(2)], ['exited stopped', 'exited mates_gone']);
+      assert.equal(progress(), 5);
+    },
+  },
+  {
+    name: 'a second halt without grace ends a task that saves, and the save fails',
+    job: { checkpointS: 5, saveS: 3, runS: 30 },
+    act: async ({ world, call, start, seen, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 5);
+      await world.run(1);
+      call(1, 'halt', 1, 1, 0);
+      assert.equal(seen(1), 'exited stopped');
+      await world.run(GANG_PEER_S);
+      assert.deepEqual([seen(0), seen(2)], ['exited stopped', 'exited stopped']);
+      assert.equal(progress(), 5);
+    },
+  },
+  {
+    name: 'a gang without checkpoints loses all when stopped, with any grace',
+    act: async ({ world, call, start, all, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 60);
+      assert.deepEqual(all(), same('exited stopped'));
+      assert.equal(progress(), 0);
+    },
+  },
+  {
+    name: 'what was saved is never lost to an older checkpoint',
+    job: { checkpointS: 5, saveS: 3, runS: 30 },
+    act: async ({ world, worker, call, start, progress }) => {
+      start(0, 1, 2);
+      await world.run(1 + 7);
+      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 5);
+      await world.run(4);
+      const saved = progress();
+      for (const index of [0, 1, 2]) call(index, 'reap', index);
+      for (const index of [0, 1, 2]) call(index, 'launch', index, 2);
+      await world.run(2);
+      worker(0).die();
+      await world.run(GANG_PEER_S + 1);
+      assert.ok(saved > 5);
+      assert.equal(progress(), saved);
+    },
+  },
+  {
+    name: 'a done task that is started again exits with done, alone',
+    act: async ({ world, worker, call, start, seen }) => {
+      start(0, 1, 2);
+      await world.run(13);
+      worker(0).die();
+      call(3, 'launch', 0, 2);
+      await world.run(1.5);
+      assert.equal(seen(3), 'exited done');
+    },
+  },
+  {
+    // The judge of the gang tests must see what it is there for.
+    name: 'the judge sees two machines with one task, and waiting tasks in two zones',
+    job: { oneZone: true },
+    act: async ({ world, call, start }) => {
+      start(0, 1);
+      await world.run(2);
+      call(3, 'launch', 1, 1);
+      await world.run(2);
+      assert.deepEqual(world.broken.sort(), [
+        `ran_twice ${JOB}/1`,
+        `wrong_place ${JOB}/1 (one zone)`,
+      ]);
+      world.broken.length = 0;
+    },
+  },
+  {
+    name: 'the judge sees two attempts that run at once',
+    act: async ({ world, worker, call, start }) => {
+      start(0, 1, 2);
+      await world.run(2);
+      worker(2).hang(20);
+      await world.run(GANG_PEER_S + 0.5);
+      for (const index of [0, 1]) call(index, 'reap', index);
+      for (const index of [0, 1]) call(index, 'launch', index, 2);
+      call(3, 'launch', 2, 2);
+      await world.run(2);
+      assert.deepEqual(world.broken, [`ran_twice ${JOB}/2`, `two_attempts ${JOB}/2: 1 and 2`]);
+      world.broken.length = 0;
+    },
+  },
+  {
+    name: 'the judge sees a gang that is called done before it is',
+    act: async ({ world, start }) => {
+      start(0, 1, 2);
+      await world.run(5);
+      const node = { serve: () => Promise.resolve({ status: 200, body: { stage: 'done' } }) };
+      world.nodes.set('n0', { node: node as never, kill: () => undefined });
+      await settled(world, world.poll(JOB));
+      const missing = [0, 1, 2].map((index) => `not_done ${JOB}/${index}`);
+      assert.deepEqual(world.broken, missing);
+      world.broken.length = 0;
+    },
+  },
+];
+
+for (const row of ROWS) {
+  test(`the stand-in for gangs: ${row.name}`, () => playCommanded(row));
+}
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,21 +1,18 @@
+/** Arms, the catalogue and the status that one value has no room for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readCatalog, writeCatalog } from '../src/storage/catalog.js';
 import { RateLimiter } from '../src/storage/rate-limiter.js';
-import { CATALOG, CHUNKS, jobKey, statusKey } from '../src/storage/keys.js';
-import { readRanges, writeRanges } from '../src/storage/ranges.js';
-import type { ChunkRecord, StatusRecord } from '../src/storage/records.js';
+import { CATALOG, statusKey } from '../src/storage/keys.js';
+import type { StatusRecord } from '../src/storage/records.js';
 import { StoreReplica } from '../src/storage/store-replica.js';
 import { Bandit, type ArmRecord } from '../src/coordination/bandit.js';
-import type { TaskReport } from '../src/protocol/model.js';
 import { SimClock } from './world/clock.js';
-import { JOB, lone, ops } from './world/lone.js';
+import { lone } from './world/lone.js';
+import { SMALL, bytes } from './world/sizes.js';
 import { SimState } from './world/state.js';
 import { TYPES, silent } from './world/settings.js';
 
-const SMALL = 2048;
-const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
-
 // --- Arms --------------------------------------------------------------------------------------
 
 const ARM_TYPES = ['dodo-small', 'dodo-large', 'dodo-huge'];
@@ -189,120 +186,3 @@
     assert.deepEqual(world.state.invalid, []);
   }
 });
-
-// --- Chunks ------------------------------------------------------------------------------------
-
-const chunksOf = (state: SimState): [string, ChunkRecord][] =>
-  [...state.cells]
-    .filter(([key]) => key.startsWith(CHUNKS))
-    .map(([key, cell]) => [key, cell.value as ChunkRecord]);
-
-/** Each task stands in one chunk only, and each chunk says of its own tasks only. */
-function checkChunks(state: SimState, tasks: number): void {
-  const ids: number[] = [];
-  for (const [key, record] of chunksOf(state)) {
-    const own = readRanges(record.ids);
-    ids.push(...own);
-    const done = readRanges(record.done);
-    for (const id of [...done, ...Object.keys(record.live).map(Number)])
-      assert.ok(own.includes(id));
-    for (const id of done) assert.ok(!(String(id) in record.live));
-    assert.ok(Number.isFinite(Number(key.split('/').at(-1))), 'a number for the version before');
-  }
-  assert.deepEqual(
-    ids.sort((a, b) => a - b),
-    Array.from({ length: tasks }, (_, at) => at),
-  );
-}
-
-test('a chunk stored larger is split with its tasks as they are, and nothing starts again', async () => {
-  // Changes in one transaction, and whether the first end is enough to write the chunk at all.
-  for (const [txnOps, tasks, atOnce] of [
-    [4, 130, true],
-    [8, 130, true],
-    [2, 100, true],
-    [2, 146, false],
-  ] as const) {
-    const live: ChunkRecord['live'] = {};
-    const report = (done: number): TaskReport[] =>
-      Array.from({ length: tasks }, (_, at) => ({
-        task: { job: JOB, index: at },
-        attempt: 900_000_000_000_000 + at,
-        state: at < done ? 'exited' : 'running',
-        cause: at < done ? 'done' : null,
-      }));
-    for (let at = 0; at < tasks; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-    const world = await lone({
-      txnOps,
-      valueBytes: SMALL,
-      spec: { tasks, cpus: 0.01, memoryGb: 0.01 },
-      ids: writeRanges(Object.keys(live).map(Number)),
-      live,
-    });
-    const name = `${txnOps} ${tasks}`;
-    assert.ok(bytes(world.stored()) > SMALL, name);
-    assert.deepEqual(ops(world.report({}, report(0))), [], name);
-    world.report({}, report(1));
-    await world.round(5000);
-    checkChunks(world.state, tasks);
-    assert.equal(chunksOf(world.state).length > 1, atOnce, name);
-    for (const [, record] of chunksOf(world.state)) {
-      if (atOnce) assert.ok(bytes(record) <= SMALL, name);
-    }
-    // What has ended is forgotten once it is written; nothing else is said of any task.
-    const known = report(1).slice(atOnce ? 1 : 0);
-    const said = ops(world.report({}, report(1)));
-    assert.deepEqual(said, atOnce ? ['forget'] : [], name);
-    world.report({}, known);
-    // The others end in all pieces.
-    for (let end = 10; end < tasks + 10; end += 10) {
-      const done = Math.min(end, tasks);
-      const commands = world.report({}, report(done));
-      assert.ok(!ops(commands).some((op) => op !== 'forget'), name);
-      await world.round(5000);
-      checkChunks(world.state, tasks);
-    }
-    const done = chunksOf(world.state).flatMap(([, record]) => readRanges(record.done));
-    assert.equal(done.length, tasks, name);
-    assert.deepEqual(world.state.invalid, [], name);
-    assert.equal(
-      world.sent.flatMap((one) => ops(one.commands)).filter((op) => op === 'start').length,
-      0,
-    );
-  }
-});
-
-test('a split whose answer is lost is carried on from what the state service holds', async () => {
-  const live: ChunkRecord['live'] = {};
-  for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-  const world = await lone({
-    valueBytes: SMALL,
-    spec: { tasks: 90, cpus: 0.01, memoryGb: 0.01 },
-    ids: '0-89',
-    live,
-  });
-  const report = (done: number): TaskReport[] =>
-    Array.from({ length: 90 }, (_, at) => ({
-      task: { job: JOB, index: at },
-      attempt: 900_000_000_000_000 + at,
-      state: at < done ? 'exited' : 'running',
-      cause: at < done ? 'done' : null,
-    }));
-  world.report({}, report(1));
-  world.state.late.set('p', 3000);
-  await world.round(12_000);
-  checkChunks(world.state, 90);
-  assert.ok(chunksOf(world.state).length > 1);
-  assert.deepEqual(ops(world.report({}, report(1))), ['forget']);
-  world.report({}, report(90).slice(1));
-  await world.round(8000);
-  checkChunks(world.state, 90);
-  const done = chunksOf(world.state).flatMap(([, record]) => readRanges(record.done));
-  assert.equal(done.length, 90);
-  // The job is cancelled: all pieces go.
-  world.state.change([{ key: jobKey(JOB), remove: true }]);
-  await world.clock.run(world.clock.now() + 300);
-  world.report();
-  await world.round(3000);
-  assert.deepEqual(chunksOf(world.state), []);
-});
--- a/test/upgrade-records.test.ts
+++ b/test/upgrade-records.test.ts
@@ -1,99 +1,33 @@
-import assert from 'node:assert/strict';
-import { test } from 'node:test';
-import { readCatalog } from '../src/storage/catalog.js';
-import { RateLimiter } from '../src/storage/rate-limiter.js';
-import { StoreReplica } from '../src/storage/store-replica.js';
-import { SimClock } from './world/clock.js';
-import { JOB, lone } from './world/lone.js';
-import { OLDER, writtenByProduction } from './world/older-versions.js';
-import { SimState } from './world/state.js';
-import { stageOf } from './world/jobs.js';
-import { TYPES, silent } from './world/settings.js';
-import { World } from './world/world.js';
-
-/*
+/**
  * Records pass between this version and two older ones: 89f79d3, in production and without gangs,
  * and df7a3ba. Records of theirs stand here as their code writes them, each with a field that a
  * later version may add.
  */
-
-type Records = Record<string, unknown>;
-
-const LATER = { later: { added: [1] } };
-
-const put = (state: SimState, records: Records): void =>
-  state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
-
-/** What a node holds of these records. */
-async function replicaOf(records: Records): Promise<StoreReplica> {
-  const clock = new SimClock();
-  const state = new SimState(clock);
-  put(state, records);
-  const replica = new StoreReplica({
-    api: state.api('p'),
-    limiter: new RateLimiter(clock, { rps: 1000, writeRps: 1000, txnOps: 8 }),
-    clock,
-    log: silent,
-    random: () => 0.5,
-  });
-  void replica.follow();
-  await clock.run(500);
-  return replica;
-}
-
-/** A node that starts with what others left behind. */
-async function started(records: Records, members: [string, string][]): Promise<World> {
-  const world = new World(4, members, { placement: { alpha: 2, penalty: 2, snapshotS: 5 } });
-  for (const [name] of members) world.kill(name);
-  put(world.state, { 'mb/live/catalog': TYPES, ...records });
-  await world.clock.run(2);
-  world.boot('n0');
-  return world;
-}
-
-const valueOf = <T>(state: SimState, key: string): T => state.cells.get(key)?.value as T;
-
-// --- Records of older versions -----------------------------------------------------------------
-
-const SPEC = {
-  id: JOB,
-  class: 'work',
-  team: 'red',
-  kind: 'array',
-  priority: 'normal',
-  tasks: 4,
-  cpus: 1,
-  gpus: 0,
-  memoryGb: 1,
-  image: 'img-1',
-  imageGb: 1,
-  types: null,
-  zone: null,
-  oneZone: false,
-  spread: false,
-  spot: true,
-  estimateS: 10,
-  checkpointS: 0,
-  saveS: 0,
-  deadlineS: null,
-};
-const KIND = { team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' };
-const SUMMARY = { part: 'p', job: JOB, ...KIND };
-const TERM = 3;
-const ATTEMPT = 900_000_000_000_000;
-const role = (owner: string, movedAt = 0) => ({
-  owner,
-  incarnation: `${owner}-before`,
-  term: TERM,
-  movedAt,
-  ...LATER,
-});
-/** A as a new arm has it, but for this class's own cell: it is all that 89f79d3 would keep of it. */
-const diagonal = (own: number): number[][] =>
-  Array.from({ length: 21 + 2 * TYPES.length }, (_, at) => [at, at, at === 0 ? own : 1]);
-const ARM = { classes: ['work/1/0'], types: ['small'], a: diagonal(9), b: [[0, -0.5]] };
-const typesNamed = (...names: string[]): object[] =>
-  names.map((name) => ({ ...TYPES[0], name, ...LATER }));
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { readCatalog } from '../src/storage/catalog.js';
+import { stageOf } from './world/jobs.js';
+import { JOB, lone } from './world/lone.js';
+import {
+  ARM,
+  ATTEMPT,
+  CHUNK_1,
+  KIND,
+  LATER,
+  SPEC,
+  SUMMARY,
+  TERM,
+  learnedOn,
+  replicaOf,
+  role,
+  started,
+  typesNamed,
+  valueOf,
+  type Records,
+} from './world/older-records.js';
+import { OLDER } from './world/older-versions.js';
+import { writtenByProduction } from './world/production-chunks.js';
+import { TYPES } from './world/settings.js';
 
 interface ReadRow {
   name: string;
@@ -101,8 +35,6 @@
   check: (records: Records) => Promise<void>;
 }
 
-const CHUNK_1 = `mb/live/chunk/p/${JOB}/3000001`;
-
 const READ: ReadRow[] = [
   {
     name: 'jobs, of every kind there is',
@@ -339,19 +271,6 @@
   },
 ];
 
-/** What a node has learned after some tasks of a class that these records know. */
-async function learnedOn(records: Records) {
-  const world = await started(records, [['n0', 'a']]);
-  await world.run(10);
-  void world.submit(JOB, {});
-  await world.run(80);
-  type Arm = { classes: string[]; a: [number, number, number][] };
-  const arm = valueOf<Arm>(world.state, 'mb/live/arm/n0/small');
-  const cell = (row: number, column: number): number | undefined =>
-    arm.a.find(([one, other]) => one === row && other === column)?.[2];
-  return { own: cell(0, 0) ?? 0, beside: cell(2, 1), classes: arm.classes };
-}
-
 test('records of older versions are read, with fields that a later one adds', async (t) => {
   for (const { name, records, check } of READ) {
     await t.test(name, async () => {
--- /dev/null
+++ b/test/world/commanded-gang.ts
@@ -0,0 +1,63 @@
+/** A gang whose tasks a test commands itself, without controllers. */
+import assert from 'node:assert/strict';
+import type { SimJob } from './jobs.js';
+import type { SimWorker } from './worker.js';
+import { World } from './world.js';
+
+/** The job of the gang. */
+export const JOB = 'j-000001';
+
+/** A gang of three on three machines, commanded by the test: the controllers answer reports and no more. */
+export async function commandGang(job: Partial<SimJob>) {
+  const world = new World(1, [['n0', 'a']]);
+  world.kill('n0');
+  await world.submit(JOB, { gang: true, tasks: 3, runS: 10, ...job });
+  const answer = { status: 200, body: { mandate: 1, calls: [] } };
+  const node = { report: () => Promise.resolve(answer) };
+  world.nodes.set('n0', { node: node as never, kill: () => undefined });
+  for (let at = 0; at < 4; at++) world.addMachine('small', at < 3 ? 'a' : 'b', false, 0);
+  await world.run(1);
+  const workers = [...world.workers.values()];
+  const worker = (at: number): SimWorker => {
+    const found = workers[at];
+    assert.ok(found);
+    return found;
+  };
+  const call = (at: number, verb: string, index: number, attempt = 1, settleS = 0): number =>
+    worker(at).command(1, 1, [{ verb, larva: `${JOB}/${index}`, try: attempt, settleS }]).status;
+  const start = (...indices: number[]): void => {
+    for (const index of indices) assert.equal(call(index, 'launch', index), 200);
+  };
+  /** What machine `at` reports of its task: "state", with cause and "stored" if there are any. */
+  const seen = (at: number): string => {
+    const reply = JSON.parse(worker(at).command(1, 1, []).body) as {
+      larvae: { stage: string; cause?: string; stored?: boolean }[];
+    };
+    const [one] = reply.larvae;
+    if (!one) return 'none';
+    return [one.stage, one.cause, one.stored ? 'stored' : ''].filter(Boolean).join(' ');
+  };
+  const all = (): string[] => [seen(0), seen(1), seen(2)];
+  const progress = (): number => (world.gangs.saved.get(JOB) ?? 0) / 1000;
+  return { world, worker, call, start, seen, all, progress };
+}
+
+/** The gang, its world, and what a test commands and sees of it. */
+export type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
+
+/** What is seen of three tasks in the same state. */
+export const same = (state: string): string[] => [state, state, state];
+
+/** A row: the job beside its defaults, and what happens to its gang. */
+export interface Row {
+  name: string;
+  job?: Partial<SimJob>;
+  act: (gang: CommandedGang) => Promise<void>;
+}
+
+/** Plays a row; the rules must have held. */
+export async function playCommanded({ job, act }: Row): Promise<void> {
+  const gang = await commandGang(job ?? {});
+  await act(gang);
+  assert.deepEqual(gang.world.broken, []);
+}
--- /dev/null
+++ b/test/world/gang-scenario.ts
@@ -0,0 +1,185 @@
+/** Rules of the operators' page on gangs, played in the simulated world: the rows' common steps. */
+import assert from 'node:assert/strict';
+import { partRole } from '../../src/coordination/roles.js';
+import { FINALS, readChunkKey, roleKey } from '../../src/storage/keys.js';
+import type { ChunkRecord } from '../../src/storage/records.js';
+import { GANG, SAVING } from './gang-script.js';
+import { GangWatch } from './gang-watch.js';
+import { stageOf, type Reply, type SimJob } from './jobs.js';
+import { FLEET } from './settings.js';
+import type { SimWorker } from './worker.js';
+import { World } from './world.js';
+
+/** s after which the tasks of a machine that nobody hears have ended. */
+export const LEASE_S = 24;
+/** Four tasks on two machines, or more, of which each can save. */
+export const LONG: Partial<SimJob> = { tasks: 4, cpus: 2, runS: 30, ...SAVING };
+/** A gang of the other team, wide enough for the machines of two zones. */
+export const WIDE: Partial<SimJob> = { team: 'blue', tasks: 6, cpus: 2, runS: 60, ...SAVING };
+/** What others make way for. */
+export const URGENT: Partial<SimJob> = { tasks: 4, cpus: 2, urgent: true, runS: 15 };
+
+/** A gang under one rule, what happens to it, and the jobs that must get done. */
+export interface Row {
+  /** The rule of the operators' page. */
+  rule: string;
+  name: string;
+  /** Zones of the machines that are there at the start; default: three in one. */
+  zones?: string[];
+  maxMachines?: number;
+  act: (scenario: Scenario) => Promise<void>;
+  /** Jobs that must get done; default: the gang. */
+  done?: string[];
+}
+
+/** What a row works with: the world, what is recorded of it, and steps through time. */
+export class Scenario {
+  readonly watch: GangWatch;
+
+  constructor(readonly world: World) {
+    this.watch = new GangWatch(world);
+  }
+
+  /** Lets simulated time run until a request is answered. */
+  async settled(request: Promise<Reply>): Promise<Reply> {
+    let done = false;
+    void request.finally(() => {
+      done = true;
+    });
+    for (let turn = 0; turn < 400 && !done; turn++) {
+      await this.world.clock.run(this.world.clock.now() + 50);
+    }
+    return request;
+  }
+
+  async submit(id: string, job: Partial<SimJob>, at = 'n0'): Promise<Reply> {
+    return this.settled(this.world.submit(id, { gang: true, ...job }, at));
+  }
+
+  async accepted(id: string, job: Partial<SimJob>): Promise<void> {
+    const reply = await this.submit(id, job);
+    assert.equal(reply.status, 201, JSON.stringify(reply.body));
+  }
+
+  async until(what: string, limitS: number, so: () => boolean): Promise<void> {
+    for (const end = this.world.clock.now() + limitS * 1000; !so();) {
+      assert.ok(this.world.clock.now() < end, `not within ${limitS} s: ${what}`);
+      await this.world.run(0.05);
+    }
+  }
+
+  starts(id = GANG): { attempt: number; at: number }[] {
+    return this.world.gangStarts.filter((one) => one.job === id);
+  }
+
+  begins(limitS: number, times = 1, id = GANG): Promise<void> {
+    return this.until(`${id} begins`, limitS, () => this.starts(id).length >= times);
+  }
+
+  /** Submits a gang and runs on until it has run for so many seconds; its attempt. */
+  async running(job: Partial<SimJob>, forS: number): Promise<number> {
+    await this.accepted(GANG, job);
+    await this.begins(20);
+    await this.world.run(forS);
+    return this.starts()[0]?.attempt ?? 0;
+  }
+
+  holders(id = GANG): SimWorker[] {
+    const named = (task: string): boolean => task.startsWith(`${id}/`);
+    return [...this.world.workers.values()].filter((one) => [...one.tasks.keys()].some(named));
+  }
+
+  holder(id = GANG): SimWorker {
+    const [first] = this.holders(id);
+    assert.ok(first, `no machine holds ${id}`);
+    return first;
+  }
+
+  cut(worker: SimWorker): void {
+    for (const [node] of this.world.members) this.world.cuts.add(`${node}>${worker.machine.name}`);
+  }
+
+  /** The nodes that own parts with shares of a job. */
+  owners(id = GANG): Set<string> {
+    const owners = new Set<string>();
+    for (const key of this.world.state.cells.keys()) {
+      const share = readChunkKey(key);
+      if (share?.job !== id) continue;
+      const role = this.world.state.cells.get(roleKey(partRole(share.part)))?.value;
+      owners.add((role as { owner: string }).owner);
+    }
+    return owners;
+  }
+
+  /** The machine of each task of a job that has one, by what the state service holds. */
+  reserved(id = GANG): string[] {
+    return [...this.world.state.cells].flatMap(([key, cell]) =>
+      readChunkKey(key)?.job === id
+        ? Object.values((cell.value as ChunkRecord).live).map(([machine]) => machine)
+        : [],
+    );
+  }
+
+  /** Attempts under which a job's tasks were ever handed out to parts. */
+  attempts(id = GANG): Set<number | undefined> {
+    const attempts = new Set<number | undefined>();
+    for (const { key, value, removed } of this.world.state.log) {
+      if (removed || readChunkKey(key)?.job !== id) continue;
+      attempts.add((value as ChunkRecord).attempt);
+    }
+    return attempts;
+  }
+
+  savedS(id = GANG): number {
+    return (this.world.gangs.saved.get(id) ?? 0) / 1000;
+  }
+
+  /** The attempt after the first goes on from what was saved: it runs only what was left. */
+  async goesOnFrom(savedS: number, runS: number): Promise<void> {
+    await this.until('all is complete', 120, () => this.world.completed.has(`${GANG}/0`));
+    const [first, second] = this.starts();
+    assert.ok(first && second && second.attempt > first.attempt, 'a new attempt');
+    const last = this.watch.endsOf(GANG, second.attempt).find((end) => end.cause === 'done');
+    assert.ok(last, 'done under the second attempt');
+    const ranS = (last.at - second.at) / 1000;
+    assert.ok(Math.abs(ranS - (runS - savedS)) <= 1, `ran ${ranS} s, saved ${savedS} s`);
+  }
+
+  /** All is over: the state at every node, nothing left on machines nor in the store. */
+  async over(id: string, state: string, limitS: number): Promise<void> {
+    let stage = '';
+    for (let passed = 0; passed < limitS && stage !== state; passed += 2) {
+      await this.world.run(2);
+      stage = stageOf(await this.settled(this.world.poll(id)));
+    }
+    assert.equal(stage, state, `${id} within ${limitS} s`);
+    await this.world.run(60);
+    for (const [node] of this.world.members) {
+      const reply = await this.settled(this.world.poll(id, node));
+      assert.equal(stageOf(reply), state, `${id} at ${node}`);
+    }
+    assert.deepEqual(
+      this.holders(id).map((one) => one.machine.name),
+      [],
+      'left on machines',
+    );
+    const left = [...this.world.state.cells.keys()].filter(
+      (key) => key.includes(id) && !key.startsWith(FINALS),
+    );
+    assert.deepEqual(left, [], 'left in the store');
+  }
+}
+
+/** Plays a row; afterwards its jobs must be done, and the rules have held. */
+export async function playRule({ zones, maxMachines, act, done }: Row): Promise<void> {
+  const fleet = { ...FLEET, ...(maxMachines === undefined ? {} : { maxMachines }) };
+  const world = new World(1, undefined, { fleet });
+  for (const zone of zones ?? ['a', 'a', 'a']) world.addMachine('small', zone, false, 500);
+  await world.run(6);
+  const scenario = new Scenario(world);
+  await act(scenario);
+  for (const id of done ?? [GANG]) await scenario.over(id, 'done', 300);
+  assert.deepEqual(world.broken, []);
+  assert.deepEqual([...scenario.watch.mixed], [], 'two attempts at once');
+  assert.deepEqual(scenario.watch.tooShort(), [], 'halts without time to save');
+}
--- /dev/null
+++ b/test/world/sizes.ts
@@ -0,0 +1,7 @@
+/** Sizes of stored values. */
+
+/** Bytes of a value that is small for the records under test, so that they need several. */
+export const SMALL = 2048;
+
+/** Bytes that a value takes in the state service. */
+export const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- /dev/null
+++ b/test/world/taken.ts
@@ -0,0 +1,22 @@
+/** Records of this version as older ones need them. */
+import assert from 'node:assert/strict';
+import { OLDER } from './older-versions.js';
+import type { SimState } from './state.js';
+
+/** What the state service was told, in order. */
+export type Written = SimState['log'];
+
+/** Both older versions read all that was written. */
+export function assertTaken(log: Written): void {
+  for (const { key, value, removed } of log) {
+    if (removed) continue;
+    for (const { commit, objections } of OLDER)
+      assert.deepEqual(objections(key, value), [], `${key} by ${commit}: ${JSON.stringify(value)}`);
+  }
+}
+
+/** A chunk that all versions take. */
+export const CHUNK = {
+  ...{ ids: '0-3', done: '1', live: { '0': ['m-1', 7] } },
+  ...{ team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' },
+};
