--- a/test/hearing.test.ts
+++ b/test/hearing.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { chunkKey, machineKey } from '../src/storage/keys.js';
 import type { MachineRecord } from '../src/storage/records.js';
-import { JOB, TOKEN, ended, lone, ops, running } from './world/lone.js';
+import { JOB, TOKEN, ended, lone, ops, reportOf, running } from './world/lone.js';
 
 type Lone = Awaited<ReturnType<typeof lone>>;
 
@@ -143,18 +143,7 @@
       const sent = world.sent[0];
       assert.ok(sent);
       assert.equal(sent.token, TOKEN);
-      sent.done({
-        machine: 'm-1',
-        address: '10.0.0.1:9',
-        type: 'small',
-        zone: 'a',
-        spot: false,
-        session: 1,
-        seq: 50,
-        token: TOKEN,
-        noticeS: null,
-        tasks: [running(attempt)],
-      });
+      sent.done(reportOf({ seq: 50, tasks: [running(attempt)] }));
       await world.round();
       world.report({ seq: 51 }, [ended(attempt)]);
       await world.round(4000);
@@ -197,18 +186,7 @@
   }
   assert.equal(world.part.machines.health(machine), 'silent');
   // What must end there is told to it all the same.
-  world.sent[0]?.done({
-    machine: 'm-1',
-    address: '10.0.0.1:9',
-    type: 'small',
-    zone: 'a',
-    spot: false,
-    session: 1,
-    seq: 500,
-    token: TOKEN,
-    noticeS: null,
-    tasks: [running(attempt)],
-  });
+  world.sent[0]?.done(reportOf({ seq: 500, tasks: [running(attempt)] }));
   await world.round();
   await world.cancel();
   await world.round();
--- a/test/invalid.test.ts
+++ b/test/invalid.test.ts
@@ -1,14 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Committer } from '../src/storage/committer.js';
-import { RateLimiter } from '../src/storage/rate-limiter.js';
 import { jobKey } from '../src/storage/keys.js';
 import type { Log } from '../src/storage/log.js';
 import { InvalidChangeBackoff } from '../src/storage/invalid-change-backoff.js';
-import { StoreReplica } from '../src/storage/store-replica.js';
 import { UserRequests } from '../src/coordination/user-requests.js';
 import type { Change, Guard } from '../src/protocol/state-api.js';
 import { SimClock } from './world/clock.js';
+import { followingReplica } from './world/replica.js';
 import { SimState } from './world/state.js';
 import { TEAMS, TYPES, silent } from './world/settings.js';
 
@@ -18,14 +17,9 @@
   state.change([{ key: 'mb/live/catalog', value: TYPES }]);
   const errors: Record<string, unknown>[] = [];
   const log: Log = { ...silent, error: (fields) => void errors.push(fields as never) };
-  const api = state.api('p');
-  const limiter = new RateLimiter(clock, { rps: 1000, writeRps: 1000, txnOps: 8 });
-  const store = { api, limiter, clock, log, random: () => 0.5 };
-  const replica = new StoreReplica(store);
-  void replica.follow();
+  const store = followingReplica(clock, state, 1000, log);
   await clock.run(500);
-  const committer = new Committer({ ...store, replica });
-  return { clock, state, errors, log, api, limiter, replica, committer };
+  return { ...store, state, errors, committer: new Committer(store) };
 }
 
 // A 400 taken for a conflict was tried again for ever, unchanged.
@@ -114,27 +108,35 @@
     duskS: null,
   });
 
+/** The requests of users at a node that believes in these limits. */
+function userRequestsOn(
+  { clock, log, api, limiter, replica, committer }: Awaited<ReturnType<typeof bare>>,
+  limits: { txnOps: number; valueBytes: number },
+): UserRequests {
+  return new UserRequests({
+    teams: TEAMS,
+    ...limits,
+    checkMs: 100,
+    replica,
+    api,
+    limiter,
+    committer,
+    clock,
+    log,
+    onCommitted: () => undefined,
+  });
+}
+
 test('submissions that fit no value get 422, and take none of the others down', async () => {
   // Bytes that the node takes a value for, and those that the state service takes.
   for (const [believed, real] of [
     [2048, 2048],
     [8192, 2048],
   ] as const) {
-    const { clock, state, log, api, limiter, replica, committer } = await bare();
+    const outside = await bare();
+    const { clock, state } = outside;
     state.valueBytes = real;
-    const userRequests = new UserRequests({
-      teams: TEAMS,
-      txnOps: 8,
-      valueBytes: believed,
-      checkMs: 100,
-      replica,
-      api,
-      limiter,
-      committer,
-      clock,
-      log,
-      onCommitted: () => undefined,
-    });
+    const userRequests = userRequestsOn(outside, { txnOps: 8, valueBytes: believed });
     const bodies = [submission(1, 0), submission(2, 2000), submission(3, 0), submission(4, 1000)];
     const replies = bodies.map((body) => userRequests.submit(body));
     await clock.run(clock.now() + 4000);
@@ -151,21 +153,10 @@
 });
 
 test('a batch of large submissions stays below what one transaction may hold', async () => {
-  const { clock, state, log, api, limiter, replica, committer } = await bare();
+  const outside = await bare();
+  const { clock, state } = outside;
   state.txnOps = 32;
-  const userRequests = new UserRequests({
-    teams: TEAMS,
-    txnOps: 32,
-    valueBytes: 8192,
-    checkMs: 100,
-    replica,
-    api,
-    limiter,
-    committer,
-    clock,
-    log,
-    onCommitted: () => undefined,
-  });
+  const userRequests = userRequestsOn(outside, { txnOps: 32, valueBytes: 8192 });
   const replies = Array.from({ length: 16 }, (_, at) => userRequests.submit(submission(at, 7000)));
   await clock.run(clock.now() + 4000);
   const found = await Promise.all(replies);
--- a/test/part.test.ts
+++ b/test/part.test.ts
@@ -3,7 +3,7 @@
 import { chunkKey, jobKey, roleKey } from '../src/storage/keys.js';
 import type { JobRecord } from '../src/storage/records.js';
 import type { Command, JobSpec, WorkerReport } from '../src/protocol/model.js';
-import { JOB, SPEC, TOKEN, ended, lone, ops, running } from './world/lone.js';
+import { JOB, SPEC, TOKEN, ended, lone, ops, reportOf, running } from './world/lone.js';
 
 test('a start goes out only once its placement is committed', async () => {
   const world = await lone();
@@ -201,18 +201,7 @@
     ...running(attempt),
     task: { job: JOB, index: Number(index) },
   }));
-  const report: WorkerReport = {
-    machine: 'm-1',
-    address: '10.0.0.1:9',
-    type: 'small',
-    zone: 'a',
-    spot: false,
-    session: 1,
-    seq: 1000,
-    token: TOKEN,
-    noticeS: null,
-    tasks,
-  };
+  const report = reportOf({ seq: 1000, tasks });
   world.sent.at(-1)?.done(report);
   const spec: JobSpec = { ...SPEC, id: 'j-000002', kind: 'service', priority: 'high' };
   const chunk = { ids: '0', done: '', live: {}, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 };
--- a/test/records-chunks.test.ts
+++ b/test/records-chunks.test.ts
@@ -32,6 +32,15 @@
   );
 }
 
+/** What a machine reports of all tasks when so many of them, the first, are done. */
+const reportsOf = (tasks: number, done: number): TaskReport[] =>
+  Array.from({ length: tasks }, (_, at) => ({
+    task: { job: JOB, index: at },
+    attempt: 900_000_000_000_000 + at,
+    state: at < done ? 'exited' : 'running',
+    cause: at < done ? 'done' : null,
+  }));
+
 test('a chunk stored larger is split with its tasks as they are, and nothing starts again', async () => {
   // Changes in one transaction, and whether the first end is enough to write the chunk at all.
   for (const [txnOps, tasks, atOnce] of [
@@ -41,13 +50,7 @@
     [2, 146, false],
   ] as const) {
     const live: ChunkRecord['live'] = {};
-    const report = (done: number): TaskReport[] =>
-      Array.from({ length: tasks }, (_, at) => ({
-        task: { job: JOB, index: at },
-        attempt: 900_000_000_000_000 + at,
-        state: at < done ? 'exited' : 'running',
-        cause: at < done ? 'done' : null,
-      }));
+    const report = (done: number): TaskReport[] => reportsOf(tasks, done);
     for (let at = 0; at < tasks; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
     const world = await lone({
       txnOps,
@@ -98,13 +101,7 @@
     ids: '0-89',
     live,
   });
-  const report = (done: number): TaskReport[] =>
-    Array.from({ length: 90 }, (_, at) => ({
-      task: { job: JOB, index: at },
-      attempt: 900_000_000_000_000 + at,
-      state: at < done ? 'exited' : 'running',
-      cause: at < done ? 'done' : null,
-    }));
+  const report = (done: number): TaskReport[] => reportsOf(90, done);
   world.report({}, report(1));
   world.state.late.set('p', 3000);
   await world.round(12_000);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -2,16 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readCatalog, writeCatalog } from '../src/storage/catalog.js';
-import { RateLimiter } from '../src/storage/rate-limiter.js';
 import { CATALOG, statusKey } from '../src/storage/keys.js';
 import type { StatusRecord } from '../src/storage/records.js';
-import { StoreReplica } from '../src/storage/store-replica.js';
 import { Bandit, type ArmRecord } from '../src/coordination/bandit.js';
 import { SimClock } from './world/clock.js';
 import { lone } from './world/lone.js';
+import { followingReplica } from './world/replica.js';
 import { SMALL, bytes } from './world/sizes.js';
 import { SimState } from './world/state.js';
-import { TYPES, silent } from './world/settings.js';
+import { TYPES } from './world/settings.js';
 
 // --- Arms --------------------------------------------------------------------------------------
 
@@ -109,15 +108,7 @@
   const clock = new SimClock();
   const state = new SimState(clock);
   state.valueBytes = SMALL;
-  const api = state.api('p');
-  const replica = new StoreReplica({
-    api,
-    limiter: new RateLimiter(clock, { rps: 1000, writeRps: 1000, txnOps: 8 }),
-    clock,
-    log: silent,
-    random: () => 0.5,
-  });
-  void replica.follow();
+  const { replica } = followingReplica(clock, state, 1000);
   const [small] = TYPES;
   assert.ok(small);
   for (const count of [1, 40, 15, 1]) {
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -5,9 +5,8 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { GuardedWriter } from '../src/coordination/guarded-writer.js';
-import { RateLimiter } from '../src/storage/rate-limiter.js';
 import { CATALOG, chunkKey, jobKey } from '../src/storage/keys.js';
-import { StoreReplica } from '../src/storage/store-replica.js';
+import type { StoreReplica } from '../src/storage/store-replica.js';
 import { Fleet } from '../src/coordination/fleet.js';
 import { Ledger } from '../src/coordination/ledger.js';
 import type { Change } from '../src/protocol/state-api.js';
@@ -17,18 +16,12 @@
 import { listenHttp } from '../src/transport/http-server.js';
 import { SimClock } from './world/clock.js';
 import { SPEC } from './world/lone.js';
+import { followingReplica } from './world/replica.js';
 import { SimState } from './world/state.js';
 import { TYPES, silent } from './world/settings.js';
 
 async function viewOf(clock: SimClock, state: SimState): Promise<StoreReplica> {
-  const replica = new StoreReplica({
-    api: state.api('p'),
-    limiter: new RateLimiter(clock, { rps: 1e6, writeRps: 1e6, txnOps: 8 }),
-    clock,
-    log: silent,
-    random: () => 0.5,
-  });
-  void replica.follow();
+  const { replica } = followingReplica(clock, state, 1e6);
   await clock.run(500);
   return replica;
 }
--- a/test/upgrade-writes.test.ts
+++ b/test/upgrade-writes.test.ts
@@ -5,17 +5,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { writeCatalog } from '../src/storage/catalog.js';
-import { RateLimiter } from '../src/storage/rate-limiter.js';
-import { StoreReplica } from '../src/storage/store-replica.js';
 import { SimClock } from './world/clock.js';
 import { JOB, lone } from './world/lone.js';
+import { followingReplica } from './world/replica.js';
 import { SimState } from './world/state.js';
-import { TYPES, silent } from './world/settings.js';
+import { TYPES } from './world/settings.js';
+import type { Records } from './world/older-records.js';
 import { CHUNK, assertTaken, type Written } from './world/taken.js';
 import { World } from './world/world.js';
 
-type Records = Record<string, unknown>;
-
 /** A key without what differs from one record of its kind to the next. */
 const kindOf = (key: string): string =>
   key.replace(/^(mb\/live\/(?:chunk|status|arm))\/.*?(\.\d+|\+\d+)?$/, '$1$2').replace(/\d+$/, 'N');
@@ -148,14 +146,7 @@
     write: async () => {
       const clock = new SimClock();
       const state = new SimState(clock);
-      const replica = new StoreReplica({
-        api: state.api('p'),
-        limiter: new RateLimiter(clock, { rps: 100, writeRps: 100, txnOps: 8 }),
-        clock,
-        log: silent,
-        random: () => 0.5,
-      });
-      void replica.follow();
+      const { replica } = followingReplica(clock, state, 100);
       await clock.run(500);
       const types = Array.from({ length: 30 }, (_, at) => ({
         ...(TYPES[0] as (typeof TYPES)[number]),
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -3,12 +3,12 @@
 import { partRole } from '../../src/coordination/roles.js';
 import { FINALS, readChunkKey, roleKey } from '../../src/storage/keys.js';
 import type { ChunkRecord } from '../../src/storage/records.js';
-import { GANG, SAVING } from './gang-script.js';
+import * as script from './gang-script.js';
+import { GANG, SAVING, gangWorld } from './gang-script.js';
 import { GangWatch } from './gang-watch.js';
 import { stageOf, type Reply, type SimJob } from './jobs.js';
-import { FLEET } from './settings.js';
 import type { SimWorker } from './worker.js';
-import { World } from './world.js';
+import type { World } from './world.js';
 
 /** s after which the tasks of a machine that nobody hears have ended. */
 export const LEASE_S = 24;
@@ -41,39 +41,33 @@
   }
 
   /** Lets simulated time run until a request is answered. */
-  async settled(request: Promise<Reply>): Promise<Reply> {
-    let done = false;
-    void request.finally(() => {
-      done = true;
-    });
-    for (let turn = 0; turn < 400 && !done; turn++) {
-      await this.world.clock.run(this.world.clock.now() + 50);
-    }
-    return request;
+  settled(request: Promise<Reply>): Promise<Reply> {
+    return script.settled(this.world, request);
   }
 
-  async submit(id: string, job: Partial<SimJob>, at = 'n0'): Promise<Reply> {
+  /** Submits a job, a gang unless told otherwise; the reply, whatever it is. */
+  submit(id: string, job: Partial<SimJob>, at = 'n0'): Promise<Reply> {
     return this.settled(this.world.submit(id, { gang: true, ...job }, at));
   }
 
-  async accepted(id: string, job: Partial<SimJob>): Promise<void> {
-    const reply = await this.submit(id, job);
-    assert.equal(reply.status, 201, JSON.stringify(reply.body));
+  /** Submits a job, a gang unless told otherwise; it must be accepted. */
+  accepted(id: string, job: Partial<SimJob>): Promise<void> {
+    return script.submit(this.world, id, job);
   }
 
-  async until(what: string, limitS: number, so: () => boolean): Promise<void> {
-    for (const end = this.world.clock.now() + limitS * 1000; !so();) {
-      assert.ok(this.world.clock.now() < end, `not within ${limitS} s: ${what}`);
-      await this.world.run(0.05);
-    }
+  /** Runs on in small steps until something is so; what never comes fails the row. */
+  until(what: string, limitS: number, so: () => boolean): Promise<void> {
+    return script.until(this.world, what, limitS, so);
   }
 
-  starts(id = GANG): { attempt: number; at: number }[] {
-    return this.world.gangStarts.filter((one) => one.job === id);
+  /** The times at which a gang began. */
+  starts(id = GANG): World['gangStarts'] {
+    return script.begun(this.world, id);
   }
 
+  /** Runs on until a gang has begun so many times. */
   begins(limitS: number, times = 1, id = GANG): Promise<void> {
-    return this.until(`${id} begins`, limitS, () => this.starts(id).length >= times);
+    return script.begins(this.world, id, limitS, times);
   }
 
   /** Submits a gang and runs on until it has run for so many seconds; its attempt. */
@@ -84,17 +78,18 @@
     return this.starts()[0]?.attempt ?? 0;
   }
 
+  /** The machines of all its tasks. */
   holders(id = GANG): SimWorker[] {
     const named = (task: string): boolean => task.startsWith(`${id}/`);
     return [...this.world.workers.values()].filter((one) => [...one.tasks.keys()].some(named));
   }
 
+  /** The machine of one of its tasks. */
   holder(id = GANG): SimWorker {
-    const [first] = this.holders(id);
-    assert.ok(first, `no machine holds ${id}`);
-    return first;
+    return script.holder(this.world, id);
   }
 
+  /** Cuts a machine from all nodes. */
   cut(worker: SimWorker): void {
     for (const [node] of this.world.members) this.world.cuts.add(`${node}>${worker.machine.name}`);
   }
@@ -130,6 +125,7 @@
     return attempts;
   }
 
+  /** Seconds of progress that a gang has saved. */
   savedS(id = GANG): number {
     return (this.world.gangs.saved.get(id) ?? 0) / 1000;
   }
@@ -172,10 +168,7 @@
 
 /** Plays a row; afterwards its jobs must be done, and the rules have held. */
 export async function playRule({ zones, maxMachines, act, done }: Row): Promise<void> {
-  const fleet = { ...FLEET, ...(maxMachines === undefined ? {} : { maxMachines }) };
-  const world = new World(1, undefined, { fleet });
-  for (const zone of zones ?? ['a', 'a', 'a']) world.addMachine('small', zone, false, 500);
-  await world.run(6);
+  const world = await gangWorld(zones ?? ['a', 'a', 'a'], maxMachines);
   const scenario = new Scenario(world);
   await act(scenario);
   for (const id of done ?? [GANG]) await scenario.over(id, 'done', 300);
--- a/test/world/gang-script.ts
+++ b/test/world/gang-script.ts
@@ -155,12 +155,18 @@
   }
 }
 
-/** Plays a row; afterwards its jobs must be done, and the rules have held. */
-export async function playGang({ zones, maxMachines, act, done }: Row): Promise<void> {
+/** A world with small machines in these zones, that reported already. */
+export async function gangWorld(zones: string[], maxMachines?: number): Promise<World> {
   const fleet = { ...FLEET, ...(maxMachines === undefined ? {} : { maxMachines }) };
   const world = new World(1, undefined, { fleet });
-  for (const zone of zones ?? ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
+  for (const zone of zones) world.addMachine('small', zone, false, 500);
   await world.run(6);
+  return world;
+}
+
+/** Plays a row; afterwards its jobs must be done, and the rules have held. */
+export async function playGang({ zones, maxMachines, act, done }: Row): Promise<void> {
+  const world = await gangWorld(zones ?? ['a', 'a', 'b'], maxMachines);
   await act(world);
   await ends(world, done ?? [GANG], 'done', 300);
   assert.deepEqual(world.broken, []);
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -1,19 +1,22 @@
+/** One part on its own, with its state service, and what machines report to it. */
 import { Committer } from '../../src/storage/committer.js';
-import { RateLimiter } from '../../src/storage/rate-limiter.js';
 import { CATALOG, chunkKey, jobKey, roleKey } from '../../src/storage/keys.js';
 import type { ChunkRecord, JobRecord } from '../../src/storage/records.js';
-import { StoreReplica } from '../../src/storage/store-replica.js';
 import { Part } from '../../src/coordination/part.js';
 import { TOKEN_STEP } from '../../src/constants.js';
 import type { Command, JobSpec, TaskReport, WorkerReport } from '../../src/protocol/model.js';
 import { SimClock } from './clock.js';
+import { followingReplica } from './replica.js';
 import { SimState } from './state.js';
 import { TYPES, silent } from './settings.js';
 
+/** The only job there is from the start. */
 export const JOB = 'j-000001';
 const TERM = 5;
+/** The token of the part's term. */
 export const TOKEN = TERM * TOKEN_STEP;
 
+/** The spec of that job. */
 export const SPEC: JobSpec = {
   id: JOB,
   class: 'work',
@@ -89,11 +92,8 @@
   fill(state, clock, options);
   state.txnOps = options.txnOps ?? 8;
   state.valueBytes = options.valueBytes ?? 8192;
-  const api = state.api('p');
-  const limiter = new RateLimiter(clock, { rps: 100, writeRps: 100, txnOps: 8 });
-  const store = { api, limiter, clock, log: silent, random: () => 0.5 };
-  const replica = new StoreReplica(store);
-  void replica.follow();
+  const store = followingReplica(clock, state, 100);
+  const { replica } = store;
   await clock.run(500);
   const sent: {
     token: number;
@@ -125,7 +125,7 @@
       written: () => undefined,
     },
     replica,
-    new Committer({ ...store, replica }),
+    new Committer(store),
     {
       full: false,
       command: (_address, token, _session, commands) =>
@@ -145,19 +145,7 @@
   replica.onChange((keys) => keys.forEach((key) => part.changed(key)));
   let seq = 0;
   const answer = (change: Partial<WorkerReport> = {}, tasks: TaskReport[] = []) =>
-    part.handleReport({
-      machine: 'm-1',
-      address: '10.0.0.1:9',
-      type: 'small',
-      zone: 'a',
-      spot: false,
-      session: 1,
-      seq: ++seq,
-      token: TOKEN,
-      noticeS: null,
-      tasks,
-      ...change,
-    });
+    part.handleReport(reportOf({ seq: ++seq, tasks, ...change }));
   const report = (change: Partial<WorkerReport> = {}, tasks: TaskReport[] = []): Command[] => {
     const given = answer(change, tasks);
     return given.ok ? given.commands : [];
@@ -178,15 +166,35 @@
   return { clock, state, part, answer, report, round, stored, cancel, sent };
 }
 
+/** Its first task runs. */
 export const running = (attempt: number): TaskReport => ({
   task: { job: JOB, index: 0 },
   attempt,
   state: 'running',
   cause: null,
 });
+
+/** Its first task is done. */
 export const ended = (attempt: number): TaskReport => ({
   ...running(attempt),
   state: 'exited',
   cause: 'done',
 });
+
+/** What machines are told to do, in order. */
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
+
+/** A report of machine m-1, the first of its first session unless told otherwise. */
+export const reportOf = (change: Partial<WorkerReport>): WorkerReport => ({
+  machine: 'm-1',
+  address: '10.0.0.1:9',
+  type: 'small',
+  zone: 'a',
+  spot: false,
+  session: 1,
+  seq: 1,
+  token: TOKEN,
+  noticeS: null,
+  tasks: [],
+  ...change,
+});
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -1,10 +1,10 @@
 /** Records that older versions have left, and nodes that start with them. */
-import { RateLimiter } from '../../src/storage/rate-limiter.js';
-import { StoreReplica } from '../../src/storage/store-replica.js';
+import type { StoreReplica } from '../../src/storage/store-replica.js';
 import { SimClock } from './clock.js';
 import { JOB } from './lone.js';
+import { followingReplica } from './replica.js';
 import { SimState } from './state.js';
-import { TYPES, silent } from './settings.js';
+import { TYPES } from './settings.js';
 import { World } from './world.js';
 
 /** Records by their keys. */
@@ -22,14 +22,7 @@
   const clock = new SimClock();
   const state = new SimState(clock);
   put(state, records);
-  const replica = new StoreReplica({
-    api: state.api('p'),
-    limiter: new RateLimiter(clock, { rps: 1000, writeRps: 1000, txnOps: 8 }),
-    clock,
-    log: silent,
-    random: () => 0.5,
-  });
-  void replica.follow();
+  const { replica } = followingReplica(clock, state, 1000);
   await clock.run(500);
   return replica;
 }
@@ -74,6 +67,8 @@
 export const KIND = { team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' };
 /** What a replica says of a chunk of this kind. */
 export const SUMMARY = { part: 'p', job: JOB, ...KIND };
+/** The key of the first chunk of the job. */
+export const CHUNK_1 = `mb/live/chunk/p/${JOB}/3000001`;
 /** The term of the roles that are left. */
 export const TERM = 3;
 /** The attempt of the tasks that are left. */
@@ -107,6 +102,3 @@
     arm.a.find(([one, other]) => one === row && other === column)?.[2];
   return { own: cell(0, 0) ?? 0, beside: cell(2, 1), classes: arm.classes };
 }
-
-/** The key of the first chunk of the job. */
-export const CHUNK_1 = `mb/live/chunk/p/${JOB}/3000001`;
--- /dev/null
+++ b/test/world/replica.ts
@@ -0,0 +1,23 @@
+/** A replica of what the simulated state service holds. */
+import type { Log } from '../../src/storage/log.js';
+import { RateLimiter } from '../../src/storage/rate-limiter.js';
+import { StoreReplica } from '../../src/storage/store-replica.js';
+import type { SimClock } from './clock.js';
+import { silent } from './settings.js';
+import type { SimState } from './state.js';
+
+/** Node that the replica is of. */
+const NODE = 'p';
+
+/**
+ * A replica that follows the state service, with all it is made of; `rps`: requests and writes a
+ * second. It holds what is stored once simulated time has run on a little.
+ */
+export function followingReplica(clock: SimClock, state: SimState, rps: number, log: Log = silent) {
+  const api = state.api(NODE);
+  const limiter = new RateLimiter(clock, { rps, writeRps: rps, txnOps: 8 });
+  const store = { api, limiter, clock, log, random: () => 0.5 };
+  const replica = new StoreReplica(store);
+  void replica.follow();
+  return { ...store, replica };
+}
