--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -33,11 +33,11 @@
   await world.run(5);
   world.state.refused.add('n0');
   assert.equal(stage(await settled(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
-  for (const ask of [
+  for (const request of [
     world.submit('j-000001', { tasks: 1, service: true }),
     world.poll('j-000001'),
   ]) {
-    const reply = await settled(world, ask);
+    const reply = await settled(world, request);
     assert.ok(reply.status === 503 || stage(reply) === 'withdrawn', JSON.stringify(reply));
   }
   world.state.refused.clear();
@@ -45,13 +45,13 @@
   await settled(world, world.submit('j-000002', { tasks: 1, service: true, spot: false }));
   await world.run(2);
   // Asked before it stands still, answered after: whatever it found out then is old.
-  const asked = world.poll('j-000002');
+  const pending = world.poll('j-000002');
   await world.clock.run(world.clock.now() + 100);
   world.freeze('n0', 10);
   await world.run(2);
   await settled(world, world.cancel('j-000002', 'n1'));
   await world.run(15);
-  assert.equal((await asked).status, 503);
+  assert.equal((await pending).status, 503);
   assert.equal(stage(await settled(world, world.poll('j-000002'))), 'withdrawn');
 });
 
--- a/test/gang-part.test.ts
+++ b/test/gang-part.test.ts
@@ -3,7 +3,7 @@
 import { chunkKey } from '../src/storage/keys.js';
 import type { ChunkRecord } from '../src/storage/records.js';
 import type { Command, TaskReport } from '../src/protocol/model.js';
-import { JOB, lone } from './world/lone.js';
+import { JOB, lonePart } from './world/lone.js';
 
 const ATTEMPT = 900;
 const SAVE_S = 2;
@@ -15,7 +15,7 @@
     ...{ ids: '0-1', done: '', live: LIVE, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 },
     ...{ zone: 'a', attempt: ATTEMPT },
   };
-  const world = await lone({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S } });
+  const world = await lonePart({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S } });
   world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   const live: ChunkRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
@@ -29,7 +29,7 @@
   return world;
 }
 
-type Lone = Awaited<ReturnType<typeof takeOver>>;
+type TakenOver = Awaited<ReturnType<typeof takeOver>>;
 
 const task = (index: number, state: TaskReport['state'], cause: TaskReport['cause'] = null) => ({
   ...{ task: { job: JOB, index }, attempt: ATTEMPT, state, cause },
@@ -41,7 +41,7 @@
       : `${one.op} ${one.task.index} of ${one.attempt === ATTEMPT ? 'the old' : 'another'} attempt`,
   );
 /** Everything that the part told its machine by itself. */
-const sent = (world: Lone): string[] => world.sent.flatMap(({ commands }) => wire(commands));
+const sent = (world: TakenOver): string[] => world.sent.flatMap(({ commands }) => wire(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
--- a/test/gang-rules-restarts.test.ts
+++ b/test/gang-rules-restarts.test.ts
@@ -84,7 +84,7 @@
       if (fate === 'dies') lost.die();
       await world.run(LEASE_S + 16);
       world.cuts.clear();
-      await scenario.over(GANG, 'done', 120);
+      await scenario.assertEnded(GANG, 'done', 120);
       // Its place is free for the next.
       await scenario.accepted(OTHER, { tasks: 4, cpus: 2 });
       await scenario.begins(60, 1, OTHER);
@@ -132,7 +132,7 @@
       await again(['queued', 'running']);
       await scenario.begins(20);
       await again(['running']);
-      await scenario.over(GANG, 'done', 90);
+      await scenario.assertEnded(GANG, 'done', 90);
       await again(['done']);
       assert.equal(scenario.starts().length, 1);
       assert.equal(world.starts.length, 4);
@@ -149,7 +149,7 @@
       const reply = await scenario.submit(GANG, LONG, 'n2');
       assert.equal(reply.status, 200);
       assert.equal(stageOf(reply), 'withdrawn');
-      await scenario.over(GANG, 'withdrawn', 50);
+      await scenario.assertEnded(GANG, 'withdrawn', 50);
       assert.equal(scenario.starts().length, 1);
     },
   },
--- a/test/gang-share.test.ts
+++ b/test/gang-share.test.ts
@@ -3,9 +3,7 @@
 import { chunkKey, jobKey } from '../src/storage/keys.js';
 import type { ChunkRecord } from '../src/storage/records.js';
 import type { TaskReport } from '../src/protocol/model.js';
-import { JOB, SPEC, lone, ops } from './world/lone.js';
-
-type Lone = Awaited<ReturnType<typeof lone>>;
+import { JOB, SPEC, lonePart, ops, type LonePart } from './world/lone.js';
 
 const ATTEMPT = 900;
 const SHARE: ChunkRecord = {
@@ -21,8 +19,8 @@
 };
 
 /** A part with its share of a gang; `other`: the share of another part. */
-async function gang(tasks: number, other?: Partial<ChunkRecord>): Promise<Lone> {
-  const world = await lone({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
+async function gang(tasks: number, other?: Partial<ChunkRecord>): Promise<LonePart> {
+  const world = await lonePart({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
   world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
@@ -39,7 +37,7 @@
   state,
   cause: state === 'exited' ? 'peerLost' : null,
 });
-const sent = (world: Lone): string[] => world.sent.flatMap(({ commands }) => ops(commands));
+const sent = (world: LonePart): string[] => world.sent.flatMap(({ commands }) => ops(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
--- a/test/hearing.test.ts
+++ b/test/hearing.test.ts
@@ -2,17 +2,24 @@
 import { test } from 'node:test';
 import { chunkKey, machineKey } from '../src/storage/keys.js';
 import type { MachineRecord } from '../src/storage/records.js';
-import { JOB, TOKEN, ended, lone, ops, reportOf, running } from './world/lone.js';
+import {
+  JOB,
+  TOKEN,
+  ended,
+  lonePart,
+  ops,
+  reportOf,
+  running,
+  type LonePart,
+} from './world/lone.js';
 
-type Lone = Awaited<ReturnType<typeof lone>>;
-
-const placed = (world: Lone): string | undefined => world.stored()?.live['0']?.[0];
+const placed = (world: LonePart): string | undefined => world.stored()?.live['0']?.[0];
 
 /**
  * What reports prove and what not. Each row tells what comes from machine m-1, whose task 0 of JOB
  * is to run, and what must follow. `m-2` stands by with room where a row calls `other`.
  */
-const ROWS: { name: string; placed?: boolean; check: (world: Lone) => Promise<void> }[] = [
+const ROWS: { name: string; placed?: boolean; check: (world: LonePart) => Promise<void> }[] = [
   {
     name: 'a machine that never shows our token gets no work',
     check: async (world) => {
@@ -165,7 +172,7 @@
 
 for (const row of ROWS) {
   test(`hearing: ${row.name}`, async () => {
-    const world = await lone({ placed: row.placed ?? false });
+    const world = await lonePart({ placed: row.placed ?? false });
     assert.ok(world.stored(), JOB);
     await row.check(world);
   });
@@ -174,7 +181,7 @@
 // Answers to calls renew no lease: a machine that reaches no controller loses its tasks though it
 // answers every call, and what was started there went on being lost.
 test('hearing: a machine whose reports don’t come counts as silent though it answers calls', async () => {
-  const world = await lone();
+  const world = await lonePart();
   world.report();
   await world.round();
   const attempt = world.stored()?.live['0']?.[1] ?? 0;
--- a/test/invalid.test.ts
+++ b/test/invalid.test.ts
@@ -11,7 +11,7 @@
 import { SimState } from './world/state.js';
 import { TEAMS, TYPES, silent } from './world/settings.js';
 
-async function bare() {
+async function nodeStorage() {
   const clock = new SimClock();
   const state = new SimState(clock);
   state.change([{ key: 'mb/live/catalog', value: TYPES }]);
@@ -37,7 +37,7 @@
     ['an ended lease', [], [{ key: 'mb/live/f', value: 1, lease: 99 }], 'conflict'],
   ];
   for (const [name, guards, changes, expected] of cases) {
-    const { clock, state, errors, committer } = await bare();
+    const { clock, state, errors, committer } = await nodeStorage();
     let tries = 0;
     const commit = committer.commit('part', guards, changes, () => ++tries < 5);
     await clock.run(5000);
@@ -110,7 +110,7 @@
 
 /** The requests of users at a node that believes in these limits. */
 function userRequestsOn(
-  { clock, log, api, limiter, replica, committer }: Awaited<ReturnType<typeof bare>>,
+  { clock, log, api, limiter, replica, committer }: Awaited<ReturnType<typeof nodeStorage>>,
   limits: { txnOps: number; valueBytes: number },
 ): UserRequests {
   return new UserRequests({
@@ -133,10 +133,10 @@
     [2048, 2048],
     [8192, 2048],
   ] as const) {
-    const outside = await bare();
-    const { clock, state } = outside;
+    const storage = await nodeStorage();
+    const { clock, state } = storage;
     state.valueBytes = real;
-    const userRequests = userRequestsOn(outside, { txnOps: 8, valueBytes: believed });
+    const userRequests = userRequestsOn(storage, { txnOps: 8, valueBytes: believed });
     const bodies = [submission(1, 0), submission(2, 2000), submission(3, 0), submission(4, 1000)];
     const replies = bodies.map((body) => userRequests.submit(body));
     await clock.run(clock.now() + 4000);
@@ -153,10 +153,10 @@
 });
 
 test('a batch of large submissions stays below what one transaction may hold', async () => {
-  const outside = await bare();
-  const { clock, state } = outside;
+  const storage = await nodeStorage();
+  const { clock, state } = storage;
   state.txnOps = 32;
-  const userRequests = userRequestsOn(outside, { txnOps: 32, valueBytes: 8192 });
+  const userRequests = userRequestsOn(storage, { txnOps: 32, valueBytes: 8192 });
   const replies = Array.from({ length: 16 }, (_, at) => userRequests.submit(submission(at, 7000)));
   await clock.run(clock.now() + 4000);
   const found = await Promise.all(replies);
--- a/test/odd-requests.test.ts
+++ b/test/odd-requests.test.ts
@@ -82,8 +82,8 @@
   for (const node of at) {
     const reply = await settled(world, world.cancel('j-000002', node));
     assert.deepEqual([reply.status, stageOf(reply)], [200, 'done']);
-    for (const ask of [world.poll('j-000009', node), world.cancel('j-000009', node)]) {
-      assert.equal((await settled(world, ask)).status, 404);
+    for (const request of [world.poll('j-000009', node), world.cancel('j-000009', node)]) {
+      assert.equal((await settled(world, request)).status, 404);
     }
   }
   await world.run(60);
--- a/test/part.test.ts
+++ b/test/part.test.ts
@@ -3,10 +3,10 @@
 import { chunkKey, jobKey, roleKey } from '../src/storage/keys.js';
 import type { JobRecord } from '../src/storage/records.js';
 import type { Command, JobSpec, WorkerReport } from '../src/protocol/model.js';
-import { JOB, SPEC, TOKEN, ended, lone, ops, reportOf, running } from './world/lone.js';
+import { JOB, SPEC, TOKEN, ended, lonePart, ops, reportOf, running } from './world/lone.js';
 
 test('a start goes out only once its placement is committed', async () => {
-  const world = await lone();
+  const world = await lonePart();
   world.report();
   world.state.outage = true;
   await world.round();
@@ -19,7 +19,7 @@
 });
 
 test('a placement made after the role was lost is never committed nor sent', async () => {
-  const world = await lone();
+  const world = await lonePart();
   world.report();
   world.state.change([{ key: roleKey('part-p'), value: { owner: 'q' } }]);
   await world.round(1000);
@@ -29,7 +29,7 @@
 });
 
 test('absence proves an end only to the owner whose token the worker has shown', async () => {
-  const world = await lone({ placed: true });
+  const world = await lonePart({ placed: true });
   await world.cancel();
   world.report({ token: 3 });
   await world.round();
@@ -40,7 +40,7 @@
 });
 
 test('an older report proves nothing', async () => {
-  const world = await lone({ placed: true });
+  const world = await lonePart({ placed: true });
   world.report({ seq: 9 }, [running(77)]);
   await world.cancel();
   world.report({ seq: 8 });
@@ -50,7 +50,7 @@
 });
 
 test('a direct start without an answer must be fenced before its absence counts', async () => {
-  const world = await lone();
+  const world = await lonePart();
   world.report();
   await world.round();
   assert.deepEqual(ops(world.sent[0]?.commands ?? []), ['start']);
@@ -65,7 +65,7 @@
 });
 
 test('an ended attempt is forgotten only after its end is committed', async () => {
-  const world = await lone({ placed: true });
+  const world = await lonePart({ placed: true });
   world.report({}, [running(77)]);
   world.state.outage = true;
   world.report({}, [ended(77)]);
@@ -78,7 +78,7 @@
 });
 
 test('an ended attempt is not forgotten while a direct start of it may still arrive', async () => {
-  const world = await lone();
+  const world = await lonePart();
   world.report();
   await world.round();
   const attempt = world.stored()?.live['0']?.[1] ?? 0;
@@ -91,7 +91,7 @@
 });
 
 test('tasks on a machine that never spoke to the new owner wait for the fence', async () => {
-  const world = await lone({ placed: true });
+  const world = await lonePart({ placed: true });
   await world.clock.run(56_000);
   await world.round();
   assert.deepEqual(world.stored()?.live, { '0': ['m-1', 77] });
@@ -101,7 +101,7 @@
 });
 
 test('services of a little-used machine move to another that has room and their image', async () => {
-  const world = await lone({ placed: true, spec: { kind: 'service' } });
+  const world = await lonePart({ placed: true, spec: { kind: 'service' } });
   const job: JobRecord = { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 0 };
   const chunk = { ...world.stored(), ids: '0-2', live: { '0': ['m-2', 7], '1': ['m-2', 8] } };
   world.state.change([
@@ -133,7 +133,7 @@
 });
 
 test('tasks go only where their job allows', async () => {
-  const cases: [string, Parameters<typeof lone>[0], Partial<WorkerReport>, boolean][] = [
+  const cases: [string, Parameters<typeof lonePart>[0], Partial<WorkerReport>, boolean][] = [
     ['anywhere', {}, {}, true],
     ['a spot machine not allowed', {}, { spot: true }, false],
     ['a spot machine allowed', { spec: { spot: true } }, { spot: true }, true],
@@ -143,7 +143,7 @@
     ['a machine about to be taken', {}, { noticeS: 20 }, false],
   ];
   for (const [name, options, change, placed] of cases) {
-    const world = await lone(options);
+    const world = await lonePart(options);
     world.report(change);
     await world.round();
     assert.equal(Object.keys(world.stored()?.live ?? {}).length, placed ? 1 : 0, name);
@@ -153,7 +153,7 @@
 // Seen on the grown deployments: a chunk placed on more machines than a transaction may guard was
 // refused as malformed, again and again, and none of its tasks ever started.
 test('a chunk on more machines than one transaction can guard is written in pieces', async () => {
-  const world = await lone({ ids: '0-39', spec: { tasks: 40 } });
+  const world = await lonePart({ ids: '0-39', spec: { tasks: 40 } });
   world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   const record = { ids: '0-39', done: '', live: {}, team: 'red', gpus: 0, memoryGb: 1, zone: 'a' };
@@ -168,7 +168,7 @@
 // their machines, so urgent work stopped them first, again and again.
 test('urgent work stops the newest lower work, but not the first tasks of a job that waited', async () => {
   for (const waited of [false, true]) {
-    const world = await lone({ spec: { tasks: 4 }, ids: '0-3', agedMs: waited ? 200_000 : 0 });
+    const world = await lonePart({ spec: { tasks: 4 }, ids: '0-3', agedMs: waited ? 200_000 : 0 });
     const chunk = { ids: '0', done: '', live: {}, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 };
     world.report();
     await world.round();
@@ -194,7 +194,7 @@
 // Seen on the earlier two-zone site: a start that waited for stopped work to leave its machine was
 // sent only with the machine's next report, which cost urgent work half a second and more.
 test('a start that waited for stopped work follows the answer to the stop', async () => {
-  const world = await lone({ spec: { tasks: 4 }, ids: '0-3' });
+  const world = await lonePart({ spec: { tasks: 4 }, ids: '0-3' });
   world.report();
   await world.round();
   const tasks = Object.entries(world.stored()?.live ?? {}).map(([index, [, attempt]]) => ({
@@ -226,7 +226,7 @@
 // A placement may be committed only while its job is there: a part that has not heard yet of a
 // cancellation started tasks after it had been confirmed.
 test('a job that was called off is not placed, though its part has not heard of it', async () => {
-  const world = await lone();
+  const world = await lonePart();
   world.report();
   // Gone from the store, and no watch tells of it.
   world.state.revision++;
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -10,7 +10,7 @@
     ['all ask', 5, 60, 104],
     ['one asks', 1, 60, 81],
   ];
-  for (const [name, asking, least, most] of cases) {
+  for (const [name, requesting, least, most] of cases) {
     const clock = new SimClock();
     let level = 100;
     let at = 0;
@@ -19,8 +19,8 @@
       { length: 5 },
       () => new RateLimiter(clock, { rps: 100, writeRps: 50, txnOps: 8 }, 5),
     );
-    for (const limiter of gates.slice(0, asking)) {
-      const ask = async (): Promise<void> => {
+    for (const limiter of gates.slice(0, requesting)) {
+      const request = async (): Promise<void> => {
         for (;;) {
           await limiter.pass('part', 0);
           level = Math.min(100, level + ((clock.now() - at) / 1000) * 100) - 1;
@@ -32,7 +32,7 @@
           }
         }
       };
-      void ask();
+      void request();
     }
     await clock.run(30_000);
     const before = passed;
--- a/test/records-chunks.test.ts
+++ b/test/records-chunks.test.ts
@@ -5,7 +5,7 @@
 import { CHUNKS, jobKey } from '../src/storage/keys.js';
 import { readRanges, writeRanges } from '../src/storage/ranges.js';
 import type { ChunkRecord } from '../src/storage/records.js';
-import { JOB, lone, ops } from './world/lone.js';
+import { JOB, lonePart, ops } from './world/lone.js';
 import { SMALL, bytes } from './world/sizes.js';
 import type { SimState } from './world/state.js';
 
@@ -52,7 +52,7 @@
     const live: ChunkRecord['live'] = {};
     const report = (done: number): TaskReport[] => reportsOf(tasks, done);
     for (let at = 0; at < tasks; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-    const world = await lone({
+    const world = await lonePart({
       txnOps,
       valueBytes: SMALL,
       spec: { tasks, cpus: 0.01, memoryGb: 0.01 },
@@ -95,7 +95,7 @@
 test('a split whose answer is lost is carried on from what the state service holds', async () => {
   const live: ChunkRecord['live'] = {};
   for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-  const world = await lone({
+  const world = await lonePart({
     valueBytes: SMALL,
     spec: { tasks: 90, cpus: 0.01, memoryGb: 0.01 },
     ids: '0-89',
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -6,7 +6,7 @@
 import type { StatusRecord } from '../src/storage/records.js';
 import { Bandit, type ArmRecord } from '../src/coordination/bandit.js';
 import { SimClock } from './world/clock.js';
-import { lone } from './world/lone.js';
+import { lonePart } from './world/lone.js';
 import { followingReplica } from './world/replica.js';
 import { SMALL, bytes } from './world/sizes.js';
 import { SimState } from './world/state.js';
@@ -144,7 +144,7 @@
   for (const txnOps of [2, 8]) {
     const machines: StatusRecord['machines'] = {};
     for (let at = 0; at < 80; at++) machines[`m-${100000 + at}`] = ['small', 'a', 0, 'ok'];
-    const world = await lone({
+    const world = await lonePart({
       txnOps,
       valueBytes: SMALL,
       held: [{ key: statusKey('p', 0), value: { machines } }],
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -20,7 +20,7 @@
 import { SimState } from './world/state.js';
 import { TYPES, silent } from './world/settings.js';
 
-async function viewOf(clock: SimClock, state: SimState): Promise<StoreReplica> {
+async function followedReplica(clock: SimClock, state: SimState): Promise<StoreReplica> {
   const { replica } = followingReplica(clock, state, 1e6);
   await clock.run(500);
   return replica;
@@ -32,7 +32,7 @@
   const clock = new SimClock();
   const state = new SimState(clock);
   state.change([{ key: CATALOG, value: TYPES }]);
-  const replica = await viewOf(clock, state);
+  const replica = await followedReplica(clock, state);
   const all: ListedMachine[] = Array.from({ length: 7 }, (_, at) => ({
     name: `m-00000${at}`,
     address: '10.0.0.1:9',
@@ -88,7 +88,7 @@
 test('the sums of the leader are those of the chunks, whatever changes', async () => {
   const clock = new SimClock();
   const state = new SimState(clock);
-  const replica = await viewOf(clock, state);
+  const replica = await followedReplica(clock, state);
   const ledger = new Ledger(replica, clock);
   ledger.refresh();
   replica.onChange((keys) => keys.forEach((key) => ledger.changed(key)));
@@ -150,7 +150,7 @@
     for (const agent of agents) agent.destroy();
     server.close();
   });
-  const ask = (at: number, path: string): Promise<string | undefined> =>
+  const connectionOf = (at: number, path: string): Promise<string | undefined> =>
     new Promise((resolve, reject) => {
       http
         .get({ host: '127.0.0.1', port, path, agent: agents[at] }, (response) => {
@@ -159,10 +159,10 @@
         })
         .on('error', reject);
     });
-  assert.equal(await ask(0, '/user'), 'keep-alive');
-  assert.equal(await ask(1, '/worker'), 'keep-alive');
-  assert.equal(await ask(0, '/user'), 'close');
-  assert.equal(await ask(1, '/worker'), 'keep-alive');
+  assert.equal(await connectionOf(0, '/user'), 'keep-alive');
+  assert.equal(await connectionOf(1, '/worker'), 'keep-alive');
+  assert.equal(await connectionOf(0, '/user'), 'close');
+  assert.equal(await connectionOf(1, '/worker'), 'keep-alive');
 });
 
 test('direct calls beyond what is handled in time wait for others, and use no more sockets', async () => {
--- a/test/upgrade-crossings.test.ts
+++ b/test/upgrade-crossings.test.ts
@@ -2,19 +2,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskReport } from '../src/protocol/model.js';
-import { JOB, lone, ops } from './world/lone.js';
+import { JOB, lonePart, ops, type LonePart } from './world/lone.js';
 import { rangesAsRead } from './world/older-checks.js';
 import { writtenByProduction } from './world/production-chunks.js';
 import { OLDER } from './world/older-versions.js';
 import type { SimState } from './world/state.js';
-import { CHUNK, assertTaken, type Written } from './world/taken.js';
+import { CHUNK, assertReadable, type Written } from './world/readable.js';
 
 const ATTEMPT = 900_000_000_000_000;
 const MACHINES = ['m-1', 'm-2', 'm-3', 'm-4', 'm-5'];
 const LIMIT = 2048;
 const CHUNKS = 'mb/live/chunk/p/';
 
-type Lone = Awaited<ReturnType<typeof lone>>;
 type Stored = ReturnType<typeof writtenByProduction>;
 
 interface Crossing {
@@ -57,12 +56,12 @@
 }
 
 /** This version as the owner of what is stored; `run` must leave every task in one chunk. */
-async function owned(
+async function ownedByThisVersion(
   { tasks, txnOps, writeRps, gang }: Crossing,
   stored: Map<string, unknown>,
-  run: (world: Lone) => Promise<void>,
+  run: (world: LonePart) => Promise<void>,
 ): Promise<Map<string, unknown>> {
-  const world = await lone({
+  const world = await lonePart({
     txnOps,
     valueBytes: LIMIT,
     spec: { tasks, cpus: 0.01, memoryGb: 0.01, kind: gang ? 'gang' : 'array' },
@@ -73,7 +72,7 @@
   await run(world);
   const log = world.state.log.slice(from);
   assertWhole(log, stored, tasks);
-  assertTaken(log.filter(({ key }) => key.startsWith(CHUNKS)));
+  assertReadable(log.filter(({ key }) => key.startsWith(CHUNKS)));
   assert.deepEqual(world.state.invalid, []);
   const all = [...world.sent.flatMap(({ commands }) => ops(commands))];
   assert.ok(!all.includes('start'), 'what runs is not started again');
@@ -86,7 +85,7 @@
 }
 
 /** Each machine reports its tasks; of those in `done` it says that they are. */
-function reportAll(world: Lone, placements: Placements, done: ReadonlySet<number>): void {
+function reportAll(world: LonePart, placements: Placements, done: ReadonlySet<number>): void {
   for (const machine of MACHINES) {
     const tasks: TaskReport[] = [...placements]
       .filter(([, [name]]) => name === machine)
@@ -109,7 +108,7 @@
 
 const upTo = (count: number): Set<number> => new Set(Array.from({ length: count }, (_, at) => at));
 
-async function cross(row: Crossing): Promise<void> {
+async function playCrossing(row: Crossing): Promise<void> {
   const { tasks, gang } = row;
   const placements: Placements = new Map();
   for (let at = 0; at < tasks; at++)
@@ -122,7 +121,7 @@
 
   // This version takes it over, and takes it apart as soon as something of it changes. What ends
   // later is written in the pieces.
-  stored = await owned(row, stored, async (world) => {
+  stored = await ownedByThisVersion(row, stored, async (world) => {
     for (const ends of [0, 6, 9]) {
       reportAll(world, placements, upTo(ends));
       await world.round(8000);
@@ -143,7 +142,7 @@
   }
 
   // And to this version again, which reads what that one left, and carries it to its end.
-  stored = await owned(row, stored, async (world) => {
+  stored = await ownedByThisVersion(row, stored, async (world) => {
     reportAll(world, placements, upTo(64));
     await world.round(4000);
     assert.ok(chunksOf(world.state).length > 1);
@@ -197,5 +196,5 @@
 ];
 
 test('a chunk stored larger than the announced limits crosses versions, and no task is lost', async (t) => {
-  for (const row of CROSSINGS) await t.test(row.name, () => cross(row));
+  for (const row of CROSSINGS) await t.test(row.name, () => playCrossing(row));
 });
--- a/test/upgrade-records.test.ts
+++ b/test/upgrade-records.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'node:test';
 import { readCatalog } from '../src/storage/catalog.js';
 import { stageOf } from './world/jobs.js';
-import { JOB, lone } from './world/lone.js';
+import { JOB, lonePart } from './world/lone.js';
 import {
   ARM,
   ATTEMPT,
@@ -60,9 +60,9 @@
     check: async (records) => {
       const world = await started(records, [['n0', 'a']]);
       await world.run(20);
-      const asked = ['j-000001', 'j-000002'].map((id) => world.poll(id));
+      const pending = ['j-000001', 'j-000002'].map((id) => world.poll(id));
       await world.run(5);
-      const replies = await Promise.all(asked);
+      const replies = await Promise.all(pending);
       assert.deepEqual(
         replies.map((reply) => stageOf(reply)),
         ['done', 'withdrawn'],
@@ -148,7 +148,7 @@
       const [[key = '', value] = []] = Object.entries(records);
       for (const state of ['rented', 'drain', 'gone', null]) {
         const held = state === null ? [] : [{ key, value: { ...(value as object), state } }];
-        const world = await lone({ held });
+        const world = await lonePart({ held });
         world.report();
         await world.round();
         const placed = Object.keys(world.stored()?.live ?? {}).length;
@@ -166,7 +166,7 @@
     },
     check: async (records) => {
       const held = Object.entries(records).map(([key, value]) => ({ key, value }));
-      const world = await lone({ held });
+      const world = await lonePart({ held });
       const from = world.state.log.length;
       world.report({ machine: 'm-4' });
       await world.round(8000);
--- a/test/upgrade-writes.test.ts
+++ b/test/upgrade-writes.test.ts
@@ -6,12 +6,12 @@
 import { test } from 'node:test';
 import { writeCatalog } from '../src/storage/catalog.js';
 import { SimClock } from './world/clock.js';
-import { JOB, lone } from './world/lone.js';
+import { JOB, lonePart } from './world/lone.js';
 import { followingReplica } from './world/replica.js';
 import { SimState } from './world/state.js';
 import { TYPES } from './world/settings.js';
 import type { Records } from './world/older-records.js';
-import { CHUNK, assertTaken, type Written } from './world/taken.js';
+import { CHUNK, assertReadable, type Written } from './world/readable.js';
 import { World } from './world/world.js';
 
 /** A key without what differs from one record of its kind to the next. */
@@ -69,7 +69,7 @@
     kinds: ['mb/live/chunk'],
     write: async () => {
       const share = { ...CHUNK, done: '', attempt: 7 };
-      const world = await lone({
+      const world = await lonePart({
         spec: { kind: 'gang', tasks: 4 },
         held: [
           { key: `mb/live/chunk/p/${JOB}/1`, value: { ...share, ids: '0-1', live: {} } },
@@ -124,7 +124,7 @@
         Array.from({ length: 90 }, (_, at) => [`m-${1000 + at}`, ['small', 'a', 0, 'ok']]),
       );
       const held = [{ key: 'mb/live/status/p/0', value: { machines } }];
-      const world = await lone({ valueBytes: 1024, held });
+      const world = await lonePart({ valueBytes: 1024, held });
       const from = world.state.log.length;
       world.report();
       await world.round(20_000);
@@ -165,7 +165,7 @@
   for (const { name, kinds, write } of WRITES) {
     await t.test(name, async () => {
       const log = await write();
-      assertTaken(log);
+      assertReadable(log);
       const written = new Set(log.filter((one) => !one.removed).map((one) => kindOf(one.key)));
       for (const kind of kinds)
         assert.ok(written.has(kind), `${kind} among ${[...written].join(' ')}`);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -98,7 +98,7 @@
     value.every((type) => Object.keys(TYPES[0] ?? {}).every((one) => one in type)),
 };
 
-function takenByOld(key: string, value: unknown): boolean {
+function isReadableByOld(key: string, value: unknown): boolean {
   if (key.startsWith(FINALS)) return fields(value, { state: 'string', tasks: 'number' });
   const [kind = '', ...name] = key.slice(LIVE.length).split('/');
   return OLD[kind]?.(name, value as never) ?? false;
@@ -181,7 +181,7 @@
       },
     },
   ]);
-  for (const [key, { value }] of world.state.cells) assert.ok(takenByOld(key, value), key);
+  for (const [key, { value }] of world.state.cells) assert.ok(isReadableByOld(key, value), key);
   await world.clock.run(2);
   const put = (task: string, machine: string, number: number): void => {
     world.workers.get(machine)?.tasks.set(task, { attempt: number, state: 'running', cpus: 0.1 });
@@ -284,7 +284,7 @@
     for (const { key, value, removed } of world.state.log.slice(from)) {
       if (removed) continue;
       if (key.startsWith(armKey('n0', ''))) arms++;
-      assert.ok(takenByOld(key, value), `${name}: ${key} ${JSON.stringify(value)}`);
+      assert.ok(isReadableByOld(key, value), `${name}: ${key} ${JSON.stringify(value)}`);
       const bytes = Buffer.byteLength(JSON.stringify(value));
       assert.ok(bytes <= limits.valueBytes, `${name}: ${key} takes ${bytes}`);
     }
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -56,8 +56,8 @@
   }
 
   /** Runs on in small steps until something is so; what never comes fails the row. */
-  until(what: string, limitS: number, so: () => boolean): Promise<void> {
-    return script.until(this.world, what, limitS, so);
+  until(what: string, limitS: number, condition: () => boolean): Promise<void> {
+    return script.until(this.world, what, limitS, condition);
   }
 
   /** The times at which a gang began. */
@@ -142,7 +142,7 @@
   }
 
   /** All is over: the state at every node, nothing left on machines nor in the store. */
-  async over(id: string, state: string, limitS: number): Promise<void> {
+  async assertEnded(id: string, state: string, limitS: number): Promise<void> {
     let stage = '';
     for (let passed = 0; passed < limitS && stage !== state; passed += 2) {
       await this.world.run(2);
@@ -171,7 +171,7 @@
   const world = await gangWorld(zones ?? ['a', 'a', 'a'], maxMachines);
   const scenario = new Scenario(world);
   await act(scenario);
-  for (const id of done ?? [GANG]) await scenario.over(id, 'done', 300);
+  for (const id of done ?? [GANG]) await scenario.assertEnded(id, 'done', 300);
   assert.deepEqual(world.broken, []);
   assert.deepEqual([...scenario.watch.mixed], [], 'two attempts at once');
   assert.deepEqual(scenario.watch.tooShort(), [], 'halts without time to save');
--- a/test/world/gang-script.ts
+++ b/test/world/gang-script.ts
@@ -54,9 +54,9 @@
   world: World,
   what: string,
   limitS: number,
-  so: () => boolean,
+  condition: () => boolean,
 ): Promise<void> {
-  for (const end = world.clock.now() + limitS * 1000; !so();) {
+  for (const end = world.clock.now() + limitS * 1000; !condition();) {
     assert.ok(world.clock.now() < end, `not within ${limitS} s: ${what}`);
     await world.run(0.05);
   }
--- a/test/world/judge.ts
+++ b/test/world/judge.ts
@@ -5,7 +5,7 @@
 import type { World } from './world.js';
 
 /** What users ask of nodes. */
-export type AskKind = 'submit' | 'cancel' | 'poll';
+export type RequestKind = 'submit' | 'cancel' | 'poll';
 
 const isEnd = (stage: string): boolean => stage === 'done' || stage === 'withdrawn';
 
@@ -19,17 +19,17 @@
   readonly accepted = new Set<string>();
   readonly told = new Map<string, { stage: string; at: number }>();
   /** Jobs whose users asked to cancel them. */
-  private readonly asked = new Set<string>();
+  private readonly cancelRequests = new Set<string>();
 
   constructor(private readonly world: World) {}
 
   /** A user asks to cancel a job. */
-  cancelAsked(id: string): void {
-    this.asked.add(id);
+  cancelRequested(id: string): void {
+    this.cancelRequests.add(id);
   }
 
   /** What a node tells a user: ends stay, accepted jobs stay known, `done` means done. */
-  replied(kind: AskKind, id: string, askedAt: number, reply: Reply): void {
+  replied(kind: RequestKind, id: string, requestedAt: number, reply: Reply): void {
     const now = this.world.clock.now();
     const known = this.accepted.has(id);
     if (reply.status === 404 && known) this.broken.push(`forgotten ${id} (${kind})`);
@@ -41,22 +41,22 @@
     const job = this.world.jobs.get(id);
     if (kind === 'submit') this.accepted.add(id);
     else if (!job) this.broken.push(`invented ${id} (${kind})`);
-    this.judgeStage(id, stage, askedAt);
+    this.judgeStage(id, stage, requestedAt);
     if (stage === 'done') this.judgeDone(id, job);
     if (stage === 'withdrawn' && job) job.cancelledAt ??= now;
     if (!this.told.has(id) && isEnd(stage)) this.told.set(id, { stage, at: now });
   }
 
   /** An end that was told stays, and only a user's wish withdraws a job. */
-  private judgeStage(id: string, stage: string, askedAt: number): void {
+  private judgeStage(id: string, stage: string, requestedAt: number): void {
     const before = this.told.get(id);
-    if (before && before.at <= askedAt && before.stage !== stage) {
+    if (before && before.at <= requestedAt && before.stage !== stage) {
       this.broken.push(`went_back ${id} ${before.stage} to ${stage}`);
     }
     if (before && isEnd(stage) && before.stage !== stage) {
       this.broken.push(`went_back ${id}: both ${before.stage} and ${stage}`);
     }
-    if (stage === 'withdrawn' && !this.asked.has(id)) {
+    if (stage === 'withdrawn' && !this.cancelRequests.has(id)) {
       this.broken.push(`went_back ${id} withdrawn, though nobody asked for it`);
     }
   }
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -41,7 +41,7 @@
 };
 
 /** What differs from the default: one task of one job, with room for all changes at once. */
-interface LoneOptions {
+interface LonePartOptions {
   /** A former owner placed the task. */
   placed?: boolean;
   spec?: Partial<JobSpec>;
@@ -58,7 +58,7 @@
 }
 
 /** Stores what is there from the start: the role, the catalogue, a job and its only chunk. */
-function fill(state: SimState, clock: SimClock, options: LoneOptions): void {
+function fill(state: SimState, clock: SimClock, options: LonePartOptions): void {
   const chunk: ChunkRecord = {
     ids: options.ids ?? '0',
     done: options.done ?? '',
@@ -86,7 +86,7 @@
 }
 
 /** One part on its own, with its state service. */
-export async function lone(options: LoneOptions = {}) {
+export async function lonePart(options: LonePartOptions = {}) {
   const clock = new SimClock();
   const state = new SimState(clock);
   fill(state, clock, options);
@@ -184,6 +184,9 @@
 /** What machines are told to do, in order. */
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
 
+/** A part on its own, and what a test sees and does of it. */
+export type LonePart = Awaited<ReturnType<typeof lonePart>>;
+
 /** A report of machine m-1, the first of its first session unless told otherwise. */
 export const reportOf = (change: Partial<WorkerReport>): WorkerReport => ({
   machine: 'm-1',
--- a/test/world/older-checks.ts
+++ b/test/world/older-checks.ts
@@ -10,8 +10,8 @@
 export type Check = (name: string[], value: Fields) => string[];
 type Type = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'string?' | 'number?' | 'list?';
 
-function isOf(type: Type, one: unknown): boolean {
-  if (type.endsWith('?')) return one === null || isOf(type.slice(0, -1) as Type, one);
+function hasType(type: Type, one: unknown): boolean {
+  if (type.endsWith('?')) return one === null || hasType(type.slice(0, -1) as Type, one);
   if (type === 'list') return Array.isArray(one);
   if (type === 'object') return typeof one === 'object' && one !== null && !Array.isArray(one);
   if (type === 'number') return Number.isFinite(one);
@@ -19,13 +19,14 @@
 }
 
 /** Fields that are missing or of another type; further ones are read by nobody. */
-export const wrong = (value: unknown, types: Record<string, Type>): string[] =>
+export const wrongFields = (value: unknown, types: Record<string, Type>): string[] =>
   Object.entries(types)
-    .filter(([field, type]) => !isOf(type, (value as Fields | null)?.[field]))
+    .filter(([field, type]) => !hasType(type, (value as Fields | null)?.[field]))
     .map(([field, type]) => `${field} is no ${type}`);
 
 /** The objection, unless something is so. */
-export const unless = (so: boolean, objection: string): string[] => (so ? [] : [objection]);
+export const objectionUnless = (condition: boolean, objection: string): string[] =>
+  condition ? [] : [objection];
 
 /** As both versions' bookkeeping/ranges.ts reads them; null: it would read something else. */
 export function rangesAsRead(text: string): number[] | null {
@@ -81,11 +82,11 @@
 export const job: Check = ([id], value) => {
   const spec = value.spec as Fields;
   return [
-    ...wrong(value, { spec: 'object', at: 'number' }),
-    ...wrong(spec, SPEC),
-    ...unless(spec.id === id, 'the spec has another id than the key'),
+    ...wrongFields(value, { spec: 'object', at: 'number' }),
+    ...wrongFields(spec, SPEC),
+    ...objectionUnless(spec.id === id, 'the spec has another id than the key'),
     // rankOf: what it does not know would rank below all.
-    ...unless(
+    ...objectionUnless(
       ['low', 'normal', 'high', 'production'].includes(String(spec.priority)),
       'no such priority',
     ),
@@ -94,9 +95,9 @@
 
 /** Front.describeFinal: any other state would be told to the user as it is. */
 const final: Check = (name, value) => [
-  ...unless(name.length === 1, 'not one name'),
-  ...wrong(value, { state: 'string', tasks: 'number' }),
-  ...unless(['done', 'cancelled'].includes(String(value.state)), 'no such final state'),
+  ...objectionUnless(name.length === 1, 'not one name'),
+  ...wrongFields(value, { state: 'string', tasks: 'number' }),
+  ...objectionUnless(['done', 'cancelled'].includes(String(value.state)), 'no such final state'),
 ];
 
 /** readChunkKey, summarize and Tasks.fill: tasks are those in `ids`, never both done and live. */
@@ -107,14 +108,17 @@
   const own = new Set(ids);
   return [
     // Another length and the chunk is passed over, with its tasks.
-    ...unless(name.length === 3, 'the key has not three names'),
+    ...objectionUnless(name.length === 3, 'the key has not three names'),
     // A chunk's number orders it, and counts as a decimal.
-    ...unless(Number.isFinite(Number(name[2])), 'its number is none'),
-    ...wrong(value, { ids: 'string', done: 'string', live: 'object', team: 'string' }),
-    ...wrong(value, { cpus: 'number', gpus: 'number', memoryGb: 'number', zone: 'string' }),
-    ...unless(ids !== null && own.size === ids.length, 'ids are no ranges'),
-    ...unless(done?.every((id) => own.has(id)) ?? false, 'done ones are no ranges of its own'),
-    ...unless(
+    ...objectionUnless(Number.isFinite(Number(name[2])), 'its number is none'),
+    ...wrongFields(value, { ids: 'string', done: 'string', live: 'object', team: 'string' }),
+    ...wrongFields(value, { cpus: 'number', gpus: 'number', memoryGb: 'number', zone: 'string' }),
+    ...objectionUnless(ids !== null && own.size === ids.length, 'ids are no ranges'),
+    ...objectionUnless(
+      done?.every((id) => own.has(id)) ?? false,
+      'done ones are no ranges of its own',
+    ),
+    ...objectionUnless(
       live.every(
         ([id, one]) =>
           own.has(Number(id)) &&
@@ -130,19 +134,19 @@
 
 /** Machines.word: any other state would make the machine neither usable nor gone. */
 const machine: Check = (name, value) => [
-  ...unless(name.length === 1, 'not one name'),
-  ...wrong(value, { type: 'string', zone: 'string', spot: 'boolean', at: 'number' }),
-  ...unless(['rented', 'drain', 'gone'].includes(String(value.state)), 'no such state'),
+  ...objectionUnless(name.length === 1, 'not one name'),
+  ...wrongFields(value, { type: 'string', zone: 'string', spot: 'boolean', at: 'number' }),
+  ...objectionUnless(['rented', 'drain', 'gone'].includes(String(value.state)), 'no such state'),
 ];
 
 /** Part.inherit (later Status.inherit) and Leader.machines. */
 const status: Check = (name, value) => [
   // The older one counts its shards from 0, and writes each below that count anew.
-  ...unless(name.length === 2 && /^\d+$/.test(name[1] ?? ''), 'no shard of a part'),
-  ...wrong(value, { machines: 'object' }),
+  ...objectionUnless(name.length === 2 && /^\d+$/.test(name[1] ?? ''), 'no shard of a part'),
+  ...wrongFields(value, { machines: 'object' }),
   ...Object.entries((value.machines ?? {}) as Record<string, unknown[]>).flatMap(
     ([one, [type, zone, spot, health]]) =>
-      unless(
+      objectionUnless(
         typeof type === 'string' &&
           typeof zone === 'string' &&
           (spot === 0 || spot === 1) &&
@@ -154,19 +158,24 @@
 
 /** Roles.owned, claimRecord and fenceAt. */
 const role: Check = (name, value) => [
-  ...unless(name.length === 1, 'not one name'),
-  ...wrong(value, { owner: 'string', incarnation: 'string', term: 'number', movedAt: 'number' }),
+  ...objectionUnless(name.length === 1, 'not one name'),
+  ...wrongFields(value, {
+    owner: 'string',
+    incarnation: 'string',
+    term: 'number',
+    movedAt: 'number',
+  }),
 ];
 
 /** Roles.isLive. */
 const node: Check = (name, value) => [
-  ...unless(name.length === 1, 'not one name'),
-  ...wrong(value, { incarnation: 'string' }),
+  ...objectionUnless(name.length === 1, 'not one name'),
+  ...wrongFields(value, { incarnation: 'string' }),
 ];
 
 /** Bandit.restore of 89f79d3, which is asked of every key below a part's arms. */
 export const arm: Check = ([, type = ''], value) => {
-  const objections = wrong(value, { classes: 'list', types: 'list', a: 'list', b: 'list' });
+  const objections = wrongFields(value, { classes: 'list', types: 'list', a: 'list', b: 'list' });
   if (objections.length > 0) return objections;
   const types = value.types as string[];
   // Other types than its own: passed over. No version has none.
@@ -180,16 +189,16 @@
   );
   return [
     // It takes the key's last part for the type, whatever it is.
-    ...unless(types.includes(type), 'restored for a type that there is not'),
+    ...objectionUnless(types.includes(type), 'restored for a type that there is not'),
     // It sets cells of a matrix of this size and inverts it at once: both throw.
-    ...unless(
+    ...objectionUnless(
       [...a.flatMap(([row, column]) => [row, column]), ...b.map(([row]) => row)].every(
         (at) => at < size,
       ),
       'cells outside of the matrix',
     ),
-    ...unless(diagonal.size === size, 'the matrix can not be inverted'),
-    ...unless((value.classes as unknown[]).length <= 20, 'too many classes'),
+    ...objectionUnless(diagonal.size === size, 'the matrix can not be inverted'),
+    ...objectionUnless((value.classes as unknown[]).length <= 20, 'too many classes'),
   ];
 };
 
@@ -198,8 +207,8 @@
   name.length > 0
     ? []
     : [
-        ...unless(Array.isArray(value) && value.length > 0, 'no list of types'),
-        ...(Array.isArray(value) ? value : []).flatMap((type) => wrong(type, MACHINE_TYPE)),
+        ...objectionUnless(Array.isArray(value) && value.length > 0, 'no list of types'),
+        ...(Array.isArray(value) ? value : []).flatMap((type) => wrongFields(type, MACHINE_TYPE)),
       ];
 
 /** The checks of both versions, by the kind in the key. */
--- a/test/world/older-versions.ts
+++ b/test/world/older-versions.ts
@@ -6,8 +6,8 @@
   chunk,
   job,
   objectionsBy,
-  unless,
-  wrong,
+  objectionUnless,
+  wrongFields,
   type Fields,
 } from './older-checks.js';
 
@@ -33,7 +33,7 @@
         ...CHECKS,
         job: (name, record) => [
           ...job(name, record),
-          ...unless(
+          ...objectionUnless(
             ['array', 'service', 'gang'].includes(String((record.spec as Fields).kind)),
             'no such kind',
           ),
@@ -41,15 +41,15 @@
         // GangShares: an attempt makes the chunk a gang's share, and `stopping` ends it.
         chunk: (name, record) => [
           ...chunk(name, record),
-          ...unless(
+          ...objectionUnless(
             record.attempt === undefined || Number.isSafeInteger(record.attempt),
             'attempt is no number',
           ),
-          ...unless(
+          ...objectionUnless(
             record.stopping === undefined || record.stopping === true,
             'stopping is no true',
           ),
-          ...unless(
+          ...objectionUnless(
             record.attempt === undefined ||
               Object.values(record.live as Record<string, unknown[]>).every(
                 ([, attempt]) => attempt === record.attempt,
@@ -63,20 +63,23 @@
           if (at === undefined) {
             return [
               ...arm([part, type], record),
-              ...unless(
+              ...objectionUnless(
                 (record.stamp === undefined) === (record.further === undefined),
                 'stamp and further not together',
               ),
             ];
           }
           return [
-            ...wrong(record, {
+            ...wrongFields(record, {
               stamp: 'number',
               moreClasses: 'list',
               moreA: 'list',
               moreB: 'list',
             }),
-            ...unless((record.types as unknown[]).length === 0, 'a further record with types'),
+            ...objectionUnless(
+              (record.types as unknown[]).length === 0,
+              'a further record with types',
+            ),
           ];
         },
         // readCatalog takes all of them together.
--- a/test/world/taken.ts
+++ b/test/world/readable.ts
@@ -7,7 +7,7 @@
 export type Written = SimState['log'];
 
 /** Both older versions read all that was written. */
-export function assertTaken(log: Written): void {
+export function assertReadable(log: Written): void {
   for (const { key, value, removed } of log) {
     if (removed) continue;
     for (const { commit, objections } of OLDER)
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -9,7 +9,7 @@
 import { SimCloud } from './cloud.js';
 import { SimGangs } from './gang.js';
 import { jobOf, submissionOf, unwrap, type Reply, type SimJob } from './jobs.js';
-import { Judge, type AskKind } from './judge.js';
+import { Judge, type RequestKind } from './judge.js';
 import { environmentOf } from './environment.js';
 import { settingsOf, silent } from './settings.js';
 import { SimState } from './state.js';
@@ -173,29 +173,34 @@
 
   /** A submission as it is, also one that nobody should accept. */
   post(body: object, at = 'n0'): Promise<Reply> {
-    return this.ask('submit', String((body as { ref?: unknown }).ref), JSON.stringify(body), at);
+    return this.request(
+      'submit',
+      String((body as { ref?: unknown }).ref),
+      JSON.stringify(body),
+      at,
+    );
   }
 
   /** Asks a node to cancel a job. */
   cancel(id: string, at = 'n0'): Promise<Reply> {
-    this.judge.cancelAsked(id);
-    return this.ask('cancel', id, null, at);
+    this.judge.cancelRequested(id);
+    return this.request('cancel', id, null, at);
   }
 
   /** Asks a node for the state of a job. */
   poll(id: string, at = 'n0'): Promise<Reply> {
-    return this.ask('poll', id, null, at);
+    return this.request('poll', id, null, at);
   }
 
-  private ask(kind: AskKind, id: string, body: string | null, at: string): Promise<Reply> {
+  private request(kind: RequestKind, id: string, body: string | null, at: string): Promise<Reply> {
     const node = this.nodes.get(at)?.node;
     if (!node) return Promise.resolve({ status: 0, body: null });
-    const askedAt = this.clock.now();
+    const requestedAt = this.clock.now();
     return new Promise((resolve) => {
       this.at(at, () => {
         void node.serve(kind, kind === 'submit' ? '' : id, body).then((raw) => {
           const reply = unwrap(raw);
-          this.judge.replied(kind, id, askedAt, reply);
+          this.judge.replied(kind, id, requestedAt, reply);
           resolve(reply);
         });
       });
