--- a/src/coordination/leader/part-assignment.ts
+++ b/src/coordination/leader/part-assignment.ts
@@ -67,14 +67,16 @@
     // Lower work leaves some of its team's limit to urgent work, for which nothing else makes room
     // there. Where services fill all but this reserve, lower work would wait for ever in front of
     // free machines: after a while some of it may use the reserve.
+    const task = { ...need(spec, 1), memoryGb: 0 };
     if (!isUrgent(spec)) {
       const cpus = room.cpus - limits.urgentReserve(spec.team);
-      if (!history.isStarved(job, now)) room.cpus = cpus;
-      else if (fitCount({ ...room, cpus }, spec) === 0) {
+      const blocked = fitCount({ ...room, cpus }, task) === 0;
+      // Where the reserve is not what blocks a starved job, it has room like all others.
+      if (history.isStarved(job, now) && blocked) {
         wanted = Math.min(wanted, Math.ceil(spec.tasks * STARVED_SHARE));
-      }
+      } else room.cpus = cpus;
     }
-    return Math.min(wanted, fitCount(room, { ...need(spec, 1), memoryGb: 0 }));
+    return Math.min(wanted, fitCount(room, task));
   }
 
   /** Machines that a job may use: an array those reserved for a gang only after a while. */
--- /dev/null
+++ b/test/team-reserve.test.ts
@@ -0,0 +1,63 @@
+/** How much of its team's limit lower work may use, beside what is reserved for urgent work. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { STARVED_MS } from '../src/constants.js';
+import { AssignmentHistory } from '../src/coordination/leader/assignment-history.js';
+import { PartAssignment } from '../src/coordination/leader/part-assignment.js';
+import type { OpenJob } from '../src/coordination/scheduling-order.js';
+import { SimClock } from './world/clock.js';
+import { SPEC } from './world/lone.js';
+
+const TASKS = 8;
+const RESERVE = 4;
+const OPEN: OpenJob = {
+  id: SPEC.id,
+  spec: { ...SPEC, tasks: TASKS },
+  at: 0,
+  unassigned: TASKS,
+  done: 0,
+  live: 0,
+  guaranteed: false,
+  tier: 0,
+  overdue: false,
+};
+
+/** How many tasks are allowed with so many CPUs left of the limit, after so long without any. */
+function allowedTasks(remaining: number, starvedMs: number): number {
+  let allowed = 0;
+  const history = new AssignmentHistory();
+  history.isStarved(OPEN, 0);
+  const assignment = new PartAssignment({
+    limits: {
+      remaining: () => ({ cpus: remaining, gpus: 0 }),
+      urgentReserve: () => RESERVE,
+      use: () => undefined,
+      noteWaiting: () => undefined,
+    } as never,
+    history,
+    distribution: {
+      distribute: (_job: OpenJob, count: number) => {
+        allowed = count;
+        return { chunks: [], assigned: 0, queued: 0 };
+      },
+    } as never,
+    clock: new SimClock(),
+  });
+  const round = { startedAt: starvedMs, chunks: [], unmet: [], machines: [] };
+  assignment.assign(OPEN, round as never);
+  return allowed;
+}
+
+test('lower work leaves the reserve alone, but for a share of what starves because of it', () => {
+  const cases: [string, number, number, number][] = [
+    ['the reserve is left alone', 10, 0, 6],
+    ['nothing but the reserve is left', 3, 0, 0],
+    // A quarter of its tasks was all that a starved job got, however much room there was.
+    ['starved, though there is room beside the reserve', 10, STARVED_MS + 1, 6],
+    ['starved because of the reserve', 3, STARVED_MS + 1, 2],
+    ['starved, and little is left at all', 1, STARVED_MS + 1, 1],
+  ];
+  for (const [name, remaining, starvedMs, want] of cases) {
+    assert.equal(allowedTasks(remaining, starvedMs), want, name);
+  }
+});
