--- a/src/coordination/capacity.ts
+++ b/src/coordination/capacity.ts
@@ -10,17 +10,8 @@
   memoryGb: number;
 }
 
-/** A machine as the leader counts it. */
-export interface MachineCapacity {
-  name: string;
-  part: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  health: MachineHealth | 'booting';
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
+/** Amounts on a machine, with what other work there could leave to more. */
+export interface MachineAmounts extends Amounts {
   /** Tasks placed on it. */
   tasks: number;
   /** CPUs and memory of tasks that rank below `high`: what urgent work could take. */
@@ -31,6 +22,16 @@
   endingMemoryGb: number;
 }
 
+/** A machine as the leader counts it: the amounts are those that are free. */
+export interface MachineCapacity extends MachineAmounts {
+  name: string;
+  part: string;
+  type: string;
+  zone: string;
+  spot: boolean;
+  health: MachineHealth | 'booting';
+}
+
 /** Tasks of a job for which no room was found. */
 export interface UnmetDemand {
   spec: JobSpec;
--- a/src/coordination/ledger.ts
+++ b/src/coordination/ledger.ts
@@ -6,6 +6,7 @@
 import type { StoreReplica } from '../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../protocol/model.js';
 import type { Clock } from '../transport/clock.js';
+import type { MachineAmounts } from './capacity.js';
 import { URGENT, placeKey } from './priorities.js';
 
 /** What a team uses. */
@@ -15,18 +16,7 @@
 }
 
 /** What is placed on a machine. */
-export interface Placed {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-  tasks: number;
-  /** CPUs and memory of tasks that rank below `high`: what urgent work could take. */
-  lowCpus: number;
-  lowMemoryGb: number;
-  /** CPUs and memory of arrays: what ends there by itself. */
-  endingCpus: number;
-  endingMemoryGb: number;
-}
+export type Placed = MachineAmounts;
 
 /** The sums of a machine on which nothing is placed. */
 export function nothingPlaced(): Placed {
