--- a/src/constants.ts
+++ b/src/constants.ts
@@ -232,9 +232,6 @@
  * have had their time to find room. */
 export const GANG_RESERVE_MS = 25_000;
 
-/** Tasks of the smallest share of a gang that waits for arrays to end in several parts: each share
- * costs four writes, and a part frees two places nearly as soon as one. */
-export const GANG_SHARE_LEAST = 2;
 /** s; times of gangs where the settings name none: workers' usual ones, on the careful side. */
 export const GANG_WAIT_S = 30;
 export const GANG_PEER_S = 4;
--- a/src/coordination/gang-plan.ts
+++ b/src/coordination/gang-plan.ts
@@ -1,6 +1,5 @@
 /** Plans where a gang goes as a whole: which parts take how many of its tasks, and in which zones. */
 
-import { GANG_SHARE_LEAST } from '../constants.js';
 import type { JobSpec } from '../protocol/model.js';
 import {
   fitCount,
@@ -101,11 +100,7 @@
   const groups = spec.oneZone ? [...zones.values()] : [all];
   const preferred = lastPlace === null ? undefined : places.get(lastPlace);
   for (const when of ['now', 'soon'] as const) {
-    const waits = when === 'soon' && mode === 'ending' && !spec.spread;
-    const shares =
-      (waits ? shareOfWaiting(spec, groups) : null) ??
-      shareOfOnePart(spec, all, preferred, when) ??
-      shareOut(spec, groups, when);
+    const shares = shareOfOnePart(spec, all, preferred, when) ?? shareOut(spec, groups, when);
     if (shares) return { shares, when };
   }
   return spec.oneZone
@@ -164,47 +159,14 @@
   return [{ part: best.part, zone: best.zone, count: spec.tasks }];
 }
 
-/**
- * Shares of a gang that waits for arrays to end, in proportion to the room to come: several parts
- * free some places each sooner than one of them frees all.
- */
-function shareOfWaiting(spec: JobSpec, groups: readonly PlaceCapacity[][]): Share[] | null {
-  for (const group of byCapacity(groups, 'soon')) {
-    const shares = divideByCapacity(spec.tasks, group);
-    if (shares) return shares;
-  }
-  return null;
-}
-
-function divideByCapacity(tasks: number, places: readonly PlaceCapacity[]): Share[] | null {
-  const most = Math.max(1, Math.floor(tasks / GANG_SHARE_LEAST));
-  const chosen = [...places].sort((a, b) => b.soon - a.soon).slice(0, most);
-  let capacity = totalCapacity(chosen, 'soon');
-  let left = tasks;
-  const shares: Share[] = [];
-  for (const { part, zone, soon } of chosen) {
-    const count = Math.min(soon, Math.round((left * soon) / Math.max(1, capacity)));
-    capacity -= soon;
-    left -= count;
-    if (count > 0) shares.push({ part, zone, count });
-  }
-  return left === 0 ? shares : null;
-}
-
-function byCapacity(
-  groups: readonly PlaceCapacity[][],
-  when: Availability,
-): readonly PlaceCapacity[][] {
-  return [...groups].sort((a, b) => totalCapacity(b, when) - totalCapacity(a, when));
-}
-
 /** Shares for several places of one group, of the group with the most room first. */
 function shareOut(
   spec: JobSpec,
   groups: readonly PlaceCapacity[][],
   when: Availability,
 ): Share[] | null {
-  for (const group of byCapacity(groups, when)) {
+  const bySize = [...groups].sort((a, b) => totalCapacity(b, when) - totalCapacity(a, when));
+  for (const group of bySize) {
     const shares = fillPlaces(spec, group, when);
     if (shares) return shares;
   }
--- a/test/gang-plan.test.ts
+++ b/test/gang-plan.test.ts
@@ -131,32 +131,3 @@
     assert.equal(got, want, name);
   }
 });
-
-test('a gang that waits for arrays does so in several parts, by the room to come', () => {
-  const four: Partial<JobSpec> = { tasks: 4 };
-  const full = (part: string, machines: number): MachineCapacity[] =>
-    Array.from({ length: machines }, () => machine(part, FULL));
-  const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
-    ['two parts', four, [...full('p', 4), ...full('q', 4)], 'p:2 q:2'],
-    ['in proportion', { tasks: 6 }, [...full('p', 8), ...full('q', 4)], 'p:4 q:2'],
-    ['no share of one task', four, [...full('p', 4), ...full('q', 4), ...full('r', 4)], 'p:2 q:2'],
-    ['one part has all', four, full('p', 2), 'p:4'],
-    [
-      'an urgent one stops them in one part',
-      { ...four, priority: 'high' },
-      [...full('p', 4), ...full('q', 4)],
-      'p:4',
-    ],
-    [
-      'at most half in a zone',
-      { ...four, oneZone: false, spread: true },
-      [...full('p', 2), machine('q', { ...FULL, zone: 'b' })],
-      'p:2 q:2',
-    ],
-  ];
-  for (const [name, change, machines, want] of cases) {
-    const plan = planGang({ ...GANG, ...change }, machines);
-    const got = (plan.shares ?? []).map((one) => `${one.part}:${one.count}`).join(' ');
-    assert.equal(got, want, name);
-  }
-});
