--- a/src/constants.ts
+++ b/src/constants.ts
@@ -92,6 +92,8 @@
 export const LEADER_GATHER_MS = 100;
 /** ms; pace of the fleet's loop: a boot takes a hundred times as long. */
 export const FLEET_MS = 600;
+/** ms; without an open job for so long no headroom is kept: nothing would ever return its machines. */
+export const HEADROOM_QUIET_MS = 25_000;
 /** ms; lower work that came within this time tells how much will: some dozens of jobs. */
 export const ARRIVALS_MS = 90_000;
 /** Part of it that the fleet is kept ready for: with all of it the price rose by a seventh. */
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -6,6 +6,7 @@
 import type { FleetSnapshot } from './capacity.js';
 import { CatalogRefresh } from './fleet/catalog-refresh.js';
 import { CloudRequestBudget, type FleetContext, type FleetOptions } from './fleet/fleet-context.js';
+import { Headroom } from './fleet/headroom.js';
 import { IdleMachines } from './fleet/idle-machines.js';
 import { MachineList } from './fleet/machine-list.js';
 import { MachineRecords } from './fleet/machine-records.js';
@@ -27,12 +28,13 @@
   private busy = false;
 
   constructor(options: FleetOptions) {
-    const { clock, cloudRps, random } = options;
+    const { clock, cloudRps, headroomCpus, random, replica } = options;
     this.backoff = new Backoff(CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS, random);
     this.context = {
       ...options,
       cloudRequests: new CloudRequestBudget(clock, cloudRps),
       invalidBackoff: new InvalidChangeBackoff(clock),
+      headroom: new Headroom(headroomCpus, replica, clock),
     };
     const records = new MachineRecords(this.context);
     this.catalogRefresh = new CatalogRefresh(this.context);
@@ -44,10 +46,11 @@
 
   /** One round over the machines; does nothing while another round runs or the cloud is paused. */
   async round(snapshot: FleetSnapshot): Promise<void> {
-    const { clock, invalidBackoff, log, replica } = this.context;
+    const { clock, headroom, invalidBackoff, log, replica } = this.context;
     if (this.busy || clock.now() < this.pausedUntil) return;
     this.busy = true;
     invalidBackoff.sweep();
+    headroom.update();
     try {
       await this.catalogRefresh.run();
       if (!replica.get(CATALOG)) return;
--- a/src/coordination/fleet/fleet-context.ts
+++ b/src/coordination/fleet/fleet-context.ts
@@ -9,6 +9,7 @@
 import { Budget } from '../../transport/budget.js';
 import type { Clock } from '../../transport/clock.js';
 import type { GuardedWriter } from '../guarded-writer.js';
+import type { Headroom } from './headroom.js';
 
 /** Settings of the fleet, and the services that it uses. */
 export interface FleetOptions {
@@ -28,7 +29,7 @@
   readonly leaseS: number;
   /** ms after which the machine type with the highest price per CPU is drained when idle. */
   readonly idleMs: number;
-  /** Free CPUs on ordinary machines that are held for urgent work. */
+  /** Free CPUs on ordinary machines that are held for urgent work while jobs are open. */
   readonly headroomCpus: number;
   /** Whether spot machines may be rented. */
   readonly spot: boolean;
@@ -47,6 +48,7 @@
   readonly cloudRequests: CloudRequestBudget;
   /** Machines, and keys, whose changes the state service called invalid. */
   readonly invalidBackoff: InvalidChangeBackoff;
+  readonly headroom: Headroom;
 }
 
 /** The leader's share of the cloud's limit of requests. */
--- /dev/null
+++ b/src/coordination/fleet/headroom.ts
@@ -0,0 +1,39 @@
+/** What is kept free for work to come: none once there has been no work for a while. */
+import { HEADROOM_QUIET_MS } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import type { FleetSnapshot } from '../capacity.js';
+
+/** Headroom for urgent work and for gangs like recent ones, as long as jobs are open. */
+export class Headroom {
+  private lastWorkAt: number;
+
+  constructor(
+    private readonly configuredCpus: number,
+    private readonly replica: StoreReplica,
+    private readonly clock: Clock,
+  ) {
+    this.lastWorkAt = clock.now();
+  }
+
+  /** Notes whether a job is open; called in each round. */
+  update(): void {
+    const [first] = this.replica.openJobs();
+    if (first !== undefined) this.lastWorkAt = this.clock.now();
+  }
+
+  /** Free CPUs on ordinary machines that are held for urgent work. */
+  get cpus(): number {
+    return this.isQuiet ? 0 : this.configuredCpus;
+  }
+
+  /** The gangs for the like of which room is held. */
+  gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
+    return this.isQuiet ? [] : snapshot.gangs;
+  }
+
+  private get isQuiet(): boolean {
+    return this.clock.now() - this.lastWorkAt >= HEADROOM_QUIET_MS;
+  }
+}
--- a/src/coordination/fleet/idle-machines.ts
+++ b/src/coordination/fleet/idle-machines.ts
@@ -75,8 +75,10 @@
 
   /** CPUs that remain free on ordinary machines, for urgent work or for gangs like recent ones. */
   private requiredHeadroom(snapshot: FleetSnapshot): number {
-    const gangCpus = snapshot.gangs.reduce((sum, gang) => sum + gang.tasks * gang.cpus, 0);
-    return Math.max(this.context.headroomCpus, gangCpus);
+    const { headroom } = this.context;
+    const gangs = headroom.gangs(snapshot);
+    const gangCpus = gangs.reduce((sum, gang) => sum + gang.tasks * gang.cpus, 0);
+    return Math.max(headroom.cpus, gangCpus);
   }
 
   /** CPUs of healthy machines, free or used by lower work, beyond what lower work needs. */
--- a/src/coordination/fleet/renting.ts
+++ b/src/coordination/fleet/renting.ts
@@ -55,7 +55,7 @@
 
   /** What to rent: the cheapest offer for each kind of task that booting machines can't hold. */
   private plan(snapshot: FleetSnapshot): Rental[] {
-    const { clock, headroomCpus, maxMachines, replica } = this.context;
+    const { clock, headroom, maxMachines, replica } = this.context;
     const types = machineTypes(replica);
     const booting = snapshot.machines
       .filter((machine) => machine.health === 'booting')
@@ -70,9 +70,9 @@
     const demand = demandBeyondFleet({ snapshot, booting, types, wall: clock.wall() });
     for (const tasks of demand) plan.addTasks(tasks);
     // Waiting tasks take their room first; gangs like the recent ones should find some beside it.
-    const missingForGangs = missingGangCapacity(snapshot.gangs, [...healthy, ...booting]);
+    const missingForGangs = missingGangCapacity(headroom.gangs(snapshot), [...healthy, ...booting]);
     for (const tasks of missingForGangs) plan.addTasks(tasks);
-    plan.addHeadroom(headroomCpus, healthy);
+    plan.addHeadroom(headroom.cpus, healthy);
     return plan.rentals;
   }
 }
