--- a/test/fixed-forms.test.ts
+++ b/test/fixed-forms.test.ts
@@ -21,7 +21,8 @@
 import { replicaOf, type Records } from './world/older-records.js';
 import { settled } from './world/requests.js';
 import { World } from './world/world.js';
-import { valuesOf, writtenForms, type Forms } from './world/written-forms.js';
+import { valuesOf, writtenForms } from './world/written-forms.js';
+import type { Forms } from './world/written-records.js';
 
 const FIXTURE = new URL('../../test/fixtures/forms-12c6284.json', import.meta.url);
 const FORMS = JSON.parse(readFileSync(FIXTURE, 'utf8')) as Forms;
