--- a/src/coordination/absence-proof.ts
+++ b/src/coordination/api/absence-proof.ts
@@ -1,6 +1,6 @@
 /** What proves that the state service holds nothing on a job. */
-import type { Guard, TxnResult } from '../protocol/state-api.js';
-import { finalKey, jobKey } from '../storage/keys.js';
+import type { Guard, TxnResult } from '../../protocol/key-value-store.js';
+import { finalKey, jobKey } from '../../storage/keys.js';
 
 /**
  * Proof that there was neither a record nor a final record of a job at one moment, which lies after
--- a/src/coordination/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -1,6 +1,6 @@
 /** Admission control: which jobs can never run, whatever ends or is rented. */
-import type { JobSpec, MachineType } from '../protocol/model.js';
-import type { Team } from '../protocol/settings.js';
+import type { JobSpec, MachineType } from '../../protocol/model.js';
+import type { Team } from '../../protocol/settings.js';
 
 /** Returned instead of a reason while the machine types are not known yet. */
 export const TYPES_UNKNOWN = 'unknown';
--- a/src/coordination/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -1,12 +1,12 @@
 /** Cancels jobs: the final record takes the place of the job's record in one transaction. */
-import { POLL_LIMIT_MS, SUBMIT_LIMIT_MS } from '../constants.js';
-import { isJobId } from '../protocol/user-codec.js';
-import type { CommitResult, Committer } from '../storage/committer.js';
-import { finalKey, jobKey } from '../storage/keys.js';
-import type { FinalRecord, JobRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import type { HttpReply } from '../transport/http-server.js';
+import { POLL_LIMIT_MS, SUBMIT_LIMIT_MS } from '../../constants.js';
+import { isJobId } from '../../protocol/user-codec.js';
+import type { CommitResult, Committer } from '../../storage/committer.js';
+import { finalKey, jobKey } from '../../storage/keys.js';
+import type { FinalRecord, JobRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import type { HttpReply } from '../../transport/http-server.js';
 import {
   noSuchJob,
   notAJobId,
--- a/src/coordination/job-answers.ts
+++ b/src/coordination/api/job-answers.ts
@@ -2,12 +2,12 @@
  * What the handlers of users' requests share: the result of a job lookup, and the HTTP replies that
  * more than one of them gives.
  */
-import { RETRY_AFTER_S } from '../constants.js';
-import type { JobState } from '../protocol/model.js';
-import { encodeJobState } from '../protocol/user-codec.js';
-import type { FinalRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { HttpReply } from '../transport/http-server.js';
+import { RETRY_AFTER_S } from '../../constants.js';
+import type { JobState } from '../../protocol/model.js';
+import { encodeJobState } from '../../protocol/user-codec.js';
+import type { FinalRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { HttpReply } from '../../transport/http-server.js';
 import type { AbsenceProof } from './absence-proof.js';
 
 /** A job as the state service holds it at the moment of asking. */
--- a/src/coordination/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -2,15 +2,15 @@
  * Checks of jobs with the state service: many jobs share one comparing transaction, whose guards
  * fail for those that are no longer as the replica has them.
  */
-import { CHECK_QUEUE, GROUP_COMMIT_MS, GUARDS_PER_OP, REREADS_AT_ONCE } from '../constants.js';
-import { Refused, type Guard, type StateApi } from '../protocol/state-api.js';
-import { finalKey, jobKey } from '../storage/keys.js';
-import type { Log } from '../storage/log.js';
-import type { RateLimiter } from '../storage/rate-limiter.js';
-import type { FinalRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import { forEachLimited } from '../transport/concurrency.js';
+import { CHECK_QUEUE, GROUP_COMMIT_MS, GUARDS_PER_OP, REREADS_AT_ONCE } from '../../constants.js';
+import { Refused, type Guard, type StateApi } from '../../protocol/key-value-store.js';
+import { finalKey, jobKey } from '../../storage/keys.js';
+import type { Log } from '../../storage/log.js';
+import type { RateLimiter } from '../../storage/rate-limiter.js';
+import type { FinalRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import { forEachLimited } from '../../transport/concurrency.js';
 import { AbsenceProof } from './absence-proof.js';
 import { UNSURE, finalJob, openJob, type JobLookup } from './job-answers.js';
 
--- a/src/coordination/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -5,14 +5,14 @@
   SUBMIT_LIMIT_MS,
   SUBMIT_QUEUE,
   TXN_BYTES,
-} from '../constants.js';
-import type { JobSpec } from '../protocol/model.js';
-import type { Change, Guard } from '../protocol/state-api.js';
-import { bytesOf, type CommitResult, type Committer } from '../storage/committer.js';
-import { finalKey, jobKey } from '../storage/keys.js';
-import type { Log } from '../storage/log.js';
-import type { JobRecord } from '../storage/records.js';
-import type { Clock } from '../transport/clock.js';
+} from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
+import { bytesOf, type CommitResult, type Committer } from '../../storage/committer.js';
+import { finalKey, jobKey } from '../../storage/keys.js';
+import type { Log } from '../../storage/log.js';
+import type { JobRecord } from '../../storage/records.js';
+import type { Clock } from '../../transport/clock.js';
 import type { CommitListener } from './job-answers.js';
 
 /**
--- a/src/coordination/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -1,11 +1,11 @@
 /** Answers submissions: a known id first, then what can't be accepted, then the commit. */
-import { POLL_LIMIT_MS } from '../constants.js';
-import type { JobSpec } from '../protocol/model.js';
-import type { Team } from '../protocol/settings.js';
-import { parseJson, parseSubmission, submissionId } from '../protocol/user-codec.js';
-import { readCatalog } from '../storage/catalog.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { HttpReply } from '../transport/http-server.js';
+import { POLL_LIMIT_MS } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
+import type { Team } from '../../protocol/settings.js';
+import { parseJson, parseSubmission, submissionId } from '../../protocol/user-codec.js';
+import { readCatalog } from '../../storage/catalog.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { HttpReply } from '../../transport/http-server.js';
 import type { AbsenceProof } from './absence-proof.js';
 import { TYPES_UNKNOWN, neverRuns } from './admission.js';
 import {
--- a/src/coordination/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -1,12 +1,12 @@
 /** Users' requests as a whole: builds the handlers of submissions, polls and cancellations. */
-import type { Team } from '../protocol/settings.js';
-import type { StateApi } from '../protocol/state-api.js';
-import type { Committer } from '../storage/committer.js';
-import type { Log } from '../storage/log.js';
-import type { RateLimiter } from '../storage/rate-limiter.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import type { HttpReply } from '../transport/http-server.js';
+import type { Team } from '../../protocol/settings.js';
+import type { StateApi } from '../../protocol/key-value-store.js';
+import type { Committer } from '../../storage/committer.js';
+import type { Log } from '../../storage/log.js';
+import type { RateLimiter } from '../../storage/rate-limiter.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import type { HttpReply } from '../../transport/http-server.js';
 import { Cancellations } from './cancellations.js';
 import type { CommitListener } from './job-answers.js';
 import { JobChecks } from './job-checks.js';
--- a/src/coordination/fleet.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,19 +1,19 @@
 /** The leader's periodic management of rented machines. */
-import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../constants.js';
-import { CATALOG } from '../storage/keys.js';
-import { InvalidChangeBackoff } from '../storage/invalid-change-backoff.js';
-import { Backoff } from '../transport/backoff.js';
-import type { FleetSnapshot } from './capacity.js';
-import { CatalogRefresh } from './fleet/catalog-refresh.js';
-import { CloudRequestBudget, type FleetContext, type FleetOptions } from './fleet/fleet-context.js';
-import { Headroom } from './fleet/headroom.js';
-import { IdleMachines } from './fleet/idle-machines.js';
-import { MachineList } from './fleet/machine-list.js';
-import { MachineRecords } from './fleet/machine-records.js';
-import { MachineReturns } from './fleet/machine-returns.js';
-import { Renting } from './fleet/renting.js';
+import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../../constants.js';
+import { CATALOG } from '../../storage/keys.js';
+import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { Backoff } from '../../transport/backoff.js';
+import type { FleetSnapshot } from '../capacity/machine-capacity.js';
+import { CatalogRefresh } from './catalog-refresh.js';
+import { CloudRequestBudget, type FleetContext, type FleetOptions } from './autoscaling-context.js';
+import { Headroom } from './headroom.js';
+import { IdleMachines } from './idle-machines.js';
+import { MachineList } from './machine-list.js';
+import { MachineRecords } from './machine-records.js';
+import { MachineReturns } from './scale-in.js';
+import { Renting } from './scale-out.js';
 
-export type { FleetOptions } from './fleet/fleet-context.js';
+export type { FleetOptions } from './autoscaling-context.js';
 
 /** Rents, drains and returns machines in rounds; pauses while the cloud does not answer. */
 export class Fleet {
--- a/src/coordination/fleet/fleet-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,15 +1,15 @@
 /** What the steps of a fleet round share: settings, services and the limits on requests. */
 import { CLOUD_SHARE } from '../../constants.js';
 import { readCatalog } from '../../storage/catalog.js';
-import type { InvalidChangeBackoff } from '../../storage/invalid-change-backoff.js';
+import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CloudApi } from '../../protocol/cloud-api.js';
 import type { MachineType } from '../../protocol/model.js';
 import { Budget } from '../../transport/budget.js';
 import type { Clock } from '../../transport/clock.js';
-import type { GuardedWriter } from '../guarded-writer.js';
-import type { Member } from '../rendezvous.js';
+import type { GuardedWriter } from '../election/guarded-writer.js';
+import type { Member } from '../election/rendezvous-hashing.js';
 import type { Headroom } from './headroom.js';
 
 /** Settings of the fleet, and the services that it uses. */
--- a/src/coordination/fleet/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -1,7 +1,7 @@
 /** Computes for which tasks, and for how many CPUs, the present machines do not suffice. */
 import { COMING_SHARE, ESTIMATE_MARGIN, LATE_BOOTS, RUNNING_LEFT_S } from '../../constants.js';
 import { rankOf, type JobSpec, type MachineType } from '../../protocol/model.js';
-import type { FleetSnapshot, MachineCapacity, UnmetDemand } from '../capacity.js';
+import type { FleetSnapshot, MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
 
 /** Tasks of one kind. */
 export interface TaskDemand {
--- a/src/coordination/fleet/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -2,8 +2,8 @@
 import { CATALOG_PERIOD_MS, TXN_BYTES } from '../../constants.js';
 import { writeCatalog } from '../../storage/catalog.js';
 import { CATALOG } from '../../storage/keys.js';
-import type { Change } from '../../protocol/state-api.js';
-import type { FleetContext } from './fleet-context.js';
+import type { Change } from '../../protocol/key-value-store.js';
+import type { FleetContext } from './autoscaling-context.js';
 
 /** Reads the cloud's machine types periodically and writes what changed. */
 export class CatalogRefresh {
--- a/src/coordination/fleet/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
-import type { FleetSnapshot } from '../capacity.js';
+import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 
 /** Headroom for urgent work and for gangs like recent ones, as long as jobs are open. */
 export class Headroom {
--- a/src/coordination/fleet/silent-machines.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -6,7 +6,7 @@
   SILENT_SETTLE_MS,
 } from '../../constants.js';
 import type { Clock } from '../../transport/clock.js';
-import type { MachineCapacity } from '../capacity.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
 
 /**
  * Silent machines are returned, which proves that their tasks ended before their lease runs out.
--- a/src/coordination/fleet/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -1,9 +1,9 @@
 /** Drains machines that are faulty, or idle and not needed. */
 import { IDLE_KEEP_MOST } from '../../constants.js';
 import type { MachineType } from '../../protocol/model.js';
-import type { FleetSnapshot, MachineCapacity } from '../capacity.js';
+import type { FleetSnapshot, MachineCapacity } from '../capacity/machine-capacity.js';
 import { neededCpus } from './capacity-demand.js';
-import { machineTypes, type FleetContext } from './fleet-context.js';
+import { machineTypes, type FleetContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
 /** Lower bound of a price that is divided by. */
--- a/src/coordination/fleet/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -1,7 +1,7 @@
 /** Reads the cloud's list of machines: adopts unknown machines and notes failed ones. */
 import { machineKey } from '../../storage/keys.js';
 import type { ListedMachine } from '../../protocol/model.js';
-import type { FleetContext } from './fleet-context.js';
+import type { FleetContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
 /** Least seconds between two readings of the list, however short the cloud's lag is. */
--- a/src/coordination/fleet/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -2,8 +2,8 @@
 import { GONE_KEEP_MS } from '../../constants.js';
 import { MACHINES, machineKey } from '../../storage/keys.js';
 import type { MachineRecord, MachineState } from '../../storage/records.js';
-import type { Change, Guard } from '../../protocol/state-api.js';
-import type { FleetContext } from './fleet-context.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
+import type { FleetContext } from './autoscaling-context.js';
 
 /** What a machine's record holds besides its state. */
 export interface MachineIdentity {
--- a/src/coordination/fleet/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -2,8 +2,8 @@
 import { NO_CAPACITY_PAUSE_MS } from '../../constants.js';
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { fitCount, isEligible } from '../capacity.js';
-import type { Member } from '../rendezvous.js';
+import { fitCount, isEligible } from '../capacity/machine-capacity.js';
+import type { Member } from '../election/rendezvous-hashing.js';
 
 /** A machine type in a zone, ordinary or spot, with its price. */
 export interface Offer {
--- a/src/coordination/fleet/machine-returns.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -2,11 +2,11 @@
 import { RETURN_MAX, STUCK_BOOTS, STUCK_LEAST_MS } from '../../constants.js';
 import { MACHINES } from '../../storage/keys.js';
 import type { MachineRecord } from '../../storage/records.js';
-import type { FleetSnapshot } from '../capacity.js';
-import { machineTypes, type FleetContext } from './fleet-context.js';
+import type { FleetSnapshot } from '../capacity/machine-capacity.js';
+import { machineTypes, type FleetContext } from './autoscaling-context.js';
 import type { MachineList } from './machine-list.js';
 import type { MachineRecords } from './machine-records.js';
-import { SilentMachines } from './silent-machines.js';
+import { SilentMachines } from './heartbeat-timeouts.js';
 
 /** Boot time assumed for a machine whose type is not in the catalog. */
 const UNKNOWN_BOOT_S = 60;
--- a/src/coordination/fleet/rental-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,7 +1,12 @@
 /** Plans how many machines of which offers to rent for given tasks and for the headroom. */
 import { PREEMPTIBLE_SHARE, RENT_MAX } from '../../constants.js';
 import type { JobSpec } from '../../protocol/model.js';
-import { fitCount, isEligible, type Amounts, type MachineCapacity } from '../capacity.js';
+import {
+  fitCount,
+  isEligible,
+  type Amounts,
+  type MachineCapacity,
+} from '../capacity/machine-capacity.js';
 import type { TaskDemand } from './capacity-demand.js';
 import { cheapestOffer, isOfferEligible, offerKey, type Offer } from './offers.js';
 
--- a/src/coordination/fleet/renting.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -1,13 +1,13 @@
 /** Rents machines for work that the present machines can't finish in time, and for the headroom. */
 import { RENT_MAX } from '../../constants.js';
 import type { RentResult } from '../../protocol/cloud-api.js';
-import type { FleetSnapshot } from '../capacity.js';
-import { missingGangCapacity } from '../gang-capacity.js';
+import type { FleetSnapshot } from '../capacity/machine-capacity.js';
+import { missingGangCapacity } from '../capacity/gang-capacity.js';
 import { demandBeyondFleet } from './capacity-demand.js';
-import { machineTypes, type FleetContext } from './fleet-context.js';
+import { machineTypes, type FleetContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 import { Offers, byControllerLoad } from './offers.js';
-import { RentalPlan, type Rental } from './rental-plan.js';
+import { RentalPlan, type Rental } from './scale-out-plan.js';
 
 /** Plans what to rent in each round and sends the rent requests. */
 export class Renting {
--- a/src/coordination/ledger.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -1,12 +1,12 @@
 /** The leader's running sums over all chunks. */
 
-import { LEDGER_REBUILD_MS } from '../constants.js';
-import { CHUNKS, JOBS } from '../storage/keys.js';
-import type { ChunkSummary } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { Clock } from '../transport/clock.js';
-import type { MachineAmounts } from './capacity.js';
+import { LEDGER_REBUILD_MS } from '../../constants.js';
+import { CHUNKS, JOBS } from '../../storage/keys.js';
+import type { ChunkSummary } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Clock } from '../../transport/clock.js';
+import type { MachineAmounts } from './machine-capacity.js';
 import { URGENT, placeKey } from './priorities.js';
 
 /** What a team uses. */
--- a/src/coordination/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -1,7 +1,7 @@
 /** Capacity for gangs that have not come yet: which machines are reserved, and what the fleet lacks. */
 
-import { GANG_ENDING_SHARE } from '../constants.js';
-import type { JobSpec } from '../protocol/model.js';
+import { GANG_ENDING_SHARE } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
 import {
   fitCount,
   isEligible,
@@ -9,7 +9,7 @@
   reclaimableCapacity,
   reclaimModeFor,
   type MachineCapacity,
-} from './capacity.js';
+} from './machine-capacity.js';
 import { placeKey } from './priorities.js';
 
 /** Tasks of a gang for which capacity is missing; the description names the zone. */
--- a/src/coordination/capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -1,6 +1,6 @@
 /** Room on machines: what tasks take, what is left, and what other work could free. */
-import type { MachineHealth } from '../storage/records.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
+import type { MachineHealth } from '../../storage/records.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
 import { URGENT } from './priorities.js';
 
 /** What a task takes, or a machine has left. */
--- a/src/coordination/inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -1,14 +1,14 @@
 /** The fleet as the leader counts it. */
 
-import { readCatalog } from '../storage/catalog.js';
-import { MACHINES, STATUSES } from '../storage/keys.js';
-import type { MachineType } from '../protocol/model.js';
-import type { Held } from '../storage/record-index.js';
-import type { MachineRecord, StatusRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import { nothingPlaced, type Ledger, type Placed } from './ledger.js';
-import { partOf, type Member } from './rendezvous.js';
-import type { MachineCapacity } from './capacity.js';
+import { readCatalog } from '../../storage/catalog.js';
+import { MACHINES, STATUSES } from '../../storage/keys.js';
+import type { MachineType } from '../../protocol/model.js';
+import type { Held } from '../../storage/record-index.js';
+import type { MachineRecord, StatusRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import { nothingPlaced, type Ledger, type Placed } from './capacity-accounting.js';
+import { partOf, type Member } from '../election/rendezvous-hashing.js';
+import type { MachineCapacity } from './machine-capacity.js';
 
 /** The sums of a machine that the ledger does not list. */
 const NOTHING_PLACED: Readonly<Placed> = nothingPlaced();
--- a/src/coordination/priorities.ts
+++ b/src/coordination/capacity/priorities.ts
@@ -1,6 +1,6 @@
 /** The bound of urgent work, and the name of a place. */
 
-import { rankOf } from '../protocol/model.js';
+import { rankOf } from '../../protocol/model.js';
 
 /** From this rank on work is urgent: it takes room from what ranks below it. */
 export const URGENT = rankOf('high');
--- a/src/coordination/node/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -1,12 +1,12 @@
 /** Creates and removes the parts, the leader and the fleet as this node gains and loses roles. */
 import { roleKey } from '../../storage/keys.js';
 import type { Supply } from '../../storage/rate-limiter.js';
-import { Fleet } from '../fleet.js';
-import { GuardedWriter } from '../guarded-writer.js';
-import { Leader } from '../leader.js';
-import { Part, type PartOptions } from '../part.js';
-import { LEADER, partRole, type Owned } from '../roles.js';
-import type { NodeServices } from './node-services.js';
+import { Fleet } from '../autoscaling/autoscaler.js';
+import { GuardedWriter } from '../election/guarded-writer.js';
+import { Leader } from '../leader/leader.js';
+import { Part, type PartOptions } from '../shard/shard.js';
+import { LEADER, partRole, type Owned } from '../election/role-election.js';
+import type { NodeServices } from './controller-services.js';
 
 /** What is called when there is work to do. */
 export interface ActiveRolesCallbacks {
--- a/src/coordination/node.ts
+++ b/src/coordination/controller/controller-node.ts
@@ -6,27 +6,27 @@
   LOOP_MS,
   LOOP_REST,
   ROLES_MS,
-} from '../constants.js';
-import { ARMS, NODES, ROLES } from '../storage/keys.js';
-import type { Log } from '../storage/log.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { PeerMessage } from '../protocol/peer-messages.js';
-import type { Settings } from '../protocol/settings.js';
-import type { HttpReply } from '../transport/http-server.js';
-import type { Leader } from './leader.js';
-import { ActiveRoles } from './node/active-roles.js';
-import type { Environment } from './node/environment.js';
-import type { CreateDetection, NodeDetection } from './node/node-detection.js';
-import { createNodeServices, type NodeServices } from './node/node-services.js';
-import { PeerEntry } from './node/peer-entry.js';
-import { PeerRelay } from './node/peer-relay.js';
-import { RequestLog } from './node/request-log.js';
-import { RoundLoop, type RoundLoopOptions } from './node/round-loop.js';
-import { UserEntry, type UserRequest } from './node/user-entry.js';
-import { WorkerEntry } from './node/worker-entry.js';
-import type { Part } from './part.js';
-
-export type { Environment } from './node/environment.js';
+} from '../../constants.js';
+import { ARMS, NODES, ROLES } from '../../storage/keys.js';
+import type { Log } from '../../storage/log.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { PeerMessage } from '../../protocol/peer-messages.js';
+import type { Settings } from '../../protocol/settings.js';
+import type { HttpReply } from '../../transport/http-server.js';
+import type { Leader } from '../leader/leader.js';
+import { ActiveRoles } from './active-roles.js';
+import type { Environment } from '../../protocol/environment.js';
+import type { CreateDetection, NodeDetection } from '../failure-detection/detection-service.js';
+import { createNodeServices, type NodeServices } from './controller-services.js';
+import { PeerEntry } from './peer-endpoint.js';
+import { PeerRelay } from './peer-relay.js';
+import { RequestLog } from './request-log.js';
+import { RoundLoop, type RoundLoopOptions } from './control-loop.js';
+import { UserEntry, type UserRequest } from './user-endpoint.js';
+import { WorkerEntry } from './heartbeat-endpoint.js';
+import type { Part } from '../shard/shard.js';
+
+export type { Environment } from '../../protocol/environment.js';
 
 /** The periodic loops of a node. */
 interface NodeLoops {
--- a/src/coordination/node/node-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -12,16 +12,20 @@
 import { StoreReachability } from '../../storage/store-reachability.js';
 import { StoreReplica } from '../../storage/store-replica.js';
 import type { Settings } from '../../protocol/settings.js';
-import type { StateApi } from '../../protocol/state-api.js';
+import type { StateApi } from '../../protocol/key-value-store.js';
 import { randomOf } from '../../transport/backoff.js';
-import { hash, type Member } from '../rendezvous.js';
-import { graceMs } from '../role-timing.js';
-import { Roles } from '../roles.js';
-import { STORE_ALONE, type TakeoverPolicy } from '../takeover.js';
-import { UserRequests } from '../user-requests.js';
-import type { Environment } from './environment.js';
-import type { CreateDetection, NodeDetection, NodeDetectionOptions } from './node-detection.js';
-import { OwnerNotifier } from './owner-notifier.js';
+import { hash, type Member } from '../election/rendezvous-hashing.js';
+import { graceMs } from '../election/lease-timing.js';
+import { Roles } from '../election/role-election.js';
+import { STORE_ALONE, type TakeoverPolicy } from '../election/failover-policy.js';
+import { UserRequests } from '../api/user-requests.js';
+import type { Environment } from '../../protocol/environment.js';
+import type {
+  CreateDetection,
+  NodeDetection,
+  NodeDetectionOptions,
+} from '../failure-detection/detection-service.js';
+import { OwnerNotifier } from './holder-notifier.js';
 
 /** What a node is created from. */
 export interface NodeOptions {
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -19,24 +19,24 @@
   RETRY_AFTER_S,
   STATE_SOCKETS,
   STATE_TIMEOUT_MS,
-} from '../constants.js';
-import type { Log } from '../storage/log.js';
-import { HttpCloudApi } from '../protocol/cloud-api.js';
-import { decodePeer, encodePeer } from '../protocol/peer-messages.js';
-import type { Settings } from '../protocol/settings.js';
-import { HttpStateApi } from '../protocol/state-api.js';
-import { systemClock } from '../transport/clock.js';
-import { HttpWorkerApi } from '../protocol/worker-api.js';
-import { HttpClient } from '../transport/http-client.js';
+} from '../../constants.js';
+import type { Log } from '../../storage/log.js';
+import { HttpCloudApi } from '../../protocol/cloud-api.js';
+import { decodePeer, encodePeer } from '../../protocol/peer-messages.js';
+import type { Settings } from '../../protocol/settings.js';
+import { HttpStateApi } from '../../protocol/key-value-store.js';
+import { systemClock } from '../../transport/clock.js';
+import { HttpWorkerApi } from '../../protocol/worker-api.js';
+import { HttpClient } from '../../transport/http-client.js';
 import {
   listenHttp,
   type HttpReply,
   type Route,
   type ServerLimits,
-} from '../transport/http-server.js';
-import { PeerLink, listenPeers, type PeerLinkOptions } from '../transport/peer-link.js';
-import { ControllerNode, type Environment } from './node.js';
-import type { CreateDetection, NodeDetection } from './node/node-detection.js';
+} from '../../transport/http-server.js';
+import { PeerLink, listenPeers, type PeerLinkOptions } from '../../transport/peer-link.js';
+import { ControllerNode, type Environment } from './controller-node.js';
+import type { CreateDetection, NodeDetection } from '../failure-detection/detection-service.js';
 
 /** Connections to the cloud: one for rentals and one for lists. */
 const CLOUD_SOCKETS = 2;
@@ -135,7 +135,7 @@
 /** Failure detection's code, loaded only where it is enabled: a start without it costs nothing. */
 async function loadDetection({ suspicion }: Settings): Promise<CreateDetection> {
   if (!suspicion) return null;
-  const { FailureDetection } = await import('./suspicion/failure-detection.js');
+  const { FailureDetection } = await import('../failure-detection/failure-detection.js');
   return (options) => new FailureDetection(options, suspicion);
 }
 
--- a/src/coordination/node/worker-entry.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -5,11 +5,11 @@
 import { encodeRedirect, encodeReportAnswer, parseReport } from '../../protocol/worker-codec.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply } from '../../transport/http-server.js';
-import { partOf, type Member } from '../rendezvous.js';
-import { partRole, type Roles } from '../roles.js';
+import { partOf, type Member } from '../election/rendezvous-hashing.js';
+import { partRole, type Roles } from '../election/role-election.js';
 import type { ActiveRoles } from './active-roles.js';
 import type { PeerRelay } from './peer-relay.js';
-import { unavailable } from './replies.js';
+import { unavailable } from './unavailable-reply.js';
 
 /** What the entry works with. */
 export interface WorkerEntryOptions {
--- a/src/coordination/node/owner-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -1,8 +1,8 @@
 /** Notifies the owners of roles that the state service holds something new for them. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
-import { LEADER, partRole, type Roles } from '../roles.js';
-import type { Environment } from './environment.js';
+import { LEADER, partRole, type Roles } from '../election/role-election.js';
+import type { Environment } from '../../protocol/environment.js';
 
 /** What a notifier works with. */
 export interface OwnerNotifierOptions {
--- a/src/coordination/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -1,8 +1,8 @@
 /** The metrics of one controller. */
 
 import { Gauge, Registry } from 'prom-client';
-import type { ControllerNode } from './node.js';
-import type { NodeDetection } from './node/node-detection.js';
+import type { ControllerNode } from './controller-node.js';
+import type { NodeDetection } from '../failure-detection/detection-service.js';
 
 type AddGauge = (name: string, help: string, read: () => number) => void;
 
--- a/src/coordination/node/peer-entry.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -4,10 +4,10 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
-import type { NodeDetection } from './node-detection.js';
+import type { NodeDetection } from '../failure-detection/detection-service.js';
 import type { PeerRelay } from './peer-relay.js';
-import type { UserEntry } from './user-entry.js';
-import type { WorkerEntry } from './worker-entry.js';
+import type { UserEntry } from './user-endpoint.js';
+import type { WorkerEntry } from './heartbeat-endpoint.js';
 
 type RelayMessage = Extract<PeerMessage, { kind: 'relay' }>;
 
--- a/src/coordination/node/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -2,7 +2,7 @@
 import { RELAY_TIMEOUT_MS } from '../../constants.js';
 import type { Ask, PeerMessage } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
-import type { Environment } from './environment.js';
+import type { Environment } from '../../protocol/environment.js';
 
 /** A request to be relayed. */
 export interface RelayRequest {
--- a/src/coordination/node/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -3,7 +3,7 @@
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { Clock } from '../../transport/clock.js';
-import type { UserRequests } from '../user-requests.js';
+import type { UserRequests } from '../api/user-requests.js';
 
 /** What the log reads. */
 export interface RequestLogOptions {
--- a/src/coordination/node/user-entry.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -13,10 +13,10 @@
 import type { StoreReachability } from '../../storage/store-reachability.js';
 import type { Ask } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
-import type { UserRequests } from '../user-requests.js';
-import type { Environment } from './environment.js';
+import type { UserRequests } from '../api/user-requests.js';
+import type { Environment } from '../../protocol/environment.js';
 import type { PeerRelay, RelayAttempts } from './peer-relay.js';
-import { unavailable } from './replies.js';
+import { unavailable } from './unavailable-reply.js';
 
 /** A user's request. */
 export interface UserRequest {
--- a/src/coordination/role-turns.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -1,14 +1,14 @@
 /** Whose turn it is to take a free role. */
 
-import { HOME_SETTLE_MS, LEADER_SETTLE_MS, MEMBER_RENEW_MS } from '../constants.js';
-import type { InvalidChangeBackoff } from '../storage/invalid-change-backoff.js';
-import { nodeKey, roleKey } from '../storage/keys.js';
-import type { NodeRecord, RoleRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import { orderForLeader, orderForPart, type Member } from './rendezvous.js';
-import type { StoodDownRoles } from './stood-down-roles.js';
-import type { TakeoverPolicy } from './takeover.js';
+import { HOME_SETTLE_MS, LEADER_SETTLE_MS, MEMBER_RENEW_MS } from '../../constants.js';
+import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { nodeKey, roleKey } from '../../storage/keys.js';
+import type { NodeRecord, RoleRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import { orderForLeader, orderForPart, type Member } from './rendezvous-hashing.js';
+import type { StoodDownRoles } from './stepped-down-roles.js';
+import type { TakeoverPolicy } from './failover-policy.js';
 
 /** What turns are decided with. */
 export interface RoleTurnsOptions {
--- a/src/coordination/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -1,10 +1,10 @@
 /** Writes to the state service on behalf of a role. */
 
-import type { CommitResult, Committer } from '../storage/committer.js';
-import type { Purpose } from '../storage/rate-limiter.js';
-import type { RoleRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Change, Guard } from '../protocol/state-api.js';
+import type { CommitResult, Committer } from '../../storage/committer.js';
+import type { Purpose } from '../../storage/rate-limiter.js';
+import type { RoleRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
 
 /**
  * A role in our hands: every write in it guards its key. Writing that key anew, with nothing changed
--- a/src/coordination/role-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -6,8 +6,8 @@
   CLOCK_DRIFT,
   LEASE_MARGIN_MS,
   MOVED_LONG_MS,
-} from '../constants.js';
-import type { RoleRecord } from '../storage/records.js';
+} from '../../constants.js';
+import type { RoleRecord } from '../../storage/records.js';
 
 /** The deployment's bounds that ownership rests on. */
 export interface Timing {
--- a/src/coordination/roles.ts
+++ b/src/coordination/election/role-election.ts
@@ -1,20 +1,20 @@
 /** Roles: which node leads and which node owns each part. */
 
-import { MEMBER_RENEW_MS, MEMBER_TTL_MS } from '../constants.js';
-import type { Committer } from '../storage/committer.js';
-import type { RateLimiter } from '../storage/rate-limiter.js';
-import { nodeKey, roleKey } from '../storage/keys.js';
-import type { Log } from '../storage/log.js';
-import type { NodeRecord, RoleRecord } from '../storage/records.js';
-import { InvalidChangeBackoff } from '../storage/invalid-change-backoff.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Change, Guard, StateApi } from '../protocol/state-api.js';
-import type { Clock } from '../transport/clock.js';
-import { fenceAt, graceMs, type Timing } from './role-timing.js';
-import type { Member } from './rendezvous.js';
-import { RoleTurns } from './role-turns.js';
-import { StoodDownRoles } from './stood-down-roles.js';
-import type { TakeoverPolicy } from './takeover.js';
+import { MEMBER_RENEW_MS, MEMBER_TTL_MS } from '../../constants.js';
+import type { Committer } from '../../storage/committer.js';
+import type { RateLimiter } from '../../storage/rate-limiter.js';
+import { nodeKey, roleKey } from '../../storage/keys.js';
+import type { Log } from '../../storage/log.js';
+import type { NodeRecord, RoleRecord } from '../../storage/records.js';
+import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Change, Guard, StateApi } from '../../protocol/key-value-store.js';
+import type { Clock } from '../../transport/clock.js';
+import { fenceAt, graceMs, type Timing } from './lease-timing.js';
+import type { Member } from './rendezvous-hashing.js';
+import { RoleTurns } from './candidate-order.js';
+import { StoodDownRoles } from './stepped-down-roles.js';
+import type { TakeoverPolicy } from './failover-policy.js';
 
 /** What the roles of one node rest on. */
 export interface RolesOptions {
--- a/src/coordination/stood-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,7 +1,7 @@
 /** Roles that this process gave up when it was asked to, by the term in which it held them. */
 
-import { STAND_DOWN_REST_MS } from '../constants.js';
-import type { Clock } from '../transport/clock.js';
+import { STAND_DOWN_REST_MS } from '../../constants.js';
+import type { Clock } from '../../transport/clock.js';
 
 interface StoodDown {
   readonly term: number;
--- a/src/coordination/suspicion/confirmed-takeover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -2,10 +2,10 @@
 
 import type { FailureDetector, Verdict, VerdictKind } from '@mothbank/failure-detector';
 import type { Clock } from '../../transport/clock.js';
-import type { LapsedHolder, TakeoverPolicy } from '../takeover.js';
+import type { LapsedHolder, TakeoverPolicy } from '../election/failover-policy.js';
 import type { TakeoverAction, TakeoverDecision } from './detection-records.js';
 import { FlapDamping } from './flap-damping.js';
-import type { StandDown } from './stand-down.js';
+import type { StandDown } from './step-down-requests.js';
 
 /** What decisions rest on. */
 export interface ConfirmedTakeoverOptions {
--- a/src/coordination/node/node-detection.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -3,10 +3,10 @@
 import type { PeerMessage } from '../../protocol/peer-messages.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { Member } from '../rendezvous.js';
-import type { Roles } from '../roles.js';
-import type { TakeoverPolicy } from '../takeover.js';
-import type { Environment } from './environment.js';
+import type { Member } from '../election/rendezvous-hashing.js';
+import type { Roles } from '../election/role-election.js';
+import type { TakeoverPolicy } from '../election/failover-policy.js';
+import type { Environment } from '../../protocol/environment.js';
 
 /** What failure detection is created from. */
 export interface NodeDetectionOptions {
--- a/src/coordination/suspicion/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -5,13 +5,13 @@
 import { decodeDetector, encodeDetector } from '../../protocol/detector-codec.js';
 import type { SuspicionSettings } from '../../protocol/settings.js';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
-import type { NodeDetection, NodeDetectionOptions } from '../node/node-detection.js';
-import { hash } from '../rendezvous.js';
-import { partRole } from '../roles.js';
-import type { TakeoverPolicy } from '../takeover.js';
-import { ConfirmedTakeover } from './confirmed-takeover.js';
+import type { NodeDetection, NodeDetectionOptions } from './detection-service.js';
+import { hash } from '../election/rendezvous-hashing.js';
+import { partRole } from '../election/role-election.js';
+import type { TakeoverPolicy } from '../election/failover-policy.js';
+import { ConfirmedTakeover } from './confirmed-failover.js';
 import { DetectionRecords } from './detection-records.js';
-import { StandDown } from './stand-down.js';
+import { StandDown } from './step-down-requests.js';
 
 type Answer = (message: PeerMessage) => void;
 
--- a/src/coordination/suspicion/stand-down.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -4,8 +4,8 @@
 import type { PeerMessage, RoleTenure } from '../../protocol/peer-messages.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
-import type { LapsedHolder } from '../takeover.js';
-import type { Roles } from '../roles.js';
+import type { LapsedHolder } from '../election/failover-policy.js';
+import type { Roles } from '../election/role-election.js';
 
 /** What standing down works with. */
 export interface StandDownOptions {
--- a/src/coordination/leader/chunk-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -1,11 +1,11 @@
 /** Commits the chunk records of an assigning round. */
-import type { Guard } from '../../protocol/state-api.js';
-import type { InvalidChangeBackoff } from '../../storage/invalid-change-backoff.js';
+import type { Guard } from '../../protocol/key-value-store.js';
+import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { jobKey } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { GuardedWriter } from '../guarded-writer.js';
-import type { NewChunk } from './chunk-factory.js';
+import type { GuardedWriter } from '../election/guarded-writer.js';
+import type { NewChunk } from './assignment-factory.js';
 
 /** What the commit of chunks works with. */
 export interface ChunkCommitOptions {
--- a/src/coordination/leader/chunk-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -4,7 +4,7 @@
 import { chunkKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { ChunkRecord } from '../../storage/records.js';
-import { TermNumbers } from '../term-numbers.js';
+import { TermNumbers } from '../election/term-numbers.js';
 
 /** The machines of one part in one zone. */
 export interface Place {
--- a/src/coordination/leader/assignment-history.ts
+++ b/src/coordination/leader/assignment-history.ts
@@ -1,6 +1,6 @@
 /** When tasks of each job were assigned or seen to run last: the pace of assigning depends on it. */
 import { STARVED_MS } from '../../constants.js';
-import type { OpenJob } from '../scheduling-order.js';
+import type { OpenJob } from './scheduling-order.js';
 
 /** When a job last got tasks assigned, and how many found no room then. */
 export interface RecentAssignment {
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -1,28 +1,28 @@
 /** Plans an assigning round: which tasks of which jobs go to which parts. */
 import { ASSIGN_PACE_MS, LATE_ROOM } from '../../constants.js';
 import type { Team } from '../../protocol/settings.js';
-import type { InvalidChangeBackoff } from '../../storage/invalid-change-backoff.js';
+import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
 import type { Supply } from '../../storage/rate-limiter.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
-import type { MachineCapacity } from '../capacity.js';
-import { reservedMachines } from '../gang-capacity.js';
-import { GangHistory } from '../gang-history.js';
-import { GuaranteeClaims } from '../guarantee-claims.js';
-import { Inventory } from '../inventory.js';
-import type { Ledger } from '../ledger.js';
-import { queuesByPlace } from '../queues.js';
-import type { RecentArrivals } from '../recent-arrivals.js';
-import type { Member } from '../rendezvous.js';
-import { schedulingOrder, type OpenJob } from '../scheduling-order.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
+import { reservedMachines } from '../capacity/gang-capacity.js';
+import { GangHistory } from './gang-history.js';
+import { GuaranteeClaims } from './fair-share-reclaim.js';
+import { Inventory } from '../capacity/machine-inventory.js';
+import type { Ledger } from '../capacity/capacity-accounting.js';
+import { queuesByPlace } from './shard-queues.js';
+import type { RecentArrivals } from './recent-arrivals.js';
+import type { Member } from '../election/rendezvous-hashing.js';
+import { schedulingOrder, type OpenJob } from './scheduling-order.js';
 import { AssignmentHistory } from './assignment-history.js';
 import type { AssignmentRound } from './assignment-round.js';
-import { ChunkFactory } from './chunk-factory.js';
+import { ChunkFactory } from './assignment-factory.js';
 import { GangAssignment } from './gang-assignment.js';
-import { PartAssignment } from './part-assignment.js';
+import { PartAssignment } from './shard-assignment.js';
 import { TaskDistribution } from './task-distribution.js';
-import { TeamLimits } from './team-limits.js';
+import { TeamLimits } from './team-quota.js';
 import { occupyForWaitingTasks } from './waiting-tasks.js';
 
 /** What assigning rounds are planned with. */
--- a/src/coordination/leader/assignment-round.ts
+++ b/src/coordination/leader/assignment-round.ts
@@ -1,7 +1,7 @@
 /** What the pieces of one assigning round share. */
-import type { MachineCapacity, UnmetDemand } from '../capacity.js';
-import type { Queue } from '../queues.js';
-import type { NewChunk } from './chunk-factory.js';
+import type { MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
+import type { Queue } from './shard-queues.js';
+import type { NewChunk } from './assignment-factory.js';
 
 /** One assigning round: what it works on, and what comes of it. */
 export interface AssignmentRound {
--- a/src/coordination/leader/room-occupation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -8,8 +8,8 @@
   reclaimModeFor,
   reclaimableCapacity,
   type MachineCapacity,
-} from '../capacity.js';
-import type { Place } from './chunk-factory.js';
+} from '../capacity/machine-capacity.js';
+import type { Place } from './assignment-factory.js';
 
 /**
  * Occupies free room for tasks in a place, first beside other tasks and then on empty machines;
--- a/src/coordination/leader/room-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -6,9 +6,9 @@
   reclaimModesFor,
   reclaimableCapacity,
   type MachineCapacity,
-} from '../capacity.js';
-import { URGENT, placeKey } from '../priorities.js';
-import type { Place } from './chunk-factory.js';
+} from '../capacity/machine-capacity.js';
+import { URGENT, placeKey } from '../capacity/priorities.js';
+import type { Place } from './assignment-factory.js';
 
 /** How many tasks of a job a place has room for. */
 export interface PlaceRoom extends Place {
--- a/src/coordination/guarantee-claims.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -2,14 +2,14 @@
  * Room that a gang may claim for its team's guarantee: other teams' arrays, as far as these teams
  * run beyond their own guarantees. This is the one case in which work stops work of equal priority.
  */
-import { CLAIMS_MS } from '../constants.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { JobSpec } from '../protocol/model.js';
-import type { Team } from '../protocol/settings.js';
-import type { Clock } from '../transport/clock.js';
-import { fitCount, isEligible, type MachineCapacity } from './capacity.js';
+import { CLAIMS_MS } from '../../constants.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { JobSpec } from '../../protocol/model.js';
+import type { Team } from '../../protocol/settings.js';
+import type { Clock } from '../../transport/clock.js';
+import { fitCount, isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
 import type { Share } from './gang-plan.js';
-import { placeKey } from './priorities.js';
+import { placeKey } from '../capacity/priorities.js';
 
 /** Where a gang finds room by a claim, and how many CPUs it may stop of each team for it. */
 export interface Claim {
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -4,15 +4,15 @@
 import { readCatalog } from '../../storage/catalog.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { need, reclaimModeFor, type MachineCapacity } from '../capacity.js';
-import type { GangHistory } from '../gang-history.js';
-import { planGang, type GangPlan, type ImageHints, type Share } from '../gang-plan.js';
-import type { Claim, GuaranteeClaims } from '../guarantee-claims.js';
-import type { OpenJob } from '../scheduling-order.js';
+import { need, reclaimModeFor, type MachineCapacity } from '../capacity/machine-capacity.js';
+import type { GangHistory } from './gang-history.js';
+import { planGang, type GangPlan, type ImageHints, type Share } from './gang-plan.js';
+import type { Claim, GuaranteeClaims } from './fair-share-reclaim.js';
+import type { OpenJob } from './scheduling-order.js';
 import type { AssignmentRound } from './assignment-round.js';
-import type { ChunkFactory } from './chunk-factory.js';
-import { occupyPlace, occupyZone } from './room-occupation.js';
-import type { TeamLimits } from './team-limits.js';
+import type { ChunkFactory } from './assignment-factory.js';
+import { occupyPlace, occupyZone } from './capacity-allocation.js';
+import type { TeamLimits } from './team-quota.js';
 
 /** What the assignment of gangs works with. */
 export interface GangAssignmentOptions {
--- a/src/coordination/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -8,10 +8,10 @@
   GANG_KEEP_FROM_MS,
   GANG_RETRY_MOST_MS,
   GANG_RETRY_MS,
-} from '../constants.js';
+} from '../../constants.js';
 import type { Share } from './gang-plan.js';
-import { placeKey } from './priorities.js';
-import { TermNumbers } from './term-numbers.js';
+import { placeKey } from '../capacity/priorities.js';
+import { TermNumbers } from '../election/term-numbers.js';
 
 /** How often a gang was handed out, and when last. */
 interface Tries {
--- a/src/coordination/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -1,6 +1,6 @@
 /** Plans where a gang goes as a whole: which parts take how many of its tasks, and in which zones. */
 
-import type { JobSpec } from '../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import {
   fitCount,
   isEligible,
@@ -8,8 +8,8 @@
   reclaimModesFor,
   type MachineCapacity,
   type ReclaimMode,
-} from './capacity.js';
-import { placeKey } from './priorities.js';
+} from '../capacity/machine-capacity.js';
+import { placeKey } from '../capacity/priorities.js';
 
 /** Tasks of a gang for one part. */
 export interface Share {
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -1,12 +1,12 @@
 /** Replaces the records of jobs whose tasks are all done by final records. */
-import type { Change, Guard } from '../../protocol/state-api.js';
-import type { InvalidChangeBackoff } from '../../storage/invalid-change-backoff.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
+import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { FinalRecord, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { GuardedWriter } from '../guarded-writer.js';
-import { endsAt, type Ledger } from '../ledger.js';
+import type { GuardedWriter } from '../election/guarded-writer.js';
+import { endsAt, type Ledger } from '../capacity/capacity-accounting.js';
 
 /** What the completion of jobs works with. */
 export interface JobCompletionOptions {
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -1,16 +1,16 @@
 /** The leader's round: it completes jobs whose tasks are done, and assigns tasks to parts. */
-import { InvalidChangeBackoff } from '../storage/invalid-change-backoff.js';
-import { JOBS } from '../storage/keys.js';
-import type { Log } from '../storage/log.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import type { FleetSnapshot } from './capacity.js';
-import type { GuardedWriter } from './guarded-writer.js';
-import { AssignmentPlanner, type AssignmentPlannerOptions } from './leader/assignment-planner.js';
-import type { AssignmentRound } from './leader/assignment-round.js';
-import { ChunkCommit } from './leader/chunk-commit.js';
-import { JobCompletion } from './leader/job-completion.js';
-import { Ledger } from './ledger.js';
+import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { JOBS } from '../../storage/keys.js';
+import type { Log } from '../../storage/log.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import type { FleetSnapshot } from '../capacity/machine-capacity.js';
+import type { GuardedWriter } from '../election/guarded-writer.js';
+import { AssignmentPlanner, type AssignmentPlannerOptions } from './assignment-planner.js';
+import type { AssignmentRound } from './assignment-round.js';
+import { ChunkCommit } from './assignment-commit.js';
+import { JobCompletion } from './job-completion.js';
+import { Ledger } from '../capacity/capacity-accounting.js';
 import { RecentArrivals } from './recent-arrivals.js';
 
 /** What the planner of assignments gets from its leader's options. */
--- a/src/coordination/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,10 +1,10 @@
 /** The work that arrived lately: what the fleet should expect. */
-import { ARRIVALS_MS } from '../constants.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import { RecentGangs } from './recent-gangs.js';
-import { URGENT } from './priorities.js';
+import { ARRIVALS_MS } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import { RecentGangs } from '../capacity/recent-gangs.js';
+import { URGENT } from '../capacity/priorities.js';
 
 /** ms; for a shorter time than this no figure is given: too little was observed. */
 const LEAST_SPAN_MS = ARRIVALS_MS / 3;
--- a/src/coordination/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -1,10 +1,10 @@
 /** The order in which the leader assigns tasks of open jobs. */
-import { AGED_DEADLINES, BEGIN_WITHIN_S } from '../constants.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { Team } from '../protocol/settings.js';
-import type { JobRecord } from '../storage/records.js';
+import { AGED_DEADLINES, BEGIN_WITHIN_S } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Team } from '../../protocol/settings.js';
+import type { JobRecord } from '../../storage/records.js';
 import { selectLateDemands, type DeadlineDemand } from './deadline-selection.js';
-import type { Progress, Usage } from './ledger.js';
+import type { Progress, Usage } from '../capacity/capacity-accounting.js';
 
 /** A job with tasks that are not assigned yet. */
 export interface OpenJob {
--- a/src/coordination/leader/part-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -2,13 +2,13 @@
 import { BEGIN_SHARE, KEPT_FROM_MS, STARVED_SHARE } from '../../constants.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { fitCount, need, type MachineCapacity } from '../capacity.js';
-import { URGENT } from '../priorities.js';
-import type { OpenJob } from '../scheduling-order.js';
+import { fitCount, need, type MachineCapacity } from '../capacity/machine-capacity.js';
+import { URGENT } from '../capacity/priorities.js';
+import type { OpenJob } from './scheduling-order.js';
 import type { AssignmentHistory } from './assignment-history.js';
 import type { AssignmentRound } from './assignment-round.js';
 import type { TaskDistribution } from './task-distribution.js';
-import type { TeamLimits } from './team-limits.js';
+import type { TeamLimits } from './team-quota.js';
 
 /** What the assignment of arrays and services works with. */
 export interface PartAssignmentOptions {
--- a/src/coordination/queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -1,8 +1,8 @@
 /** Queues of the parts: work that is assigned to a part ahead of its free room. */
 
-import { QUEUE_REFILL, QUEUE_S } from '../constants.js';
-import type { MachineCapacity } from './capacity.js';
-import { placeKey } from './priorities.js';
+import { QUEUE_REFILL, QUEUE_S } from '../../constants.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
+import { placeKey } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
 /** What waits in a part beyond its free room, and what its machines finish meanwhile. */
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -1,13 +1,13 @@
 /** Distributes tasks of an array or a service over the places with room for them. */
 import { rankOf } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { MachineCapacity } from '../capacity.js';
-import { URGENT } from '../priorities.js';
-import { queueRoom, shortQueues, type Queue } from '../queues.js';
-import type { OpenJob } from '../scheduling-order.js';
-import type { ChunkFactory, NewChunk, Place } from './chunk-factory.js';
-import { occupyPlace } from './room-occupation.js';
-import { findRooms } from './room-search.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
+import { URGENT } from '../capacity/priorities.js';
+import { queueRoom, shortQueues, type Queue } from './shard-queues.js';
+import type { OpenJob } from './scheduling-order.js';
+import type { ChunkFactory, NewChunk, Place } from './assignment-factory.js';
+import { occupyPlace } from './capacity-allocation.js';
+import { findRooms } from './capacity-search.js';
 import { ZoneLimits } from './zone-limits.js';
 
 /** What the tasks of a job are distributed over. */
--- a/src/coordination/leader/team-limits.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -4,10 +4,10 @@
 import type { Team } from '../../protocol/settings.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { need, type Amounts } from '../capacity.js';
-import type { Ledger, Usage } from '../ledger.js';
-import { URGENT } from '../priorities.js';
-import type { OpenJob } from '../scheduling-order.js';
+import { need, type Amounts } from '../capacity/machine-capacity.js';
+import type { Ledger, Usage } from '../capacity/capacity-accounting.js';
+import { URGENT } from '../capacity/priorities.js';
+import type { OpenJob } from './scheduling-order.js';
 
 /** Sums of decimals may exceed a limit by this much. */
 const SLACK = 1e-9;
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -2,11 +2,16 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { ChunkSummary, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { fitCount, isEligible, occupy, type MachineCapacity } from '../capacity.js';
-import type { Ledger } from '../ledger.js';
-import { placeKey } from '../priorities.js';
+import {
+  fitCount,
+  isEligible,
+  occupy,
+  type MachineCapacity,
+} from '../capacity/machine-capacity.js';
+import type { Ledger } from '../capacity/capacity-accounting.js';
+import { placeKey } from '../capacity/priorities.js';
 import type { AssignmentRound } from './assignment-round.js';
-import { occupyPlace } from './room-occupation.js';
+import { occupyPlace } from './capacity-allocation.js';
 
 /** Share of a place's machines that must have become full for its list to be shortened. */
 const FULL_SHARE = 1 / 4;
--- a/src/coordination/leader/zone-limits.ts
+++ b/src/coordination/leader/zone-limits.ts
@@ -1,6 +1,6 @@
 /** How many tasks of a job each zone may take, by the job's `oneZone` and `spread`. */
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { OpenJob } from '../scheduling-order.js';
+import type { OpenJob } from './scheduling-order.js';
 
 /** Room for tasks of a job in a zone. */
 export interface ZoneRoom {
--- a/src/coordination/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -1,8 +1,8 @@
 /** A contextual bandit that learns which machine types suit which classes of tasks. */
 
 import { Matrix, inverse } from 'ml-matrix';
-import { bytesOf } from '../storage/committer.js';
-import { CLASS_CAP } from '../constants.js';
+import { bytesOf } from '../../storage/committer.js';
+import { CLASS_CAP } from '../../constants.js';
 
 /** What one arm has learned: A and b of ridge regression, with A's inverse kept beside it. */
 interface Arm {
--- a/src/coordination/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -1,11 +1,11 @@
 /** The machines that may take tasks in one round of placing. */
 
-import type { JobSpec } from '../protocol/model.js';
-import { isEligible } from './capacity.js';
-import type { Machine } from './machine.js';
-import type { Machines } from './machines.js';
-import { take, type Room } from './room.js';
-import type { Chunk, Slot, Tasks } from './tasks.js';
+import type { JobSpec } from '../../protocol/model.js';
+import { isEligible } from '../capacity/machine-capacity.js';
+import type { Machine } from '../shard-state/machine.js';
+import type { Machines } from '../shard-state/machines.js';
+import { take, type Room } from '../capacity/resources.js';
+import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
 
 /** A machine that may take tasks, and what is left of it in this round. */
 export interface Candidate {
--- a/src/coordination/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -5,13 +5,13 @@
   CONSOLIDATE_SETTLED_MS,
   CONSOLIDATE_SHARE,
   CONSOLIDATE_USE,
-} from '../constants.js';
-import type { Log } from '../storage/log.js';
-import type { Clock } from '../transport/clock.js';
+} from '../../constants.js';
+import type { Log } from '../../storage/log.js';
+import type { Clock } from '../../transport/clock.js';
 import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
-import type { Machines } from './machines.js';
-import { fits, take } from './room.js';
-import type { Chunk, Slot, Tasks } from './tasks.js';
+import type { Machines } from '../shard-state/machines.js';
+import { fits, take } from '../capacity/resources.js';
+import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
 
 /** What consolidation reads and writes. */
 interface ConsolidationDependencies {
--- a/src/coordination/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -1,14 +1,14 @@
 /** Chooses the machines for a part's share of a gang: for all of its tasks at once, or for none. */
 
-import { CLAIM_VALID_MS } from '../constants.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { Clock } from '../transport/clock.js';
+import { CLAIM_VALID_MS } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Clock } from '../../transport/clock.js';
 import type { Candidate, JobLookup, Victim } from './candidates.js';
-import { fitCount } from './capacity.js';
-import type { Machine } from './machine.js';
+import { fitCount } from '../capacity/machine-capacity.js';
+import type { Machine } from '../shard-state/machine.js';
 import type { Preemption } from './preemption.js';
-import { fits, take, type Room } from './room.js';
-import type { Chunk } from './tasks.js';
+import { fits, take, type Room } from '../capacity/resources.js';
+import type { Chunk } from '../shard-state/tasks.js';
 
 /** When the machines have a gang's image. */
 export interface FetchTimes {
--- a/src/coordination/gang-reservation.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,11 +1,11 @@
 /** Room that a part reserves on its machines: for a gang that does not fit yet, and for the next one. */
 
-import { GANG_KEEP_TIMES } from '../constants.js';
-import type { JobSpec } from '../protocol/model.js';
+import { GANG_KEEP_TIMES } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
 import type { Candidate, JobLookup } from './candidates.js';
-import { fitCount } from './capacity.js';
-import { take, type Room } from './room.js';
-import type { Chunk, Tasks } from './tasks.js';
+import { fitCount } from '../capacity/machine-capacity.js';
+import { take, type Room } from '../capacity/resources.js';
+import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
 /** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
 interface CandidateFit {
--- a/src/coordination/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -1,12 +1,12 @@
 /** Chooses the machine for a task with free room: the bandit picks the type, first fit the machine. */
 
-import { FETCH_SHARE } from '../constants.js';
-import type { JobSpec } from '../protocol/model.js';
+import { FETCH_SHARE } from '../../constants.js';
+import type { JobSpec } from '../../protocol/model.js';
 import type { Bandit } from './bandit.js';
 import type { Candidate } from './candidates.js';
-import type { Machine } from './machine.js';
-import type { Machines } from './machines.js';
-import { fits, type Room } from './room.js';
+import type { Machine } from '../shard-state/machine.js';
+import type { Machines } from '../shard-state/machines.js';
+import { fits, type Room } from '../capacity/resources.js';
 
 /** What the choice of a machine depends on beside the task. */
 export interface MachineChoiceOptions {
--- a/src/coordination/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,13 +1,13 @@
 /** Preemption: which tasks are stopped to make room for work of higher priority, and at what cost. */
 
-import { IMAGE_VICTIMS } from '../constants.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { Log } from '../storage/log.js';
-import type { Clock } from '../transport/clock.js';
+import { IMAGE_VICTIMS } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Log } from '../../storage/log.js';
+import type { Clock } from '../../transport/clock.js';
 import type { Candidate, JobLookup, Victim } from './candidates.js';
 import { isSettled } from './consolidation.js';
-import { fits, take, type Room } from './room.js';
-import type { Chunk, Tasks } from './tasks.js';
+import { fits, take, type Room } from '../capacity/resources.js';
+import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
 /** What decides whether a task may be stopped for other work. */
 export interface PreemptionRules {
--- a/src/coordination/placing.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,21 +1,21 @@
 /** One part's rounds of placing: waiting tasks go to machines, in the order of their priorities. */
 
-import { ATTEMPT_PARTS, ATTEMPT_STEP, FETCH_SLOWEST } from '../constants.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { Log } from '../storage/log.js';
-import type { Clock } from '../transport/clock.js';
+import { ATTEMPT_PARTS, ATTEMPT_STEP, FETCH_SLOWEST } from '../../constants.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Log } from '../../storage/log.js';
+import type { Clock } from '../../transport/clock.js';
 import type { Bandit } from './bandit.js';
 import { countTasksByType, listCandidates, mayRunOn, type Candidate } from './candidates.js';
-import { isEligible } from './capacity.js';
+import { isEligible } from '../capacity/machine-capacity.js';
 import { Consolidation } from './consolidation.js';
 import { GangLayouts, type GangLayout } from './gang-layout.js';
-import { GangReservations } from './gang-reservation.js';
+import { GangReservations } from './gang-reservations.js';
 import { MachineChoice, type MachineChoiceOptions } from './machine-choice.js';
-import type { Machines } from './machines.js';
+import type { Machines } from '../shard-state/machines.js';
 import { Preemption, type PreemptionRules } from './preemption.js';
-import { take } from './room.js';
-import type { Chunk, Slot, Tasks } from './tasks.js';
-import { TermNumbers } from './term-numbers.js';
+import { take } from '../capacity/resources.js';
+import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
+import { TermNumbers } from '../election/term-numbers.js';
 
 /** What placing needs of its part, beside tasks and machines. */
 export interface PlacingOptions extends MachineChoiceOptions, PreemptionRules {
--- a/src/coordination/tasks/chunk-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -3,7 +3,7 @@
 import { splitKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { ChunkRecord } from '../../storage/records.js';
-import { isCommitted, type Chunk, type Slot } from './chunk.js';
+import { isCommitted, type Chunk, type Slot } from './assignment.js';
 
 /** A part of a chunk as it is to be written; the first one keeps the chunk's key. */
 export interface Piece {
--- a/src/coordination/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -1,6 +1,6 @@
 /** One machine as the owner of its part knows it. */
 
-import type { TaskReport } from '../protocol/model.js';
+import type { TaskReport } from '../../protocol/model.js';
 
 /** Commands sent straight to a worker whose end is not known yet. */
 export interface Direct {
--- a/src/coordination/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -6,15 +6,15 @@
   LEASE_MARGIN_MS,
   SILENT_REPORTS,
   TOKEN_STEP,
-} from '../constants.js';
-import { readCatalog } from '../storage/catalog.js';
-import type { MachineHealth, MachineRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { MachineType, WorkerReport } from '../protocol/model.js';
-import type { Clock } from '../transport/clock.js';
+} from '../../constants.js';
+import { readCatalog } from '../../storage/catalog.js';
+import type { MachineHealth, MachineRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { MachineType, WorkerReport } from '../../protocol/model.js';
+import type { Clock } from '../../transport/clock.js';
 import { createMachine, type Machine } from './machine.js';
-import type { Room } from './room.js';
-import { isRunningOut } from './term-numbers.js';
+import type { Room } from '../capacity/resources.js';
+import { isRunningOut } from '../election/term-numbers.js';
 
 const NO_TYPES: MachineType[] = [];
 
--- a/src/coordination/tasks/task-index.ts
+++ b/src/coordination/shard-state/task-index.ts
@@ -1,5 +1,5 @@
 /** Indexes of a part's chunks by job, and of its placed tasks by machine. */
-import type { Chunk, Slot } from './chunk.js';
+import type { Chunk, Slot } from './assignment.js';
 
 const NO_SLOTS: ReadonlyMap<Slot, Chunk> = new Map();
 
--- a/src/coordination/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -1,10 +1,10 @@
 /** The tasks assigned to one part, and the changes of their state. */
-import { chunkPrefix, readChunkKey } from '../storage/keys.js';
-import { readRanges } from '../storage/ranges.js';
-import type { ChunkRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Clock } from '../transport/clock.js';
-import { PlannedPieces, splitChunk, type Piece } from './tasks/chunk-pieces.js';
+import { chunkPrefix, readChunkKey } from '../../storage/keys.js';
+import { readRanges } from '../../storage/ranges.js';
+import type { ChunkRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import { PlannedPieces, splitChunk, type Piece } from './assignment-pieces.js';
 import {
   clearPlacement,
   createChunk,
@@ -12,10 +12,10 @@
   readSlots,
   type Chunk,
   type Slot,
-} from './tasks/chunk.js';
-import { TaskIndex } from './tasks/task-index.js';
+} from './assignment.js';
+import { TaskIndex } from './task-index.js';
 
-export type { Chunk, Slot } from './tasks/chunk.js';
+export type { Chunk, Slot } from './assignment.js';
 
 /** Where a task is placed, under which attempt, and what the bandit based it on. */
 export type Placement = Pick<Slot, 'machine' | 'attempt' | 'context'>;
--- a/src/coordination/chunk-writer/chunk-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -7,11 +7,11 @@
   VALUE_SHARE,
 } from '../../constants.js';
 import { jobKey, machineKey } from '../../storage/keys.js';
-import type { Change, Guard } from '../../protocol/state-api.js';
-import type { PartContext } from '../part/part-context.js';
-import type { Piece } from '../tasks/chunk-pieces.js';
-import { uncommittedMachines } from '../tasks/chunk.js';
-import type { Chunk } from '../tasks.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
+import type { PartContext } from './shard-context.js';
+import type { Piece } from '../shard-state/assignment-pieces.js';
+import { uncommittedMachines } from '../shard-state/assignment.js';
+import type { Chunk } from '../shard-state/tasks.js';
 
 /** A chunk on its way to the state service; no pieces: it is removed. */
 export interface WrittenChunk {
--- a/src/coordination/chunk-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -1,11 +1,11 @@
 /** Writes a part's changed chunks to the state service. */
-import { CHUNK_HOLD_MS } from '../constants.js';
-import type { CommitResult } from '../storage/committer.js';
-import { InvalidChangeBackoff } from '../storage/invalid-change-backoff.js';
-import { ChunkTransaction, type WrittenChunk } from './chunk-writer/chunk-transaction.js';
-import { WriteSchedule } from './chunk-writer/write-schedule.js';
-import type { PartContext } from './part/part-context.js';
-import type { Chunk } from './tasks.js';
+import { CHUNK_HOLD_MS } from '../../constants.js';
+import type { CommitResult } from '../../storage/committer.js';
+import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { ChunkTransaction, type WrittenChunk } from './assignment-transaction.js';
+import { WriteSchedule } from './write-schedule.js';
+import type { PartContext } from './shard-context.js';
+import type { Chunk } from '../shard-state/tasks.js';
 
 /** What the writer tells its part. */
 export interface ChunkWriterCallbacks {
--- a/src/coordination/part/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -1,10 +1,10 @@
 /** Tells the bandit what tasks cost that it placed. */
 import type { Clock } from '../../transport/clock.js';
-import type { Bandit } from '../bandit.js';
-import type { Machine } from '../machine.js';
-import type { Machines } from '../machines.js';
-import type { Room } from '../room.js';
-import type { TaskSlot } from '../tasks.js';
+import type { Bandit } from '../scheduling/bandit.js';
+import type { Machine } from '../shard-state/machine.js';
+import type { Machines } from '../shard-state/machines.js';
+import type { Room } from '../capacity/resources.js';
+import type { TaskSlot } from '../shard-state/tasks.js';
 
 /** Passes the ends of tasks on to the bandit, once it is loaded. */
 export class CostLearning {
--- a/src/coordination/part/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -1,9 +1,9 @@
 /** Sends new commands straight to workers instead of waiting for their next reports. */
 import type { Command } from '../../protocol/model.js';
-import type { Direct, Machine } from '../machine.js';
+import type { Direct, Machine } from '../shard-state/machine.js';
 import type { MachineCommands } from './machine-commands.js';
-import type { PartContext } from './part-context.js';
-import type { ReportObserver } from './report-observer.js';
+import type { PartContext } from './shard-context.js';
+import type { ReportObserver } from './heartbeat-observer.js';
 
 /**
  * Calls workers with what is new for them. One call to a machine at a time; until it was answered
--- a/src/coordination/part/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -1,6 +1,6 @@
 /** Withdraws the tasks of jobs that are over. */
-import type { Chunk } from '../tasks.js';
-import { jobSpec, type PartContext } from './part-context.js';
+import type { Chunk } from '../shard-state/tasks.js';
+import { jobSpec, type PartContext } from './shard-context.js';
 
 /**
  * If the chunk's job is over: what was never sent is withdrawn at once, the rest when reports prove
--- a/src/coordination/gang-share.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -6,14 +6,14 @@
   GANG_RESERVE_MS,
   RELEASE_MS,
   SHARED_STOP_MS,
-} from '../constants.js';
-import type { Log } from '../storage/log.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import { rankOf, type JobSpec } from '../protocol/model.js';
-import type { Clock } from '../transport/clock.js';
-import { URGENT } from './priorities.js';
-import type { Machines } from './machines.js';
-import type { Chunk, Tasks } from './tasks.js';
+} from '../../constants.js';
+import type { Log } from '../../storage/log.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { Clock } from '../../transport/clock.js';
+import { URGENT } from '../capacity/priorities.js';
+import type { Machines } from '../shard-state/machines.js';
+import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
 /** The workers' times for gangs. */
 export interface GangTimes {
--- a/src/coordination/part/report-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -1,9 +1,9 @@
 /** Takes over what workers' reports show of machines and tasks. */
 import type { TaskReport, WorkerReport } from '../../protocol/model.js';
-import type { Machine } from '../machine.js';
-import type { Worth } from '../machines.js';
-import type { Slot, TaskSlot } from '../tasks.js';
-import { jobSpec, type PartContext } from './part-context.js';
+import type { Machine } from '../shard-state/machine.js';
+import type { Worth } from '../shard-state/machines.js';
+import type { Slot, TaskSlot } from '../shard-state/tasks.js';
+import { jobSpec, type PartContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
 /** Brings machines and tasks up to date with the workers' reports. */
--- a/src/coordination/part/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -1,6 +1,6 @@
 /** Requeues the tasks of machines that are lost. */
 import { SWEEP_MS } from '../../constants.js';
-import type { PartContext } from './part-context.js';
+import type { PartContext } from './shard-context.js';
 
 /** Looks periodically for machines that are gone or whose lease has surely run out. */
 export class LostMachines {
--- a/src/coordination/part/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -1,10 +1,10 @@
 /** Makes the commands that bring a machine to what is wanted of it. */
 import { COMMANDS_MAX } from '../../constants.js';
 import type { Command, TaskReport } from '../../protocol/model.js';
-import type { Machine } from '../machine.js';
-import { fits, take, type Room } from '../room.js';
-import type { Slot, TaskSlot } from '../tasks.js';
-import { jobSpec, type PartContext } from './part-context.js';
+import type { Machine } from '../shard-state/machine.js';
+import { fits, take, type Room } from '../capacity/resources.js';
+import type { Slot, TaskSlot } from '../shard-state/tasks.js';
+import { jobSpec, type PartContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
 /** The commands for one machine while they are collected. */
--- a/src/coordination/part/reported-task.ts
+++ b/src/coordination/shard/reported-task.ts
@@ -1,7 +1,7 @@
 /** Finds the placement to which a reported task belongs. */
 import type { TaskReport } from '../../protocol/model.js';
-import type { Machine } from '../machine.js';
-import type { Tasks, TaskSlot } from '../tasks.js';
+import type { Machine } from '../shard-state/machine.js';
+import type { Tasks, TaskSlot } from '../shard-state/tasks.js';
 
 /** The placement that a task reported by the machine is; null: it is none of ours. */
 export function findReported(tasks: Tasks, machine: Machine, report: TaskReport): TaskSlot | null {
--- a/src/coordination/part/gang-reservation.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -1,11 +1,11 @@
 /** Decides for which gang the part keeps some room free. */
 import { GANG_RESERVING_PLACE_MS } from '../../constants.js';
 import type { JobSpec } from '../../protocol/model.js';
-import { reservingPlace } from '../gang-capacity.js';
-import { machinesOf } from '../inventory.js';
-import { placeKey } from '../priorities.js';
-import type { PartContext } from './part-context.js';
-import { RecentGangs } from '../recent-gangs.js';
+import { reservingPlace } from '../capacity/gang-capacity.js';
+import { machinesOf } from '../capacity/machine-inventory.js';
+import { placeKey } from '../capacity/priorities.js';
+import type { PartContext } from './shard-context.js';
+import { RecentGangs } from '../capacity/recent-gangs.js';
 
 /** Some room for the next gang is kept free by the part that has most machines for it. */
 export class GangReservation {
--- a/src/coordination/part/placing-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -1,10 +1,10 @@
 /** Creates the placing of a part with what its bandit has learned. */
 import { BEGIN_WITHIN_S, KEPT_FROM_MS } from '../../constants.js';
 import { ARMS } from '../../storage/keys.js';
-import type { ArmRecord, Bandit } from '../bandit.js';
-import { Placing, type PlacingOptions } from '../placing.js';
-import type { GangReservation } from './gang-reservation.js';
-import { machineTypeNames, type PartContext } from './part-context.js';
+import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
+import { Placing, type PlacingOptions } from '../scheduling/scheduler.js';
+import type { GangReservation } from './reserved-gang.js';
+import { machineTypeNames, type PartContext } from './shard-context.js';
 
 /** Creates the placing once the catalog of machine types is known. */
 export class PlacingLoader {
@@ -26,7 +26,7 @@
     if (types.length === 0) return null;
     const { clock, costLearning, log, machines, options, tasks } = this.context;
     // Loaded late: the matrix library is the largest of all, and start-up time is dear.
-    const { Bandit: BanditClass } = await import('../bandit.js');
+    const { Bandit: BanditClass } = await import('../scheduling/bandit.js');
     const bandit = new BanditClass(types, options.alpha, options.penalty);
     this.restore(bandit);
     costLearning.bandit = bandit;
--- a/src/coordination/part/part-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -7,11 +7,11 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { WorkerApi } from '../../protocol/worker-api.js';
 import type { Clock } from '../../transport/clock.js';
-import type { GangShares } from '../gang-share.js';
-import type { Machines } from '../machines.js';
-import type { Chunk, Tasks } from '../tasks.js';
+import type { GangShares } from './gang-shares.js';
+import type { Machines } from '../shard-state/machines.js';
+import type { Chunk, Tasks } from '../shard-state/tasks.js';
 import type { CostLearning } from './cost-learning.js';
-import type { FailurePauses } from './failure-pauses.js';
+import type { FailurePauses } from './job-failure-backoff.js';
 
 /** A part's identity and settings, and what its node tells it. */
 export interface PartOptions {
--- a/src/coordination/status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -1,16 +1,16 @@
 /** A part's reports to the other nodes: the health of its machines, and what it has learned. */
 
-import { STATUS_PACE_MS, TXN_BYTES, VALUE_SHARE } from '../constants.js';
-import { bytesOf, type Committer } from '../storage/committer.js';
-import type { RateLimiter } from '../storage/rate-limiter.js';
-import { STATUSES, armKey, statusKey } from '../storage/keys.js';
-import { InvalidChangeBackoff } from '../storage/invalid-change-backoff.js';
-import type { MachineHealth, StatusRecord } from '../storage/records.js';
-import type { StoreReplica } from '../storage/store-replica.js';
-import type { Change, Guard } from '../protocol/state-api.js';
-import type { Clock } from '../transport/clock.js';
-import type { ArmRecord, Bandit } from './bandit.js';
-import type { Machines } from './machines.js';
+import { STATUS_PACE_MS, TXN_BYTES, VALUE_SHARE } from '../../constants.js';
+import { bytesOf, type Committer } from '../../storage/committer.js';
+import type { RateLimiter } from '../../storage/rate-limiter.js';
+import { STATUSES, armKey, statusKey } from '../../storage/keys.js';
+import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import type { MachineHealth, StatusRecord } from '../../storage/records.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
+import type { Clock } from '../../transport/clock.js';
+import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
+import type { Machines } from '../shard-state/machines.js';
 
 /** What a status needs to know of its part. */
 export interface StatusOptions {
--- a/src/coordination/part.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,18 +1,18 @@
 /** One part of the cluster as its owner runs it: machines and the tasks assigned to them. */
-import { TOKEN_STEP } from '../constants.js';
-import { CHUNKS, JOBS, readChunkKey } from '../storage/keys.js';
-import type { Command, WorkerReport } from '../protocol/model.js';
-import { ChunkWriter } from './chunk-writer.js';
-import { GangShares } from './gang-share.js';
-import type { Machine } from './machine.js';
-import { Machines } from './machines.js';
-import { CostLearning } from './part/cost-learning.js';
-import { DirectCalls } from './part/direct-calls.js';
-import { withdrawIfEnded } from './part/ended-jobs.js';
-import { FailurePauses } from './part/failure-pauses.js';
-import { GangReservation } from './part/gang-reservation.js';
-import { LostMachines } from './part/lost-machines.js';
-import { MachineCommands } from './part/machine-commands.js';
+import { TOKEN_STEP } from '../../constants.js';
+import { CHUNKS, JOBS, readChunkKey } from '../../storage/keys.js';
+import type { Command, WorkerReport } from '../../protocol/model.js';
+import { ChunkWriter } from './assignment-writer.js';
+import { GangShares } from './gang-shares.js';
+import type { Machine } from '../shard-state/machine.js';
+import { Machines } from '../shard-state/machines.js';
+import { CostLearning } from './cost-learning.js';
+import { DirectCalls } from './direct-calls.js';
+import { withdrawIfEnded } from './ended-jobs.js';
+import { FailurePauses } from './job-failure-backoff.js';
+import { GangReservation } from './reserved-gang.js';
+import { LostMachines } from './lost-machines.js';
+import { MachineCommands } from './machine-commands.js';
 import {
   jobSpec,
   machineTypeNames,
@@ -20,14 +20,14 @@
   type PartContext,
   type PartOptions,
   type PartServices,
-} from './part/part-context.js';
-import { PlacingLoader } from './part/placing-loader.js';
-import { ReportObserver } from './part/report-observer.js';
-import { releaseWaitingTasks } from './part/task-release.js';
-import { Status } from './status.js';
-import { Tasks } from './tasks.js';
-
-export type { PartOptions, PartServices } from './part/part-context.js';
+} from './shard-context.js';
+import { PlacingLoader } from './scheduler-loader.js';
+import { ReportObserver } from './heartbeat-observer.js';
+import { releaseWaitingTasks } from './task-release.js';
+import { Status } from './shard-status.js';
+import { Tasks } from '../shard-state/tasks.js';
+
+export type { PartOptions, PartServices } from './shard-context.js';
 
 /** The answer to a worker's report; not ok: the report must not be answered. */
 export type ReportAnswer = { ok: true; token: number; commands: Command[] } | { ok: false };
--- a/src/coordination/part/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -1,7 +1,7 @@
 /** Gives tasks back to the leader for which the part has no room. */
 import { QUEUE_RELEASE_MS, RELEASE_MS } from '../../constants.js';
 import { rankOf } from '../../protocol/model.js';
-import { jobSpec, type PartContext } from './part-context.js';
+import { jobSpec, type PartContext } from './shard-context.js';
 
 /** Gives tasks of arrays and services back to the leader that found no room here for a while. */
 export function releaseWaitingTasks(context: PartContext): void {
--- a/src/coordination/chunk-writer/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,9 +1,9 @@
 /** Decides which of a part's chunks are to be written now. */
 import { DONE_GATHER_MS, PLACE_GATHER_MS, YIELD_MS } from '../../constants.js';
-import type { InvalidChangeBackoff } from '../../storage/invalid-change-backoff.js';
+import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { rankOf } from '../../protocol/model.js';
-import { jobSpec, type PartContext } from '../part/part-context.js';
-import type { Chunk } from '../tasks.js';
+import { jobSpec, type PartContext } from './shard-context.js';
+import type { Chunk } from '../shard-state/tasks.js';
 
 /** Orders the changed chunks by urgency and holds back what can be gathered with other changes. */
 export class WriteSchedule {
--- a/src/coordination/node/environment.ts
+++ b/src/protocol/environment.ts
@@ -1,9 +1,9 @@
 /** What a controller needs from its surroundings. */
-import type { CloudApi } from '../../protocol/cloud-api.js';
-import type { PeerMessage } from '../../protocol/peer-messages.js';
-import type { StateApi } from '../../protocol/state-api.js';
-import type { WorkerApi } from '../../protocol/worker-api.js';
-import type { Clock } from '../../transport/clock.js';
+import type { CloudApi } from './cloud-api.js';
+import type { PeerMessage } from './peer-messages.js';
+import type { StateApi } from './key-value-store.js';
+import type { WorkerApi } from './worker-api.js';
+import type { Clock } from '../transport/clock.js';
 
 /** The clock and the services that a node uses; tests pass simulated ones. */
 export interface Environment {
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -8,7 +8,7 @@
   type Change,
   type Guard,
   type StateApi,
-} from '../protocol/state-api.js';
+} from '../protocol/key-value-store.js';
 import { Backoff } from '../transport/backoff.js';
 import { sleep, type Clock } from '../transport/clock.js';
 import type { RateLimiter, Purpose } from './rate-limiter.js';
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -1,7 +1,7 @@
 /** Whether this node reaches the state service. */
 
 import { REACH_DOUBT_MS } from '../constants.js';
-import { Refused, type StateApi } from '../protocol/state-api.js';
+import { Refused, type StateApi } from '../protocol/key-value-store.js';
 import type { Clock } from '../transport/clock.js';
 
 /** Notes, from the requests that are made anyway, whether this node reaches the state service. */
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -8,7 +8,7 @@
   WATCH_HOLD_MS,
   WATCH_SPACING_MS,
 } from '../constants.js';
-import { Refused, type StateApi, type WatchResult } from '../protocol/state-api.js';
+import { Refused, type StateApi, type WatchResult } from '../protocol/key-value-store.js';
 import { Backoff } from '../transport/backoff.js';
 import { sleep, type Clock } from '../transport/clock.js';
 import { LIVE, ROOT } from './keys.js';
--- a/test/controller-load.test.ts
+++ b/test/controller-load.test.ts
@@ -1,9 +1,13 @@
 /** What keeps the controllers evenly busy: who leads, and in which zones machines are rented. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { byControllerLoad, type Offer } from '../src/coordination/fleet/offers.js';
-import { orderForLeader, orderForPart, type Member } from '../src/coordination/rendezvous.js';
-import { LEADER } from '../src/coordination/roles.js';
+import { byControllerLoad, type Offer } from '../src/coordination/autoscaling/offers.js';
+import {
+  orderForLeader,
+  orderForPart,
+  type Member,
+} from '../src/coordination/election/rendezvous-hashing.js';
+import { LEADER } from '../src/coordination/election/role-election.js';
 import { World } from './world/world.js';
 import { TYPES } from './world/settings.js';
 
--- a/test/fixed-forms.test.ts
+++ b/test/fixed-forms.test.ts
@@ -6,9 +6,9 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { Bandit, type ArmRecord } from '../src/coordination/bandit.js';
-import { createChunk, readSlots } from '../src/coordination/tasks/chunk.js';
-import { splitChunk } from '../src/coordination/tasks/chunk-pieces.js';
+import { Bandit, type ArmRecord } from '../src/coordination/scheduling/bandit.js';
+import { createChunk, readSlots } from '../src/coordination/shard-state/assignment.js';
+import { splitChunk } from '../src/coordination/shard-state/assignment-pieces.js';
 import { decodeDetector, encodeDetector } from '../src/protocol/detector-codec.js';
 import { decodePeer, encodePeer } from '../src/protocol/peer-messages.js';
 import { parseSubmission } from '../src/protocol/user-codec.js';
--- a/test/forgotten-answers.test.ts
+++ b/test/forgotten-answers.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { CHECK_QUEUE } from '../src/constants.js';
 import type { JobSpec } from '../src/protocol/model.js';
-import type { TxnResult } from '../src/protocol/state-api.js';
+import type { TxnResult } from '../src/protocol/key-value-store.js';
 import { finalKey, jobKey } from '../src/storage/keys.js';
 import { SPEC } from './world/lone.js';
 import { REQUESTS, userNode, type UserAsk } from './world/user-node.js';
--- a/test/gang-claims.test.ts
+++ b/test/gang-claims.test.ts
@@ -1,8 +1,8 @@
 /** Gangs within their team's guarantee stop arrays that other teams run beyond theirs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineCapacity } from '../src/coordination/capacity.js';
-import { GuaranteeClaims } from '../src/coordination/guarantee-claims.js';
+import type { MachineCapacity } from '../src/coordination/capacity/machine-capacity.js';
+import { GuaranteeClaims } from '../src/coordination/leader/fair-share-reclaim.js';
 import type { JobSpec, TaskReport } from '../src/protocol/model.js';
 import { chunkKey, jobKey } from '../src/storage/keys.js';
 import type { ChunkRecord } from '../src/storage/records.js';
--- a/test/gang-plan.test.ts
+++ b/test/gang-plan.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { missingGangCapacity, reservingPlace } from '../src/coordination/gang-capacity.js';
-import { planGang } from '../src/coordination/gang-plan.js';
-import type { MachineCapacity } from '../src/coordination/capacity.js';
+import { missingGangCapacity, reservingPlace } from '../src/coordination/capacity/gang-capacity.js';
+import { planGang } from '../src/coordination/leader/gang-plan.js';
+import type { MachineCapacity } from '../src/coordination/capacity/machine-capacity.js';
 import type { JobSpec } from '../src/protocol/model.js';
 import { SPEC } from './world/lone.js';
 
--- a/test/gangs-controllers.test.ts
+++ b/test/gangs-controllers.test.ts
@@ -1,7 +1,7 @@
 /** Gangs whose controllers are killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEADER, partRole } from '../src/coordination/roles.js';
+import { LEADER, partRole } from '../src/coordination/election/role-election.js';
 import {
   GANG,
   OTHER,
--- a/test/inventory.test.ts
+++ b/test/inventory.test.ts
@@ -1,8 +1,8 @@
 /** The leader's view of the fleet: complete at any size, and decoded only where it changed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Inventory } from '../src/coordination/inventory.js';
-import { Ledger } from '../src/coordination/ledger.js';
+import { Inventory } from '../src/coordination/capacity/machine-inventory.js';
+import { Ledger } from '../src/coordination/capacity/capacity-accounting.js';
 import { CATALOG, machineKey, statusKey } from '../src/storage/keys.js';
 import type { MachineRecord, StatusRecord } from '../src/storage/records.js';
 import type { StoreReplica } from '../src/storage/store-replica.js';
--- a/test/loopback/state-front.ts
+++ b/test/loopback/state-front.ts
@@ -1,5 +1,10 @@
 /** The state service's protocol over HTTP, in front of the stand-in of the simulated world. */
-import { Refused, type Change, type Guard, type StateApi } from '../../src/protocol/state-api.js';
+import {
+  Refused,
+  type Change,
+  type Guard,
+  type StateApi,
+} from '../../src/protocol/key-value-store.js';
 import { NoAnswer } from '../../src/transport/http-client.js';
 import type { SimState } from '../world/state.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -4,7 +4,7 @@
 import { readCatalog, writeCatalog } from '../src/storage/catalog.js';
 import { CATALOG, statusKey } from '../src/storage/keys.js';
 import type { StatusRecord } from '../src/storage/records.js';
-import { Bandit, type ArmRecord } from '../src/coordination/bandit.js';
+import { Bandit, type ArmRecord } from '../src/coordination/scheduling/bandit.js';
 import { SimClock } from './world/clock.js';
 import { lonePart } from './world/lone.js';
 import { followingReplica } from './world/replica.js';
--- a/test/role-turns.test.ts
+++ b/test/role-turns.test.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MEMBER_RENEW_MS } from '../src/constants.js';
-import { RoleTurns } from '../src/coordination/role-turns.js';
-import { StoodDownRoles } from '../src/coordination/stood-down-roles.js';
-import { STORE_ALONE } from '../src/coordination/takeover.js';
-import { InvalidChangeBackoff } from '../src/storage/invalid-change-backoff.js';
+import { RoleTurns } from '../src/coordination/election/candidate-order.js';
+import { StoodDownRoles } from '../src/coordination/election/stepped-down-roles.js';
+import { STORE_ALONE } from '../src/coordination/election/failover-policy.js';
+import { InvalidChangeBackoff } from '../src/storage/rejected-change-backoff.js';
 import type { Clock } from '../src/transport/clock.js';
 import { followingReplica } from './world/replica.js';
 import { SimClock } from './world/clock.js';
--- a/test/state-answers.test.ts
+++ b/test/state-answers.test.ts
@@ -1,7 +1,7 @@
 /** Answers of the state service that lack what they must have: nothing may be concluded from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HttpStateApi, type StateApi } from '../src/protocol/state-api.js';
+import { HttpStateApi, type StateApi } from '../src/protocol/key-value-store.js';
 import { NoAnswer, type HttpAnswer, type HttpClient } from '../src/transport/http-client.js';
 
 /** A client that gets this answer to everything. */
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -1,7 +1,7 @@
 /** Submissions: what is malformed, and what can never run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { neverRuns } from '../src/coordination/admission.js';
+import { neverRuns } from '../src/coordination/api/admission.js';
 import { parseJson, parseSubmission } from '../src/protocol/user-codec.js';
 import { TEAMS, TYPES } from './world/settings.js';
 
--- a/test/team-reserve.test.ts
+++ b/test/team-reserve.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { STARVED_MS } from '../src/constants.js';
 import { AssignmentHistory } from '../src/coordination/leader/assignment-history.js';
-import { PartAssignment } from '../src/coordination/leader/part-assignment.js';
-import type { OpenJob } from '../src/coordination/scheduling-order.js';
+import { PartAssignment } from '../src/coordination/leader/shard-assignment.js';
+import type { OpenJob } from '../src/coordination/leader/scheduling-order.js';
 import { SimClock } from './world/clock.js';
 import { SPEC } from './world/lone.js';
 
--- a/test/term-numbers.test.ts
+++ b/test/term-numbers.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TOKEN_STEP } from '../src/constants.js';
-import { TermNumbers } from '../src/coordination/term-numbers.js';
-import { partRole } from '../src/coordination/roles.js';
+import { TermNumbers } from '../src/coordination/election/term-numbers.js';
+import { partRole } from '../src/coordination/election/role-election.js';
 import { roleKey } from '../src/storage/keys.js';
 import type { RoleRecord } from '../src/storage/records.js';
 import { settled } from './world/requests.js';
--- a/test/world/clock.ts
+++ b/test/world/clock.ts
@@ -1,5 +1,5 @@
 // Loaded ahead: the part imports it late, in real time, which would make simulated time vary.
-import '../../src/coordination/bandit.js';
+import '../../src/coordination/scheduling/bandit.js';
 import type { Clock } from '../../src/transport/clock.js';
 
 interface Event {
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -1,8 +1,8 @@
 /** What a node of the simulated world reaches: time, state service, cloud, workers and peers. */
-import type { Environment } from '../../src/coordination/node.js';
+import type { Environment } from '../../src/coordination/controller/controller-node.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
-import type { StateApi } from '../../src/protocol/state-api.js';
+import type { StateApi } from '../../src/protocol/key-value-store.js';
 import type { DirectResult } from '../../src/protocol/worker-api.js';
 import { encodeDirect, parseReport } from '../../src/protocol/worker-codec.js';
 import type { Clock } from '../../src/transport/clock.js';
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -1,6 +1,6 @@
 /** Rules of the operators' page on gangs, played in the simulated world: the rows' common steps. */
 import assert from 'node:assert/strict';
-import { partRole } from '../../src/coordination/roles.js';
+import { partRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readChunkKey, roleKey } from '../../src/storage/keys.js';
 import type { ChunkRecord } from '../../src/storage/records.js';
 import * as script from './gang-script.js';
--- a/test/world/gang-script.ts
+++ b/test/world/gang-script.ts
@@ -1,6 +1,6 @@
 /** Gangs in the simulated world: the steps of their scripts, and how they must end. */
 import assert from 'node:assert/strict';
-import { partRole } from '../../src/coordination/roles.js';
+import { partRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readChunkKey, roleKey } from '../../src/storage/keys.js';
 import { stageOf as stage, type SimJob } from './jobs.js';
 import * as requests from './requests.js';
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -2,7 +2,7 @@
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG, chunkKey, jobKey, roleKey } from '../../src/storage/keys.js';
 import type { ChunkRecord, JobRecord } from '../../src/storage/records.js';
-import { Part } from '../../src/coordination/part.js';
+import { Part } from '../../src/coordination/shard/shard.js';
 import { TOKEN_STEP } from '../../src/constants.js';
 import type { Command, JobSpec, TaskReport, WorkerReport } from '../../src/protocol/model.js';
 import { SimClock } from './clock.js';
--- a/test/world/state.ts
+++ b/test/world/state.ts
@@ -10,7 +10,7 @@
   type StateApi,
   type TxnResult,
   type WatchResult,
-} from '../../src/protocol/state-api.js';
+} from '../../src/protocol/key-value-store.js';
 import { NoAnswer } from '../../src/transport/http-client.js';
 import type { Clock } from '../../src/transport/clock.js';
 
--- a/test/world/suspicion.ts
+++ b/test/world/suspicion.ts
@@ -1,6 +1,6 @@
 /** The simulated world with failure detection between its nodes, and what was decided there. */
 import assert from 'node:assert/strict';
-import type { DetectionRecord } from '../../src/coordination/suspicion/detection-records.js';
+import type { DetectionRecord } from '../../src/coordination/failure-detection/detection-records.js';
 import { readOperatorSettings } from '../../src/protocol/operator-settings.js';
 import type { Settings } from '../../src/protocol/settings.js';
 import { roleKey } from '../../src/storage/keys.js';
--- a/test/world/user-node.ts
+++ b/test/world/user-node.ts
@@ -1,5 +1,5 @@
 /** One node's handlers of users' requests on their own, with the state service behind them. */
-import { UserRequests } from '../../src/coordination/user-requests.js';
+import { UserRequests } from '../../src/coordination/api/user-requests.js';
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG } from '../../src/storage/keys.js';
 import type { HttpReply } from '../../src/transport/http-server.js';
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -1,8 +1,8 @@
 /** The simulated world: controllers, workers, cloud and state service in simulated time. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { ControllerNode } from '../../src/coordination/node.js';
-import { FailureDetection } from '../../src/coordination/suspicion/failure-detection.js';
+import { ControllerNode } from '../../src/coordination/controller/controller-node.js';
+import { FailureDetection } from '../../src/coordination/failure-detection/failure-detection.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
 import type { Settings } from '../../src/protocol/settings.js';
 import { roleKey } from '../../src/storage/keys.js';
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -1,6 +1,6 @@
 /** Examples of the records that this version stores, and of its metrics. */
-import { Bandit } from '../../src/coordination/bandit.js';
-import { metricsOf } from '../../src/coordination/metrics.js';
+import { Bandit } from '../../src/coordination/scheduling/bandit.js';
+import { metricsOf } from '../../src/coordination/controller/metrics.js';
 import { World } from './world.js';
 
 /** Examples by their names. */
