--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -42,7 +42,7 @@
 }
 
 /** One status record as it is to be: its machines, and the room that is left in it. */
-interface Shard {
+interface StatusPage {
   names: Set<string>;
   left: number;
   /** It lost machines to others in this round, and takes none. */
@@ -98,59 +98,59 @@
    * what the version before wrote larger is taken apart here. The shards are numbered without gaps,
    * since that version counts them to find those that it must empty.
    */
-  private plan(entries: ReadonlyMap<string, Entry>): Shard[] {
+  private plan(entries: ReadonlyMap<string, Entry>): StatusPage[] {
     const room = Math.floor(this.options.valueBytes * VALUE_SHARE) - bytesOf({ machines: {} });
-    const shards: Shard[] = [];
-    const open = (): Shard => {
-      const shard: Shard = { names: new Set(), left: room, losing: false };
-      shards.push(shard);
-      return shard;
+    const pages: StatusPage[] = [];
+    const open = (): StatusPage => {
+      const page: StatusPage = { names: new Set(), left: room, losing: false };
+      pages.push(page);
+      return page;
     };
     const size = (name: string): number => {
       const entry = entries.get(name);
       return entry ? sizeOf(name, entry) : 0;
     };
-    const put = (shard: Shard, name: string): void => {
-      shard.names.add(name);
-      shard.left -= size(name);
+    const put = (page: StatusPage, name: string): void => {
+      page.names.add(name);
+      page.left -= size(name);
     };
     const movers = new Set<string>();
     const placed = new Set<string>();
     const last = Math.max(0, ...this.sent.keys());
     for (let at = 0; at <= last; at++) {
-      const shard = open();
+      const page = open();
       for (const name of Object.keys(this.sent.get(at) ?? {}).sort()) {
         if (!entries.has(name) || placed.has(name)) continue;
-        if (size(name) > shard.left) {
-          shard.losing = true;
+        if (size(name) > page.left) {
+          page.losing = true;
           movers.add(name);
           continue;
         }
         placed.add(name);
-        put(shard, name);
+        put(page, name);
       }
     }
-    this.emptyLast(shards, room, movers, size);
+    this.emptyLast(pages, room, movers, size);
     for (const name of entries.keys()) if (!placed.has(name)) movers.add(name);
     // By name and to the last shards first: names grow with time, and the version before orders
     // its shards by name. So little moves when it takes the part, and nothing to a later shard.
     for (const name of [...movers].sort()) {
-      const fits = (shard: Shard): boolean => !shard.losing && shard.left >= size(name);
-      put(shards.findLast(fits) ?? open(), name);
+      const fits = (page: StatusPage): boolean => !page.losing && page.left >= size(name);
+      put(pages.findLast(fits) ?? open(), name);
     }
-    return shards;
+    return pages;
   }
 
   /** The last shard in use goes into the others once they have plenty of room for it. */
   private emptyLast(
-    shards: Shard[],
+    pages: StatusPage[],
     room: number,
     movers: Set<string>,
     size: (name: string) => number,
   ): void {
-    const last = shards.findLast((shard) => shard.names.size > 0);
-    if (!last || last === shards[0] || shards.some((shard) => shard.losing)) return;
-    const others = shards.slice(0, shards.indexOf(last));
+    const last = pages.findLast((page) => page.names.size > 0);
+    if (!last || last === pages[0] || pages.some((page) => page.losing)) return;
+    const others = pages.slice(0, pages.indexOf(last));
     // Shards that are nearly full don't count: their rests may fit no machine.
     const free = others.reduce((sum, { left }) => sum + (left < room / 4 ? 0 : left), 0);
     if (free < room - last.left + room) return;
@@ -169,17 +169,17 @@
       const health = this.machines.health(machine);
       entries.set(machine.name, [machine.type, machine.zone, machine.spot ? 1 : 0, health]);
     }
-    const shards = this.plan(entries);
-    const records = shards.map((shard): StatusRecord['machines'] => {
+    const pages = this.plan(entries);
+    const records = pages.map((page): StatusRecord['machines'] => {
       const machines: StatusRecord['machines'] = {};
-      for (const name of [...shard.names].sort()) {
+      for (const name of [...page.names].sort()) {
         const entry = entries.get(name);
         if (entry) machines[name] = entry;
       }
       return machines;
     });
-    const order = [...shards.keys()].filter((at) => !shards[at]?.losing);
-    order.push(...[...shards.keys()].filter((at) => shards[at]?.losing));
+    const order = [...pages.keys()].filter((at) => !pages[at]?.losing);
+    order.push(...[...pages.keys()].filter((at) => pages[at]?.losing));
     for (const at of order) {
       const machines = records[at] ?? {};
       const key = statusKey(this.options.part, at);
--- a/src/storage/keys.ts
+++ b/src/storage/keys.ts
@@ -44,7 +44,7 @@
   `${CHUNKS}${part}/${job}/${number}`;
 
 /** One shard of the status of a part's machines. */
-export const statusKey = (part: string, shard: number): string => `${STATUSES}${part}/${shard}`;
+export const statusKey = (part: string, page: number): string => `${STATUSES}${part}/${page}`;
 
 /** What a part has learned of a machine type. */
 export const armKey = (part: string, type: string): string => `${ARMS}${part}/${type}`;
--- a/test/inventory.test.ts
+++ b/test/inventory.test.ts
@@ -21,9 +21,9 @@
 const nameOf = (at: number): string => `m-${String(at).padStart(6, '0')}`;
 
 /** A status record that counts how often its machines are listed. */
-function countedStatus(shard: number, count: { reads: number }): StatusRecord {
+function countedStatus(page: number, count: { reads: number }): StatusRecord {
   const machines: StatusRecord['machines'] = {};
-  for (let at = shard * PER_SHARD; at < (shard + 1) * PER_SHARD; at++) {
+  for (let at = page * PER_SHARD; at < (page + 1) * PER_SHARD; at++) {
     machines[nameOf(at)] = ['small', 'a', 0, 'ok'];
   }
   const ownKeys = (target: StatusRecord['machines']): (string | symbol)[] => {
@@ -50,9 +50,9 @@
   for (let at = 0; at < MACHINES; at++) {
     replica.applyOwn([{ key: machineKey(nameOf(at)), value: record, revision: revision++ }]);
   }
-  for (let shard = 0; shard < MACHINES / PER_SHARD / 2; shard++) {
-    const value = countedStatus(shard, count);
-    replica.applyOwn([{ key: statusKey('p', shard), value, revision: revision++ }]);
+  for (let page = 0; page < MACHINES / PER_SHARD / 2; page++) {
+    const value = countedStatus(page, count);
+    replica.applyOwn([{ key: statusKey('p', page), value, revision: revision++ }]);
   }
   const inventory = new Inventory(MEMBERS, replica, new Ledger(replica, clock));
   return { replica, inventory, count, revision };
@@ -62,19 +62,19 @@
 // time on a small controller, in one stretch that held up the reports of workers.
 test('a round decodes only the records that changed, and lists 4,000 machines', () => {
   const { replica, inventory, count, revision } = largeFleet();
-  const shards = MACHINES / PER_SHARD / 2;
+  const pages = MACHINES / PER_SHARD / 2;
   for (let round = 0; round < 5; round++) {
     const machines = [...inventory.machines().values()];
     assert.equal(machines.length, MACHINES);
     assert.equal(machines.filter(({ health }) => health === 'ok').length, MACHINES / 2);
     assert.equal(machines.filter(({ health }) => health === 'booting').length, MACHINES / 2);
   }
-  assert.equal(count.reads, shards, 'each record is decoded once');
+  assert.equal(count.reads, pages, 'each record is decoded once');
   const changed = countedStatus(0, count);
   changed.machines[nameOf(0)] = ['small', 'a', 0, 'silent'];
   replica.applyOwn([{ key: statusKey('p', 0), value: changed, revision }]);
   assert.equal(inventory.machines().get(nameOf(0))?.health, 'silent');
-  assert.equal(count.reads, shards + 1, 'and once more when it changes');
+  assert.equal(count.reads, pages + 1, 'and once more when it changes');
 });
 
 test('a machine that drains or is gone is not counted, whatever its part says', () => {
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -131,12 +131,12 @@
 // --- Status ------------------------------------------------------------------------------------
 
 const machinesOf = (state: SimState): string[][] => {
-  const shards: string[][] = [];
+  const pages: string[][] = [];
   for (const [key, { value }] of state.cells) {
     if (key.startsWith('mb/live/status/p/'))
-      shards.push(Object.keys((value as StatusRecord).machines));
+      pages.push(Object.keys((value as StatusRecord).machines));
   }
-  return shards;
+  return pages;
 };
 
 // Missing from all shards for a moment, a machine looks to the leader like one that never came up.
@@ -165,11 +165,11 @@
       for (const name of Object.keys(machines)) assert.ok(there.has(name), `${name} after ${key}`);
     }
     assert.ok(written.length >= 2 && written.length < 20, `${written.length}`);
-    const shards = machinesOf(world.state);
-    assert.ok(shards.length >= 2);
-    assert.equal(new Set(shards.flat()).size, shards.flat().length, 'each in one only');
-    assert.ok(new Set(shards.flat()).has('m-1'));
-    for (let at = 0; at < shards.length; at++) {
+    const pages = machinesOf(world.state);
+    assert.ok(pages.length >= 2);
+    assert.equal(new Set(pages.flat()).size, pages.flat().length, 'each in one only');
+    assert.ok(new Set(pages.flat()).has('m-1'));
+    for (let at = 0; at < pages.length; at++) {
       const value = world.state.cells.get(statusKey('p', at))?.value as StatusRecord;
       assert.deepEqual(Object.keys(value), ['machines']);
       assert.ok(bytes(value) <= SMALL);
--- a/test/upgrade-records.test.ts
+++ b/test/upgrade-records.test.ts
@@ -173,8 +173,8 @@
       assert.ok(world.state.log.slice(from).some(({ key }) => key.startsWith('mb/live/status/p/')));
       const machines = Object.assign(
         {},
-        ...['0', '1'].map((shard) => {
-          return valueOf<{ machines: object }>(world.state, `mb/live/status/p/${shard}`).machines;
+        ...['0', '1'].map((page) => {
+          return valueOf<{ machines: object }>(world.state, `mb/live/status/p/${page}`).machines;
         }),
       ) as Record<string, unknown[]>;
       assert.deepEqual(Object.keys(machines).sort(), ['m-1', 'm-2', 'm-3', 'm-4']);
--- a/test/upgrade-writes.test.ts
+++ b/test/upgrade-writes.test.ts
@@ -129,14 +129,14 @@
       world.report();
       await world.round(20_000);
       // 89f79d3 counts the shards that there are, and empties those past its own: no gaps.
-      const shards = [...world.state.cells.keys()]
+      const pages = [...world.state.cells.keys()]
         .filter((key) => key.startsWith('mb/live/status/p/'))
         .map((key) => Number(key.slice('mb/live/status/p/'.length)));
       assert.deepEqual(
-        shards.sort((a, b) => a - b),
-        shards.map((_, at) => at),
+        pages.sort((a, b) => a - b),
+        pages.map((_, at) => at),
       );
-      assert.ok(shards.length > 2);
+      assert.ok(pages.length > 2);
       return world.state.log.slice(from);
     },
   },
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -289,9 +289,9 @@
       assert.ok(bytes <= limits.valueBytes, `${name}: ${key} takes ${bytes}`);
     }
     assert.ok(arms > 0, `${name}: arms were written`);
-    const shards = [...world.state.cells.keys()].filter((key) =>
+    const pages = [...world.state.cells.keys()].filter((key) =>
       key.startsWith(statusKey('n0', 0).slice(0, -1)),
     );
-    assert.equal(shards.length, limits.valueBytes > 4096 ? 1 : 2, name);
+    assert.equal(pages.length, limits.valueBytes > 4096 ? 1 : 2, name);
   }
 });
