--- a/packages/failure-detector/src/member-table.ts
+++ b/packages/failure-detector/src/member-table.ts
@@ -118,14 +118,14 @@
       newerInstance,
       reachedAt: isPresent ? member.reachedAt : null,
       unreachedAt: member.unreachedAt,
-      reports: isPresent ? this.reportsOf(member) : [],
+      reports: isPresent ? this.heartbeatsOf(member) : [],
       since,
       storeAnswers: storeAnswers(),
     });
   }
 
   /** Reports that are young enough, of witnesses that have not failed themselves. */
-  private reportsOf(member: RemoteMember): ReturnType<RemoteMember['reports']['since']> {
+  private heartbeatsOf(member: RemoteMember): ReturnType<RemoteMember['reports']['since']> {
     const { clock, timing } = this.options;
     const since = clock.now() - EVIDENCE_INTERVALS * timing.probeIntervalMs;
     return member.reports
--- a/packages/failure-detector/src/remote-member.ts
+++ b/packages/failure-detector/src/remote-member.ts
@@ -24,7 +24,7 @@
   reachedAt: number | null = null;
   unreachedAt: number | null = null;
   /** Steady time of this member's last report about it to others. */
-  reportedAt = -Infinity;
+  heartbeatAt = -Infinity;
   readonly reports = new WitnessReports();
   private readonly ended: string[] = [];
   private probeTimes: number[] = [];
--- a/packages/failure-detector/src/rumours.ts
+++ b/packages/failure-detector/src/rumours.ts
@@ -62,8 +62,8 @@
     const { clock, timing } = this.options.detector;
     const { incarnation, instance } = member;
     if (instance === null) return;
-    if (clock.now() - member.reportedAt < REPORT_INTERVALS * timing.probeIntervalMs) return;
-    member.reportedAt = clock.now();
+    if (clock.now() - member.heartbeatAt < REPORT_INTERVALS * timing.probeIntervalMs) return;
+    member.heartbeatAt = clock.now();
     this.dissemination.add(this.ownReport(member.name, instance, incarnation));
   }
 
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -27,12 +27,12 @@
  * begun anew. */
 export const STORE_CHANGES_KEPT = 10_000;
 /** Bytes; a transaction may hold 64 KiB; the rest is room for names and punctuation. */
-export const TXN_BYTES = 56 * 1024;
+export const TRANSACTION_BYTES = 56 * 1024;
 
 // --- Time ------------------------------------------------------------------------------------
 
 /** ms; a state request is given up after this: answers take 10 ms, now and then a few hundred. */
-export const STATE_TIMEOUT_MS = 2_000;
+export const STORE_TIMEOUT_MS = 2_000;
 /** ms; cloud requests carry no one who waits, so they may take longer. */
 export const CLOUD_TIMEOUT_MS = 8_000;
 /** ms; life of a member's lease: a node that is killed is mostly back before it ends, and takes its
@@ -50,13 +50,13 @@
 export const BACKOFF_LAST_MS = 2_000;
 /** ms; first and longest pause of what the state service called invalid: it stays so until limits or
  * records change, and others should not wait for it. */
-export const INVALID_PAUSE_FIRST_MS = 2_000;
-export const INVALID_PAUSE_LAST_MS = 60_000;
+export const REJECTED_PAUSE_FIRST_MS = 2_000;
+export const REJECTED_PAUSE_LAST_MS = 60_000;
 /** ms; the same for the cloud, whose requests nobody waits for. */
 export const CLOUD_BACKOFF_FIRST_MS = 500;
 export const CLOUD_BACKOFF_LAST_MS = 8_000;
 /** ms; a node leaves a role to its home member this long after the member came up. */
-export const HOME_SETTLE_MS = 500;
+export const PREFERRED_OWNER_SETTLE_MS = 500;
 /** ms; a node that has just started leaves the lead to others that may be starting too, by their
  * order: two of their turns at the most. */
 export const LEADER_SETTLE_MS = 3_000;
@@ -97,7 +97,7 @@
  * tenth of a second of a start aim of some seconds, for ten rounds a second at the most. */
 export const LEADER_GATHER_MS = 100;
 /** ms; pace of the fleet's loop: a boot takes a hundred times as long. */
-export const FLEET_MS = 600;
+export const AUTOSCALER_MS = 600;
 /** ms; without an open job for so long no headroom is kept: nothing would ever return its machines. */
 export const HEADROOM_QUIET_MS = 25_000;
 /** ms; lower work that came within this time tells how much will: some dozens of jobs. */
@@ -106,7 +106,7 @@
 export const COMING_SHARE = 0.8;
 /** ms; the leader's sums are made anew this often: decimals added and taken back drift by 1e-13 a
  * change, far below what a task takes. */
-export const LEDGER_REBUILD_MS = 10_000;
+export const ACCOUNTING_REBUILD_MS = 10_000;
 /** Times its own processor time that a woken round rests, so that a large fleet's rounds leave most
  * of a slow processor to reports and answers. */
 export const LOOP_REST = 9;
@@ -155,10 +155,10 @@
  * return every second, and three may fail. */
 export const STORE_ANSWERS_MS = 3_000;
 /** ms; a holder is asked to stand down this often: an answer takes milliseconds. */
-export const STAND_DOWN_RETRY_MS = 1_000;
+export const STEP_DOWN_RETRY_MS = 1_000;
 /** ms; a holder that stood down and that nobody followed goes on under a new term after this: the one
  * that asked for it takes the role with its next round, within a second. */
-export const STAND_DOWN_REST_MS = 4_000;
+export const STEP_DOWN_REST_MS = 4_000;
 /** ms; half-life of what lost registrations count against a node that wants its part back. */
 export const FLAP_HALF_LIFE_MS = 60_000;
 /** Losses above which a node leaves its part with the one that has it: the second within a minute. */
@@ -174,11 +174,11 @@
 
 /** Bytes that one placed task may take in its chunk's record (number, machine, an attempt of up to 14
  * digits); bounds the tasks of a chunk. Fewer, larger chunks need fewer writes. */
-export const CHUNK_TASK_BYTES = 36;
+export const ASSIGNMENT_TASK_BYTES = 36;
 /** Bytes that a chunk's record takes beside its placed tasks: its fields, and the ranges of its tasks. */
-export const CHUNK_BASE_BYTES = 250;
+export const ASSIGNMENT_BASE_BYTES = 250;
 /** Bytes that a chunk takes in a transaction beside its placed tasks: its record, keys and guards. */
-export const CHUNK_BYTES = 600;
+export const ASSIGNMENT_BYTES = 600;
 /** Bytes that a submission takes in a transaction beside its job's record: its keys, twice. */
 export const SUBMIT_BYTES = 400;
 /** KiB; with smaller values a chunk of a few tasks, or a job, could not be stored. */
@@ -188,7 +188,7 @@
 export const VALUE_SHARE = 0.95;
 /** ms; a chunk whose parts don't fit into one transaction is looked at again after this: until then
  * some of its tasks have ended, and it is not looked at in each round. */
-export const CHUNK_HOLD_MS = 1_000;
+export const ASSIGNMENT_HOLD_MS = 1_000;
 /** Submissions waiting for their commit in one node; more are told to come back. */
 export const SUBMIT_QUEUE = 256;
 /** Polls and checks waiting in one node; more are told to come back. */
@@ -214,23 +214,23 @@
 /** ms; an idle connection is kept so long: three reports of the slowest workers seen. */
 export const KEEP_ALIVE_MS = 20_000;
 /** Sockets to the state service beside the watch. */
-export const STATE_SOCKETS = 16;
+export const STORE_SOCKETS = 16;
 /** Bytes; a larger frame between peers is taken for a broken peer. */
 export const PEER_FRAME_BYTES = 1024 * 1024;
 /** Bytes of a failure detector's message: eight rumours with the longest names; more is dropped. */
 export const DETECTOR_BYTES = 8 * 1024;
 /** Least part of its equal share of the state service's limits that a node keeps when refused. */
-export const STATE_FLOOR = 0.5;
+export const STORE_LIMIT_FLOOR = 0.5;
 /** Share of these limits that one node may use at the most, where the others leave it. */
-export const STATE_LIMIT = 0.8;
+export const STORE_LIMIT_SHARE = 0.8;
 /** Share of a limit by which a node's part of it grows in a second in which work waits. */
-export const STATE_GROWTH = 0.1;
+export const STORE_LIMIT_GROWTH = 0.1;
 /** Share of its equal part of the writes above which a node lets changes wait for others to join. */
-export const STATE_SCARCE = 0.5;
+export const STORE_SCARCE_SHARE = 0.5;
 /** Share of it above which they wait longest. */
-export const STATE_SHORT = 0.85;
+export const STORE_SHORT_SHARE = 0.85;
 /** What is left of a node's part of a limit after a refusal. */
-export const STATE_YIELD = 0.7;
+export const STORE_LIMIT_AFTER_REFUSAL = 0.7;
 /** Share of the state service's requests that all members' watches may take together. */
 export const WATCH_SHARE = 0.15;
 /** Share of them that all members' checks for users may take together. */
@@ -245,9 +245,9 @@
 // --- Tokens and attempts ---------------------------------------------------------------------
 
 /** Token = term × this + bump, so that one machine can be fenced without a write. */
-export const TOKEN_STEP = 2 ** 16;
+export const FENCING_TOKENS_PER_TERM = 2 ** 16;
 /** Attempt = (term × ATTEMPT_PARTS + part's number) × ATTEMPT_STEP + counter, never used twice. */
-export const ATTEMPT_PARTS = 64;
+export const SHARDS_PER_TERM = 64;
 export const ATTEMPT_STEP = 2 ** 20;
 
 // --- Gangs -----------------------------------------------------------------------------------
@@ -333,7 +333,7 @@
 /** Share of its tasks that may do so at a time. */
 export const STARVED_SHARE = 0.25;
 /** Report intervals without a report after which a machine takes no new tasks. */
-export const SILENT_REPORTS = 3;
+export const MISSED_HEARTBEATS = 3;
 /** ms; an offer that the cloud could not fill is asked for again after this. */
 export const NO_CAPACITY_PAUSE_MS = 15_000;
 /** Boot times after which a machine that never reported is returned: some take several. */
@@ -357,7 +357,7 @@
 export const ESTIMATE_MARGIN = 1.25;
 /** Share of the room for lower work that counts when jobs are chosen to be late: the rest goes to
  * urgent work, to ways between tasks and to estimates that are too low. */
-export const LATE_ROOM = 0.75;
+export const LATE_CAPACITY_SHARE = 0.75;
 /** Boot times within which tasks are to be done that a machine rented now can't help in time. */
 export const LATE_BOOTS = 1.5;
 /** s; what a running task is taken to have left when the fleet's future room is reckoned. */
--- a/src/coordination/api/absence-proof.ts
+++ b/src/coordination/api/absence-proof.ts
@@ -1,5 +1,5 @@
 /** What proves that the state service holds nothing on a job. */
-import type { Guard, TxnResult } from '../../protocol/key-value-store.js';
+import type { Guard, CompareAndSwapResult } from '../../protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 
 /**
@@ -25,7 +25,7 @@
   static fromTransaction(
     job: string,
     guards: readonly Guard[],
-    result: TxnResult,
+    result: CompareAndSwapResult,
   ): AbsenceProof | null {
     if (!result.ok) return null;
     const isAbsent = (key: string): boolean => {
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -34,7 +34,7 @@
   async cancel(id: string): Promise<HttpReply> {
     const { replica, clock } = this.options;
     if (!isJobId(id)) return notAJobId();
-    if (!replica.loaded) return this.whileLoading(id);
+    if (!replica.isLoaded) return this.whileLoading(id);
     const deadline = clock.now() + SUBMIT_LIMIT_MS;
     while (clock.now() < deadline) {
       const reply = await this.attempt(id, deadline);
--- a/src/coordination/api/job-answers.ts
+++ b/src/coordination/api/job-answers.ts
@@ -45,9 +45,9 @@
 export function openJob(replica: StoreReplica, id: string): JobLookup {
   let done = 0;
   let running = 0;
-  for (const chunk of replica.chunksOf(id)) {
-    done += chunk.done;
-    running += chunk.liveCount;
+  for (const assignment of replica.assignmentsOf(id)) {
+    done += assignment.done;
+    running += assignment.placedCount;
   }
   const state = running > 0 ? 'running' : 'queued';
   return { kind: 'found', job: { state, done, running, final: false } };
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -3,7 +3,11 @@
  * fail for those that are no longer as the replica has them.
  */
 import { CHECK_QUEUE, GROUP_COMMIT_MS, GUARDS_PER_OP, REREADS_AT_ONCE } from '../../constants.js';
-import { Refused, type Guard, type StateApi } from '../../protocol/key-value-store.js';
+import {
+  StoreRejectedError,
+  type Guard,
+  type KeyValueStore,
+} from '../../protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
@@ -17,11 +21,11 @@
 /** What the checks are made with. */
 export interface JobChecksOptions {
   /** Changes that one transaction may hold. */
-  txnOps: number;
+  transactionOps: number;
   /** ms between two checking transactions: what comes meanwhile shares the next. */
   checkMs: number;
   replica: StoreReplica;
-  api: StateApi;
+  api: KeyValueStore;
   limiter: RateLimiter;
   clock: Clock;
   log: Log;
@@ -56,7 +60,7 @@
   private checkedAt = -Infinity;
 
   constructor(private readonly options: JobChecksOptions) {
-    const guards = options.txnOps * GUARDS_PER_OP;
+    const guards = options.transactionOps * GUARDS_PER_OP;
     this.checksPerTransaction = Math.max(1, Math.floor(guards / GUARDS_PER_CHECK));
   }
 
@@ -156,7 +160,7 @@
   private async compare(group: Check[]): Promise<Set<string>> {
     const { api, replica } = this.options;
     const guards = guardsOf(group, replica);
-    const result = await api.txn(guards, []);
+    const result = await api.compareAndSwap(guards, []);
     if (!result.ok) return new Set(result.failed);
     for (const check of group) {
       const proof = AbsenceProof.fromTransaction(check.id, guards, result);
@@ -167,11 +171,11 @@
 
   /** What was not served is asked again as long as someone waits, except in an outage. */
   private retryOrGiveUp(group: Check[], error: unknown): void {
-    if (error instanceof Refused && error.status !== 429) {
+    if (error instanceof StoreRejectedError && error.status !== 429) {
       this.settleUnsure(group, String(error));
       return;
     }
-    if (error instanceof Refused) this.options.limiter.refused(0);
+    if (error instanceof StoreRejectedError) this.options.limiter.refused(0);
     for (const check of group) this.putBack(check);
     this.schedule();
   }
@@ -213,7 +217,7 @@
       await limiter.pass('check', 0);
       const live = await api.get(jobKey(id));
       if (live) {
-        replica.applyOwn([{ key: jobKey(id), value: live.value, revision: live.revision }]);
+        replica.applyOwnChanges([{ key: jobKey(id), value: live.value, revision: live.revision }]);
         return this.openLookup(id);
       }
     }
@@ -232,7 +236,7 @@
     const final = replica.final(id);
     if (final) return finalJob(final);
     // Without all chunks it can't be said whether tasks of it run.
-    return replica.loaded ? openJob(replica, id) : UNSURE;
+    return replica.isLoaded ? openJob(replica, id) : UNSURE;
   }
 }
 
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -33,14 +33,14 @@
     private readonly checks: JobChecks,
     private readonly clock: Clock,
   ) {
-    replica.onFresh((sentAt) => this.fresh(sentAt));
+    replica.onConfirmedCurrent((sentAt) => this.fresh(sentAt));
   }
 
   /** Answers a user's poll. */
   async poll(id: string): Promise<HttpReply> {
     if (!isJobId(id)) return notAJobId();
     const lookup = await this.newest(id);
-    if (lookup.kind === 'unsure') return this.replica.loaded ? storeSilent() : notStarted();
+    if (lookup.kind === 'unsure') return this.replica.isLoaded ? storeSilent() : notStarted();
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
     const { state, done, running } = lookup.job;
     return { status: 200, body: encodeJobView(id, state, done, running) };
@@ -51,7 +51,7 @@
     const final = this.replica.final(id);
     if (final) return Promise.resolve(finalJob(final));
     // Until the replica is loaded nothing can be accepted, and what ended can only be looked up.
-    if (this.replica.loaded && !this.replica.get(jobKey(id))) return Promise.resolve(null);
+    if (this.replica.isLoaded && !this.replica.get(jobKey(id))) return Promise.resolve(null);
     return this.checks.check(id, POLL_LIMIT_MS);
   }
 
@@ -63,7 +63,7 @@
   private async newest(id: string): Promise<JobLookup> {
     const before = this.replica.final(id);
     if (before) return finalJob(before);
-    if (this.replica.loaded && this.replica.job(id) && (await this.watched())) {
+    if (this.replica.isLoaded && this.replica.job(id) && (await this.watched())) {
       const final = this.replica.final(id);
       if (final) return finalJob(final);
       if (this.replica.job(id)) return openJob(this.replica, id);
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -4,7 +4,7 @@
   SUBMIT_BYTES,
   SUBMIT_LIMIT_MS,
   SUBMIT_QUEUE,
-  TXN_BYTES,
+  TRANSACTION_BYTES,
 } from '../../constants.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
@@ -24,7 +24,7 @@
 /** What the queue commits with. */
 export interface SubmissionQueueOptions {
   /** Changes that one transaction may hold. */
-  txnOps: number;
+  transactionOps: number;
   committer: Committer;
   clock: Clock;
   log: Log;
@@ -100,11 +100,11 @@
     const group: Submission[] = [];
     const ids = new Set<string>();
     let bytes = 0;
-    while (group.length < this.options.txnOps) {
+    while (group.length < this.options.transactionOps) {
       const next = this.waiting[0];
       if (!next || ids.has(next.spec.id)) break;
       bytes += this.recordBytes(next.spec) + SUBMIT_BYTES;
-      if (group.length > 0 && bytes > TXN_BYTES) break;
+      if (group.length > 0 && bytes > TRANSACTION_BYTES) break;
       this.waiting.shift();
       if (next.settled) continue;
       ids.add(next.spec.id);
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -49,7 +49,7 @@
     // has not, this node may not have heard the end yet, and must not give an older answer.
     const lookup = await this.options.queries.heardOf(id);
     if (lookup?.kind === 'found') return stateReply(id, lookup.job.state);
-    if (!this.options.replica.loaded) return notStarted();
+    if (!this.options.replica.isLoaded) return notStarted();
     if (lookup?.kind === 'unsure') return storeSilent();
     const parsed = parseSubmission(json.value);
     if (!parsed.ok) return this.refuse(id, 400, parsed.error);
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -1,6 +1,6 @@
 /** Users' requests as a whole: builds the handlers of submissions, polls and cancellations. */
 import type { Team } from '../../protocol/settings.js';
-import type { StateApi } from '../../protocol/key-value-store.js';
+import type { KeyValueStore } from '../../protocol/key-value-store.js';
 import type { Committer } from '../../storage/committer.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
@@ -18,13 +18,13 @@
 export interface UserRequestsOptions {
   teams: readonly Team[];
   /** Changes that one transaction may hold. */
-  txnOps: number;
+  transactionOps: number;
   /** Bytes that the state service takes for one job's record. */
   valueBytes: number;
   /** ms between two checking transactions: what comes meanwhile shares the next. */
   checkMs: number;
   replica: StoreReplica;
-  api: StateApi;
+  api: KeyValueStore;
   limiter: RateLimiter;
   committer: Committer;
   clock: Clock;
@@ -52,7 +52,7 @@
 
   /** The replica is loaded, so that requests can be answered. */
   get ready(): boolean {
-    return this.replica.loaded;
+    return this.replica.isLoaded;
   }
 
   /** Answers a submission with this body; null: the body was too long to be read. */
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,7 +1,7 @@
 /** What the steps of a fleet round share: settings, services and the limits on requests. */
 import { CLOUD_SHARE } from '../../constants.js';
 import { readCatalog } from '../../storage/catalog.js';
-import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CloudApi } from '../../protocol/cloud-api.js';
@@ -13,13 +13,13 @@
 import type { Headroom } from './headroom.js';
 
 /** Settings of the fleet, and the services that it uses. */
-export interface FleetOptions {
+export interface AutoscalerOptions {
   /** Term of the leader's role; part of the identifier of each rent request. */
   readonly term: number;
   /** Commits transactions that are guarded by the leader's role. */
   readonly writer: GuardedWriter;
   /** Operations that one transaction may have. */
-  readonly txnOps: number;
+  readonly transactionOps: number;
   /** Bytes that one stored value may have. */
   readonly valueBytes: number;
   /** The cloud's limit of requests per second. */
@@ -47,10 +47,10 @@
 }
 
 /** The options together with the state that several steps of a round use. */
-export interface FleetContext extends FleetOptions {
+export interface AutoscalingContext extends AutoscalerOptions {
   readonly cloudRequests: CloudRequestBudget;
   /** Machines, and keys, whose changes the state service called invalid. */
-  readonly invalidBackoff: InvalidChangeBackoff;
+  readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly headroom: Headroom;
 }
 
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -30,7 +30,7 @@
  */
 export function neededCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
   let workCpuS = 0;
-  for (const machine of snapshot.machines) workCpuS += machine.lowCpus * RUNNING_LEFT_S;
+  for (const machine of snapshot.machines) workCpuS += machine.preemptibleCpus * RUNNING_LEFT_S;
   for (const { spec, count } of snapshot.unmet) {
     if (spec.kind !== 'service') workCpuS += count * spec.cpus * Math.max(1, spec.estimateS);
   }
@@ -50,7 +50,7 @@
   const demand: TaskDemand[] = [];
   // CPU seconds ahead of a job: what runs is half done on average.
   let aheadCpuS = 0;
-  for (const machine of snapshot.machines) aheadCpuS += machine.lowCpus * RUNNING_LEFT_S;
+  for (const machine of snapshot.machines) aheadCpuS += machine.preemptibleCpus * RUNNING_LEFT_S;
   for (const unmet of byUrgency(snapshot.unmet)) {
     const { spec, count } = unmet;
     if (spec.kind === 'service' || spec.deadlineS === null || spec.cpus <= 0) {
@@ -93,7 +93,7 @@
 function cpusOfFleet(snapshot: FleetSnapshot, booting: readonly MachineCapacity[]): number {
   let cpus = 0;
   for (const machine of snapshot.machines) {
-    if (machine.health === 'ok') cpus += Math.max(0, machine.cpus) + machine.lowCpus;
+    if (machine.health === 'ok') cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus;
   }
   for (const machine of booting) cpus += machine.cpus;
   return cpus;
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -1,46 +1,56 @@
 /** Stores the cloud's machine types in the state service and brings them up to date periodically. */
-import { CATALOG_PERIOD_MS, TXN_BYTES } from '../../constants.js';
+import { CATALOG_PERIOD_MS, TRANSACTION_BYTES } from '../../constants.js';
 import { writeCatalog } from '../../storage/catalog.js';
 import { CATALOG } from '../../storage/keys.js';
 import type { Change } from '../../protocol/key-value-store.js';
-import type { FleetContext } from './autoscaling-context.js';
+import type { AutoscalingContext } from './autoscaling-context.js';
 
 /** Reads the cloud's machine types periodically and writes what changed. */
 export class CatalogRefresh {
   private refreshedAt = -Infinity;
 
-  constructor(private readonly context: FleetContext) {}
+  constructor(private readonly context: AutoscalingContext) {}
 
   /**
    * Refreshes the catalog if it is due and the cloud's limit allows a request. Commits the changes
    * in order and stops at the first failure.
    */
   async run(): Promise<void> {
-    const { clock, cloud, cloudRequests, invalidBackoff, replica, valueBytes, writer } =
-      this.context;
+    const {
+      clock,
+      cloud,
+      cloudRequests,
+      rejectedChangeBackoff: rejectedChangeBackoff,
+      replica,
+      valueBytes,
+      writer,
+    } = this.context;
     const now = clock.now();
     if (now - this.refreshedAt < CATALOG_PERIOD_MS || !cloudRequests.trySpend()) return;
     const types = await cloud.types();
     if (!types) return;
     this.refreshedAt = now;
-    if (invalidBackoff.has(CATALOG)) return;
+    if (rejectedChangeBackoff.has(CATALOG)) return;
     const changes = writeCatalog(replica, types, valueBytes);
     for (const group of this.transactions(changes)) {
       const guards = group.map(({ key }) => ({ key, revision: replica.revisionOf(key) }));
       const result = await writer.commit('leader', guards, group);
-      if (result.kind === 'invalid') invalidBackoff.add(CATALOG);
-      else invalidBackoff.clear(CATALOG);
+      if (result.kind === 'invalid') rejectedChangeBackoff.add(CATALOG);
+      else rejectedChangeBackoff.clear(CATALOG);
       if (result.kind !== 'done') return;
     }
   }
 
   /** Divides the changes, in their order, among transactions within the service's limits. */
   private transactions(changes: readonly Change[]): Change[][] {
-    const { txnOps, valueBytes } = this.context;
-    const changesPerTxn = Math.min(txnOps, Math.max(1, Math.floor(TXN_BYTES / valueBytes)));
+    const { transactionOps: transactionOps, valueBytes } = this.context;
+    const changesPerTransaction = Math.min(
+      transactionOps,
+      Math.max(1, Math.floor(TRANSACTION_BYTES / valueBytes)),
+    );
     const transactions: Change[][] = [];
-    for (let start = 0; start < changes.length; start += changesPerTxn) {
-      transactions.push(changes.slice(start, start + changesPerTxn));
+    for (let start = 0; start < changes.length; start += changesPerTransaction) {
+      transactions.push(changes.slice(start, start + changesPerTransaction));
     }
     return transactions;
   }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -14,7 +14,7 @@
  * from their part. Of those, a limited number is returned once their lease is over, since their
  * tasks have ended by then in any case.
  */
-export class SilentMachines {
+export class HeartbeatTimeouts {
   /** Since when each silent machine has been silent, as far as this leader has seen. */
   private readonly silentSince = new Map<string, number>();
   /** Machines chosen to be returned within the last period, and when they were chosen. */
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity } from '../capacity/machine-capacity.js';
 import { neededCpus } from './capacity-demand.js';
-import { machineTypes, type FleetContext } from './autoscaling-context.js';
+import { machineTypes, type AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
 /** Lower bound of a price that is divided by. */
@@ -14,16 +14,18 @@
   private readonly idleSince = new Map<string, number>();
 
   constructor(
-    private readonly context: FleetContext,
+    private readonly context: AutoscalingContext,
     private readonly records: MachineRecords,
   ) {}
 
   /** Records faulty machines and unneeded idle ones as draining. */
   async drain(snapshot: FleetSnapshot): Promise<void> {
-    const { invalidBackoff, log } = this.context;
+    const { rejectedChangeBackoff: rejectedChangeBackoff, log } = this.context;
     const faulty = snapshot.machines.filter((machine) => machine.health === 'faulty');
     const unneeded = this.unneededMachines(snapshot);
-    const due = [...faulty, ...unneeded].filter((machine) => !invalidBackoff.has(machine.name));
+    const due = [...faulty, ...unneeded].filter(
+      (machine) => !rejectedChangeBackoff.has(machine.name),
+    );
     if (due.length === 0) return;
     if ((await this.records.recordState(due, 'drain')) === 'written') {
       log.info({ machines: due.map((machine) => machine.name) }, 'machines taken out of use');
@@ -85,7 +87,7 @@
   private spareCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
     let spareCpus = -neededCpus(snapshot, types);
     for (const machine of snapshot.machines) {
-      if (machine.health === 'ok') spareCpus += Math.max(0, machine.cpus) + machine.lowCpus;
+      if (machine.health === 'ok') spareCpus += Math.max(0, machine.cpus) + machine.preemptibleCpus;
     }
     return spareCpus;
   }
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -1,7 +1,7 @@
 /** Reads the cloud's list of machines: adopts unknown machines and notes failed ones. */
 import { machineKey } from '../../storage/keys.js';
 import type { ListedMachine } from '../../protocol/model.js';
-import type { FleetContext } from './autoscaling-context.js';
+import type { AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
 /** Least seconds between two readings of the list, however short the cloud's lag is. */
@@ -15,7 +15,7 @@
   private readonly failedNames = new Set<string>();
 
   constructor(
-    private readonly context: FleetContext,
+    private readonly context: AutoscalingContext,
     private readonly records: MachineRecords,
   ) {}
 
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -3,7 +3,7 @@
 import { MACHINES, machineKey } from '../../storage/keys.js';
 import type { MachineRecord, MachineState } from '../../storage/records.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
-import type { FleetContext } from './autoscaling-context.js';
+import type { AutoscalingContext } from './autoscaling-context.js';
 
 /** What a machine's record holds besides its state. */
 export interface MachineIdentity {
@@ -18,26 +18,30 @@
 
 /** The writer of machine records. */
 export class MachineRecords {
-  constructor(private readonly context: FleetContext) {}
+  constructor(private readonly context: AutoscalingContext) {}
 
   /** Records `state` for the machines, except those whose changes were refused as invalid. */
   async recordState(
     machines: readonly MachineIdentity[],
     state: MachineState,
   ): Promise<RecordOutcome> {
-    const { invalidBackoff, txnOps, writer } = this.context;
-    const due = machines.filter((machine) => !invalidBackoff.has(machine.name));
+    const {
+      rejectedChangeBackoff: rejectedChangeBackoff,
+      transactionOps: transactionOps,
+      writer,
+    } = this.context;
+    const due = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
     const names = due.map((machine) => machine.name);
     let start = 0;
     while (start < due.length) {
-      const size = invalidBackoff.together(names.slice(start), txnOps);
+      const size = rejectedChangeBackoff.together(names.slice(start), transactionOps);
       const group = due.slice(start, start + size);
       start += group.length;
       const { guards, changes } = this.stateTransaction(group, state);
       const result = await writer.commit('leader', guards, changes);
       for (const { name } of group) {
-        if (result.kind === 'invalid') invalidBackoff.add(name);
-        else invalidBackoff.clear(name);
+        if (result.kind === 'invalid') rejectedChangeBackoff.add(name);
+        else rejectedChangeBackoff.clear(name);
       }
       if (result.kind !== 'done') return 'incomplete';
     }
@@ -66,19 +70,25 @@
    * any more. `listed`: the names in the newest list.
    */
   async removeOld(listed: ReadonlySet<string>): Promise<void> {
-    const { clock, invalidBackoff, replica, txnOps, writer } = this.context;
+    const {
+      clock,
+      rejectedChangeBackoff: rejectedChangeBackoff,
+      replica,
+      transactionOps: transactionOps,
+      writer,
+    } = this.context;
     const wall = clock.wall();
     const changes: Change[] = [];
     const guards: Guard[] = [];
     for (const [key, held] of replica.below<MachineRecord>(MACHINES)) {
       if (held.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
-      if (wall - held.value.at < GONE_KEEP_MS || changes.length >= txnOps) continue;
+      if (wall - held.value.at < GONE_KEEP_MS || changes.length >= transactionOps) continue;
       guards.push({ key, revision: held.revision });
       changes.push({ key, remove: true });
     }
-    if (changes.length === 0 || invalidBackoff.has(MACHINES)) return;
+    if (changes.length === 0 || rejectedChangeBackoff.has(MACHINES)) return;
     const result = await writer.commit('leader', guards, changes);
-    if (result.kind === 'invalid') invalidBackoff.add(MACHINES);
-    else invalidBackoff.clear(MACHINES);
+    if (result.kind === 'invalid') rejectedChangeBackoff.add(MACHINES);
+    else rejectedChangeBackoff.clear(MACHINES);
   }
 }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -3,10 +3,10 @@
 import { MACHINES } from '../../storage/keys.js';
 import type { MachineRecord } from '../../storage/records.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
-import { machineTypes, type FleetContext } from './autoscaling-context.js';
+import { machineTypes, type AutoscalingContext } from './autoscaling-context.js';
 import type { MachineList } from './machine-list.js';
 import type { MachineRecords } from './machine-records.js';
-import { SilentMachines } from './heartbeat-timeouts.js';
+import { HeartbeatTimeouts } from './heartbeat-timeouts.js';
 
 /** Boot time assumed for a machine whose type is not in the catalog. */
 const UNKNOWN_BOOT_S = 60;
@@ -17,25 +17,25 @@
 }
 
 /** Finds the machines to be returned and returns them. */
-export class MachineReturns {
-  private readonly silentMachines: SilentMachines;
+export class ScaleIn {
+  private readonly heartbeatTimeouts: HeartbeatTimeouts;
 
   constructor(
-    private readonly context: FleetContext,
+    private readonly context: AutoscalingContext,
     private readonly records: MachineRecords,
     private readonly list: MachineList,
   ) {
-    this.silentMachines = new SilentMachines(context.clock, context.leaseS);
+    this.heartbeatTimeouts = new HeartbeatTimeouts(context.clock, context.leaseS);
   }
 
   /** Returns the machines that are due, as many as one request may name. */
   async run(snapshot: FleetSnapshot): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
-    this.silentMachines.update(snapshot.machines);
+    this.heartbeatTimeouts.update(snapshot.machines);
     const due = this.dueMachines(snapshot).slice(0, RETURN_MAX);
     if (due.length === 0 || !cloudRequests.trySpend()) return;
     const names = due.map(({ name }) => name);
-    if (!(await cloud.giveBack(names))) return;
+    if (!(await cloud.returnMachines(names))) return;
     log.info({ machines: names }, 'machines returned');
     await this.records.recordState(
       due.map(({ name, record }) => ({ name, ...record })),
@@ -46,19 +46,19 @@
 
   /** Machines that may be returned now. */
   private dueMachines(snapshot: FleetSnapshot): RecordedMachine[] {
-    const { invalidBackoff, replica } = this.context;
+    const { rejectedChangeBackoff: rejectedChangeBackoff, replica } = this.context;
     const isOccupied = this.occupiedMachines();
     const stuck = this.stuckMachines(snapshot);
     const due: RecordedMachine[] = [];
     for (const [key, held] of replica.below<MachineRecord>(MACHINES)) {
       const name = key.slice(MACHINES.length);
       const record = held.value;
-      if (record.state === 'gone' || invalidBackoff.has(name)) continue;
+      if (record.state === 'gone' || rejectedChangeBackoff.has(name)) continue;
       // Placements commit only before the drain record, so a replica that holds it shows them all.
       const settled = replica.revision >= held.revision;
       const drained = record.state === 'drain' && settled && !isOccupied(name);
       const failed = this.list.hasFailed(name);
-      if (drained || stuck(name, record) || failed || this.silentMachines.isDue(name)) {
+      if (drained || stuck(name, record) || failed || this.heartbeatTimeouts.isDue(name)) {
         due.push({ name, record });
       }
     }
@@ -72,7 +72,9 @@
   private occupiedMachines(): (name: string) => boolean {
     let occupied: Set<string> | null = null;
     return (name) => {
-      occupied ??= new Set([...this.context.replica.chunks()].flatMap((chunk) => chunk.on));
+      occupied ??= new Set(
+        [...this.context.replica.assignments()].flatMap((assignment) => assignment.machines),
+      );
       return occupied.has(name);
     };
   }
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -20,11 +20,11 @@
 interface PlannedRental {
   readonly offer: Offer;
   count: number;
-  readonly rooms: Amounts[];
+  readonly capacities: Amounts[];
 }
 
 /** What a plan begins with. */
-export interface RentalPlanOptions {
+export interface ScaleOutPlanOptions {
   readonly offers: readonly Offer[];
   /** Machines that are not up yet; the plan takes room from them. */
   readonly booting: readonly MachineCapacity[];
@@ -34,13 +34,13 @@
 }
 
 /** Puts tasks into rooms and takes what they use; returns how many found none. */
-function fillRooms(rooms: readonly Amounts[], spec: JobSpec, count: number): number {
+function fillMachines(capacities: readonly Amounts[], spec: JobSpec, count: number): number {
   let left = count;
-  for (const room of rooms) {
-    const placed = Math.min(left, fitCount(room, spec));
-    room.cpus -= placed * spec.cpus;
-    room.gpus -= placed * spec.gpus;
-    room.memoryGb -= placed * spec.memoryGb;
+  for (const capacity of capacities) {
+    const placed = Math.min(left, fitCount(capacity, spec));
+    capacity.cpus -= placed * spec.cpus;
+    capacity.gpus -= placed * spec.gpus;
+    capacity.memoryGb -= placed * spec.memoryGb;
     left -= placed;
     if (left === 0) break;
   }
@@ -48,11 +48,11 @@
 }
 
 /** A plan to which demand is added, in the order in which it is to be served. */
-export class RentalPlan {
+export class ScaleOutPlan {
   private readonly planned = new Map<string, PlannedRental>();
   private machineCount: number;
 
-  constructor(private readonly options: RentalPlanOptions) {
+  constructor(private readonly options: ScaleOutPlanOptions) {
     this.machineCount = options.machineCount;
   }
 
@@ -68,9 +68,9 @@
   addTasks({ spec, count }: TaskDemand): void {
     const { booting, maxMachines, offers } = this.options;
     const eligible = booting.filter((machine) => isEligible(spec, machine));
-    let left = fillRooms(eligible, spec, count);
+    let left = fillMachines(eligible, spec, count);
     for (const rental of this.planned.values()) {
-      if (isOfferEligible(spec, rental.offer)) left = fillRooms(rental.rooms, spec, left);
+      if (isOfferEligible(spec, rental.offer)) left = fillMachines(rental.capacities, spec, left);
     }
     while (left > 0 && this.machineCount < maxMachines) {
       const offer = cheapestOffer(offers, spec, left);
@@ -80,9 +80,9 @@
       rental.count++;
       this.machineCount++;
       const { cpus, gpus, memoryGb } = offer.type;
-      const room = { cpus, gpus, memoryGb };
-      rental.rooms.push(room);
-      left = fillRooms([room], spec, left);
+      const capacity = { cpus, gpus, memoryGb };
+      rental.capacities.push(capacity);
+      left = fillMachines([capacity], spec, left);
     }
   }
 
@@ -106,18 +106,19 @@
     let cpus = 0;
     for (const machine of [...healthy, ...this.options.booting]) {
       // CPUs that urgent work may preempt count in part, since preemption loses work done.
-      if (!machine.spot) cpus += Math.max(0, machine.cpus) + machine.lowCpus * PREEMPTIBLE_SHARE;
+      if (!machine.spot)
+        cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_SHARE;
     }
-    for (const { offer, rooms } of this.planned.values()) {
+    for (const { offer, capacities: capacities } of this.planned.values()) {
       if (offer.spot) continue;
-      for (const room of rooms) cpus += Math.max(0, room.cpus);
+      for (const capacity of capacities) cpus += Math.max(0, capacity.cpus);
     }
     return cpus;
   }
 
   private rentalOf(offer: Offer): PlannedRental {
     const key = offerKey(offer);
-    const rental = this.planned.get(key) ?? { offer, count: 0, rooms: [] };
+    const rental = this.planned.get(key) ?? { offer, count: 0, capacities: [] };
     this.planned.set(key, rental);
     return rental;
   }
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -4,19 +4,19 @@
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 import { missingGangCapacity } from '../capacity/gang-capacity.js';
 import { demandBeyondFleet } from './capacity-demand.js';
-import { machineTypes, type FleetContext } from './autoscaling-context.js';
+import { machineTypes, type AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 import { Offers, byControllerLoad } from './offers.js';
-import { RentalPlan, type Rental } from './scale-out-plan.js';
+import { ScaleOutPlan, type Rental } from './scale-out-plan.js';
 
 /** Plans what to rent in each round and sends the rent requests. */
-export class Renting {
+export class ScaleOut {
   private readonly offers: Offers;
   /** Rent requests made in this term; part of their identifiers. */
   private requestCount = 0;
 
   constructor(
-    private readonly context: FleetContext,
+    private readonly context: AutoscalingContext,
     private readonly records: MachineRecords,
   ) {
     this.offers = new Offers(context.clock, context.spot);
@@ -61,7 +61,7 @@
       .filter((machine) => machine.health === 'booting')
       .map((machine) => ({ ...machine }));
     const healthy = snapshot.machines.filter((machine) => machine.health === 'ok');
-    const plan = new RentalPlan({
+    const plan = new ScaleOutPlan({
       offers: byControllerLoad(this.offers.available(types), snapshot.machines, members),
       booting,
       machineCount: snapshot.machines.length,
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -5,12 +5,12 @@
 import {
   fitCount,
   isEligible,
-  occupyReclaimable,
+  allocateReclaimable,
   reclaimableCapacity,
   reclaimModeFor,
   type MachineCapacity,
 } from './machine-capacity.js';
-import { placeKey } from './priorities.js';
+import { shardZoneKey } from './priorities.js';
 
 /** Tasks of a gang for which capacity is missing; the description names the zone. */
 export interface MissingCapacity {
@@ -36,15 +36,15 @@
   const remaining = machines.filter((machine) => !machine.spot).map((machine) => ({ ...machine }));
   const missing: MissingCapacity[] = [];
   for (const spec of [...gangs].sort((a, b) => b.tasks * b.cpus - a.tasks * a.cpus)) {
-    const zone = zoneWithMostRoom(spec, remaining);
-    const count = occupyZone(spec, zone, remaining);
+    const zone = zoneWithMostCapacity(spec, remaining);
+    const count = allocateInZone(spec, zone, remaining);
     if (count > 0) missing.push({ spec: { ...spec, zone }, count });
   }
   return missing;
 }
 
 /** The zone with the most room for a gang, in part counting room to come; null: any is as good. */
-function zoneWithMostRoom(spec: JobSpec, machines: readonly MachineCapacity[]): string | null {
+function zoneWithMostCapacity(spec: JobSpec, machines: readonly MachineCapacity[]): string | null {
   const zones = new Map<string, number>();
   for (const machine of machines) {
     if (!isEligible(spec, machine)) continue;
@@ -57,15 +57,15 @@
 }
 
 /** Takes room for a gang in a zone, free room first; returns how many tasks found none. */
-function occupyZone(spec: JobSpec, zone: string | null, machines: MachineCapacity[]): number {
+function allocateInZone(spec: JobSpec, zone: string | null, machines: MachineCapacity[]): number {
   let left = spec.tasks;
   for (const reclaims of [false, true]) {
     for (const machine of machines) {
       if (left <= 0 || machine.zone !== zone || !isEligible(spec, machine)) continue;
-      const room = reclaims ? reclaimableCapacity(machine, reclaimModeFor(spec)) : machine;
-      const fitting = fitCount(room, spec);
+      const free = reclaims ? reclaimableCapacity(machine, reclaimModeFor(spec)) : machine;
+      const fitting = fitCount(free, spec);
       const count = Math.min(left, reclaims ? Math.floor(fitting * GANG_ENDING_SHARE) : fitting);
-      occupyReclaimable(machine, spec, count);
+      allocateReclaimable(machine, spec, count);
       left -= count;
     }
   }
@@ -78,12 +78,12 @@
  */
 export function reservingPlace(
   spec: JobSpec,
-  machines: Iterable<{ part: string; type: string; zone: string; spot: boolean }>,
+  machines: Iterable<{ shard: string; type: string; zone: string; spot: boolean }>,
 ): string | null {
   const counts = new Map<string, number>();
   for (const machine of machines) {
     if (machine.spot || !isEligible(spec, machine)) continue;
-    const place = placeKey(machine.part, machine.zone);
+    const place = shardZoneKey(machine.shard, machine.zone);
     counts.set(place, (counts.get(place) ?? 0) + 1);
   }
   let best: string | null = null;
@@ -103,7 +103,7 @@
     .filter(
       (machine) =>
         !machine.spot &&
-        placeKey(machine.part, machine.zone) === place &&
+        shardZoneKey(machine.shard, machine.zone) === place &&
         isEligible(spec, machine),
     )
     .map((machine) => fitOn(spec, machine))
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -15,17 +15,17 @@
   /** Tasks placed on it. */
   tasks: number;
   /** CPUs and memory of tasks that rank below `high`: what urgent work could take. */
-  lowCpus: number;
-  lowMemoryGb: number;
+  preemptibleCpus: number;
+  preemptibleMemoryGb: number;
   /** CPUs and memory of arrays: what ends there by itself. */
-  endingCpus: number;
-  endingMemoryGb: number;
+  arrayCpus: number;
+  arrayMemoryGb: number;
 }
 
 /** A machine as the leader counts it: the amounts are those that are free. */
 export interface MachineCapacity extends MachineAmounts {
   name: string;
-  part: string;
+  shard: string;
   type: string;
   zone: string;
   spot: boolean;
@@ -63,12 +63,12 @@
 const SLACK = 1e-9;
 
 /** How many tasks of a kind fit into a room. */
-export function fitCount(room: Amounts, task: Amounts): number {
+export function fitCount(free: Amounts, task: Amounts): number {
   let count = Infinity;
-  if (task.cpus > 0) count = Math.min(count, Math.floor(room.cpus / task.cpus + SLACK));
-  if (task.gpus > 0) count = Math.min(count, Math.floor(room.gpus / task.gpus + SLACK));
+  if (task.cpus > 0) count = Math.min(count, Math.floor(free.cpus / task.cpus + SLACK));
+  if (task.gpus > 0) count = Math.min(count, Math.floor(free.gpus / task.gpus + SLACK));
   if (task.memoryGb > 0) {
-    count = Math.min(count, Math.floor(room.memoryGb / task.memoryGb + SLACK));
+    count = Math.min(count, Math.floor(free.memoryGb / task.memoryGb + SLACK));
   }
   return Math.max(0, count);
 }
@@ -104,17 +104,22 @@
   machine: MachineCapacity,
   mode: ReclaimMode,
 ): { cpus: number; memoryGb: number } {
-  const { lowCpus, lowMemoryGb, endingCpus, endingMemoryGb } = machine;
+  const {
+    preemptibleCpus: preemptibleCpus,
+    preemptibleMemoryGb: preemptibleMemoryGb,
+    arrayCpus: endingCpus,
+    arrayMemoryGb: endingMemoryGb,
+  } = machine;
   switch (mode) {
     case 'stopping':
-      return { cpus: lowCpus, memoryGb: lowMemoryGb };
+      return { cpus: preemptibleCpus, memoryGb: preemptibleMemoryGb };
     case 'ending':
       return { cpus: endingCpus, memoryGb: endingMemoryGb };
     case 'stoppingArrays':
       // Arrays may be urgent themselves.
       return {
-        cpus: Math.min(lowCpus, endingCpus),
-        memoryGb: Math.min(lowMemoryGb, endingMemoryGb),
+        cpus: Math.min(preemptibleCpus, endingCpus),
+        memoryGb: Math.min(preemptibleMemoryGb, endingMemoryGb),
       };
   }
 }
@@ -130,21 +135,21 @@
 }
 
 /** Takes the room of so many tasks from a machine: what is free, and the rest from other work. */
-export function occupyReclaimable(machine: MachineCapacity, spec: JobSpec, count: number): void {
+export function allocateReclaimable(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const taken = need(spec, count);
   const cpus = Math.max(0, taken.cpus - Math.max(0, machine.cpus));
   const memoryGb = Math.max(0, taken.memoryGb - Math.max(0, machine.memoryGb));
-  occupy(machine, spec, count);
+  allocateTasks(machine, spec, count);
   machine.cpus += cpus;
   machine.memoryGb += memoryGb;
-  machine.lowCpus -= cpus;
-  machine.lowMemoryGb -= memoryGb;
-  machine.endingCpus -= cpus;
-  machine.endingMemoryGb -= memoryGb;
+  machine.preemptibleCpus -= cpus;
+  machine.preemptibleMemoryGb -= memoryGb;
+  machine.arrayCpus -= cpus;
+  machine.arrayMemoryGb -= memoryGb;
 }
 
 /** Takes the room of so many tasks of a job from a machine. */
-export function occupy(machine: MachineCapacity, spec: JobSpec, count: number): void {
+export function allocateTasks(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const taken = need(spec, count);
   machine.cpus -= taken.cpus;
   machine.gpus -= taken.gpus;
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -6,32 +6,36 @@
 import type { Held } from '../../storage/record-index.js';
 import type { MachineRecord, StatusRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { nothingPlaced, type Ledger, type Placed } from './capacity-accounting.js';
-import { partOf, type Member } from '../election/rendezvous-hashing.js';
+import {
+  emptyMachineUsage,
+  type CapacityAccounting,
+  type MachineUsage,
+} from './capacity-accounting.js';
+import { shardOf, type Member } from '../election/rendezvous-hashing.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
 /** The sums of a machine that the ledger does not list. */
-const NOTHING_PLACED: Readonly<Placed> = nothingPlaced();
+const EMPTY_MACHINE_USAGE: Readonly<MachineUsage> = emptyMachineUsage();
 
 /** The machines that the parts call good. */
 export function* machinesOf(
   replica: StoreReplica,
-): Generator<{ part: string; type: string; zone: string; spot: boolean }> {
+): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
   for (const [key, held] of replica.below<StatusRecord>(STATUSES)) {
-    const part = key.slice(STATUSES.length).split('/')[0] ?? '';
+    const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
     for (const [type, zone, spot, health] of Object.values(held.value.machines)) {
-      if (health === 'ok') yield { part, type, zone, spot: spot === 1 };
+      if (health === 'ok') yield { shard, type, zone, spot: spot === 1 };
     }
   }
 }
 
 /** Which machine it is, and where. */
 type MachinePlace = Readonly<
-  Pick<MachineCapacity, 'name' | 'part' | 'type' | 'zone' | 'spot' | 'health'>
+  Pick<MachineCapacity, 'name' | 'shard' | 'type' | 'zone' | 'spot' | 'health'>
 >;
 
 /** The machines as the leader counts them, with the room that is left on each. */
-export class Inventory {
+export class MachineInventory {
   /**
    * What records were decoded to. A change of a key replaces its entry in the replica, so that a
    * round decodes what changed and not the whole fleet.
@@ -41,7 +45,7 @@
   constructor(
     private readonly members: readonly Member[],
     private readonly replica: StoreReplica,
-    private readonly ledger: Ledger,
+    private readonly accounting: CapacityAccounting,
   ) {}
 
   /** The fleet now: what the leader rented, and what the parts say of it. */
@@ -76,16 +80,16 @@
   /** A machine that was rented; it boots until its part says otherwise. */
   private rentedPlaces(key: string, { type, zone, spot }: MachineRecord): MachinePlace[] {
     const name = key.slice(MACHINES.length);
-    const part = partOf(name, zone, this.members);
-    return [{ name, part, type, zone, spot, health: 'booting' }];
+    const shard = shardOf(name, zone, this.members);
+    return [{ name, shard, type, zone, spot, health: 'booting' }];
   }
 
   /** Field by field: copying the place would make objects that the engine handles slowly. */
   private capacityOf(place: MachinePlace, type: MachineType): MachineCapacity {
-    const placed = this.ledger.machines.get(place.name) ?? NOTHING_PLACED;
+    const placed = this.accounting.machines.get(place.name) ?? EMPTY_MACHINE_USAGE;
     return {
       name: place.name,
-      part: place.part,
+      shard: place.shard,
       type: place.type,
       zone: place.zone,
       spot: place.spot,
@@ -94,18 +98,18 @@
       gpus: type.gpus - placed.gpus,
       memoryGb: type.memoryGb - placed.memoryGb,
       tasks: placed.tasks,
-      lowCpus: placed.lowCpus,
-      lowMemoryGb: placed.lowMemoryGb,
-      endingCpus: placed.endingCpus,
-      endingMemoryGb: placed.endingMemoryGb,
+      preemptibleCpus: placed.preemptibleCpus,
+      preemptibleMemoryGb: placed.preemptibleMemoryGb,
+      arrayCpus: placed.arrayCpus,
+      arrayMemoryGb: placed.arrayMemoryGb,
     };
   }
 }
 
 /** The machines that a part tells of in one of its records. */
 function reportedPlaces(key: string, { machines }: StatusRecord): MachinePlace[] {
-  const part = key.slice(STATUSES.length).split('/')[0] ?? '';
+  const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
   return Object.entries(machines).map(([name, [type, zone, spot, health]]) => {
-    return { name, part, type, zone, spot: spot === 1, health };
+    return { name, shard, type, zone, spot: spot === 1, health };
   });
 }
--- a/src/coordination/capacity/priorities.ts
+++ b/src/coordination/capacity/priorities.ts
@@ -6,4 +6,4 @@
 export const URGENT = rankOf('high');
 
 /** Names the machines of a part in one zone. */
-export const placeKey = (part: string, zone: string): string => `${part}\n${zone}`;
+export const shardZoneKey = (shard: string, zone: string): string => `${shard}\n${zone}`;
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -1,32 +1,32 @@
 /** Creates and removes the parts, the leader and the fleet as this node gains and loses roles. */
 import { roleKey } from '../../storage/keys.js';
 import type { Supply } from '../../storage/rate-limiter.js';
-import { Fleet } from '../autoscaling/autoscaler.js';
+import { Autoscaler } from '../autoscaling/autoscaler.js';
 import { GuardedWriter } from '../election/guarded-writer.js';
 import { Leader } from '../leader/leader.js';
-import { Part, type PartOptions } from '../shard/shard.js';
-import { LEADER, partRole, type Owned } from '../election/role-election.js';
-import type { NodeServices } from './controller-services.js';
+import { Shard, type PartOptions } from '../shard/shard.js';
+import { LEADER, shardRole, type HeldRole } from '../election/role-election.js';
+import type { ControllerServices } from './controller-services.js';
 
 /** What is called when there is work to do. */
 export interface ActiveRolesCallbacks {
   /** A part has something to do. */
-  readonly onPartWork: () => void;
+  readonly onShardWork: () => void;
   /** This node has become the leader. */
   readonly onLeading: () => void;
 }
 
 /** The parts, and the leader with its fleet, that act while this node owns their roles. */
 export class ActiveRoles {
-  readonly parts = new Map<string, Part>();
+  readonly shards = new Map<string, Shard>();
   /** The terms in which the parts act. */
-  private readonly partTerms = new Map<string, number>();
+  private readonly shardTerms = new Map<string, number>();
   private activeLeader: Leader | null = null;
   private leaderTerm = 0;
-  private fleet: Fleet | null = null;
+  private fleet: Autoscaler | null = null;
 
   constructor(
-    private readonly services: NodeServices,
+    private readonly services: ControllerServices,
     private readonly callbacks: ActiveRolesCallbacks,
   ) {}
 
@@ -36,98 +36,98 @@
   }
 
   /** Passes a changed key of the replica on; `affectsParts`: a part may have something to do. */
-  keyChanged(key: string): { affectsParts: boolean } {
-    let affectsParts = false;
-    for (const part of this.parts.values()) {
-      if (part.changed(key)) affectsParts = true;
+  keyChanged(key: string): { affectsShards: boolean } {
+    let affectsShards = false;
+    for (const shard of this.shards.values()) {
+      if (shard.changed(key)) affectsShards = true;
     }
     this.activeLeader?.changed(key);
-    return { affectsParts };
+    return { affectsShards };
   }
 
   /** Creates and removes what acts in roles, so that it matches the roles that this node owns. */
   sync(): void {
     for (const [number, member] of this.services.members.entries()) {
-      this.syncPart(member.node, number);
+      this.syncShard(member.node, number);
     }
     this.syncLeader();
   }
 
   /** The roles whose terms have handed out half of their numbers. */
-  rolesInNeedOfTerms(): string[] {
-    const parts = [...this.parts].filter(([, part]) => part.needsNewTerm);
-    const roles = parts.map(([name]) => partRole(name));
-    if (this.activeLeader?.needsNewTerm) roles.push(LEADER);
+  rolesNeedingTermRenewal(): string[] {
+    const shards = [...this.shards].filter(([, shard]) => shard.needsTermRenewal);
+    const roles = shards.map(([name]) => shardRole(name));
+    if (this.activeLeader?.needsTermRenewal) roles.push(LEADER);
     return roles;
   }
 
   /** One round of the leader; notifies the parts for which something urgent was written. */
   async runLeader(): Promise<void> {
-    const written = await this.activeLeader?.round();
-    for (const part of written ?? []) this.services.ownerNotifier.notify(partRole(part));
+    const written = await this.activeLeader?.reconcile();
+    for (const shard of written ?? []) this.services.holderNotifier.notify(shardRole(shard));
   }
 
   /** One round of the fleet. */
-  async runFleet(): Promise<void> {
-    if (this.activeLeader && this.fleet) await this.fleet.round(this.activeLeader.snapshot);
+  async runAutoscaler(): Promise<void> {
+    if (this.activeLeader && this.fleet) await this.fleet.reconcile(this.activeLeader.snapshot);
   }
 
-  private syncPart(name: string, number: number): void {
+  private syncShard(name: string, number: number): void {
     const { log, roles } = this.services;
-    const owned = roles.owned(partRole(name));
+    const owned = roles.heldRole(shardRole(name));
     if (!owned) {
-      if (this.parts.delete(name)) log.info({ part: name }, 'part given up');
+      if (this.shards.delete(name)) log.info({ shard: name }, 'part given up');
       return;
     }
-    if (this.parts.has(name) && this.partTerms.get(name) === owned.term) return;
-    this.parts.set(name, this.createPart(name, number, owned));
-    this.partTerms.set(name, owned.term);
-    log.info({ part: name, term: owned.term }, 'part taken');
+    if (this.shards.has(name) && this.shardTerms.get(name) === owned.term) return;
+    this.shards.set(name, this.createShard(name, number, owned));
+    this.shardTerms.set(name, owned.term);
+    log.info({ shard: name, term: owned.term }, 'part taken');
   }
 
-  private createPart(name: string, number: number, owned: Owned): Part {
+  private createShard(name: string, number: number, owned: HeldRole): Shard {
     const { committer, environment, log, replica } = this.services;
-    return new Part(this.partOptions(name, number, owned), {
+    return new Shard(this.shardOptions(name, number, owned), {
       replica,
       committer,
       workers: environment.workers,
       clock: environment.clock,
       log,
-      wake: this.callbacks.onPartWork,
+      wake: this.callbacks.onShardWork,
     });
   }
 
-  private partOptions(name: string, number: number, owned: Owned): PartOptions {
-    const { limiter, ownerNotifier, roles, settings } = this.services;
+  private shardOptions(name: string, number: number, owned: HeldRole): PartOptions {
+    const { limiter, holderNotifier, roles, settings } = this.services;
     const { placement } = settings;
-    const role = partRole(name);
+    const role = shardRole(name);
     return {
-      part: name,
+      shard: name,
       number,
       term: owned.term,
       roleKey: roleKey(role),
       roleRevision: owned.revision,
-      fenceAt: roles.fence(owned),
+      fenceAt: roles.fenceEndsAt(owned),
       leaseS: settings.leaseS,
-      reportS: settings.reportS,
+      heartbeatIntervalS: settings.heartbeatIntervalS,
       gangWaitS: settings.gangWaitS,
       gangPeerS: settings.gangPeerS,
-      txnOps: settings.txnOps,
+      transactionOps: settings.transactionOps,
       valueBytes: settings.valueBytes,
       alpha: placement.alpha,
       penalty: placement.penalty,
       startWithinS: settings.startWithinS,
       snapshotMs: placement.snapshotS * 1000,
-      alive: () => roles.owned(role)?.term === owned.term,
-      current: () => roles.current,
+      alive: () => roles.heldRole(role)?.term === owned.term,
+      current: () => roles.isReplicaCurrent,
       limiter,
-      written: () => ownerNotifier.notify(LEADER),
+      written: () => holderNotifier.notify(LEADER),
     };
   }
 
   private syncLeader(): void {
     const { log, roles } = this.services;
-    const owned = roles.owned(LEADER);
+    const owned = roles.heldRole(LEADER);
     if (!owned) {
       if (this.activeLeader) log.info({}, 'leadership given up');
       this.activeLeader = null;
@@ -139,33 +139,40 @@
     this.leaderTerm = term;
     const writer = this.createLeaderWriter(term);
     this.activeLeader = this.createLeader(term, writer);
-    this.fleet = this.createFleet(term, writer);
+    this.fleet = this.createAutoscaler(term, writer);
     log.info({ term }, 'leading');
     this.callbacks.onLeading();
   }
 
   private createLeaderWriter(term: number): GuardedWriter {
     const { committer, replica, roles } = this.services;
-    const isOwner = (): boolean => roles.owned(LEADER)?.term === term;
+    const isOwner = (): boolean => roles.heldRole(LEADER)?.term === term;
     return new GuardedWriter(roleKey(LEADER), replica, committer, isOwner);
   }
 
   private createLeader(term: number, writer: GuardedWriter): Leader {
     const { detection, environment, limiter, log, members, replica, settings } = this.services;
-    const { startWithinS, teams, txnOps, valueBytes } = settings;
+    const { startWithinS, teams, transactionOps, valueBytes } = settings;
     const supply = (): Supply => limiter.supply;
-    const acceptsNewWork = (part: string): boolean => detection?.acceptsNewWork(part) ?? true;
-    const limits = { txnOps, valueBytes, teams, startWithinS, supply, acceptsNewWork };
+    const acceptsNewWork = (shard: string): boolean => detection?.acceptsNewWork(shard) ?? true;
+    const limits = {
+      transactionOps,
+      valueBytes,
+      teams,
+      startWithinS,
+      supply,
+      acceptsNewWork,
+    };
     return new Leader({ term, writer, members, ...limits }, replica, environment.clock, log);
   }
 
-  private createFleet(term: number, writer: GuardedWriter): Fleet {
+  private createAutoscaler(term: number, writer: GuardedWriter): Autoscaler {
     const { environment, log, members, random, replica, settings } = this.services;
     const { fleet } = settings;
-    return new Fleet({
+    return new Autoscaler({
       term,
       writer,
-      txnOps: settings.txnOps,
+      transactionOps: settings.transactionOps,
       valueBytes: settings.valueBytes,
       cloudRps: settings.cloudRps,
       listLagS: settings.listLagS,
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -4,21 +4,21 @@
 import type { Clock } from '../../transport/clock.js';
 
 /** What a loop runs, and how often. */
-export interface RoundLoopOptions {
+export interface ControlLoopOptions {
   /** Names the loop in log messages. */
   readonly name: string;
   readonly clock: Clock;
   readonly log: Log;
   /** One round; when it fails, the failure is logged and the loop goes on. */
-  readonly round: () => Promise<void>;
+  readonly reconcile: () => Promise<void>;
   /** Processor time of a round in ms: the pause before the next leaves most of it to reports. */
-  readonly costMs?: () => number;
+  readonly lastCycleCpuMs?: () => number;
   /** ms between two rounds when nothing wakes the loop. */
   readonly idleMs?: () => number;
 }
 
 /** A periodic loop; its rounds never overlap. */
-export class RoundLoop {
+export class ControlLoop {
   private cancelTimer: (() => void) | null = null;
   private running = false;
   private stopped = false;
@@ -27,7 +27,7 @@
   /** The next round is scheduled after the gathering delay already. */
   private scheduledSoon = false;
 
-  constructor(private readonly options: RoundLoopOptions) {}
+  constructor(private readonly options: ControlLoopOptions) {}
 
   /** Runs the next round after a delay, in place of what was scheduled. */
   schedule(delayMs: number): void {
@@ -49,7 +49,7 @@
   }
 
   private gatherMs(): number {
-    const costMs = this.options.costMs?.() ?? 0;
+    const costMs = this.options.lastCycleCpuMs?.() ?? 0;
     return Math.max(LOOP_GATHER_MS, costMs * LOOP_REST);
   }
 
@@ -60,9 +60,9 @@
     this.running = true;
     this.woken = false;
     this.scheduledSoon = false;
-    const { idleMs, log, name, round } = this.options;
+    const { idleMs, log, name, reconcile: reconcile } = this.options;
     try {
-      await round();
+      await reconcile();
     } catch (error) {
       log.error({ loop: name, error: String((error as Error).stack ?? error) }, 'round failed');
     }
--- a/src/coordination/controller/controller-node.ts
+++ b/src/coordination/controller/controller-node.ts
@@ -1,6 +1,6 @@
 /** One controller without its sockets: it connects the services, the loops and the entry points. */
 import {
-  FLEET_MS,
+  AUTOSCALER_MS,
   LEADER_GATHER_MS,
   LOOP_IDLE_MS,
   LOOP_MS,
@@ -16,24 +16,24 @@
 import type { Leader } from '../leader/leader.js';
 import { ActiveRoles } from './active-roles.js';
 import type { Environment } from '../../protocol/environment.js';
-import type { CreateDetection, NodeDetection } from '../failure-detection/detection-service.js';
-import { createNodeServices, type NodeServices } from './controller-services.js';
-import { PeerEntry } from './peer-endpoint.js';
+import type { CreateDetection, DetectionService } from '../failure-detection/detection-service.js';
+import { createControllerServices, type ControllerServices } from './controller-services.js';
+import { PeerEndpoint } from './peer-endpoint.js';
 import { PeerRelay } from './peer-relay.js';
 import { RequestLog } from './request-log.js';
-import { RoundLoop, type RoundLoopOptions } from './control-loop.js';
-import { UserEntry, type UserRequest } from './user-endpoint.js';
-import { WorkerEntry } from './heartbeat-endpoint.js';
-import type { Part } from '../shard/shard.js';
+import { ControlLoop, type ControlLoopOptions } from './control-loop.js';
+import { UserEndpoint, type UserRequest } from './user-endpoint.js';
+import { HeartbeatEndpoint } from './heartbeat-endpoint.js';
+import type { Shard } from '../shard/shard.js';
 
 export type { Environment } from '../../protocol/environment.js';
 
 /** The periodic loops of a node. */
 interface NodeLoops {
-  readonly roles: RoundLoop;
-  readonly parts: RoundLoop;
-  readonly leader: RoundLoop;
-  readonly fleet: RoundLoop;
+  readonly roles: ControlLoop;
+  readonly shards: ControlLoop;
+  readonly leader: ControlLoop;
+  readonly fleet: ControlLoop;
 }
 
 /** What a node is created from. */
@@ -49,11 +49,11 @@
 
 /** One controller without its sockets: everything that it decides is in here. */
 export class ControllerNode {
-  private readonly services: NodeServices;
+  private readonly services: ControllerServices;
   private readonly activeRoles: ActiveRoles;
-  private readonly userEntry: UserEntry;
-  private readonly workerEntry: WorkerEntry;
-  private readonly peerEntry: PeerEntry;
+  private readonly userEndpoint: UserEndpoint;
+  private readonly heartbeatEndpoint: HeartbeatEndpoint;
+  private readonly peerEndpoint: PeerEndpoint;
   private readonly relay: PeerRelay;
   private readonly requestLog: RequestLog;
   private readonly loops: NodeLoops;
@@ -61,11 +61,11 @@
 
   constructor(options: ControllerNodeOptions) {
     const { environment, log, settings } = options;
-    const services = createNodeServices({
+    const services = createControllerServices({
       createDetection: null,
       ...options,
       detectionEvents: {
-        onStoodDown: () => this.activeRoles.sync(),
+        onSteppedDown: () => this.activeRoles.sync(),
         onChanged: () => this.loops.roles.wake(),
       },
     });
@@ -73,7 +73,7 @@
     const { clock } = environment;
     this.services = services;
     this.activeRoles = new ActiveRoles(services, {
-      onPartWork: () => this.loops.parts.wake(),
+      onShardWork: () => this.loops.shards.wake(),
       onLeading: () => {
         this.loops.leader.wake();
         this.loops.fleet.wake();
@@ -85,11 +85,24 @@
     const { node } = settings;
     const isAlone = settings.peers.length === 0;
     const userServices = { environment, userRequests, reachability, limiter, relay, isAlone };
-    this.userEntry = new UserEntry(userServices);
-    this.workerEntry = new WorkerEntry({ node, clock, members, roles, activeRoles, relay });
-    const { userEntry, workerEntry } = this;
+    this.userEndpoint = new UserEndpoint(userServices);
+    this.heartbeatEndpoint = new HeartbeatEndpoint({
+      node,
+      clock,
+      members,
+      roles,
+      activeRoles,
+      relay,
+    });
+    const { userEndpoint: userEndpoint, heartbeatEndpoint: heartbeatEndpoint } = this;
     const { detection } = services;
-    this.peerEntry = new PeerEntry({ replica, relay, userEntry, workerEntry, detection });
+    this.peerEndpoint = new PeerEndpoint({
+      replica,
+      relay,
+      userEndpoint,
+      heartbeatEndpoint,
+      detection,
+    });
     this.requestLog = new RequestLog({ clock, log, limiter, userRequests });
     this.loops = this.createLoops();
     replica.onChange((keys) => this.storeChanged(keys));
@@ -98,8 +111,8 @@
   /** Begins to follow the state service and to run the loops. */
   start(): void {
     void this.replica.follow();
-    const { fleet, leader, parts, roles } = this.loops;
-    for (const loop of [roles, parts, leader, fleet]) loop.schedule(0);
+    const { fleet, leader, shards: shards, roles } = this.loops;
+    for (const loop of [roles, shards, leader, fleet]) loop.schedule(0);
     this.detection?.start();
   }
 
@@ -116,13 +129,13 @@
   }
 
   /** Failure detection between the nodes; null: it is off. */
-  get detection(): NodeDetection | null {
+  get detection(): DetectionService | null {
     return this.services.detection;
   }
 
   /** The parts that this node owns. */
-  get parts(): ReadonlyMap<string, Part> {
-    return this.activeRoles.parts;
+  get shards(): ReadonlyMap<string, Shard> {
+    return this.activeRoles.shards;
   }
 
   /** The leader; null: another node leads, or none. */
@@ -135,12 +148,12 @@
    * all nodes share it stays true, since a node taken out is only let back in late.
    */
   get ready(): boolean {
-    return this.userEntry.ready;
+    return this.userEndpoint.ready;
   }
 
   /** ms since the replica was last known to be current. */
   viewAgeMs(): number {
-    return this.services.environment.clock.now() - this.replica.freshAt;
+    return this.services.environment.clock.now() - this.replica.knownCurrentAt;
   }
 
   /** The node's metrics in the Prometheus text format; their library is loaded on first use. */
@@ -154,37 +167,38 @@
 
   /** Serves a user's request; `about`: the id of the job, or '' in a submission. */
   serve(ask: UserRequest['ask'], about: string, text: string | null): Promise<HttpReply> {
-    return this.userEntry.serve({ ask, about, text });
+    return this.userEndpoint.serve({ ask, about, text });
   }
 
   /** Serves a worker's report. */
-  report(text: string | null): Promise<HttpReply> {
-    return this.workerEntry.report(text);
+  heartbeat(text: string | null): Promise<HttpReply> {
+    return this.heartbeatEndpoint.heartbeat(text);
   }
 
   /** Handles a peer's message; `answer` sends one back to it. */
   receive(message: PeerMessage, answer: (message: PeerMessage) => void): void {
-    this.peerEntry.receive(message, answer);
+    this.peerEndpoint.receive(message, answer);
   }
 
   private createLoops(): NodeLoops {
     const { activeRoles } = this;
     const { environment, log } = this.services;
-    const loop = (options: Omit<RoundLoopOptions, 'clock' | 'log'>): RoundLoop =>
-      new RoundLoop({ ...options, clock: environment.clock, log });
+    const loop = (options: Omit<ControlLoopOptions, 'clock' | 'log'>): ControlLoop =>
+      new ControlLoop({ ...options, clock: environment.clock, log });
     return {
-      roles: loop({ name: 'roles', round: () => this.runRoles(), idleMs: () => ROLES_MS }),
-      parts: loop({ name: 'parts', round: () => this.runParts() }),
+      roles: loop({ name: 'roles', reconcile: () => this.runRoles(), idleMs: () => ROLES_MS }),
+      shards: loop({ name: 'parts', reconcile: () => this.runShards() }),
       leader: loop({
         name: 'leader',
-        round: () => activeRoles.runLeader(),
-        costMs: () => Math.max(LEADER_GATHER_MS / LOOP_REST, this.leader?.costMs ?? 0),
+        reconcile: () => activeRoles.runLeader(),
+        lastCycleCpuMs: () =>
+          Math.max(LEADER_GATHER_MS / LOOP_REST, this.leader?.lastCycleCpuMs ?? 0),
         idleMs: () => (this.leader ? LOOP_MS : LOOP_IDLE_MS),
       }),
       fleet: loop({
         name: 'fleet',
-        round: () => activeRoles.runFleet(),
-        idleMs: () => (this.leader ? FLEET_MS : LOOP_IDLE_MS),
+        reconcile: () => activeRoles.runAutoscaler(),
+        idleMs: () => (this.leader ? AUTOSCALER_MS : LOOP_IDLE_MS),
       }),
     };
   }
@@ -192,32 +206,32 @@
   /** One round of the roles, and new terms for those that run out of numbers. */
   private async runRoles(): Promise<void> {
     const { roles } = this.services;
-    await roles.round();
-    for (const role of this.activeRoles.rolesInNeedOfTerms()) await roles.renewTerm(role);
+    await roles.reconcile();
+    for (const role of this.activeRoles.rolesNeedingTermRenewal()) await roles.renewTerm(role);
   }
 
   /** One round of each part, one after the other, and what is due periodically beside them. */
-  private async runParts(): Promise<void> {
+  private async runShards(): Promise<void> {
     this.requestLog.writeIfDue();
     this.detection?.writeIfDue();
-    for (const part of [...this.parts.values()]) await part.round();
-    this.workerEntry.forgetOldRedirects();
+    for (const shard of [...this.shards.values()]) await shard.reconcile();
+    this.heartbeatEndpoint.forgetOldRedirects();
     this.relay.probeSilent();
   }
 
   /** Passes changed keys of the replica on and wakes the loops that they concern. */
   private storeChanged(keys: string[]): void {
-    let partsAffected = false;
+    let shardsAffected = false;
     let rolesAffected = false;
     let leaderAffected = false;
     for (const key of keys) {
-      if (this.activeRoles.keyChanged(key).affectsParts) partsAffected = true;
+      if (this.activeRoles.keyChanged(key).affectsShards) shardsAffected = true;
       if (key.startsWith(ROLES) || key.startsWith(NODES)) rolesAffected = true;
       else if (!key.startsWith(ARMS)) leaderAffected = true;
     }
     this.activeRoles.sync();
     if (rolesAffected) this.loops.roles.wake();
-    if (partsAffected || rolesAffected) this.loops.parts.wake();
+    if (shardsAffected || rolesAffected) this.loops.shards.wake();
     if (leaderAffected && this.leader) this.loops.leader.wake();
   }
 }
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -12,23 +12,23 @@
 import { StoreReachability } from '../../storage/store-reachability.js';
 import { StoreReplica } from '../../storage/store-replica.js';
 import type { Settings } from '../../protocol/settings.js';
-import type { StateApi } from '../../protocol/key-value-store.js';
+import type { KeyValueStore } from '../../protocol/key-value-store.js';
 import { randomOf } from '../../transport/backoff.js';
 import { hash, type Member } from '../election/rendezvous-hashing.js';
 import { graceMs } from '../election/lease-timing.js';
-import { Roles } from '../election/role-election.js';
-import { STORE_ALONE, type TakeoverPolicy } from '../election/failover-policy.js';
+import { RoleElection } from '../election/role-election.js';
+import { STORE_ONLY_POLICY, type FailoverPolicy } from '../election/failover-policy.js';
 import { UserRequests } from '../api/user-requests.js';
 import type { Environment } from '../../protocol/environment.js';
 import type {
   CreateDetection,
-  NodeDetection,
-  NodeDetectionOptions,
+  DetectionService,
+  DetectionServiceOptions,
 } from '../failure-detection/detection-service.js';
-import { OwnerNotifier } from './holder-notifier.js';
+import { HolderNotifier } from './holder-notifier.js';
 
 /** What a node is created from. */
-export interface NodeOptions {
+export interface ControllerServicesOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
@@ -37,13 +37,13 @@
   /** Creates failure detection; null: it is off. */
   readonly createDetection: CreateDetection;
   /** Events of failure detection. */
-  readonly detectionEvents: Pick<NodeDetectionOptions, 'onStoodDown' | 'onChanged'>;
+  readonly detectionEvents: Pick<DetectionServiceOptions, 'onSteppedDown' | 'onChanged'>;
 }
 
 /** The services that the modules of a node share. */
-export interface NodeServices extends NodeOptions {
+export interface ControllerServices extends ControllerServicesOptions {
   /** The state service; the outcome of every request to it is noted for `reachability`. */
-  readonly state: StateApi;
+  readonly state: KeyValueStore;
   /** All nodes of the cluster, by name. */
   readonly members: readonly Member[];
   /** Uniform in [0, 1). */
@@ -52,41 +52,48 @@
   readonly limiter: RateLimiter;
   readonly replica: StoreReplica;
   readonly committer: Committer;
-  readonly roles: Roles;
+  readonly roles: RoleElection;
   /** Null: it is off. */
-  readonly detection: NodeDetection | null;
-  readonly ownerNotifier: OwnerNotifier;
+  readonly detection: DetectionService | null;
+  readonly holderNotifier: HolderNotifier;
   readonly userRequests: UserRequests;
 }
 
-type StoreServices = Omit<NodeServices, 'roles' | 'detection' | 'ownerNotifier' | 'userRequests'>;
-type RoleServices = Omit<NodeServices, 'userRequests'>;
+type StoreServices = Omit<
+  ControllerServices,
+  'roles' | 'detection' | 'holderNotifier' | 'userRequests'
+>;
+type RoleServices = Omit<ControllerServices, 'userRequests'>;
 
 /** Creates the services of a node. */
-export function createNodeServices(options: NodeOptions): NodeServices {
+export function createControllerServices(options: ControllerServicesOptions): ControllerServices {
   const store = createStoreServices(options);
   const detection = createDetection(store, () => roles);
-  const roles = createRoles(store, detection?.policy ?? STORE_ALONE);
+  const roles = createRoles(store, detection?.policy ?? STORE_ONLY_POLICY);
   const { environment, settings } = options;
   const { replica } = store;
-  const ownerNotifier = new OwnerNotifier({ node: settings.node, environment, roles, replica });
-  const withRoles = { ...store, roles, detection, ownerNotifier };
+  const holderNotifier = new HolderNotifier({ node: settings.node, environment, roles, replica });
+  const withRoles = { ...store, roles, detection, holderNotifier };
   return { ...withRoles, userRequests: createUserRequests(withRoles) };
 }
 
 /** ms between requests of all members that take `share` of the state service's limit. */
-function requestSpacingMs({ peers, stateRps }: Settings, share: number): number {
+function requestSpacingMs({ peers, storeRps }: Settings, share: number): number {
   const memberCount = peers.length + 1;
-  return (1000 * memberCount) / (stateRps * share);
+  return (1000 * memberCount) / (storeRps * share);
 }
 
-function createStoreServices(options: NodeOptions): StoreServices {
+function createStoreServices(options: ControllerServicesOptions): StoreServices {
   const { environment, incarnation, log, settings } = options;
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
   const state = reachability.watch(environment.state);
-  const { stateRps: rps, stateWriteRps: writeRps, txnOps } = settings;
-  const limiter = new RateLimiter(clock, { rps, writeRps, txnOps }, settings.peers.length + 1);
+  const { storeRps: rps, storeWriteRps: writeRps, transactionOps } = settings;
+  const limiter = new RateLimiter(
+    clock,
+    { rps, writeRps, transactionOps },
+    settings.peers.length + 1,
+  );
   const random = randomOf(hash(incarnation));
   const common = { api: state, limiter, clock, log, random };
   const replica = new StoreReplica({
@@ -112,7 +119,10 @@
   return { node, zone };
 }
 
-function createDetection(services: StoreServices, roles: () => Roles): NodeDetection | null {
+function createDetection(
+  services: StoreServices,
+  roles: () => RoleElection,
+): DetectionService | null {
   const { environment, incarnation, log, members, random, replica, settings } = services;
   const create = services.createDetection;
   if (!create) return null;
@@ -121,10 +131,10 @@
   return create({ ...shared, node, roles, ...services.detectionEvents });
 }
 
-function createRoles(services: StoreServices, policy: TakeoverPolicy): Roles {
+function createRoles(services: StoreServices, policy: FailoverPolicy): RoleElection {
   const { environment, settings, state } = services;
   const { committer, incarnation, limiter, log, members, replica } = services;
-  return new Roles({
+  return new RoleElection({
     self: selfOf(settings),
     incarnation,
     members,
@@ -135,17 +145,25 @@
     committer,
     clock: environment.clock,
     log,
-    txnOps: settings.txnOps,
+    transactionOps: settings.transactionOps,
     policy,
   });
 }
 
 function createUserRequests(services: RoleServices): UserRequests {
-  const { committer, environment, limiter, log, ownerNotifier, replica, settings, state } =
-    services;
+  const {
+    committer,
+    environment,
+    limiter,
+    log,
+    holderNotifier: holderNotifier,
+    replica,
+    settings,
+    state,
+  } = services;
   return new UserRequests({
     teams: settings.teams,
-    txnOps: settings.txnOps,
+    transactionOps: settings.transactionOps,
     valueBytes: settings.valueBytes,
     checkMs: requestSpacingMs(settings, CHECK_SHARE),
     replica,
@@ -154,6 +172,6 @@
     committer,
     clock: environment.clock,
     log,
-    onCommitted: (jobs, cancelled) => ownerNotifier.notifyOfJobs(jobs, cancelled),
+    onCommitted: (jobs, cancelled) => holderNotifier.notifyOfJobs(jobs, cancelled),
   });
 }
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -17,14 +17,14 @@
   PEER_RETRY_MS,
   RESERVED_SOCKETS,
   RETRY_AFTER_S,
-  STATE_SOCKETS,
-  STATE_TIMEOUT_MS,
+  STORE_SOCKETS,
+  STORE_TIMEOUT_MS,
 } from '../../constants.js';
 import type { Log } from '../../storage/log.js';
 import { HttpCloudApi } from '../../protocol/cloud-api.js';
 import { decodePeer, encodePeer } from '../../protocol/peer-messages.js';
 import type { Settings } from '../../protocol/settings.js';
-import { HttpStateApi } from '../../protocol/key-value-store.js';
+import { HttpKeyValueStore } from '../../protocol/key-value-store.js';
 import { systemClock } from '../../transport/clock.js';
 import { HttpWorkerApi } from '../../protocol/worker-api.js';
 import { HttpClient } from '../../transport/http-client.js';
@@ -36,7 +36,7 @@
 } from '../../transport/http-server.js';
 import { PeerLink, listenPeers, type PeerLinkOptions } from '../../transport/peer-link.js';
 import { ControllerNode, type Environment } from './controller-node.js';
-import type { CreateDetection, NodeDetection } from '../failure-detection/detection-service.js';
+import type { CreateDetection, DetectionService } from '../failure-detection/detection-service.js';
 
 /** Connections to the cloud: one for rentals and one for lists. */
 const CLOUD_SOCKETS = 2;
@@ -61,7 +61,7 @@
     : { status: 503, body: { ready: false }, retryAfterS: RETRY_AFTER_S };
 }
 
-function detectionRoutes(detection: NodeDetection | null): Route[] {
+function detectionRoutes(detection: DetectionService | null): Route[] {
   if (!detection) return [];
   const handle = (): HttpReply => ({ status: 200, body: detection.export(), type: NDJSON });
   return [{ method: 'GET', path: '/detections', handle }];
@@ -74,7 +74,7 @@
       method: 'POST',
       path: '/checkin',
       keepsConnection: true,
-      handle: ({ text }) => node.report(text),
+      handle: ({ text }) => node.heartbeat(text),
     },
     { method: 'POST', path: '/v2/runs', handle: ({ text }) => node.serve('submit', '', text) },
     { method: 'GET', path: '/v2/runs/:id', handle: ({ id }) => node.serve('poll', id, null) },
@@ -117,19 +117,19 @@
   links: Map<string, PeerLink>,
 ): { environment: Environment; clients: { close(): void }[] } {
   const clock = systemClock;
-  const stateHttp = new HttpClient(settings.state, clock, STATE_SOCKETS);
+  const storeHttp = new HttpClient(settings.state, clock, STORE_SOCKETS);
   const watchHttp = new HttpClient(settings.state, clock, 1);
   const cloudHttp = new HttpClient(settings.cloud, clock, CLOUD_SOCKETS);
   const workers = new HttpWorkerApi(clock, DIRECT_TIMEOUT_MS, directSockets, DIRECT_AT_ONCE);
   const environment: Environment = {
     clock,
-    state: new HttpStateApi(stateHttp, watchHttp, STATE_TIMEOUT_MS),
+    state: new HttpKeyValueStore(storeHttp, watchHttp, STORE_TIMEOUT_MS),
     cloud: new HttpCloudApi(cloudHttp, CLOUD_TIMEOUT_MS, LIST_PAGE),
     workers,
     connectedPeers: () => [...links].filter(([, link]) => link.connected).map(([name]) => name),
     sendToPeer: (name, message) => links.get(name)?.send(encodePeer(message)) ?? false,
   };
-  return { environment, clients: [stateHttp, watchHttp, cloudHttp, workers] };
+  return { environment, clients: [storeHttp, watchHttp, cloudHttp, workers] };
 }
 
 /** Failure detection's code, loaded only where it is enabled: a start without it costs nothing. */
--- a/src/coordination/controller/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -2,11 +2,11 @@
 
 import { Gauge, Registry } from 'prom-client';
 import type { ControllerNode } from './controller-node.js';
-import type { NodeDetection } from '../failure-detection/detection-service.js';
+import type { DetectionService } from '../failure-detection/detection-service.js';
 
 type AddGauge = (name: string, help: string, read: () => number) => void;
 
-function addDetection(detection: NodeDetection, gauge: AddGauge): void {
+function addDetection(detection: DetectionService, gauge: AddGauge): void {
   const { counts, probeCounts } = detection;
   gauge('suspicions', 'Peers that were suspected', () => counts.suspicions);
   gauge('suspicions_refuted', 'Suspected peers that answered in time', () => counts.refutations);
@@ -37,10 +37,10 @@
       },
     });
   };
-  const machines = () => [...node.parts.values()].map((part) => part.counts());
+  const machines = () => [...node.shards.values()].map((shard) => shard.counts());
   gauge('view_age_ms', 'Age of the view of the state service', () => node.viewAgeMs());
   gauge('leader', '1 on the node that leads', () => (node.leader ? 1 : 0));
-  gauge('parts', 'Parts that this node owns', () => node.parts.size);
+  gauge('parts', 'Parts that this node owns', () => node.shards.size);
   gauge('machines', 'Machines of these parts', () =>
     machines().reduce((sum, one) => sum + one.machines, 0),
   );
@@ -50,7 +50,11 @@
   gauge('tasks_waiting', 'Tasks that wait in them for room', () =>
     machines().reduce((sum, one) => sum + one.waiting, 0),
   );
-  gauge('chunks', 'Ranges of tasks of all jobs that are not over', () => node.replica.chunkCount);
+  gauge(
+    'chunks',
+    'Ranges of tasks of all jobs that are not over',
+    () => node.replica.assignmentCount,
+  );
   const { detection } = node;
   if (detection) addDetection(detection, gauge);
   return () => registry.metrics();
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -4,26 +4,26 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
-import type { NodeDetection } from '../failure-detection/detection-service.js';
+import type { DetectionService } from '../failure-detection/detection-service.js';
 import type { PeerRelay } from './peer-relay.js';
-import type { UserEntry } from './user-endpoint.js';
-import type { WorkerEntry } from './heartbeat-endpoint.js';
+import type { UserEndpoint } from './user-endpoint.js';
+import type { HeartbeatEndpoint } from './heartbeat-endpoint.js';
 
 type RelayMessage = Extract<PeerMessage, { kind: 'relay' }>;
 
 /** What the entry works with. */
-export interface PeerEntryOptions {
+export interface PeerEndpointOptions {
   readonly replica: StoreReplica;
   readonly relay: PeerRelay;
-  readonly userEntry: UserEntry;
-  readonly workerEntry: WorkerEntry;
+  readonly userEndpoint: UserEndpoint;
+  readonly heartbeatEndpoint: HeartbeatEndpoint;
   /** Null: failure detection is off, and its messages are passed over. */
-  readonly detection: NodeDetection | null;
+  readonly detection: DetectionService | null;
 }
 
 /** The entry point of peers' messages. */
-export class PeerEntry {
-  constructor(private readonly options: PeerEntryOptions) {}
+export class PeerEndpoint {
+  constructor(private readonly options: PeerEndpointOptions) {}
 
   /** Handles a message; `answer` sends one back to its sender. */
   receive(message: PeerMessage, answer: (message: PeerMessage) => void): void {
@@ -31,7 +31,7 @@
     switch (message.kind) {
       case 'poke':
         if (message.cancelled) this.applyCancellation(message.cancelled, message.revision);
-        replica.hurry(message.revision);
+        replica.pollSoon(message.revision);
         return;
       case 'relay':
         void this.replyTo(message).then((reply) => {
@@ -57,7 +57,7 @@
    */
   private applyCancellation({ job, tasks }: CancelledJob, revision: number): void {
     const final: FinalRecord = { state: 'cancelled', tasks };
-    this.options.replica.applyOwn([
+    this.options.replica.applyOwnChanges([
       { key: finalKey(job), value: final, revision },
       { key: jobKey(job), value: undefined, revision },
     ]);
@@ -65,8 +65,8 @@
 
   /** Null: this node can't answer the relayed request. */
   private async replyTo({ ask, about, text }: RelayMessage): Promise<HttpReply | null> {
-    const { userEntry, workerEntry } = this.options;
-    if (ask === 'report') return workerEntry.replyToRelayed(text);
-    return userEntry.serveRelayed({ ask, about, text });
+    const { userEndpoint: userEndpoint, heartbeatEndpoint: heartbeatEndpoint } = this.options;
+    if (ask === 'report') return heartbeatEndpoint.replyToRelayed(text);
+    return userEndpoint.serveRelayed({ ask, about, text });
   }
 }
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -28,7 +28,7 @@
 }
 
 /** What the entry works with. */
-export interface UserEntryOptions {
+export interface UserEndpointOptions {
   readonly environment: Environment;
   readonly userRequests: UserRequests;
   readonly reachability: StoreReachability;
@@ -39,8 +39,8 @@
 }
 
 /** The entry point of users' requests. */
-export class UserEntry {
-  constructor(private readonly options: UserEntryOptions) {}
+export class UserEndpoint {
+  constructor(private readonly options: UserEndpointOptions) {}
 
   /**
    * Whether users' requests can be answered here, or through this node by a peer. In an outage that
--- a/src/coordination/election/failover-policy.ts
+++ b/src/coordination/election/failover-policy.ts
@@ -1,7 +1,7 @@
 /** When a role whose holder's registration has ended may be taken over. */
 
 /** A holder of a role whose registration in the state service has ended. */
-export interface LapsedHolder {
+export interface ExpiredHolder {
   readonly role: string;
   readonly node: string;
   /** Tells the holder's process from others of the same node. */
@@ -15,9 +15,9 @@
  * Says when a takeover is tried. That it is safe rests on terms, guards and fences alone, whatever a
  * policy says.
  */
-export interface TakeoverPolicy {
+export interface FailoverPolicy {
   /** Whether a role may be taken now from a holder whose registration has ended. */
-  mayTake(holder: LapsedHolder): boolean;
+  mayTakeOver(holder: ExpiredHolder): boolean;
   /** This node's own registration has ended. */
   registrationLost(): void;
   /** Whether this node leaves its roles with nodes that live, since it lost its registration often. */
@@ -25,8 +25,8 @@
 }
 
 /** The state service's word alone decides. */
-export const STORE_ALONE: TakeoverPolicy = {
-  mayTake: () => true,
+export const STORE_ONLY_POLICY: FailoverPolicy = {
+  mayTakeOver: () => true,
   registrationLost: () => undefined,
   isDamped: () => false,
 };
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -10,7 +10,7 @@
 import type { RoleRecord } from '../../storage/records.js';
 
 /** The deployment's bounds that ownership rests on. */
-export interface Timing {
+export interface LeaseTiming {
   leaseS: number;
   cancelS: number;
   skewMs: number;
@@ -21,7 +21,7 @@
  * it answered last keeps its tasks for one more lease, and both together must end before a
  * cancellation that the owner never heard of is due.
  */
-export function graceMs(timing: Timing): number {
+export function graceMs(timing: LeaseTiming): number {
   const gap = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
   // Where the deployment leaves little between the two, the margin must not eat up the grace: an
   // owner whose grace is shorter than its watch takes would never answer a worker.
@@ -29,7 +29,7 @@
 }
 
 /** The longest that a worker's tasks outlive its last answered report. */
-export function leaseMs(timing: Timing): number {
+export function leaseMs(timing: LeaseTiming): number {
   return timing.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
 }
 
@@ -38,11 +38,11 @@
  * `seenAt`: when this process first saw that the role is its own. What the claim itself says of the
  * time is no proof, since a claim may be carried out long after it was made, in an outage or late.
  */
-export function fenceAt(
+export function fenceEndsAt(
   record: RoleRecord,
   self: { startedAt: number; seenAt: number },
   wall: number,
-  timing: Timing,
+  timing: LeaseTiming,
 ): number {
   // The process before this one ended before this one began, so its answers did too. Where this one
   // held the role itself, `startedAt` is when its earlier term ended.
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -37,7 +37,7 @@
  * The part that a machine belongs to: among the parts homed in its zone, so that a zone that is cut
  * off keeps working; among all where no node lives in that zone. It never changes.
  */
-export function partOf(machine: string, zone: string, members: readonly Member[]): string {
+export function shardOf(machine: string, zone: string, members: readonly Member[]): string {
   const local = members.filter((member) => member.zone === zone);
   const names = (local.length > 0 ? local : members).map((member) => member.node);
   return choose(machine, names) ?? '';
@@ -55,9 +55,13 @@
 }
 
 /** The order in which nodes take a part whose home does not: those of its zone first. */
-export function orderForPart(role: string, home: Member, nodes: readonly Member[]): string[] {
-  const near = nodes.filter((node) => node.zone === home.zone);
-  const far = nodes.filter((node) => node.zone !== home.zone);
+export function orderForShard(
+  role: string,
+  preferredOwner: Member,
+  nodes: readonly Member[],
+): string[] {
+  const near = nodes.filter((node) => node.zone === preferredOwner.zone);
+  const far = nodes.filter((node) => node.zone !== preferredOwner.zone);
   return [...rank(role, near), ...rank(role, far)];
 }
 
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -6,36 +6,36 @@
 import { nodeKey, roleKey } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { NodeRecord, RoleRecord } from '../../storage/records.js';
-import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { Change, Guard, StateApi } from '../../protocol/key-value-store.js';
+import type { Change, Guard, KeyValueStore } from '../../protocol/key-value-store.js';
 import type { Clock } from '../../transport/clock.js';
-import { fenceAt, graceMs, type Timing } from './lease-timing.js';
+import { fenceEndsAt, graceMs, type LeaseTiming } from './lease-timing.js';
 import type { Member } from './rendezvous-hashing.js';
-import { RoleTurns } from './candidate-order.js';
-import { StoodDownRoles } from './stepped-down-roles.js';
-import type { TakeoverPolicy } from './failover-policy.js';
+import { CandidateOrder } from './candidate-order.js';
+import { SteppedDownRoles } from './stepped-down-roles.js';
+import type { FailoverPolicy } from './failover-policy.js';
 
 /** What the roles of one node rest on. */
-export interface RolesOptions {
+export interface RoleElectionOptions {
   self: Member;
   /** Tells this process from the ones before it. */
   incarnation: string;
   members: readonly Member[];
-  timing: Timing;
-  api: StateApi;
+  timing: LeaseTiming;
+  api: KeyValueStore;
   limiter: RateLimiter;
   replica: StoreReplica;
   committer: Committer;
   clock: Clock;
   log: Log;
   /** Changes that one transaction may hold. */
-  txnOps: number;
-  policy: TakeoverPolicy;
+  transactionOps: number;
+  policy: FailoverPolicy;
 }
 
 /** A role that this node holds. `revision`: of the role's key. */
-export interface Owned {
+export interface HeldRole {
   role: string;
   term: number;
   revision: number;
@@ -43,7 +43,7 @@
 }
 
 /** When and how this process got a role. */
-interface Claim {
+interface ClaimedTerm {
   term: number;
   revision: number;
   /** Steady time at which this process first saw the term. */
@@ -58,60 +58,72 @@
 /** The role of the leader, which hands out tasks and rents machines. */
 export const LEADER = 'leader';
 /** The role of owning a part. */
-export const partRole = (part: string): string => `part-${part}`;
+export const shardRole = (shard: string): string => `part-${shard}`;
 
 /** One ownership for all roles: who holds what, on whose lease, and taking over what is free. */
-export class Roles {
+export class RoleElection {
   private lease: number | null = null;
   /** Our roles: term, the revision at which we got it, and when we first saw that. */
-  private readonly claims = new Map<string, Claim>();
+  private readonly claims = new Map<string, ClaimedTerm>();
   private busy = false;
   private renewedAt = -Infinity;
   /** This process is registered, unless that has ended; a loss is noted once. */
   private hasRegistration = false;
-  private readonly invalidBackoff: InvalidChangeBackoff;
-  private readonly stoodDown: StoodDownRoles;
-  private readonly turns: RoleTurns;
+  private readonly rejectedChangeBackoff: RejectedChangeBackoff;
+  private readonly steppedDown: SteppedDownRoles;
+  private readonly turns: CandidateOrder;
   private readonly self: Member;
   private readonly replica: StoreReplica;
   private readonly clock: Clock;
   /** Steady time of this process's start. */
   readonly startedAt: number;
   /** Milliseconds for which a current replica may be acted on. */
-  readonly grace: number;
+  readonly graceMs: number;
 
-  constructor(private readonly options: RolesOptions) {
+  constructor(private readonly options: RoleElectionOptions) {
     const { self, replica, clock } = options;
     this.self = self;
     this.replica = replica;
     this.clock = clock;
-    this.invalidBackoff = new InvalidChangeBackoff(clock);
-    this.stoodDown = new StoodDownRoles(clock);
+    this.rejectedChangeBackoff = new RejectedChangeBackoff(clock);
+    this.steppedDown = new SteppedDownRoles(clock);
     this.startedAt = clock.now();
-    const { invalidBackoff, startedAt, stoodDown } = this;
-    this.turns = new RoleTurns({ ...options, invalidBackoff, startedAt, stoodDown });
-    this.grace = graceMs(options.timing);
+    const {
+      rejectedChangeBackoff: rejectedChangeBackoff,
+      startedAt,
+      steppedDown: steppedDown,
+    } = this;
+    this.turns = new CandidateOrder({
+      ...options,
+      rejectedChangeBackoff,
+      startedAt,
+      steppedDown,
+    });
+    this.graceMs = graceMs(options.timing);
   }
 
-  private all(): { role: string; home: Member | null }[] {
+  private allRoles(): { role: string; preferredOwner: Member | null }[] {
     return [
-      ...this.options.members.map((member) => ({ role: partRole(member.node), home: member })),
-      { role: LEADER, home: null },
+      ...this.options.members.map((member) => ({
+        role: shardRole(member.node),
+        preferredOwner: member,
+      })),
+      { role: LEADER, preferredOwner: null },
     ];
   }
 
   /** The node that holds a role, whether or not it still lives. */
-  ownerOf(role: string): string | null {
+  holderOf(role: string): string | null {
     return this.replica.get<RoleRecord>(roleKey(role))?.value.owner ?? null;
   }
 
   /** A role of ours, once the replica holds everything that was written before we took it. */
-  owned(role: string): Owned | null {
+  heldRole(role: string): HeldRole | null {
     const held = this.replica.get<RoleRecord>(roleKey(role));
     if (!held || held.value.owner !== this.self.node) return null;
     if (held.value.incarnation !== this.options.incarnation) return null;
     const { term } = held.value;
-    if (this.stoodDown.has(role, term)) return null;
+    if (this.steppedDown.has(role, term)) return null;
     let claim = this.claims.get(role);
     // Its key may be written anew within the term: what counts is when we got it.
     if (claim?.term !== term) {
@@ -124,20 +136,20 @@
   }
 
   /** Whether the replica is recent enough to act on a role before the outside. */
-  get current(): boolean {
-    return this.clock.now() - this.replica.freshAt < this.grace;
+  get isReplicaCurrent(): boolean {
+    return this.clock.now() - this.replica.knownCurrentAt < this.graceMs;
   }
 
   /** Acts and answers no more in a role of ours; false: we don't hold it under this term. */
-  standDown(role: string, term: number): boolean {
-    if (this.owned(role)?.term !== term) return false;
-    this.stoodDown.add(role, term);
+  stepDown(role: string, term: number): boolean {
+    if (this.heldRole(role)?.term !== term) return false;
+    this.steppedDown.add(role, term);
     return true;
   }
 
   /** Whether this process gave a role up under this term. */
-  hasStoodDown(role: string, term: number): boolean {
-    return this.stoodDown.has(role, term);
+  hasSteppedDown(role: string, term: number): boolean {
+    return this.steppedDown.has(role, term);
   }
 
   /** Whether this process is registered, by what the replica holds. */
@@ -147,21 +159,21 @@
   }
 
   /** The steady time from which no machine that did not speak to us has tasks left. */
-  fence(owned: Owned): number {
+  fenceEndsAt(owned: HeldRole): number {
     const claim = this.claims.get(owned.role);
     const seenAt = claim?.seenAt ?? this.clock.now();
     // Under an earlier term this process itself answered until it saw the new one.
     const startedAt = claim?.heldBefore ? seenAt : this.startedAt;
-    return fenceAt(owned.record, { startedAt, seenAt }, this.clock.wall(), this.options.timing);
+    return fenceEndsAt(owned.record, { startedAt, seenAt }, this.clock.wall(), this.options.timing);
   }
 
   /** One round: keep the lease, then take what should be ours. */
-  async round(): Promise<void> {
-    if (this.busy || !this.replica.loaded) return;
+  async reconcile(): Promise<void> {
+    if (this.busy || !this.replica.isLoaded) return;
     this.busy = true;
     try {
-      await this.keepLease();
-      if (this.lease !== null) await this.takeFree();
+      await this.keepMemberLease();
+      if (this.lease !== null) await this.claimFreeRoles();
     } catch (error) {
       this.options.log.debug({ error: String(error) }, 'roles: state service did not answer');
     } finally {
@@ -169,16 +181,16 @@
     }
   }
 
-  private async keepLease(): Promise<void> {
+  private async keepMemberLease(): Promise<void> {
     const now = this.clock.now();
     const registered = this.isRegistered;
-    if (this.lease !== null && registered && (await this.extend(this.lease, now))) return;
-    if (this.invalidBackoff.has(REGISTRATION)) return;
+    if (this.lease !== null && registered && (await this.renewLease(this.lease, now))) return;
+    if (this.rejectedChangeBackoff.has(REGISTRATION)) return;
     await this.register(now);
   }
 
   /** Keeps the lease when that is due; false: it has ended. */
-  private async extend(lease: number, now: number): Promise<boolean> {
+  private async renewLease(lease: number, now: number): Promise<boolean> {
     if (now - this.renewedAt < MEMBER_RENEW_MS) return true;
     await this.options.limiter.pass('role', 0);
     if (await this.options.api.extend(lease)) {
@@ -197,9 +209,9 @@
     const lease = await this.options.api.grant(MEMBER_TTL_MS);
     const { guards, changes } = this.registration(lease);
     const result = await this.options.committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'invalid') this.invalidBackoff.add(REGISTRATION);
+    if (result.kind === 'invalid') this.rejectedChangeBackoff.add(REGISTRATION);
     if (result.kind !== 'done') return;
-    this.invalidBackoff.clear(REGISTRATION);
+    this.rejectedChangeBackoff.clear(REGISTRATION);
     this.lease = lease;
     this.renewedAt = now;
     this.hasRegistration = true;
@@ -214,14 +226,14 @@
     // A registration of the process before this one may still be on its way to the store: it must
     // not undo this one, nor this one a newer.
     const guards: Guard[] = [{ key, revision: this.replica.revisionOf(key) }];
-    const atHome = ({ home }: { home: Member | null }): number =>
-      Number(home?.node === this.self.node);
-    const roles = this.all().sort((a, b) => atHome(b) - atHome(a));
-    for (const { role, home } of roles) {
+    const isPreferredOwner = ({ preferredOwner }: { preferredOwner: Member | null }): number =>
+      Number(preferredOwner?.node === this.self.node);
+    const roles = this.allRoles().sort((a, b) => isPreferredOwner(b) - isPreferredOwner(a));
+    for (const { role, preferredOwner: preferredOwner } of roles) {
       // What does not fit into the transaction is free for us as for all others right after it.
-      if (changes.length >= this.options.txnOps) break;
+      if (changes.length >= this.options.transactionOps) break;
       const held = this.replica.get<RoleRecord>(roleKey(role));
-      if (!this.comesWithRegistration(role, home, held?.value ?? null)) continue;
+      if (!this.comesWithRegistration(role, preferredOwner, held?.value ?? null)) continue;
       guards.push({ key: roleKey(role), revision: held?.revision ?? 0 });
       changes.push({ key: roleKey(role), value: this.claimRecord(held?.value ?? null) });
     }
@@ -231,14 +243,14 @@
   /** Whether a role is claimed together with the registration. */
   private comesWithRegistration(
     role: string,
-    home: Member | null,
+    preferredOwner: Member | null,
     holder: RoleRecord | null,
   ): boolean {
     if (holder?.owner === this.self.node) return holder.incarnation !== this.options.incarnation;
-    if (home?.node !== this.self.node) return false;
+    if (preferredOwner?.node !== this.self.node) return false;
     if (holder === null) return true;
     if (this.turns.holderLives(holder)) return !this.options.policy.isDamped();
-    return this.turns.mayTakeFrom(role, holder);
+    return this.turns.mayFailOverFrom(role, holder);
   }
 
   private claimRecord(before: RoleRecord | null): RoleRecord {
@@ -251,15 +263,15 @@
     };
   }
 
-  private async takeFree(): Promise<void> {
-    for (const { role, home } of this.all()) {
-      if (this.turns.isOurTurn(role, home)) await this.claim(role);
+  private async claimFreeRoles(): Promise<void> {
+    for (const { role, preferredOwner: preferredOwner } of this.allRoles()) {
+      if (this.turns.isOurTurn(role, preferredOwner)) await this.claim(role);
     }
   }
 
   /** Goes on with a role of ours under a new term, whose numbers are all unused. */
   async renewTerm(role: string): Promise<void> {
-    if (this.owned(role) !== null) await this.claim(role);
+    if (this.heldRole(role) !== null) await this.claim(role);
   }
 
   private async claim(role: string): Promise<void> {
@@ -275,8 +287,8 @@
     const record = this.claimRecord(holder);
     const changes: Change[] = [{ key, value: record }];
     const result = await this.options.committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'invalid') this.invalidBackoff.add(role);
-    else this.invalidBackoff.clear(role);
+    if (result.kind === 'invalid') this.rejectedChangeBackoff.add(role);
+    else this.rejectedChangeBackoff.clear(role);
     this.options.log.info(
       { role, from: holder?.owner ?? null, term: record.term, result: result.kind },
       'taking a role',
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,16 +1,16 @@
 /** Roles that this process gave up when it was asked to, by the term in which it held them. */
 
-import { STAND_DOWN_REST_MS } from '../../constants.js';
+import { STEP_DOWN_REST_MS } from '../../constants.js';
 import type { Clock } from '../../transport/clock.js';
 
-interface StoodDown {
+interface SteppedDownTerm {
   readonly term: number;
   readonly at: number;
 }
 
 /** Under a term that it gave up, this process acts and answers no more, whatever it learns later. */
-export class StoodDownRoles {
-  private readonly terms = new Map<string, StoodDown>();
+export class SteppedDownRoles {
+  private readonly terms = new Map<string, SteppedDownTerm>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -26,8 +26,8 @@
 
   /** Whether nobody has followed for so long that this process may go on, under a new term. */
   isUnclaimed(role: string, term: number): boolean {
-    const stoodDown = this.terms.get(role);
-    if (stoodDown?.term !== term) return false;
-    return this.clock.now() - stoodDown.at >= STAND_DOWN_REST_MS;
+    const steppedDown = this.terms.get(role);
+    if (steppedDown?.term !== term) return false;
+    return this.clock.now() - steppedDown.at >= STEP_DOWN_REST_MS;
   }
 }
--- a/src/coordination/failure-detection/confirmed-failover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -2,20 +2,20 @@
 
 import type { FailureDetector, Verdict, VerdictKind } from '@mothbank/failure-detector';
 import type { Clock } from '../../transport/clock.js';
-import type { LapsedHolder, TakeoverPolicy } from '../election/failover-policy.js';
-import type { TakeoverAction, TakeoverDecision } from './detection-records.js';
+import type { ExpiredHolder, FailoverPolicy } from '../election/failover-policy.js';
+import type { FailoverAction, FailoverDecision } from './detection-records.js';
 import { FlapDamping } from './flap-damping.js';
-import type { StandDown } from './step-down-requests.js';
+import type { StepDownRequests } from './step-down-requests.js';
 
 /** What decisions rest on. */
-export interface ConfirmedTakeoverOptions {
+export interface ConfirmedFailoverOptions {
   readonly detector: FailureDetector;
-  readonly standDown: StandDown;
+  readonly stepDown: StepDownRequests;
   readonly clock: Clock;
   /** ms after which the state service's word alone decides. */
   readonly confirmWithinMs: number;
   /** Hears of each decision once. */
-  readonly onDecision: (decision: TakeoverDecision) => void;
+  readonly onDecision: (decision: FailoverDecision) => void;
 }
 
 /** Verdicts on which a role is taken at once, and why. */
@@ -26,27 +26,27 @@
 };
 
 interface Reasoned {
-  readonly action: TakeoverAction;
+  readonly action: FailoverAction;
   readonly why: string;
 }
 
 /** The policy that asks the failure detector. Safety rests on terms, guards and fences, not on it. */
-export class ConfirmedTakeover implements TakeoverPolicy {
+export class ConfirmedFailover implements FailoverPolicy {
   private readonly damping: FlapDamping;
   /** The last decision by role, so that each is told once. */
   private readonly told = new Map<string, string>();
 
-  constructor(private readonly options: ConfirmedTakeoverOptions) {
+  constructor(private readonly options: ConfirmedFailoverOptions) {
     this.damping = new FlapDamping(options.clock);
   }
 
-  mayTake(holder: LapsedHolder): boolean {
-    const { clock, detector, standDown } = this.options;
+  mayTakeOver(holder: ExpiredHolder): boolean {
+    const { clock, detector, stepDown: stepDown } = this.options;
     const verdict = detector.verdict(holder.node, holder.incarnation, holder.since);
     const waitedMs = clock.now() - holder.since;
     const decision = this.decide(holder, verdict, waitedMs);
     if (decision.action !== 'take') detector.probe(holder.node);
-    if (decision.action === 'ask to stand down') standDown.ask(holder);
+    if (decision.action === 'ask to stand down') stepDown.ask(holder);
     this.tell(holder, { ...decision, waitedMs, verdict });
     return decision.action === 'take';
   }
@@ -59,8 +59,8 @@
     return this.damping.isDamped;
   }
 
-  private decide(holder: LapsedHolder, verdict: Verdict | null, waitedMs: number): Reasoned {
-    if (this.options.standDown.isConfirmed(holder)) return { action: 'take', why: 'stood down' };
+  private decide(holder: ExpiredHolder, verdict: Verdict | null, waitedMs: number): Reasoned {
+    if (this.options.stepDown.isConfirmed(holder)) return { action: 'take', why: 'stood down' };
     const reason = TAKEN_AT_ONCE[verdict?.kind ?? 'unsupported'];
     if (reason !== undefined) return { action: 'take', why: reason };
     if (waitedMs >= this.options.confirmWithinMs) {
@@ -72,7 +72,7 @@
   }
 
   private tell(
-    { incarnation, node, role, term }: LapsedHolder,
+    { incarnation, node, role, term }: ExpiredHolder,
     reasoned: Reasoned & { waitedMs: number; verdict: Verdict | null },
   ): void {
     const { action, verdict, waitedMs, why } = reasoned;
--- a/src/coordination/failure-detection/detection-records.ts
+++ b/src/coordination/failure-detection/detection-records.ts
@@ -4,15 +4,15 @@
 import type { Log } from '../../storage/log.js';
 
 /** What was decided about a role whose holder's registration has ended. */
-export type TakeoverAction = 'take' | 'wait' | 'ask to stand down';
+export type FailoverAction = 'take' | 'wait' | 'ask to stand down';
 
 /** A decision, with what it rests on. */
-export interface TakeoverDecision {
+export interface FailoverDecision {
   readonly role: string;
   readonly holder: string;
   readonly incarnation: string;
   readonly term: number;
-  readonly action: TakeoverAction;
+  readonly action: FailoverAction;
   readonly why: string;
   readonly witnesses: readonly string[];
   readonly quorum: number;
@@ -27,7 +27,7 @@
       readonly type: 'decision';
       readonly at: number;
       readonly observer: string;
-    } & TakeoverDecision)
+    } & FailoverDecision)
   | ({
       readonly type: 'probeTimes';
       readonly at: number;
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -4,12 +4,12 @@
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Member } from '../election/rendezvous-hashing.js';
-import type { Roles } from '../election/role-election.js';
-import type { TakeoverPolicy } from '../election/failover-policy.js';
+import type { RoleElection } from '../election/role-election.js';
+import type { FailoverPolicy } from '../election/failover-policy.js';
 import type { Environment } from '../../protocol/environment.js';
 
 /** What failure detection is created from. */
-export interface NodeDetectionOptions {
+export interface DetectionServiceOptions {
   readonly node: string;
   readonly incarnation: string;
   readonly members: readonly Member[];
@@ -18,16 +18,16 @@
   /** Uniform in [0, 1). */
   readonly random: () => number;
   readonly log: Log;
-  readonly roles: () => Roles;
+  readonly roles: () => RoleElection;
   /** This node gave a role up: what acts in it is to end now. */
-  readonly onStoodDown: () => void;
+  readonly onSteppedDown: () => void;
   /** Something changed that a takeover may wait for. */
   readonly onChanged: () => void;
 }
 
 /** Failure detection of one node. */
-export interface NodeDetection {
-  readonly policy: TakeoverPolicy;
+export interface DetectionService {
+  readonly policy: FailoverPolicy;
   readonly counts: DetectorCounts;
   readonly probeCounts: { readonly sent: number; readonly failed: number };
   readonly localHealthScore: number;
@@ -39,7 +39,7 @@
   /** Handles a peer's message. */
   receive(message: PeerMessage, answer: (message: PeerMessage) => void): void;
   /** Whether the leader may assign new tasks to a part. */
-  acceptsNewWork(part: string): boolean;
+  acceptsNewWork(shard: string): boolean;
   /** Records the times of probes if the last ones are old enough. */
   writeIfDue(): void;
   /** The history, one JSON object a line. */
@@ -47,4 +47,4 @@
 }
 
 /** Creates failure detection for a node; null where it is off. */
-export type CreateDetection = ((options: NodeDetectionOptions) => NodeDetection) | null;
+export type CreateDetection = ((options: DetectionServiceOptions) => DetectionService) | null;
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -5,37 +5,37 @@
 import { decodeDetector, encodeDetector } from '../../protocol/detector-codec.js';
 import type { SuspicionSettings } from '../../protocol/settings.js';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
-import type { NodeDetection, NodeDetectionOptions } from './detection-service.js';
+import type { DetectionService, DetectionServiceOptions } from './detection-service.js';
 import { hash } from '../election/rendezvous-hashing.js';
-import { partRole } from '../election/role-election.js';
-import type { TakeoverPolicy } from '../election/failover-policy.js';
-import { ConfirmedTakeover } from './confirmed-failover.js';
+import { shardRole } from '../election/role-election.js';
+import type { FailoverPolicy } from '../election/failover-policy.js';
+import { ConfirmedFailover } from './confirmed-failover.js';
 import { DetectionRecords } from './detection-records.js';
-import { StandDown } from './step-down-requests.js';
+import { StepDownRequests } from './step-down-requests.js';
 
 type Answer = (message: PeerMessage) => void;
 
 /** Watches the peers of one controller, and decides when a role may be taken from one. */
-export class FailureDetection implements NodeDetection {
-  readonly policy: TakeoverPolicy;
+export class FailureDetection implements DetectionService {
+  readonly policy: FailoverPolicy;
   /** Bytes of messages that were sent. */
   bytesSent = 0;
   private readonly detector: FailureDetector;
-  private readonly standDown: StandDown;
+  private readonly stepDown: StepDownRequests;
   private readonly records: DetectionRecords;
   private timesWrittenAt = -Infinity;
 
   constructor(
-    private readonly options: NodeDetectionOptions,
+    private readonly options: DetectionServiceOptions,
     private readonly suspicion: SuspicionSettings,
   ) {
     const { environment, log } = options;
     this.records = new DetectionRecords(suspicion.history, log);
     this.detector = this.createDetector();
-    this.standDown = this.createStandDown();
-    this.policy = new ConfirmedTakeover({
+    this.stepDown = this.createStepDownRequests();
+    this.policy = new ConfirmedFailover({
       detector: this.detector,
-      standDown: this.standDown,
+      stepDown: this.stepDown,
       clock: environment.clock,
       confirmWithinMs: suspicion.confirmWithinMs,
       onDecision: (decision) => {
@@ -71,14 +71,14 @@
 
   receive(message: PeerMessage, answer: Answer): void {
     if (message.kind === 'detector') this.receiveDetector(message.payload, answer);
-    else if (message.kind === 'standDown') this.standDown.asked(message, answer);
-    else if (message.kind === 'stoodDown') this.standDown.answered(message);
+    else if (message.kind === 'standDown') this.stepDown.asked(message, answer);
+    else if (message.kind === 'stoodDown') this.stepDown.answered(message);
   }
 
   /** A suspected owner's part keeps what it runs and gets nothing new, for a bounded time. */
-  acceptsNewWork(part: string): boolean {
+  acceptsNewWork(shard: string): boolean {
     const { environment, node, roles } = this.options;
-    const owner = roles().ownerOf(partRole(part));
+    const owner = roles().holderOf(shardRole(shard));
     if (owner === null || owner === node) return true;
     const since = this.detector.suspectedSince(owner);
     if (since === null) return true;
@@ -131,9 +131,9 @@
     });
   }
 
-  private createStandDown(): StandDown {
+  private createStepDownRequests(): StepDownRequests {
     const { environment, incarnation, log, members, node } = this.options;
-    return new StandDown({
+    return new StepDownRequests({
       node,
       incarnation,
       members: new Set(members.map((member) => member.node)),
@@ -142,14 +142,14 @@
       send: (peer, message) => environment.sendToPeer(peer, message),
       storeAnswers: () => this.storeAnswers(),
       roles: this.options.roles,
-      onStoodDown: () => this.options.onStoodDown(),
+      onSteppedDown: () => this.options.onSteppedDown(),
       onConfirmed: () => this.options.onChanged(),
     });
   }
 
   private storeAnswers(): boolean {
     const { environment, replica } = this.options;
-    return environment.clock.now() - replica.freshAt < STORE_ANSWERS_MS;
+    return environment.clock.now() - replica.knownCurrentAt < STORE_ANSWERS_MS;
   }
 
   private receiveDetector(payload: Uint8Array, answer: Answer): void {
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -1,14 +1,14 @@
 /** Asks holders without a registration to give their roles up, and gives up this node's when asked. */
 
-import { STAND_DOWN_RETRY_MS } from '../../constants.js';
+import { STEP_DOWN_RETRY_MS } from '../../constants.js';
 import type { PeerMessage, RoleTenure } from '../../protocol/peer-messages.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
-import type { LapsedHolder } from '../election/failover-policy.js';
-import type { Roles } from '../election/role-election.js';
+import type { ExpiredHolder } from '../election/failover-policy.js';
+import type { RoleElection } from '../election/role-election.js';
 
 /** What standing down works with. */
-export interface StandDownOptions {
+export interface StepDownRequestsOptions {
   readonly node: string;
   readonly incarnation: string;
   /** Names of all members. */
@@ -18,9 +18,9 @@
   readonly send: (peer: string, message: PeerMessage) => boolean;
   /** Whether the state service answers this node. */
   readonly storeAnswers: () => boolean;
-  readonly roles: () => Roles;
+  readonly roles: () => RoleElection;
   /** This node gave a role up: nothing may act in it any more. */
-  readonly onStoodDown: () => void;
+  readonly onSteppedDown: () => void;
   /** A holder gave a role up: it can be taken. */
   readonly onConfirmed: () => void;
 }
@@ -29,36 +29,44 @@
   `${role} ${term} ${incarnation}`;
 
 /** Both sides of standing down. A lost or repeated message does no harm: an answer names its term. */
-export class StandDown {
+export class StepDownRequests {
   /** The latest answer by role: older ones are of terms that are over. */
   private readonly confirmed = new Map<string, string>();
   private readonly askedAt = new Map<string, number>();
 
-  constructor(private readonly options: StandDownOptions) {}
+  constructor(private readonly options: StepDownRequestsOptions) {}
 
   /** Whether a holder said that it gave the role up. */
-  isConfirmed(holder: LapsedHolder): boolean {
+  isConfirmed(holder: ExpiredHolder): boolean {
     return this.confirmed.get(holder.role) === keyOf(holder);
   }
 
   /** Asks a holder, again after a while. */
-  ask({ incarnation, node, role, term }: LapsedHolder): void {
+  ask({ incarnation, node, role, term }: ExpiredHolder): void {
     const { clock, send } = this.options;
     const now = clock.now();
-    if (now - (this.askedAt.get(role) ?? -Infinity) < STAND_DOWN_RETRY_MS) return;
+    if (now - (this.askedAt.get(role) ?? -Infinity) < STEP_DOWN_RETRY_MS) return;
     this.askedAt.set(role, now);
     send(node, { kind: 'standDown', node: this.options.node, role, term, incarnation });
   }
 
   /** A peer asks this node to give a role up. */
   asked(tenure: RoleTenure, answer: (message: PeerMessage) => void): void {
-    const { incarnation, log, members, node, onStoodDown, roles, storeAnswers } = this.options;
+    const {
+      incarnation,
+      log,
+      members,
+      node,
+      onSteppedDown: onSteppedDown,
+      roles,
+      storeAnswers,
+    } = this.options;
     if (!members.has(tenure.node) || tenure.incarnation !== incarnation) return;
     // What the peer saw is over: this node is registered, and by the state service's own word.
     if (roles().isRegistered && storeAnswers()) return;
     const { role, term } = tenure;
-    if (!roles().standDown(role, term) && !roles().hasStoodDown(role, term)) return;
-    onStoodDown();
+    if (!roles().stepDown(role, term) && !roles().hasSteppedDown(role, term)) return;
+    onSteppedDown();
     log.info({ role, term, for: tenure.node }, 'stood down');
     answer({ kind: 'stoodDown', node, role, term, incarnation });
   }
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -1,38 +1,38 @@
 /** Creates the chunk records that assign tasks of a job to a part. */
-import { CHUNK_BASE_BYTES, CHUNK_TASK_BYTES, VALUE_SHARE } from '../../constants.js';
+import { ASSIGNMENT_BASE_BYTES, ASSIGNMENT_TASK_BYTES, VALUE_SHARE } from '../../constants.js';
 import type { JobSpec } from '../../protocol/model.js';
-import { chunkKey } from '../../storage/keys.js';
+import { assignmentKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
-import type { ChunkRecord } from '../../storage/records.js';
+import type { AssignmentRecord } from '../../storage/records.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
 /** The machines of one part in one zone. */
-export interface Place {
-  readonly part: string;
+export interface ShardZone {
+  readonly shard: string;
   readonly zone: string;
 }
 
 /** A chunk record that is not committed yet. */
-export interface NewChunk {
+export interface NewAssignment {
   readonly key: string;
-  readonly value: ChunkRecord;
+  readonly value: AssignmentRecord;
 }
 
 /** What a chunk of a gang says beyond that of an array: its attempt, and what it may reclaim. */
-export type GangFields = Pick<ChunkRecord, 'attempt' | 'reclaim'>;
+export type GangFields = Pick<AssignmentRecord, 'attempt' | 'reclaim'>;
 
 /** Chunk numbers of one term begin at a multiple of this, so that no term repeats a number. */
 const NUMBERS_PER_TERM = 1e6;
 
 /** Creates chunk records with numbers that no other chunk has. */
-export class ChunkFactory {
+export class AssignmentFactory {
   private readonly numbers: TermNumbers;
-  private readonly tasksPerChunk: number;
+  private readonly tasksPerAssignment: number;
 
   constructor(term: number, valueBytes: number) {
     this.numbers = new TermNumbers(term * NUMBERS_PER_TERM, NUMBERS_PER_TERM);
-    const bytes = valueBytes * VALUE_SHARE - CHUNK_BASE_BYTES;
-    this.tasksPerChunk = Math.max(1, Math.floor(bytes / CHUNK_TASK_BYTES));
+    const bytes = valueBytes * VALUE_SHARE - ASSIGNMENT_BASE_BYTES;
+    this.tasksPerAssignment = Math.max(1, Math.floor(bytes / ASSIGNMENT_TASK_BYTES));
   }
 
   /** The leader needs a new term before it has made all chunks that this one has numbers for. */
@@ -41,14 +41,19 @@
   }
 
   /** Records that assign these tasks to a place, each small enough for one value. */
-  create(spec: JobSpec, place: Place, ids: readonly number[], gang: GangFields = {}): NewChunk[] {
-    const chunks: NewChunk[] = [];
-    for (let start = 0; start < ids.length; start += this.tasksPerChunk) {
+  create(
+    spec: JobSpec,
+    place: ShardZone,
+    ids: readonly number[],
+    gang: GangFields = {},
+  ): NewAssignment[] {
+    const assignments: NewAssignment[] = [];
+    for (let start = 0; start < ids.length; start += this.tasksPerAssignment) {
       const number = this.numbers.next();
-      chunks.push({
-        key: chunkKey(place.part, spec.id, number),
+      assignments.push({
+        key: assignmentKey(place.shard, spec.id, number),
         value: {
-          ids: writeRanges(ids.slice(start, start + this.tasksPerChunk)),
+          ids: writeRanges(ids.slice(start, start + this.tasksPerAssignment)),
           done: '',
           live: {},
           team: spec.team,
@@ -60,6 +65,6 @@
         },
       });
     }
-    return chunks;
+    return assignments;
   }
 }
--- a/src/coordination/leader/assignment-round.ts
+++ b/src/coordination/leader/assignment-round.ts
@@ -1,10 +1,10 @@
 /** What the pieces of one assigning round share. */
 import type { MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
 import type { Queue } from './shard-queues.js';
-import type { NewChunk } from './assignment-factory.js';
+import type { NewAssignment } from './assignment-factory.js';
 
 /** One assigning round: what it works on, and what comes of it. */
-export interface AssignmentRound {
+export interface SchedulingCycle {
   /** Time at which the round started, in ms. */
   readonly startedAt: number;
   /** All machines, also those that boot or take no new tasks. */
@@ -20,7 +20,7 @@
   /** Tasks for which no room was found. */
   readonly unmet: UnmetDemand[];
   /** Chunks that assign tasks to parts, in the order of the jobs' turns. */
-  readonly chunks: NewChunk[];
+  readonly assignments: NewAssignment[];
   /** Keys of the chunks that hold urgent work. */
   readonly urgentKeys: Set<string>;
 }
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -3,19 +3,19 @@
 import {
   fitCount,
   isEligible,
-  occupy,
-  occupyReclaimable,
+  allocateTasks,
+  allocateReclaimable,
   reclaimModeFor,
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
-import type { Place } from './assignment-factory.js';
+import type { ShardZone } from './assignment-factory.js';
 
 /**
  * Occupies free room for tasks in a place, first beside other tasks and then on empty machines;
  * returns how many tasks found none.
  */
-function occupyFree(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): number {
+function allocateFree(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): number {
   let left = count;
   for (const busy of [true, false]) {
     for (const machine of machines) {
@@ -23,7 +23,7 @@
       if (machine.tasks > 0 !== busy || machine.cpus < spec.cpus) continue;
       if (!isEligible(spec, machine)) continue;
       const fitting = Math.min(left, fitCount(machine, spec));
-      occupy(machine, spec, fitting);
+      allocateTasks(machine, spec, fitting);
       left -= fitting;
     }
   }
@@ -31,32 +31,38 @@
 }
 
 /** Occupies room for tasks that other work has to free first. */
-function occupyReclaimed(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): void {
+function allocateReclaimed(
+  spec: JobSpec,
+  count: number,
+  machines: readonly MachineCapacity[],
+): void {
   const mode = reclaimModeFor(spec);
   let left = count;
   for (const machine of machines) {
     if (left === 0) return;
     if (!isEligible(spec, machine)) continue;
     const fitting = Math.min(left, fitCount(reclaimableCapacity(machine, mode), spec));
-    occupyReclaimable(machine, spec, fitting);
+    allocateReclaimable(machine, spec, fitting);
     left -= fitting;
   }
 }
 
 /** Occupies room for tasks that are assigned to a place: free room, then what other work frees. */
-export function occupyPlace(
+export function allocateInShardZone(
   spec: JobSpec,
-  place: Place,
+  place: ShardZone,
   count: number,
   machines: readonly MachineCapacity[],
 ): void {
-  const inPlace = machines.filter(({ part, zone }) => part === place.part && zone === place.zone);
-  const left = occupyFree(spec, count, inPlace);
-  occupyReclaimed(spec, left, inPlace);
+  const inPlace = machines.filter(
+    ({ shard: shard, zone }) => shard === place.shard && zone === place.zone,
+  );
+  const left = allocateFree(spec, count, inPlace);
+  allocateReclaimed(spec, left, inPlace);
 }
 
 /** Occupies the free room of a zone for a gang that waits for more of it. */
-export function occupyZone(
+export function allocateInZone(
   spec: JobSpec,
   zone: string,
   machines: readonly MachineCapacity[],
@@ -66,7 +72,7 @@
     if (left === 0) return;
     if (machine.zone !== zone || !isEligible(spec, machine)) continue;
     const fitting = Math.min(left, fitCount(machine, spec));
-    occupy(machine, spec, fitting);
+    allocateTasks(machine, spec, fitting);
     left -= fitting;
   }
 }
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -7,32 +7,32 @@
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
-import { URGENT, placeKey } from '../capacity/priorities.js';
-import type { Place } from './assignment-factory.js';
+import { URGENT, shardZoneKey } from '../capacity/priorities.js';
+import type { ShardZone } from './assignment-factory.js';
 
 /** How many tasks of a job a place has room for. */
-export interface PlaceRoom extends Place {
+export interface ShardZoneCapacity extends ShardZone {
   readonly count: number;
 }
 
 /** Sums of room by place, in the order in which the places were found. */
-class RoomSums {
-  private readonly sums = new Map<string, Place & { count: number }>();
+class CapacitySums {
+  private readonly sums = new Map<string, ShardZone & { count: number }>();
 
   get isEmpty(): boolean {
     return this.sums.size === 0;
   }
 
-  get rooms(): PlaceRoom[] {
+  get free(): ShardZoneCapacity[] {
     return [...this.sums.values()];
   }
 
-  add({ part, zone }: Place, count: number): void {
+  add({ shard: shard, zone }: ShardZone, count: number): void {
     if (count <= 0) return;
-    const key = placeKey(part, zone);
+    const key = shardZoneKey(shard, zone);
     const sum = this.sums.get(key);
     if (sum) sum.count += count;
-    else this.sums.set(key, { part, zone, count });
+    else this.sums.set(key, { shard, zone, count });
   }
 }
 
@@ -40,8 +40,8 @@
  * Adds free room. Room beside other tasks comes first, and empty machines count only where it does
  * not suffice: machines that nothing needs then become idle and are returned.
  */
-function addFreeRoom(
-  sums: RoomSums,
+function addFreeCapacity(
+  sums: CapacitySums,
   spec: JobSpec,
   wanted: number,
   machines: readonly MachineCapacity[],
@@ -60,28 +60,28 @@
 }
 
 /** Adds room that a part makes by stopping lower work, in the least costly way that makes some. */
-function addReclaimableRoom(
-  sums: RoomSums,
+function addReclaimableCapacity(
+  sums: CapacitySums,
   spec: JobSpec,
   machines: readonly MachineCapacity[],
 ): void {
   for (const mode of reclaimModesFor(spec)) {
     if (!sums.isEmpty) break;
     for (const machine of machines) {
-      if (machine.lowCpus <= 0 || !isEligible(spec, machine)) continue;
+      if (machine.preemptibleCpus <= 0 || !isEligible(spec, machine)) continue;
       sums.add(machine, fitCount(reclaimableCapacity(machine, mode), spec));
     }
   }
 }
 
 /** The places with room for up to `wanted` tasks: free room, and for urgent work what it may stop. */
-export function findRooms(
+export function findCapacity(
   spec: JobSpec,
   wanted: number,
   machines: readonly MachineCapacity[],
-): PlaceRoom[] {
-  const sums = new RoomSums();
-  addFreeRoom(sums, spec, wanted, machines);
-  if (rankOf(spec.priority) >= URGENT) addReclaimableRoom(sums, spec, machines);
-  return sums.rooms;
+): ShardZoneCapacity[] {
+  const sums = new CapacitySums();
+  addFreeCapacity(sums, spec, wanted, machines);
+  if (rankOf(spec.priority) >= URGENT) addReclaimableCapacity(sums, spec, machines);
+  return sums.free;
 }
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -9,10 +9,10 @@
 import type { Clock } from '../../transport/clock.js';
 import { fitCount, isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
 import type { Share } from './gang-plan.js';
-import { placeKey } from '../capacity/priorities.js';
+import { shardZoneKey } from '../capacity/priorities.js';
 
 /** Where a gang finds room by a claim, and how many CPUs it may stop of each team for it. */
-export interface Claim {
+export interface FairShareClaim {
   share: Share;
   reclaim: Record<string, number>;
 }
@@ -25,7 +25,7 @@
 
 /** A place where a gang may go. */
 interface CandidatePlace {
-  part: string;
+  shard: string;
   zone: string;
   /** Tasks of the gang that have free room. */
   free: number;
@@ -34,7 +34,7 @@
 }
 
 /** Finds such room; its counts are valid for a moment, less what was claimed since. */
-export class GuaranteeClaims {
+export class FairShareReclaim {
   private countedAt = -Infinity;
   /** CPUs that each team runs beyond its guarantee. */
   private readonly excess = new Map<string, number>();
@@ -48,7 +48,7 @@
   ) {}
 
   /** A place where all of the gang fits once such arrays are stopped; null: there is none. */
-  find(spec: JobSpec, machines: readonly MachineCapacity[]): Claim | null {
+  find(spec: JobSpec, machines: readonly MachineCapacity[]): FairShareClaim | null {
     this.refresh();
     const excess = [...this.excess].filter(([team]) => team !== spec.team);
     const claimableCpus = excess.reduce((sum, [, cpus]) => sum + cpus, 0);
@@ -61,9 +61,9 @@
       if (best === null || place.free > best.free) best = place;
     }
     if (best === null) return null;
-    const { part, zone } = best;
+    const { shard: shard, zone } = best;
     const reclaim = this.claimCpus(excess, Math.max(0, spec.tasks - best.free) * spec.cpus);
-    return { share: { part, zone, count: spec.tasks }, reclaim };
+    return { share: { shard, zone, count: spec.tasks }, reclaim };
   }
 
   private places(
@@ -74,18 +74,18 @@
     const places = new Map<string, CandidatePlace>();
     for (const machine of machines) {
       if (!isEligible(spec, machine)) continue;
-      const { part, zone } = machine;
-      const key = placeKey(part, zone);
-      const place = places.get(key) ?? { part, zone, free: 0, claimable: 0 };
+      const { shard: shard, zone } = machine;
+      const key = shardZoneKey(shard, zone);
+      const place = places.get(key) ?? { shard, zone, free: 0, claimable: 0 };
       places.set(key, place);
-      const room = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
-      place.free += fitCount(room, spec);
+      const free = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
+      place.free += fitCount(free, spec);
       for (const [team, { cpus, memoryGb }] of this.machines.get(machine.name) ?? []) {
         if (!teams.has(team)) continue;
-        room.cpus += cpus;
-        room.memoryGb += memoryGb;
+        free.cpus += cpus;
+        free.memoryGb += memoryGb;
       }
-      place.claimable += fitCount(room, spec);
+      place.claimable += fitCount(free, spec);
     }
     return places.values();
   }
@@ -115,7 +115,7 @@
 
   private countExcess(): void {
     this.excess.clear();
-    for (const { team, liveCount, cpus } of this.replica.chunks()) {
+    for (const { team, placedCount: liveCount, cpus } of this.replica.assignments()) {
       this.excess.set(team, (this.excess.get(team) ?? 0) + liveCount * cpus);
     }
     for (const [team, cpus] of this.excess) {
@@ -127,16 +127,16 @@
 
   private countMachines(): void {
     this.machines.clear();
-    for (const chunk of this.replica.chunks()) {
-      if (!this.excess.has(chunk.team)) continue;
-      if (this.replica.job(chunk.job)?.spec.kind !== 'array') continue;
-      for (const name of chunk.on) {
+    for (const assignment of this.replica.assignments()) {
+      if (!this.excess.has(assignment.team)) continue;
+      if (this.replica.job(assignment.job)?.spec.kind !== 'array') continue;
+      for (const name of assignment.machines) {
         const teams = this.machines.get(name) ?? new Map<string, Reclaimable>();
         this.machines.set(name, teams);
-        const found = teams.get(chunk.team) ?? { cpus: 0, memoryGb: 0 };
-        found.cpus += chunk.cpus;
-        found.memoryGb += chunk.memoryGb;
-        teams.set(chunk.team, found);
+        const found = teams.get(assignment.team) ?? { cpus: 0, memoryGb: 0 };
+        found.cpus += assignment.cpus;
+        found.memoryGb += assignment.memoryGb;
+        teams.set(assignment.team, found);
       }
     }
   }
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -7,19 +7,19 @@
 import { need, reclaimModeFor, type MachineCapacity } from '../capacity/machine-capacity.js';
 import type { GangHistory } from './gang-history.js';
 import { planGang, type GangPlan, type ImageHints, type Share } from './gang-plan.js';
-import type { Claim, GuaranteeClaims } from './fair-share-reclaim.js';
+import type { FairShareClaim, FairShareReclaim } from './fair-share-reclaim.js';
 import type { OpenJob } from './scheduling-order.js';
-import type { AssignmentRound } from './assignment-round.js';
-import type { ChunkFactory } from './assignment-factory.js';
-import { occupyPlace, occupyZone } from './capacity-allocation.js';
-import type { TeamLimits } from './team-quota.js';
+import type { SchedulingCycle } from './assignment-round.js';
+import type { AssignmentFactory } from './assignment-factory.js';
+import { allocateInShardZone, allocateInZone } from './capacity-allocation.js';
+import type { TeamQuota } from './team-quota.js';
 
 /** What the assignment of gangs works with. */
 export interface GangAssignmentOptions {
   readonly gangs: GangHistory;
-  readonly claims: GuaranteeClaims;
-  readonly limits: TeamLimits;
-  readonly chunkFactory: ChunkFactory;
+  readonly claims: FairShareReclaim;
+  readonly limits: TeamQuota;
+  readonly assignmentFactory: AssignmentFactory;
   readonly replica: StoreReplica;
   readonly log: Log;
   /** Seconds within which tasks of a class should start. */
@@ -32,7 +32,7 @@
 /** Where a gang goes, and the room of other teams that it claims for this; null: it needs none. */
 interface GangDecision {
   readonly plan: GangPlan;
-  readonly claim: Claim | null;
+  readonly claim: FairShareClaim | null;
 }
 
 /** Assigns gangs whose turn it is. */
@@ -43,14 +43,14 @@
    * Assigns a gang, if it has room as a whole. While it has none, or its team's limit allows none,
    * what there is of it is reserved from the work behind it for a while.
    */
-  assign(job: OpenJob, round: AssignmentRound): void {
+  assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { gangs, limits } = this.options;
     const { id, spec } = job;
     // While a part still has some of its tasks, these end first.
-    if (job.unassigned < spec.tasks || !gangs.mayTry(id, round.startedAt)) return;
-    const reserves = gangs.reservesRoom(id, round.startedAt);
+    if (job.unassigned < spec.tasks || !gangs.mayTry(id, cycle.startedAt)) return;
+    const reserves = gangs.reservesCapacity(id, cycle.startedAt);
     const exceeds = limits.wouldExceed(spec.team, need(spec, spec.tasks));
-    const decision = exceeds ? null : this.decide(job, round.machines);
+    const decision = exceeds ? null : this.decide(job, cycle.machines);
     // While it waits, its share of the limit is reserved too, but not for ever: small jobs go on.
     if (decision?.plan.shares || reserves) limits.use(spec, spec.tasks);
     if (!decision) {
@@ -59,11 +59,11 @@
     }
     const { plan, claim } = decision;
     if (plan.shares) {
-      this.assignShares(job, plan, claim, round);
+      this.assignShares(job, plan, claim, cycle);
       return;
     }
-    round.unmet.push({ spec: { ...spec, zone: plan.zone }, count: plan.missing, at: job.at });
-    if (reserves && plan.zone !== null) occupyZone(spec, plan.zone, round.machines);
+    cycle.unmet.push({ spec: { ...spec, zone: plan.zone }, count: plan.missing, at: job.at });
+    if (reserves && plan.zone !== null) allocateInZone(spec, plan.zone, cycle.machines);
   }
 
   private decide(job: OpenJob, machines: readonly MachineCapacity[]): GangDecision {
@@ -75,12 +75,12 @@
   private assignShares(
     job: OpenJob,
     { shares, when }: PlannedShares,
-    claim: Claim | null,
-    round: AssignmentRound,
+    claim: FairShareClaim | null,
+    cycle: SchedulingCycle,
   ): void {
-    const { chunkFactory, gangs, log } = this.options;
+    const { assignmentFactory: assignmentFactory, gangs, log } = this.options;
     const { id, spec } = job;
-    const attempt = gangs.attempt(id, round.startedAt);
+    const attempt = gangs.attempt(id, cycle.startedAt);
     const [largest] = shares;
     if (largest) gangs.placed(spec.image, largest);
     const reclaim = claim && { reclaim: claim.reclaim };
@@ -89,10 +89,10 @@
       const start = first;
       const ids = Array.from({ length: share.count }, (_, offset) => start + offset);
       first += share.count;
-      const chunks = chunkFactory.create(spec, share, ids, { attempt, ...reclaim });
-      round.chunks.push(...chunks);
-      for (const { key } of chunks) round.urgentKeys.add(key);
-      occupyPlace(spec, share, share.count, round.machines);
+      const assignments = assignmentFactory.create(spec, share, ids, { attempt, ...reclaim });
+      cycle.assignments.push(...assignments);
+      for (const { key } of assignments) cycle.urgentKeys.add(key);
+      allocateInShardZone(spec, share, share.count, cycle.machines);
     }
     log.info({ job: id, attempt, shares, when, ...reclaim }, 'gang assigned');
   }
@@ -102,7 +102,7 @@
     spec: JobSpec,
     plan: GangPlan,
     machines: readonly MachineCapacity[],
-  ): Claim | null {
+  ): FairShareClaim | null {
     // Urgent gangs stop lower work in any case.
     if (plan.shares && (plan.when === 'now' || reclaimModeFor(spec) === 'stopping')) return null;
     return this.options.claims.find(spec, machines);
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -1,7 +1,7 @@
 /** What the leader remembers of gangs: their attempts, how long they wait, and where images are. */
 
 import {
-  ATTEMPT_PARTS,
+  SHARDS_PER_TERM,
   ATTEMPT_STEP,
   GANG_IMAGES,
   GANG_KEEP_FOR_MS,
@@ -10,7 +10,7 @@
   GANG_RETRY_MS,
 } from '../../constants.js';
 import type { Share } from './gang-plan.js';
-import { placeKey } from '../capacity/priorities.js';
+import { shardZoneKey } from '../capacity/priorities.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
 /** How often a gang was handed out, and when last. */
@@ -29,7 +29,7 @@
   private readonly placeByImage = new Map<string, string>();
 
   constructor(term: number) {
-    const range = term * ATTEMPT_PARTS + ATTEMPT_PARTS - 1;
+    const range = term * SHARDS_PER_TERM + SHARDS_PER_TERM - 1;
     this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
   }
 
@@ -53,7 +53,7 @@
   /** Remembers the place of a gang with this image; the image that was unused longest is dropped. */
   placed(image: string, share: Share): void {
     this.placeByImage.delete(image);
-    this.placeByImage.set(image, placeKey(share.part, share.zone));
+    this.placeByImage.set(image, shardZoneKey(share.shard, share.zone));
     const oldest = this.placeByImage.keys().next();
     if (this.placeByImage.size > GANG_IMAGES && !oldest.done) {
       this.placeByImage.delete(oldest.value);
@@ -70,7 +70,7 @@
    * Whether room is reserved for a gang that waits: after some seconds and for a time, then for as
    * long not, so that what can't start soon doesn't block other work for ever.
    */
-  reservesRoom(job: string, now: number): boolean {
+  reservesCapacity(job: string, now: number): boolean {
     const since = this.waitingSince.get(job) ?? now;
     this.waitingSince.set(job, since);
     const waited = now - since - GANG_KEEP_FROM_MS;
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -9,11 +9,11 @@
   type MachineCapacity,
   type ReclaimMode,
 } from '../capacity/machine-capacity.js';
-import { placeKey } from '../capacity/priorities.js';
+import { shardZoneKey } from '../capacity/priorities.js';
 
 /** Tasks of a gang for one part. */
 export interface Share {
-  part: string;
+  shard: string;
   zone: string;
   count: number;
 }
@@ -42,7 +42,7 @@
 
 /** The machines of one part in one zone, and how many of the gang's tasks fit there. */
 interface PlaceCapacity {
-  part: string;
+  shard: string;
   zone: string;
   now: number;
   soon: number;
@@ -100,7 +100,7 @@
   const groups = spec.oneZone ? [...zones.values()] : [all];
   const preferred = lastPlace === null ? undefined : places.get(lastPlace);
   for (const when of ['now', 'soon'] as const) {
-    const shares = shareOfOnePart(spec, all, preferred, when) ?? shareOut(spec, groups, when);
+    const shares = shareOfOneShard(spec, all, preferred, when) ?? shareOut(spec, groups, when);
     if (shares) return { shares, when };
   }
   return spec.oneZone
@@ -117,9 +117,9 @@
   const places = new Map<string, PlaceCapacity>();
   for (const machine of machines) {
     if (!isEligible(spec, machine)) continue;
-    const { part, zone } = machine;
-    const key = placeKey(part, zone);
-    const place = places.get(key) ?? { part, zone, now: 0, soon: 0 };
+    const { shard: shard, zone } = machine;
+    const key = shardZoneKey(shard, zone);
+    const place = places.get(key) ?? { shard, zone, now: 0, soon: 0 };
     places.set(key, place);
     place.now += fitCount(machine, spec);
     place.soon += fitCount(reclaimableCapacity(machine, mode), spec);
@@ -142,7 +142,7 @@
 }
 
 /** All tasks of a gang in one place, as its only share; null: it may not, or no place has the room. */
-function shareOfOnePart(
+function shareOfOneShard(
   spec: JobSpec,
   places: readonly PlaceCapacity[],
   preferred: PlaceCapacity | undefined,
@@ -156,7 +156,7 @@
   // A gang starts with its last fetch: machines that hold the image spare it the whole wait.
   const best = preferred && preferred[when] >= spec.tasks ? preferred : largest;
   if (!best || best[when] < spec.tasks) return null;
-  return [{ part: best.part, zone: best.zone, count: spec.tasks }];
+  return [{ shard: best.shard, zone: best.zone, count: spec.tasks }];
 }
 
 /** Shares for several places of one group, of the group with the most room first. */
@@ -188,7 +188,7 @@
     const count = Math.min(left, place[when], perZone - inZone);
     if (count <= 0) continue;
     countByZone.set(place.zone, inZone + count);
-    shares.push({ part: place.part, zone: place.zone, count });
+    shares.push({ shard: place.shard, zone: place.zone, count });
     left -= count;
     if (left === 0) return shares;
   }
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -1,21 +1,21 @@
 /** Replaces the records of jobs whose tasks are all done by final records. */
 import type { Change, Guard } from '../../protocol/key-value-store.js';
-import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { FinalRecord, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { GuardedWriter } from '../election/guarded-writer.js';
-import { endsAt, type Ledger } from '../capacity/capacity-accounting.js';
+import { endsAt, type CapacityAccounting } from '../capacity/capacity-accounting.js';
 
 /** What the completion of jobs works with. */
 export interface JobCompletionOptions {
   readonly writer: GuardedWriter;
   /** Changes that one transaction may hold. */
-  readonly txnOps: number;
+  readonly transactionOps: number;
   readonly replica: StoreReplica;
-  readonly ledger: Ledger;
-  readonly invalidBackoff: InvalidChangeBackoff;
+  readonly accounting: CapacityAccounting;
+  readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly log: Log;
 }
 
@@ -45,16 +45,16 @@
   private readonly jobsPerTransaction: number;
 
   constructor(private readonly options: JobCompletionOptions) {
-    this.jobsPerTransaction = Math.max(1, Math.floor(options.txnOps / CHANGES_PER_JOB));
+    this.jobsPerTransaction = Math.max(1, Math.floor(options.transactionOps / CHANGES_PER_JOB));
   }
 
   /** Completes all jobs whose tasks are done, until the writer gives up. */
   async run(): Promise<void> {
-    const { invalidBackoff, log, writer } = this.options;
+    const { rejectedChangeBackoff: rejectedChangeBackoff, log, writer } = this.options;
     const completed = this.completedJobs();
     for (let start = 0; start < completed.length;) {
       const ids = completed.slice(start).map((job) => job.id);
-      const end = start + invalidBackoff.together(ids, this.jobsPerTransaction);
+      const end = start + rejectedChangeBackoff.together(ids, this.jobsPerTransaction);
       const group = completed.slice(start, end);
       start = end;
       const { guards, changes } = completionOf(group);
@@ -62,24 +62,28 @@
       log.info({ jobs: group.map((job) => job.id), result: result.kind }, 'jobs done');
       if (result.kind === 'givenUp') return;
       for (const { id } of group) {
-        if (result.kind === 'invalid') invalidBackoff.add(id);
-        else invalidBackoff.clear(id);
+        if (result.kind === 'invalid') rejectedChangeBackoff.add(id);
+        else rejectedChangeBackoff.clear(id);
       }
     }
   }
 
   /** Jobs that the ledger takes for done and that are; the others are taken off its list. */
   private completedJobs(): CompletedJob[] {
-    const { invalidBackoff, ledger, replica } = this.options;
+    const {
+      rejectedChangeBackoff: rejectedChangeBackoff,
+      accounting: accounting,
+      replica,
+    } = this.options;
     const completed: CompletedJob[] = [];
-    for (const id of ledger.ripe) {
-      if (invalidBackoff.has(id)) continue;
+    for (const id of accounting.possiblyDone) {
+      if (rejectedChangeBackoff.has(id)) continue;
       const held = replica.get<JobRecord>(jobKey(id));
-      const done = ledger.jobs.get(id)?.done ?? 0;
+      const done = accounting.jobs.get(id)?.done ?? 0;
       if (held && done >= endsAt(held.value.spec)) {
         completed.push({ id, revision: held.revision, tasks: held.value.spec.tasks });
       } else {
-        ledger.ripe.delete(id);
+        accounting.possiblyDone.delete(id);
       }
     }
     return completed;
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -49,7 +49,7 @@
 }
 
 function openJob({ spec, at }: JobRecord, { progress, wall }: SchedulingState): OpenJob {
-  const { assigned = 0, done = 0, live = 0 } = progress.get(spec.id) ?? {};
+  const { assigned = 0, done = 0, placed: live = 0 } = progress.get(spec.id) ?? {};
   return {
     id: spec.id,
     spec,
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -6,13 +6,13 @@
 import { URGENT } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { AssignmentHistory } from './assignment-history.js';
-import type { AssignmentRound } from './assignment-round.js';
+import type { SchedulingCycle } from './assignment-round.js';
 import type { TaskDistribution } from './task-distribution.js';
-import type { TeamLimits } from './team-quota.js';
+import type { TeamQuota } from './team-quota.js';
 
 /** What the assignment of arrays and services works with. */
-export interface PartAssignmentOptions {
-  readonly limits: TeamLimits;
+export interface ShardAssignmentOptions {
+  readonly limits: TeamQuota;
   readonly history: AssignmentHistory;
   readonly distribution: TaskDistribution;
   readonly clock: Clock;
@@ -23,13 +23,13 @@
 }
 
 /** Assigns tasks of arrays and services whose turn it is. */
-export class PartAssignment {
-  constructor(private readonly options: PartAssignmentOptions) {}
+export class ShardAssignment {
+  constructor(private readonly options: ShardAssignmentOptions) {}
 
   /** Assigns tasks of a job, and records how many of them find no room. */
-  assign(job: OpenJob, round: AssignmentRound): void {
+  assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { history, limits } = this.options;
-    const allowed = this.allowedTasks(job, round.startedAt);
+    const allowed = this.allowedTasks(job, cycle.startedAt);
     if (allowed <= 0) {
       limits.noteWaiting(job);
       return;
@@ -39,22 +39,22 @@
     const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
     const short = recent
       ? Math.min(allowed, recent.short)
-      : this.assignAllowed(job, allowed, round);
-    if (short > 0) round.unmet.push({ spec: job.spec, count: short, at: job.at });
+      : this.assignAllowed(job, allowed, cycle);
+    if (short > 0) cycle.unmet.push({ spec: job.spec, count: short, at: job.at });
   }
 
   /** Assigns up to `allowed` tasks of a job; returns how many of them have no free room. */
-  private assignAllowed(job: OpenJob, allowed: number, round: AssignmentRound): number {
+  private assignAllowed(job: OpenJob, allowed: number, cycle: SchedulingCycle): number {
     const { distribution, history, limits } = this.options;
-    const { chunks, assigned, queued } = distribution.distribute(job, allowed, {
-      machines: this.usableMachines(job, round),
-      queues: round.queues,
+    const { assignments, assigned, queued } = distribution.distribute(job, allowed, {
+      machines: this.usableMachines(job, cycle),
+      queues: cycle.queues,
     });
-    round.chunks.push(...chunks);
-    if (isUrgent(job.spec)) for (const { key } of chunks) round.urgentKeys.add(key);
+    cycle.assignments.push(...assignments);
+    if (isUrgent(job.spec)) for (const { key } of assignments) cycle.urgentKeys.add(key);
     limits.use(job.spec, assigned);
     const unassigned = allowed - assigned;
-    if (assigned > 0) history.assigned(job.id, round.startedAt, unassigned);
+    if (assigned > 0) history.assigned(job.id, cycle.startedAt, unassigned);
     return unassigned + queued;
   }
 
@@ -62,26 +62,26 @@
   private allowedTasks(job: OpenJob, now: number): number {
     const { history, limits } = this.options;
     const { spec } = job;
-    const room = { ...limits.remaining(spec.team), memoryGb: 0 };
+    const free = { ...limits.remaining(spec.team), memoryGb: 0 };
     let wanted = job.overdue ? Math.ceil(spec.tasks * BEGIN_SHARE) : job.unassigned;
     // Lower work leaves some of its team's limit to urgent work, for which nothing else makes room
     // there. Where services fill all but this reserve, lower work would wait for ever in front of
     // free machines: after a while some of it may use the reserve.
     const task = { ...need(spec, 1), memoryGb: 0 };
     if (!isUrgent(spec)) {
-      const cpus = room.cpus - limits.urgentReserve(spec.team);
-      const blocked = fitCount({ ...room, cpus }, task) === 0;
+      const cpus = free.cpus - limits.urgentReserve(spec.team);
+      const blocked = fitCount({ ...free, cpus }, task) === 0;
       // Where the reserve is not what blocks a starved job, it has room like all others.
       if (history.isStarved(job, now) && blocked) {
         wanted = Math.min(wanted, Math.ceil(spec.tasks * STARVED_SHARE));
-      } else room.cpus = cpus;
+      } else free.cpus = cpus;
     }
-    return Math.min(wanted, fitCount(room, task));
+    return Math.min(wanted, fitCount(free, task));
   }
 
   /** Machines that a job may use: an array those reserved for a gang only after a while. */
-  private usableMachines(job: OpenJob, round: AssignmentRound): readonly MachineCapacity[] {
+  private usableMachines(job: OpenJob, cycle: SchedulingCycle): readonly MachineCapacity[] {
     const waitsLong = job.live === 0 && this.options.clock.wall() - job.at > KEPT_FROM_MS;
-    return job.spec.kind === 'array' && !waitsLong ? round.unreservedMachines : round.machines;
+    return job.spec.kind === 'array' && !waitsLong ? cycle.unreservedMachines : cycle.machines;
   }
 }
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -2,12 +2,12 @@
 
 import { QUEUE_REFILL, QUEUE_S } from '../../constants.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
-import { placeKey } from '../capacity/priorities.js';
+import { shardZoneKey } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
 /** What waits in a part beyond its free room, and what its machines finish meanwhile. */
 export interface Queue {
-  part: string;
+  shard: string;
   zone: string;
   waitingCpus: number;
   /** CPUs under lower work that end in a second, by the owners' estimates. */
@@ -20,10 +20,10 @@
   endingCpus: ReadonlyMap<string, number>,
 ): Map<string, Queue> {
   const queues = new Map<string, Queue>();
-  for (const { part, zone } of machines) {
-    const key = placeKey(part, zone);
+  for (const { shard: shard, zone } of machines) {
+    const key = shardZoneKey(shard, zone);
     if (queues.has(key)) continue;
-    queues.set(key, { part, zone, waitingCpus: 0, endingCpus: endingCpus.get(key) ?? 0 });
+    queues.set(key, { shard, zone, waitingCpus: 0, endingCpus: endingCpus.get(key) ?? 0 });
   }
   return queues;
 }
@@ -32,7 +32,7 @@
  * Tasks of a job that a part should get beyond its room: as many as end there in the next
  * seconds. A job that is overdue does not wait for the queue: the part takes the earliest first.
  */
-export function queueRoom(job: OpenJob, queue: Queue): number {
+export function queueCapacity(job: OpenJob, queue: Queue): number {
   const waitingCpus = job.overdue ? 0 : queue.waitingCpus;
   return Math.floor((queue.endingCpus * QUEUE_S - waitingCpus) / job.spec.cpus);
 }
@@ -40,9 +40,9 @@
 function mayRefill(job: OpenJob, queue: Queue): boolean {
   const { spec } = job;
   if (spec.zone !== null && spec.zone !== queue.zone) return false;
-  const room = queueRoom(job, queue);
-  if (room <= 0) return false;
-  return job.overdue || queue.waitingCpus <= room * spec.cpus * QUEUE_REFILL;
+  const free = queueCapacity(job, queue);
+  if (free <= 0) return false;
+  return job.overdue || queue.waitingCpus <= free * spec.cpus * QUEUE_REFILL;
 }
 
 /** Queues short enough to be refilled with a job, the shortest first: seldom, but with many tasks. */
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -3,11 +3,11 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { URGENT } from '../capacity/priorities.js';
-import { queueRoom, shortQueues, type Queue } from './shard-queues.js';
+import { queueCapacity, shortQueues, type Queue } from './shard-queues.js';
 import type { OpenJob } from './scheduling-order.js';
-import type { ChunkFactory, NewChunk, Place } from './assignment-factory.js';
-import { occupyPlace } from './capacity-allocation.js';
-import { findRooms } from './capacity-search.js';
+import type { AssignmentFactory, NewAssignment, ShardZone } from './assignment-factory.js';
+import { allocateInShardZone } from './capacity-allocation.js';
+import { findCapacity } from './capacity-search.js';
 import { ZoneLimits } from './zone-limits.js';
 
 /** What the tasks of a job are distributed over. */
@@ -19,7 +19,7 @@
 
 /** The result of distributing tasks of a job. */
 export interface DistributionResult {
-  readonly chunks: readonly NewChunk[];
+  readonly assignments: readonly NewAssignment[];
   /** Tasks that were assigned. */
   readonly assigned: number;
   /** Tasks among them that wait in their part until other tasks end. */
@@ -29,8 +29,8 @@
 /** Numbers of a job's tasks that are in no chunk, lowest first. */
 function unassignedIds({ id: job, spec }: OpenJob, replica: StoreReplica): number[] {
   const taken = new Uint8Array(spec.tasks);
-  for (const chunk of replica.chunksOf(job)) {
-    for (const id of chunk.ids) taken[id] = 1;
+  for (const assignment of replica.assignmentsOf(job)) {
+    for (const id of assignment.ids) taken[id] = 1;
   }
   const ids: number[] = [];
   for (let id = 0; id < spec.tasks; id++) if (taken[id] === 0) ids.push(id);
@@ -45,23 +45,23 @@
 
 /** Tasks of one job that are being assigned: how many are left, and the chunks created so far. */
 class TaskAllotment {
-  readonly chunks: NewChunk[] = [];
+  readonly assignments: NewAssignment[] = [];
 
   constructor(
     /** Tasks that may still be assigned. */
     public left: number,
     private readonly ids: number[],
     private readonly zones: ZoneLimits,
-    private readonly createChunks: (place: Place, ids: number[]) => NewChunk[],
+    private readonly createAssignments: (place: ShardZone, ids: number[]) => NewAssignment[],
   ) {}
 
   /** Assigns up to `most` tasks to a place, as its zone allows; returns how many. */
-  assign(place: Place, most: number): number {
+  assign(place: ShardZone, most: number): number {
     const count = Math.min(this.left, most, this.zones.remaining(place.zone));
     if (count <= 0) return 0;
     this.zones.use(place.zone, count);
     this.left -= count;
-    this.chunks.push(...this.createChunks(place, this.ids.splice(0, count)));
+    this.assignments.push(...this.createAssignments(place, this.ids.splice(0, count)));
     return count;
   }
 }
@@ -70,7 +70,7 @@
 export class TaskDistribution {
   constructor(
     private readonly replica: StoreReplica,
-    private readonly chunkFactory: ChunkFactory,
+    private readonly assignmentFactory: AssignmentFactory,
   ) {}
 
   /**
@@ -79,29 +79,29 @@
    */
   distribute(job: OpenJob, allowed: number, target: DistributionTarget): DistributionResult {
     const { spec } = job;
-    const rooms = findRooms(spec, allowed, target.machines);
+    const capacities = findCapacity(spec, allowed, target.machines);
     const queues = queuesFor(job, target.queues);
-    const queueRooms = queues.map((queue) => ({
+    const queueCapacities = queues.map((queue) => ({
       zone: queue.zone,
-      count: queueRoom(job, queue),
+      count: queueCapacity(job, queue),
     }));
     const allotment = new TaskAllotment(
       allowed,
       unassignedIds(job, this.replica),
-      new ZoneLimits(job, allowed, [...rooms, ...queueRooms], this.replica),
-      (place, ids) => this.chunkFactory.create(spec, place, ids),
+      new ZoneLimits(job, allowed, [...capacities, ...queueCapacities], this.replica),
+      (place, ids) => this.assignmentFactory.create(spec, place, ids),
     );
-    for (const room of rooms.sort((a, b) => b.count - a.count)) {
-      const count = allotment.assign(room, room.count);
-      if (count > 0) occupyPlace(spec, room, count, target.machines);
+    for (const capacity of capacities.sort((a, b) => b.count - a.count)) {
+      const count = allotment.assign(capacity, capacity.count);
+      if (count > 0) allocateInShardZone(spec, capacity, count, target.machines);
     }
     const leftForQueues = allotment.left;
     for (const queue of queues) {
-      const count = allotment.assign(queue, queueRoom(job, queue));
+      const count = allotment.assign(queue, queueCapacity(job, queue));
       queue.waitingCpus += count * spec.cpus;
     }
     return {
-      chunks: allotment.chunks,
+      assignments: allotment.assignments,
       assigned: allowed - allotment.left,
       queued: leftForQueues - allotment.left,
     };
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -5,7 +5,7 @@
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import { need, type Amounts } from '../capacity/machine-capacity.js';
-import type { Ledger, Usage } from '../capacity/capacity-accounting.js';
+import type { CapacityAccounting, Usage } from '../capacity/capacity-accounting.js';
 import { URGENT } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
@@ -13,22 +13,22 @@
 const SLACK = 1e-9;
 
 /** What the team limits are calculated from. */
-export interface TeamLimitsOptions {
+export interface TeamQuotaOptions {
   readonly teams: ReadonlyMap<string, Team>;
   readonly replica: StoreReplica;
-  readonly ledger: Ledger;
+  readonly accounting: CapacityAccounting;
   readonly log: Log;
 }
 
 /** The limits of all teams, and what is used of them. */
-export class TeamLimits {
+export class TeamQuota {
   private readonly used = new Map<string, Usage>();
   /** CPUs of each team's limit that its urgent work may want at any moment. */
   private urgentReserves: ReadonlyMap<string, number> = new Map();
   /** Jobs that came to wait for their team's limit: logged once each. */
   private readonly waitingJobs = new Set<string>();
 
-  constructor(private readonly options: TeamLimitsOptions) {}
+  constructor(private readonly options: TeamQuotaOptions) {}
 
   /** What each team uses, with what this round assigned. */
   get usage(): ReadonlyMap<string, Usage> {
@@ -36,9 +36,9 @@
   }
 
   /** Starts a round: counts what the teams use and what their urgent work may want. */
-  beginRound(): void {
+  beginCycle(): void {
     this.used.clear();
-    for (const [team, usage] of this.options.ledger.teams) this.used.set(team, { ...usage });
+    for (const [team, usage] of this.options.accounting.teams) this.used.set(team, { ...usage });
     this.urgentReserves = this.countUrgentReserves();
   }
 
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -1,17 +1,17 @@
 /** Occupies room for tasks that were assigned to a part earlier and still wait there. */
 import type { JobSpec } from '../../protocol/model.js';
-import type { ChunkSummary, JobRecord } from '../../storage/records.js';
+import type { AssignmentSummary, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import {
   fitCount,
   isEligible,
-  occupy,
+  allocateTasks,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
-import type { Ledger } from '../capacity/capacity-accounting.js';
-import { placeKey } from '../capacity/priorities.js';
-import type { AssignmentRound } from './assignment-round.js';
-import { occupyPlace } from './capacity-allocation.js';
+import type { CapacityAccounting } from '../capacity/capacity-accounting.js';
+import { shardZoneKey } from '../capacity/priorities.js';
+import type { SchedulingCycle } from './assignment-round.js';
+import { allocateInShardZone } from './capacity-allocation.js';
 
 /** Share of a place's machines that must have become full for its list to be shortened. */
 const FULL_SHARE = 1 / 4;
@@ -24,7 +24,7 @@
   const places = new Map<string, MachineCapacity[]>();
   for (const machine of machines) {
     if (machine.cpus <= 0) continue;
-    const key = placeKey(machine.part, machine.zone);
+    const key = shardZoneKey(machine.shard, machine.zone);
     const place = places.get(key);
     if (place) place.push(machine);
     else places.set(key, [machine]);
@@ -33,22 +33,22 @@
 }
 
 /** Occupies free room as the part's first fit will; returns how many tasks found none. */
-function occupyFirstFit(
+function allocateFirstFit(
   spec: JobSpec,
-  chunk: ChunkSummary,
+  assignment: AssignmentSummary,
   free: FreeMachines,
   reserved: ReadonlySet<string>,
 ): number {
-  const key = placeKey(chunk.part, chunk.zone);
+  const key = shardZoneKey(assignment.shard, assignment.zone);
   const machines = free.get(key) ?? [];
-  let left = chunk.waiting;
+  let left = assignment.waiting;
   let full = 0;
   for (const machine of machines) {
     if (left === 0) break;
     if (machine.cpus < spec.cpus || !isEligible(spec, machine)) continue;
     if (spec.kind === 'array' && reserved.has(machine.name)) continue;
     const count = Math.min(left, fitCount(machine, spec));
-    occupy(machine, spec, count);
+    allocateTasks(machine, spec, count);
     left -= count;
     if (machine.cpus <= 0) full++;
   }
@@ -64,31 +64,31 @@
 /** Occupies room to come for waiting tasks of a chunk, and records them as unmet demand. */
 function addUnmet(
   { spec, at }: JobRecord,
-  chunk: ChunkSummary,
+  assignment: AssignmentSummary,
   count: number,
-  round: AssignmentRound,
+  cycle: SchedulingCycle,
 ): void {
-  const isGang = chunk.attempt !== null;
+  const isGang = assignment.attempt !== null;
   // Its part reserves room to come for a gang: other jobs must not count on it.
-  if (isGang) occupyPlace(spec, chunk, count, round.machines);
-  const queue = round.queues.get(placeKey(chunk.part, chunk.zone));
+  if (isGang) allocateInShardZone(spec, assignment, count, cycle.machines);
+  const queue = cycle.queues.get(shardZoneKey(assignment.shard, assignment.zone));
   if (queue) queue.waitingCpus += count * spec.cpus;
   // A gang's machines must be where the rest of it has its room.
-  const demand = isGang && spec.oneZone ? { ...spec, zone: chunk.zone } : spec;
-  round.unmet.push({ spec: demand, count, at });
+  const demand = isGang && spec.oneZone ? { ...spec, zone: assignment.zone } : spec;
+  cycle.unmet.push({ spec: demand, count, at });
 }
 
 /** Occupies room for all waiting tasks of open jobs; those without free room join the queues. */
-export function occupyForWaitingTasks(
-  round: AssignmentRound,
-  ledger: Ledger,
+export function allocateForWaitingTasks(
+  cycle: SchedulingCycle,
+  accounting: CapacityAccounting,
   replica: StoreReplica,
 ): void {
-  const free = freeMachinesByPlace(round.machines);
-  for (const chunk of ledger.waiting.values()) {
-    const job = replica.job(chunk.job);
+  const free = freeMachinesByPlace(cycle.machines);
+  for (const assignment of accounting.waiting.values()) {
+    const job = replica.job(assignment.job);
     if (!job) continue;
-    const left = occupyFirstFit(job.spec, chunk, free, round.reserved);
-    if (left > 0) addUnmet(job, chunk, left, round);
+    const left = allocateFirstFit(job.spec, assignment, free, cycle.reserved);
+    if (left > 0) addUnmet(job, assignment, left, cycle);
   }
 }
--- a/src/coordination/leader/zone-limits.ts
+++ b/src/coordination/leader/zone-limits.ts
@@ -3,7 +3,7 @@
 import type { OpenJob } from './scheduling-order.js';
 
 /** Room for tasks of a job in a zone. */
-export interface ZoneRoom {
+export interface ZoneCapacity {
   readonly zone: string;
   readonly count: number;
 }
@@ -11,27 +11,27 @@
 /** Tasks of a job that are assigned and not done, by zone. */
 function activeTasks(job: string, replica: StoreReplica): Map<string, number> {
   const active = new Map<string, number>();
-  for (const chunk of replica.chunksOf(job)) {
-    const count = chunk.ids.length - chunk.done;
-    if (count > 0) active.set(chunk.zone, (active.get(chunk.zone) ?? 0) + count);
+  for (const assignment of replica.assignmentsOf(job)) {
+    const count = assignment.ids.length - assignment.done;
+    if (count > 0) active.set(assignment.zone, (active.get(assignment.zone) ?? 0) + count);
   }
   return active;
 }
 
-function roomByZone(rooms: readonly ZoneRoom[]): Map<string, number> {
+function capacityByZone(free: readonly ZoneCapacity[]): Map<string, number> {
   const sums = new Map<string, number>();
-  for (const { zone, count } of rooms) sums.set(zone, (sums.get(zone) ?? 0) + count);
+  for (const { zone, count } of free) sums.set(zone, (sums.get(zone) ?? 0) + count);
   return sums;
 }
 
 /** The zone of a job that must have one: where tasks of it are, or where it has the most room. */
 function onlyZone(
   active: ReadonlyMap<string, number>,
-  rooms: ReadonlyMap<string, number>,
+  free: ReadonlyMap<string, number>,
 ): string | undefined {
   const settled = active.keys().next();
   if (!settled.done) return settled.value;
-  const [best] = [...rooms].sort(([, a], [, b]) => b - a);
+  const [best] = [...free].sort(([, a], [, b]) => b - a);
   return best?.[0];
 }
 
@@ -39,10 +39,10 @@
 export class ZoneLimits {
   private readonly limits = new Map<string, number>();
 
-  constructor(job: OpenJob, allowed: number, rooms: readonly ZoneRoom[], replica: StoreReplica) {
+  constructor(job: OpenJob, allowed: number, free: readonly ZoneCapacity[], replica: StoreReplica) {
     const { spec } = job;
     const active = activeTasks(job.id, replica);
-    const sums = roomByZone(rooms);
+    const sums = capacityByZone(free);
     const most = Math.ceil(spec.tasks / 2);
     for (const zone of sums.keys()) {
       this.limits.set(zone, spec.spread ? most - (active.get(zone) ?? 0) : allowed);
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -39,7 +39,7 @@
 /** Stands for the number of further records while it is not known: the widest there may be. */
 const FURTHER_MOST = 9999;
 
-const round = (value: number): number => Number(value.toPrecision(5));
+const roundForStorage = (value: number): number => Number(value.toPrecision(5));
 
 /**
  * LinUCB over machine types, as the design says: context = class one-hot (the classes past the cap
@@ -136,10 +136,10 @@
     for (let row = 0; row < this.size; row++) {
       for (let column = 0; column <= row; column++) {
         const value = arm.design.get(row, column);
-        if (value !== 0) record.a.push([row, column, round(value)]);
+        if (value !== 0) record.a.push([row, column, roundForStorage(value)]);
       }
       const value = arm.response.get(row, 0);
-      if (value !== 0) record.b.push([row, round(value)]);
+      if (value !== 0) record.b.push([row, roundForStorage(value)]);
     }
     if (bytesOf(record) <= maxBytes) return [record];
     const main = this.mainOf(record, maxBytes, stamp);
@@ -215,7 +215,7 @@
   });
   const records = [empty()];
   let bytes = bytesOf(empty());
-  const room = (item: unknown): ReturnType<typeof empty> => {
+  const free = (item: unknown): ReturnType<typeof empty> => {
     const size = bytesOf(item) + 1;
     let record = records[records.length - 1] ?? empty();
     if (bytes + size > maxBytes) {
@@ -225,9 +225,9 @@
     bytes += size;
     return record;
   };
-  for (const one of rest.moreClasses) room(one).moreClasses.push(one);
-  for (const one of rest.moreB) room(one).moreB.push(one);
-  for (const one of rest.moreA) room(one).moreA.push(one);
+  for (const one of rest.moreClasses) free(one).moreClasses.push(one);
+  for (const one of rest.moreB) free(one).moreB.push(one);
+  for (const one of rest.moreA) free(one).moreA.push(one);
   return records;
 }
 
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -4,14 +4,14 @@
 import { isEligible } from '../capacity/machine-capacity.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
-import { take, type Room } from '../capacity/resources.js';
+import { allocate, type Resources } from '../capacity/resources.js';
 import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
 
 /** A machine that may take tasks, and what is left of it in this round. */
 export interface Candidate {
   machine: Machine;
   /** The room that is left on it. */
-  room: Room;
+  free: Resources;
   /** Whether it holds no tasks. */
   empty: boolean;
   /** Its room is reserved for a gang that does not fit yet. */
@@ -30,20 +30,20 @@
 export function listCandidates(machines: Machines, tasks: Tasks): Candidate[] {
   const candidates: Candidate[] = [];
   for (const machine of machines.inOrder()) {
-    if (machine.closing || !machines.usable(machine)) continue;
+    if (machine.isConsolidating || !machines.isSchedulable(machine)) continue;
     if (machines.health(machine) !== 'ok') continue;
-    const room = machines.capacity(machine.type);
+    const free = machines.capacity(machine.type);
     const placed = tasks.on(machine.name);
-    for (const [slot, chunk] of placed) if (!slot.halting) take(room, chunk.record);
+    for (const [slot, assignment] of placed) if (!slot.halting) allocate(free, assignment.record);
     const empty = placed.size === 0;
-    candidates.push({ machine, room, empty, reserved: false, excludesArrays: false });
+    candidates.push({ machine, free, empty, reserved: false, excludesArrays: false });
   }
   return candidates;
 }
 
 /** Whether tasks of a chunk may run on a machine: in its zone, and as its job's user allows. */
-export function mayRunOn(machine: Machine, spec: JobSpec, chunk: Chunk): boolean {
-  return machine.zone === chunk.record.zone && isEligible(spec, machine);
+export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Chunk): boolean {
+  return machine.zone === assignment.record.zone && isEligible(spec, machine);
 }
 
 /** Queued and running tasks by machine type. */
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -10,7 +10,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
 import type { Machines } from '../shard-state/machines.js';
-import { fits, take } from '../capacity/resources.js';
+import { fits, allocate } from '../capacity/resources.js';
 import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
 
 /** What consolidation reads and writes. */
@@ -24,7 +24,7 @@
 /** Room for one task that is taken on another machine. */
 interface Reservation {
   candidate: Candidate;
-  chunk: Chunk;
+  assignment: Chunk;
 }
 
 /** Whether a task ran long enough for its start to have been worth it. */
@@ -53,7 +53,7 @@
     const emptied = new Set<string>();
     if (tasks.waiting.size > 0 || now < this.nextAt) return emptied;
     this.nextAt = now + CONSOLIDATE_MS;
-    for (const machine of machines.all.values()) machine.closing = false;
+    for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ empty }) => !empty);
     used.sort((a, b) => this.useOf(a) - this.useOf(b));
     const most = Math.max(1, Math.round(used.length * CONSOLIDATE_SHARE));
@@ -68,53 +68,57 @@
   private empty({ machine }: Candidate, others: readonly Candidate[]): boolean {
     const { tasks, log } = this.dependencies;
     const placed = [...tasks.on(machine.name)];
-    if (!placed.every(([slot, chunk]) => this.mayMove(slot, chunk)) || placed.length === 0) {
+    if (
+      !placed.every(([slot, assignment]) => this.mayMove(slot, assignment)) ||
+      placed.length === 0
+    ) {
       return false;
     }
-    const targets = others.filter((other) => !other.machine.closing);
-    const chunks = placed.map(([, chunk]) => chunk);
-    if (!this.reserveRoom(chunks, targets)) return false;
-    machine.closing = true;
+    const targets = others.filter((other) => !other.machine.isConsolidating);
+    const assignments = placed.map(([, assignment]) => assignment);
+    if (!this.reserveCapacity(assignments, targets)) return false;
+    machine.isConsolidating = true;
     for (const [slot] of placed) slot.halting = true;
     log.info({ machine: machine.name, tasks: placed.length }, 'moving services away');
     return true;
   }
 
-  private mayMove(slot: Slot, chunk: Chunk): boolean {
-    const isService = this.job(chunk.job)?.spec.kind === 'service';
+  private mayMove(slot: Slot, assignment: Chunk): boolean {
+    const isService = this.job(assignment.job)?.spec.kind === 'service';
     return isService && isSettled(slot, this.dependencies.clock) && !slot.halting;
   }
 
   /** Takes room for one task of each of these chunks on other machines; false: for none of them. */
-  private reserveRoom(chunks: readonly Chunk[], targets: readonly Candidate[]): boolean {
+  private reserveCapacity(assignments: readonly Chunk[], targets: readonly Candidate[]): boolean {
     const reservations: Reservation[] = [];
-    for (const chunk of chunks) {
-      const candidate = this.targetFor(chunk, targets);
+    for (const assignment of assignments) {
+      const candidate = this.targetFor(assignment, targets);
       if (!candidate) {
-        for (const taken of reservations) take(taken.candidate.room, taken.chunk.record, -1);
+        for (const taken of reservations)
+          allocate(taken.candidate.free, taken.assignment.record, -1);
         return false;
       }
-      take(candidate.room, chunk.record);
-      reservations.push({ candidate, chunk });
+      allocate(candidate.free, assignment.record);
+      reservations.push({ candidate, assignment });
     }
     return true;
   }
 
   /** The first machine with room for a task and with its image. */
-  private targetFor(chunk: Chunk, targets: readonly Candidate[]): Candidate | undefined {
-    const spec = this.job(chunk.job)?.spec;
+  private targetFor(assignment: Chunk, targets: readonly Candidate[]): Candidate | undefined {
+    const spec = this.job(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
-      ({ machine, room }) =>
-        fits(room, chunk.record) &&
-        mayRunOn(machine, spec, chunk) &&
+      ({ machine, free: free }) =>
+        fits(free, assignment.record) &&
+        mayRunOn(machine, spec, assignment) &&
         machine.images.has(spec.image),
     );
   }
 
   /** Share of a machine's CPUs in use. */
-  private useOf({ machine, room }: Candidate): number {
+  private useOf({ machine, free: free }: Candidate): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
-    return cpus > 0 ? 1 - room.cpus / cpus : 1;
+    return cpus > 0 ? 1 - free.cpus / cpus : 1;
   }
 }
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -7,7 +7,7 @@
 import { fitCount } from '../capacity/machine-capacity.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Preemption } from './preemption.js';
-import { fits, take, type Room } from '../capacity/resources.js';
+import { fits, allocate, type Resources } from '../capacity/resources.js';
 import type { Chunk } from '../shard-state/tasks.js';
 
 /** When the machines have a gang's image. */
@@ -21,7 +21,7 @@
 /** A part's share of a gang and what it may use. */
 export interface GangRequest {
   spec: JobSpec;
-  chunk: Chunk;
+  assignment: Chunk;
   candidates: readonly Candidate[];
   /** The machine types among the candidates, the best first. */
   types: readonly string[];
@@ -37,7 +37,7 @@
 /** A machine while room is made on it: what is left, what may be stopped, and what will be. */
 interface MachineState {
   candidate: Candidate;
-  room: Room;
+  free: Resources;
   stoppable: Victim[];
   victims: Victim[];
 }
@@ -93,39 +93,43 @@
   }
 
   private findAmong(
-    { spec, chunk }: GangRequest,
+    { spec, assignment: assignment }: GangRequest,
     candidates: readonly Candidate[],
     types: readonly string[],
   ): GangLayout | null {
     const groups = types.map((type) => candidates.filter(({ machine }) => machine.type === type));
     if (types.length > 1) groups.push([...candidates]);
     for (const group of groups) {
-      const layout = inFreeRoom(spec, chunk, group);
+      const layout = inFreeCapacity(spec, assignment, group);
       if (layout) return layout;
     }
     for (const group of groups) {
-      const layout = this.byStopping(spec, chunk, group);
+      const layout = this.byStopping(spec, assignment, group);
       if (layout) return layout;
     }
     return null;
   }
 
   /** Free room, and room made by stopping as few other tasks as will do. */
-  private byStopping(spec: JobSpec, chunk: Chunk, group: readonly Candidate[]): GangLayout | null {
-    const allowance = new Map(Object.entries(this.reclaimOf(chunk)));
+  private byStopping(
+    spec: JobSpec,
+    assignment: Chunk,
+    group: readonly Candidate[],
+  ): GangLayout | null {
+    const allowance = new Map(Object.entries(this.reclaimOf(assignment)));
     const rights: StopRights = { rank: rankOf(spec.priority), allowance };
     const states = group.map((candidate) => ({
       candidate,
-      room: { ...candidate.room },
+      free: { ...candidate.free },
       stoppable: this.preemption.victims(candidate, rights.rank, allowance),
       victims: [],
     }));
     const places: Candidate[] = [];
-    while (places.length < chunk.waiting.size) {
-      const option = this.cheapestOption(states, chunk.record, rights);
+    while (places.length < assignment.waiting.size) {
+      const option = this.cheapestOption(states, assignment.record, rights);
       if (!option) return null;
       this.applyOption(option, rights);
-      take(option.state.room, chunk.record);
+      allocate(option.state.free, assignment.record);
       places.push(option.state.candidate);
     }
     const victims = new Map<Candidate, Victim[]>();
@@ -138,7 +142,7 @@
   /** The first of the machines on which room for one more task costs the least; null: none. */
   private cheapestOption(
     states: readonly MachineState[],
-    task: Room,
+    task: Resources,
     rights: StopRights,
   ): StopOption | null {
     let cheapest: StopOption | null = null;
@@ -152,31 +156,31 @@
   }
 
   /** The first tasks on a machine whose end makes room for one more task; null: none do. */
-  private optionOn(state: MachineState, task: Room, rights: StopRights): StopOption | null {
-    const room = { ...state.room };
+  private optionOn(state: MachineState, task: Resources, rights: StopRights): StopOption | null {
+    const free = { ...state.free };
     const claimedCpus = new Map<string, number>();
     const victims: Victim[] = [];
     let cost = 0;
     for (const victim of state.stoppable) {
-      if (fits(room, task)) break;
+      if (fits(free, task)) break;
       const { record } = victim[1];
       if (!this.ranksBelow(victim, rights.rank)) {
         const cpus = (claimedCpus.get(record.team) ?? 0) + record.cpus;
         if (cpus > (rights.allowance.get(record.team) ?? 0) + ROUNDING_SLACK) continue;
         claimedCpus.set(record.team, cpus);
       }
-      take(room, record, -1);
+      allocate(free, record, -1);
       cost += this.preemption.costOf(victim);
       victims.push(victim);
     }
-    return fits(room, task) ? { state, victims, cost } : null;
+    return fits(free, task) ? { state, victims, cost } : null;
   }
 
   /** Moves the victims of an option out of the machine's room and off the allowance. */
   private applyOption({ state, victims }: StopOption, { rank, allowance }: StopRights): void {
     for (const victim of victims) {
       const { record } = victim[1];
-      take(state.room, record, -1);
+      allocate(state.free, record, -1);
       state.victims.push(victim);
       if (this.ranksBelow(victim, rank)) continue;
       allowance.set(record.team, (allowance.get(record.team) ?? 0) - record.cpus);
@@ -184,38 +188,46 @@
     state.stoppable = state.stoppable.filter((victim) => !victims.includes(victim));
   }
 
-  private ranksBelow([, chunk]: Victim, rank: number): boolean {
-    const spec = this.job(chunk.job)?.spec;
+  private ranksBelow([, assignment]: Victim, rank: number): boolean {
+    const spec = this.job(assignment.job)?.spec;
     return spec !== undefined && rankOf(spec.priority) < rank;
   }
 
   /** CPUs of other teams' arrays that a gang may stop: only for a moment after it was handed out. */
-  private reclaimOf(chunk: Chunk): Record<string, number> {
-    const [first] = chunk.waiting;
+  private reclaimOf(assignment: Chunk): Record<string, number> {
+    const [first] = assignment.waiting;
     const recent = first !== undefined && this.clock.now() - first.pendingSince < CLAIM_VALID_MS;
-    return recent ? (chunk.record.reclaim ?? {}) : {};
+    return recent ? (assignment.record.reclaim ?? {}) : {};
   }
 }
 
 /** A layout that stops nothing; null: there is not enough free room. */
-function inFreeRoom(spec: JobSpec, chunk: Chunk, group: readonly Candidate[]): GangLayout | null {
+function inFreeCapacity(
+  spec: JobSpec,
+  assignment: Chunk,
+  group: readonly Candidate[],
+): GangLayout | null {
   const hasImage = ({ machine }: Candidate): boolean => machine.images.has(spec.image);
-  const worth = (candidate: Candidate): number =>
+  const freshness = (candidate: Candidate): number =>
     (candidate.machine.spot ? 0 : 4) + (hasImage(candidate) ? 2 : 0) + (candidate.empty ? 0 : 1);
-  const sorted = [...group].sort((a, b) => worth(b) - worth(a));
+  const sorted = [...group].sort((a, b) => freshness(b) - freshness(a));
   // All wait for the last fetch, so images help most where every machine has it.
   for (const some of [sorted.filter(hasImage), sorted]) {
-    const places = fill(some, chunk.record, chunk.waiting.size);
+    const places = fill(some, assignment.record, assignment.waiting.size);
     if (places) return { places, victims: new Map() };
   }
   return null;
 }
 
 /** The machines for so many tasks, filling one after the other; null: they have less room. */
-function fill(candidates: readonly Candidate[], task: Room, tasks: number): Candidate[] | null {
+function fill(
+  candidates: readonly Candidate[],
+  task: Resources,
+  tasks: number,
+): Candidate[] | null {
   const places: Candidate[] = [];
   for (const candidate of candidates) {
-    const count = Math.min(tasks - places.length, fitCount(candidate.room, task));
+    const count = Math.min(tasks - places.length, fitCount(candidate.free, task));
     for (let at = 0; at < count; at++) places.push(candidate);
     if (places.length === tasks) return places;
   }
