--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { Candidate, JobLookup } from './candidates.js';
 import { fitCount } from '../capacity/machine-capacity.js';
-import { take, type Room } from '../capacity/resources.js';
+import { allocate, type Resources } from '../capacity/resources.js';
 import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
 /** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
@@ -28,40 +28,40 @@
   }
 
   /** Reserves room where a gang will fit once arrays there have ended; false: nowhere. */
-  reserve(chunk: Chunk, candidates: readonly Candidate[]): boolean {
-    const tasks = chunk.waiting.size;
+  reserve(assignment: Chunk, candidates: readonly Candidate[]): boolean {
+    const tasks = assignment.waiting.size;
     // More than it needs, since it waits for what ends first, not for all that runs there now.
-    const { selected, room } = this.select(chunk.record, candidates, tasks * GANG_KEEP_TIMES);
+    const { selected, free } = this.select(assignment.record, candidates, tasks * GANG_KEEP_TIMES);
     // Where it will not fit in any case, it delays no other work.
-    if (room < tasks) return false;
+    if (free < tasks) return false;
     for (const candidate of selected) candidate.reserved = true;
     return true;
   }
 
   /** The machines with the most room for such tasks, up to so many tasks, and how many fit there. */
   private select(
-    task: Room,
+    task: Resources,
     candidates: readonly Candidate[],
     tasks: number,
-  ): { selected: Candidate[]; room: number } {
+  ): { selected: Candidate[]; free: number } {
     const fits = candidates.map((candidate) => this.fitOn(candidate, task));
     fits.sort((a, b) => b.now - a.now || b.later - a.later);
     const selected: Candidate[] = [];
-    let room = 0;
+    let free = 0;
     for (const { candidate, later } of fits) {
-      if (room >= tasks) break;
+      if (free >= tasks) break;
       if (later === 0) continue;
       selected.push(candidate);
-      room += later;
+      free += later;
     }
-    return { selected, room };
+    return { selected, free };
   }
 
-  private fitOn(candidate: Candidate, task: Room): CandidateFit {
-    const later = { ...candidate.room };
-    for (const [, chunk] of this.tasks.on(candidate.machine.name)) {
-      if (this.job(chunk.job)?.spec.kind === 'array') take(later, chunk.record, -1);
+  private fitOn(candidate: Candidate, task: Resources): CandidateFit {
+    const later = { ...candidate.free };
+    for (const [, assignment] of this.tasks.on(candidate.machine.name)) {
+      if (this.job(assignment.job)?.spec.kind === 'array') allocate(later, assignment.record, -1);
     }
-    return { candidate, now: fitCount(candidate.room, task), later: fitCount(later, task) };
+    return { candidate, now: fitCount(candidate.free, task), later: fitCount(later, task) };
   }
 }
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -6,7 +6,7 @@
 import type { Candidate } from './candidates.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
-import { fits, type Room } from '../capacity/resources.js';
+import { fits, type Resources } from '../capacity/resources.js';
 
 /** What the choice of a machine depends on beside the task. */
 export interface MachineChoiceOptions {
@@ -42,11 +42,11 @@
   /** The ordinary path of the design: the bandit picks the type, first fit in fixed order fills it. */
   choose(
     spec: JobSpec,
-    task: Room,
+    task: Resources,
     candidates: readonly Candidate[],
     load: Load,
   ): Candidate | null {
-    const free = candidates.filter(({ room }) => fits(room, task));
+    const free = candidates.filter(({ free: free }) => fits(free, task));
     if (free.length === 0) return null;
     // Work with an aim for its start goes where its image is there in time, if that is anywhere.
     const quick = free.filter(({ machine }) => this.fetchesInTime(machine, spec));
@@ -110,10 +110,10 @@
   let chosenWorth = -1;
   for (const candidate of candidates) {
     const hasImage = candidate.machine.images.has(spec.image);
-    const worth = (hasImage ? 2 : 0) + (candidate.empty ? 0 : 1);
-    if (worth > chosenWorth || (worth === chosenWorth && spec.kind === 'array')) {
+    const freshness = (hasImage ? 2 : 0) + (candidate.empty ? 0 : 1);
+    if (freshness > chosenWorth || (freshness === chosenWorth && spec.kind === 'array')) {
       chosen = candidate;
-      chosenWorth = worth;
+      chosenWorth = freshness;
     }
   }
   return chosen;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Candidate, JobLookup, Victim } from './candidates.js';
 import { isSettled } from './consolidation.js';
-import { fits, take, type Room } from '../capacity/resources.js';
+import { fits, allocate, type Resources } from '../capacity/resources.js';
 import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
 /** What decides whether a task may be stopped for other work. */
@@ -15,7 +15,7 @@
   /** Whether a job waited long to begin and none of its tasks has ended yet. */
   beganLate: (id: string) => boolean;
   /** Whether a gang may be stopped for other work. */
-  mayStopGang: (chunk: Chunk) => boolean;
+  mayStopGang: (assignment: Chunk) => boolean;
 }
 
 /** What preemption reads and writes. */
@@ -46,9 +46,9 @@
    * Makes room for one task where that costs the least; returns that machine, or null if none has
    * enough to stop. Adds machines on which tasks must now be stopped to `stopped`.
    */
-  makeRoom(
+  preemptFor(
     spec: JobSpec,
-    task: Room,
+    task: Resources,
     candidates: readonly Candidate[],
     stopped: Set<string>,
   ): Candidate | null {
@@ -65,15 +65,15 @@
   }
 
   /** The first tasks on a machine whose end makes room for one task; null: that is not enough. */
-  private plan(spec: JobSpec, task: Room, candidate: Candidate): PreemptionPlan | null {
-    const room = { ...candidate.room };
+  private plan(spec: JobSpec, task: Resources, candidate: Candidate): PreemptionPlan | null {
+    const free = { ...candidate.free };
     const victims: Victim[] = [];
     for (const victim of this.victims(candidate, rankOf(spec.priority))) {
-      if (fits(room, task)) break;
-      take(room, victim[1].record, -1);
+      if (fits(free, task)) break;
+      allocate(free, victim[1].record, -1);
       victims.push(victim);
     }
-    if (!fits(room, task)) return null;
+    if (!fits(free, task)) return null;
     // The fetch of an image can take as long as an urgent start may; stopped tasks only lose work.
     const cost =
       victims.reduce((sum, victim) => sum + this.costOf(victim), 0) +
@@ -100,24 +100,24 @@
   }
 
   private mayStop(
-    [slot, chunk]: Victim,
+    [slot, assignment]: Victim,
     rank: number,
     teams: ReadonlyMap<string, number>,
   ): boolean {
     const { job, beganLate, mayStopGang } = this.rules;
-    const spec = slot.halting ? null : job(chunk.job)?.spec;
+    const spec = slot.halting ? null : job(assignment.job)?.spec;
     if (!spec) return false;
     // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
-    if (!isSettled(slot, this.dependencies.clock) && beganLate(chunk.job)) return false;
-    if (chunk.record.attempt !== undefined && !mayStopGang(chunk)) return false;
+    if (!isSettled(slot, this.dependencies.clock) && beganLate(assignment.job)) return false;
+    if (assignment.record.attempt !== undefined && !mayStopGang(assignment)) return false;
     if (rankOf(spec.priority) < rank) return true;
     return spec.kind === 'array' && teams.has(spec.team);
   }
 
   /** How many tasks are stopped with a victim: of a gang all, wherever they run. */
-  costOf([, chunk]: Victim): number {
-    if (chunk.record.attempt === undefined) return 1;
-    return (this.rules.job(chunk.job)?.spec.tasks ?? chunk.slots.size) + 1;
+  costOf([, assignment]: Victim): number {
+    if (assignment.record.attempt === undefined) return 1;
+    return (this.rules.job(assignment.job)?.spec.tasks ?? assignment.slots.size) + 1;
   }
 
   /** Stops tasks on a machine for a job; adds the machine to `stopped`. */
@@ -128,13 +128,13 @@
     stopped: Set<string>,
   ): void {
     const { tasks, log } = this.dependencies;
-    for (const [slot, chunk] of victims) {
-      take(candidate.room, chunk.record, -1);
+    for (const [slot, assignment] of victims) {
+      allocate(candidate.free, assignment.record, -1);
       // All of a gang is stopped together: see `GangShares.reconcile`, in the same round.
-      if (chunk.record.attempt !== undefined) chunk.broken = true;
+      if (assignment.record.attempt !== undefined) assignment.broken = true;
       // What was never committed was never sent either.
-      if (!tasks.committed(chunk, slot)) tasks.requeue(chunk, slot);
-      else if (chunk.record.attempt === undefined) slot.halting = true;
+      if (!tasks.committed(assignment, slot)) tasks.requeue(assignment, slot);
+      else if (assignment.record.attempt === undefined) slot.halting = true;
     }
     if (victims.length === 0) return;
     const machine = candidate.machine.name;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,6 +1,6 @@
 /** One part's rounds of placing: waiting tasks go to machines, in the order of their priorities. */
 
-import { ATTEMPT_PARTS, ATTEMPT_STEP, FETCH_SLOWEST } from '../../constants.js';
+import { SHARDS_PER_TERM, ATTEMPT_STEP, FETCH_SLOWEST } from '../../constants.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -13,12 +13,12 @@
 import { MachineChoice, type MachineChoiceOptions } from './machine-choice.js';
 import type { Machines } from '../shard-state/machines.js';
 import { Preemption, type PreemptionRules } from './preemption.js';
-import { take } from '../capacity/resources.js';
+import { allocate } from '../capacity/resources.js';
 import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
 /** What placing needs of its part, beside tasks and machines. */
-export interface PlacingOptions extends MachineChoiceOptions, PreemptionRules {
+export interface SchedulerOptions extends MachineChoiceOptions, PreemptionRules {
   /** The part's number and the term of its owner; both are in the attempt numbers. */
   number: number;
   term: number;
@@ -33,7 +33,7 @@
 }
 
 /** What placing reads and writes. */
-export interface PlacingDependencies {
+export interface SchedulerDependencies {
   tasks: Tasks;
   machines: Machines;
   bandit: Bandit;
@@ -42,13 +42,13 @@
 }
 
 /** A chunk with tasks that wait for a place, and its job's description. */
-interface WaitingChunk {
-  chunk: Chunk;
+interface WaitingAssignment {
+  assignment: Chunk;
   spec: JobSpec;
 }
 
 /** The state of one round. */
-interface Round {
+interface SchedulingCycle {
   /** All machines that may take tasks; their room shrinks with each placement. */
   candidates: readonly Candidate[];
   /** The gang for which some room is reserved against arrays. */
@@ -62,7 +62,7 @@
 }
 
 /** Decides where a part's waiting tasks go. */
-export class Placing {
+export class Scheduler {
   private readonly attempts: TermNumbers;
   private readonly choice: MachineChoice;
   private readonly preemption: Preemption;
@@ -71,11 +71,11 @@
   private readonly consolidation: Consolidation;
 
   constructor(
-    private readonly options: PlacingOptions,
-    private readonly dependencies: PlacingDependencies,
+    private readonly options: SchedulerOptions,
+    private readonly dependencies: SchedulerDependencies,
   ) {
     const { tasks, machines, bandit, clock } = dependencies;
-    const range = options.term * ATTEMPT_PARTS + options.number;
+    const range = options.term * SHARDS_PER_TERM + options.number;
     this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
     this.choice = new MachineChoice(options, machines, bandit);
     this.preemption = new Preemption(options, dependencies);
@@ -96,23 +96,24 @@
 
   /** Places what waits; returns the machines on which tasks must now be stopped. */
   place(): Set<string> {
-    const waiting = this.waitingChunks();
+    const waiting = this.waitingAssignments();
     if (waiting.length === 0) return new Set();
-    const round = this.startRound();
+    const cycle = this.startCycle();
     let short = false;
     for (const entry of waiting) {
-      const open = this.openTo(entry, round);
-      const isGang = entry.chunk.record.attempt !== undefined;
+      const open = this.openTo(entry, cycle);
+      const isGang = entry.assignment.record.attempt !== undefined;
       const placed = isGang
-        ? this.placeShare(entry, open, round)
-        : this.placeTasks(entry, open, round);
+        ? this.placeShare(entry, open, cycle)
+        : this.placeTasks(entry, open, cycle);
       if (!placed) short = true;
     }
     // Room is short: a machine that was being emptied is needed after all.
     if (short) {
-      for (const machine of this.dependencies.machines.all.values()) machine.closing = false;
+      for (const machine of this.dependencies.machines.all.values())
+        machine.isConsolidating = false;
     }
-    return round.stopped;
+    return cycle.stopped;
   }
 
   /**
@@ -120,20 +121,21 @@
    * deadline, jobs that can't meet theirs would pass all others here, and one whose turn came late
    * would be passed until it is given back.
    */
-  private waitingChunks(): WaitingChunk[] {
-    const waiting: WaitingChunk[] = [];
-    for (const chunk of this.dependencies.tasks.waiting) {
-      const job = this.options.job(chunk.job);
-      if (!job || this.options.pauses(chunk.job)) continue;
-      waiting.push({ chunk, spec: job.spec });
+  private waitingAssignments(): WaitingAssignment[] {
+    const waiting: WaitingAssignment[] = [];
+    for (const assignment of this.dependencies.tasks.waiting) {
+      const job = this.options.job(assignment.job);
+      if (!job || this.options.pauses(assignment.job)) continue;
+      waiting.push({ assignment, spec: job.spec });
     }
     return waiting.sort(
       (a, b) =>
-        rankOf(b.spec.priority) - rankOf(a.spec.priority) || a.chunk.number - b.chunk.number,
+        rankOf(b.spec.priority) - rankOf(a.spec.priority) ||
+        a.assignment.number - b.assignment.number,
     );
   }
 
-  private startRound(): Round {
+  private startCycle(): SchedulingCycle {
     const { machines, tasks } = this.dependencies;
     const candidates = listCandidates(machines, tasks);
     const nextGang = this.options.nextGang();
@@ -149,35 +151,42 @@
 
   private lowestRank(): number {
     let lowest = Infinity;
-    for (const chunk of this.dependencies.tasks.chunks.values()) {
-      if (chunk.placed === 0) continue;
-      const spec = this.options.job(chunk.job)?.spec;
+    for (const assignment of this.dependencies.tasks.assignments.values()) {
+      if (assignment.placed === 0) continue;
+      const spec = this.options.job(assignment.job)?.spec;
       if (spec) lowest = Math.min(lowest, rankOf(spec.priority));
     }
     return lowest;
   }
 
   /** The machines that a chunk may use, less those whose room is reserved for gangs. */
-  private openTo({ chunk, spec }: WaitingChunk, round: Round): Candidate[] {
+  private openTo(
+    { assignment: assignment, spec }: WaitingAssignment,
+    cycle: SchedulingCycle,
+  ): Candidate[] {
     const isExcluded =
-      round.nextGang !== null && spec.kind === 'array' && !this.options.waitsLong(chunk.job);
-    return round.candidates.filter(
+      cycle.nextGang !== null && spec.kind === 'array' && !this.options.waitsLong(assignment.job);
+    return cycle.candidates.filter(
       ({ machine, reserved, excludesArrays }) =>
-        !reserved && !(excludesArrays && isExcluded) && mayRunOn(machine, spec, chunk),
+        !reserved && !(excludesArrays && isExcluded) && mayRunOn(machine, spec, assignment),
     );
   }
 
   /** Places tasks one by one; false: there is no room for some. */
-  private placeTasks(entry: WaitingChunk, open: readonly Candidate[], round: Round): boolean {
-    const { chunk, spec } = entry;
-    for (const slot of [...chunk.waiting]) {
-      let target = this.choice.choose(spec, chunk.record, open, round.load);
-      if (!target && rankOf(spec.priority) > round.lowestRank) {
-        target = this.preemption.makeRoom(spec, chunk.record, open, round.stopped);
+  private placeTasks(
+    entry: WaitingAssignment,
+    open: readonly Candidate[],
+    cycle: SchedulingCycle,
+  ): boolean {
+    const { assignment: assignment, spec } = entry;
+    for (const slot of [...assignment.waiting]) {
+      let target = this.choice.choose(spec, assignment.record, open, cycle.load);
+      if (!target && rankOf(spec.priority) > cycle.lowestRank) {
+        target = this.preemption.preemptFor(spec, assignment.record, open, cycle.stopped);
       }
       // No room for one task of a chunk is none for the others: they are alike.
       if (!target) return false;
-      this.assign(entry, slot, target, round);
+      this.assign(entry, slot, target, cycle);
     }
     return true;
   }
@@ -186,35 +195,39 @@
    * All tasks of a gang's share at once, under the attempt that the leader gave it; or none: then
    * room is reserved for it. False: there was no room.
    */
-  private placeShare(entry: WaitingChunk, open: readonly Candidate[], round: Round): boolean {
-    const { chunk, spec } = entry;
-    if (chunk.broken || chunk.placed > 0) return true;
-    const layout = this.layOut(entry, open, round);
+  private placeShare(
+    entry: WaitingAssignment,
+    open: readonly Candidate[],
+    cycle: SchedulingCycle,
+  ): boolean {
+    const { assignment: assignment, spec } = entry;
+    if (assignment.broken || assignment.placed > 0) return true;
+    const layout = this.layOut(entry, open, cycle);
     if (!layout) {
-      chunk.infeasible = !this.reservations.reserve(chunk, open);
+      assignment.infeasible = !this.reservations.reserve(assignment, open);
       return false;
     }
     for (const [candidate, victims] of layout.victims) {
-      this.preemption.stop(spec, candidate, victims, round.stopped);
+      this.preemption.stop(spec, candidate, victims, cycle.stopped);
     }
-    for (const [at, slot] of [...chunk.waiting].entries()) {
+    for (const [at, slot] of [...assignment.waiting].entries()) {
       const target = layout.places[at];
       if (!target) break;
-      this.assign(entry, slot, target, round);
+      this.assign(entry, slot, target, cycle);
     }
     return true;
   }
 
   private layOut(
-    { chunk, spec }: WaitingChunk,
+    { assignment: assignment, spec }: WaitingAssignment,
     open: readonly Candidate[],
-    round: Round,
+    cycle: SchedulingCycle,
   ): GangLayout | null {
     return this.layouts.find({
       spec,
-      chunk,
+      assignment,
       candidates: open,
-      types: this.choice.rankTypes(spec, open, round.load),
+      types: this.choice.rankTypes(spec, open, cycle.load),
       fetches: {
         inTime: (machine) => this.choice.fetchesInTime(machine, spec),
         whileOthersWait: (machine) =>
@@ -225,17 +238,17 @@
 
   /** Places one task on a machine. */
   private assign(
-    { chunk, spec }: WaitingChunk,
+    { assignment: assignment, spec }: WaitingAssignment,
     slot: Slot,
     target: Candidate,
-    { load }: Round,
+    { load }: SchedulingCycle,
   ): void {
-    take(target.room, chunk.record);
+    allocate(target.free, assignment.record);
     target.empty = false;
     const { type, name } = target.machine;
     load.set(type, (load.get(type) ?? 0) + 1);
     const context = this.choice.context(spec, type, load);
-    const attempt = chunk.record.attempt ?? this.attempts.next();
-    this.dependencies.tasks.place(chunk, slot, { machine: name, attempt, context });
+    const attempt = assignment.record.attempt ?? this.attempts.next();
+    this.dependencies.tasks.place(assignment, slot, { machine: name, attempt, context });
   }
 }
--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -2,13 +2,13 @@
 import { bytesOf } from '../../storage/committer.js';
 import { splitKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
-import type { ChunkRecord } from '../../storage/records.js';
-import { isCommitted, type Chunk, type Slot } from './assignment.js';
+import type { AssignmentRecord } from '../../storage/records.js';
+import { isCommitted, type Assignment, type Slot } from './assignment.js';
 
 /** A part of a chunk as it is to be written; the first one keeps the chunk's key. */
 export interface Piece {
   key: string;
-  record: ChunkRecord;
+  record: AssignmentRecord;
   /** The slots that move to this piece; empty if the chunk is written as a whole. */
   slots: Slot[];
 }
@@ -25,26 +25,26 @@
 
 /** The record of a chunk's slots as they are now; new placements only on the machines named. */
 function writeRecord(
-  chunk: Chunk,
+  assignment: Assignment,
   newMachines: ReadonlySet<string>,
   slots: Iterable<Slot>,
-): ChunkRecord {
+): AssignmentRecord {
   const ids: number[] = [];
-  const live: ChunkRecord['live'] = {};
+  const live: AssignmentRecord['live'] = {};
   const done: number[] = [];
   for (const slot of slots) {
     ids.push(slot.index);
     if (slot.state === 'live') {
-      if (!isCommitted(chunk, slot) && !newMachines.has(slot.machine)) continue;
+      if (!isCommitted(assignment, slot) && !newMachines.has(slot.machine)) continue;
       live[String(slot.index)] = [slot.machine, slot.attempt];
     } else if (slot.state === 'done') done.push(slot.index);
   }
   return {
-    ...chunk.stored,
+    ...assignment.stored,
     ids: writeRanges(ids),
     done: writeRanges(done),
     live,
-    ...(chunk.broken ? { stopping: true as const } : {}),
+    ...(assignment.broken ? { stopping: true as const } : {}),
   };
 }
 
@@ -67,11 +67,11 @@
  * The chunk's record as it is now, in as many pieces as values of so many bytes take: the version
  * before may have stored it larger than the state service takes now.
  */
-export function splitChunk(chunk: Chunk, limits: SplitLimits): Piece[] {
+export function splitAssignment(assignment: Assignment, limits: SplitLimits): Piece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
-  const record = writeRecord(chunk, newMachines, chunk.slots.values());
-  if (bytesOf(record) <= maxBytes) return [{ key: chunk.key, record, slots: [] }];
-  const slots = [...chunk.slots.values()].sort((a, b) => a.index - b.index);
+  const record = writeRecord(assignment, newMachines, assignment.slots.values());
+  if (bytesOf(record) <= maxBytes) return [{ key: assignment.key, record, slots: [] }];
+  const slots = [...assignment.slots.values()].sort((a, b) => a.index - b.index);
   const pieces: Piece[] = [];
   let count = 0;
   let from = 0;
@@ -80,12 +80,12 @@
     const end = lastFittingEnd(
       start,
       slots.length,
-      (to) => bytesOf(writeRecord(chunk, newMachines, slots.slice(start, to))) <= maxBytes,
+      (to) => bytesOf(writeRecord(assignment, newMachines, slots.slice(start, to))) <= maxBytes,
     );
-    let key = chunk.key;
-    while (pieces.length > 0 && isKeyTaken(key)) key = splitKey(chunk.key, ++count);
+    let key = assignment.key;
+    while (pieces.length > 0 && isKeyTaken(key)) key = splitKey(assignment.key, ++count);
     const some = slots.slice(start, end);
-    pieces.push({ key, record: writeRecord(chunk, newMachines, some), slots: some });
+    pieces.push({ key, record: writeRecord(assignment, newMachines, some), slots: some });
     from = end;
   }
   return pieces;
@@ -93,10 +93,10 @@
 
 /** Pieces on their way to the state service, and the chunks that they are taken from. */
 export class PlannedPieces {
-  private readonly byKey = new Map<string, { from: Chunk; pieces: Piece[] }>();
+  private readonly byKey = new Map<string, { from: Assignment; pieces: Piece[] }>();
 
   /** Told before the pieces are written: their keys may be seen before the answer comes. */
-  add(from: Chunk, pieces: Piece[]): void {
+  add(from: Assignment, pieces: Piece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.set(key, { from, pieces });
   }
 
@@ -106,7 +106,7 @@
   }
 
   /** The pieces among which is the one with this key. */
-  get(key: string): { from: Chunk; pieces: Piece[] } | undefined {
+  get(key: string): { from: Assignment; pieces: Piece[] } | undefined {
     return this.byKey.get(key);
   }
 }
--- a/src/coordination/shard-state/assignment.ts
+++ b/src/coordination/shard-state/assignment.ts
@@ -1,6 +1,6 @@
 /** Chunks of tasks and their slots as the owner of a part keeps them in memory. */
 import { readRanges } from '../../storage/ranges.js';
-import type { ChunkRecord } from '../../storage/records.js';
+import type { AssignmentRecord } from '../../storage/records.js';
 
 /** One task of a chunk: waiting, placed on a machine, or done. */
 export interface Slot {
@@ -26,12 +26,12 @@
 }
 
 /** A chunk of a job's tasks that is assigned to the part. */
-export interface Chunk {
+export interface Assignment {
   key: string;
   job: string;
   /** Greater than those of all chunks that the leader made before. */
   number: number;
-  record: ChunkRecord;
+  record: AssignmentRecord;
   slots: Map<number, Slot>;
   /** Its slots that wait for a place, in the order of their numbers. */
   waiting: Set<Slot>;
@@ -44,16 +44,16 @@
   /** Of a gang: steady time since which all of its tasks here are placed; null: they are not. */
   placedAt: number | null;
   /** As last committed. */
-  stored: ChunkRecord;
+  stored: AssignmentRecord;
   /** Steady time of the oldest change that is not committed; null: none. */
   dirtySince: number | null;
 }
 
 /** A chunk as it is stored, without its slots. */
-export function createChunk(
-  identity: Pick<Chunk, 'key' | 'job' | 'number'>,
-  record: ChunkRecord,
-): Chunk {
+export function createAssignment(
+  identity: Pick<Assignment, 'key' | 'job' | 'number'>,
+  record: AssignmentRecord,
+): Assignment {
   return {
     ...identity,
     record,
@@ -69,7 +69,7 @@
 }
 
 /** The slots of a stored chunk, of whose tasks no report was seen yet. */
-export function readSlots(stored: ChunkRecord, now: number): Slot[] {
+export function readSlots(stored: AssignmentRecord, now: number): Slot[] {
   const done = new Set(readRanges(stored.done));
   return readRanges(stored.ids).map((index) => {
     const live = stored.live[String(index)];
@@ -101,15 +101,15 @@
 }
 
 /** Whether the state service holds this placement: only then may its start be sent. */
-export function isCommitted(chunk: Chunk, slot: Slot): boolean {
-  return chunk.stored.live[String(slot.index)]?.[1] === slot.attempt;
+export function isCommitted(assignment: Assignment, slot: Slot): boolean {
+  return assignment.stored.live[String(slot.index)]?.[1] === slot.attempt;
 }
 
 /** Machines with placements of this chunk that are not committed yet. */
-export function uncommittedMachines(chunk: Chunk): Set<string> {
+export function uncommittedMachines(assignment: Assignment): Set<string> {
   const machines = new Set<string>();
-  for (const slot of chunk.slots.values()) {
-    if (slot.state === 'live' && !isCommitted(chunk, slot)) machines.add(slot.machine);
+  for (const slot of assignment.slots.values()) {
+    if (slot.state === 'live' && !isCommitted(assignment, slot)) machines.add(slot.machine);
   }
   return machines;
 }
--- a/src/coordination/shard-state/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -4,16 +4,16 @@
   CLOCK_DRIFT,
   FAULTY_ERRORS,
   LEASE_MARGIN_MS,
-  SILENT_REPORTS,
-  TOKEN_STEP,
+  MISSED_HEARTBEATS,
+  FENCING_TOKENS_PER_TERM,
 } from '../../constants.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { MachineHealth, MachineRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import type { MachineType, WorkerReport } from '../../protocol/model.js';
+import type { MachineType, Heartbeat } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { createMachine, type Machine } from './machine.js';
-import type { Room } from '../capacity/resources.js';
+import type { Resources } from '../capacity/resources.js';
 import { isRunningOut } from '../election/term-numbers.js';
 
 const NO_TYPES: MachineType[] = [];
@@ -23,18 +23,18 @@
   term: number;
   fenceAt: number;
   leaseS: number;
-  reportS: number;
+  heartbeatIntervalS: number;
 }
 
 /** What a report is worth: nothing, news, or news that also ends the session before it. */
-export type Worth = 'older' | 'newer' | 'newSession';
+export type HeartbeatFreshness = 'older' | 'newer' | 'newSession';
 
 /** Commands sent straight to the worker have ended with their session, or are fenced by a token. */
-function settleDirect(machine: Machine, report: WorkerReport): void {
-  const { direct } = machine;
+function settleDirectCalls(machine: Machine, heartbeat: Heartbeat): void {
+  const { directCalls: direct } = machine;
   if (!direct) return;
-  const fenced = direct.fence !== null && report.token >= direct.fence;
-  if (report.session > direct.session || fenced) machine.direct = null;
+  const fenced = direct.fence !== null && heartbeat.fencingToken >= direct.fence;
+  if (heartbeat.agentEpoch > direct.agentEpoch || fenced) machine.directCalls = null;
 }
 
 /**
@@ -44,12 +44,12 @@
  */
 export class Machines {
   readonly all = new Map<string, Machine>();
-  readonly baseToken: number;
+  readonly baseFencingToken: number;
   private sorted: Machine[] | null = null;
   /** New entries begin at this one. */
-  private highestBump = 0;
+  private nextInitialOffset = 0;
   /** The highest that any machine was given in this term. */
-  private mostBump = 0;
+  private highestFencingOffset = 0;
   private catalog: { value: MachineType[]; byName: Map<string, MachineType> } | null = null;
 
   constructor(
@@ -57,13 +57,13 @@
     private readonly replica: StoreReplica,
     private readonly clock: Clock,
   ) {
-    this.baseToken = options.term * TOKEN_STEP;
+    this.baseFencingToken = options.term * FENCING_TOKENS_PER_TERM;
   }
 
   /** Begins to keep a machine; it counts as answered now. */
   add(name: string, type: string, zone: string, spot: boolean): Machine {
     const now = this.clock.now();
-    const machine = createMachine({ name, type, zone, spot }, this.highestBump, now);
+    const machine = createMachine({ name, type, zone, spot }, this.nextInitialOffset, now);
     this.all.set(name, machine);
     this.sorted = null;
     return machine;
@@ -73,8 +73,8 @@
   remove(machine: Machine): void {
     this.all.delete(machine.name);
     this.sorted = null;
-    this.highestBump = Math.max(this.highestBump, machine.bump + 1);
-    this.mostBump = Math.max(this.mostBump, this.highestBump);
+    this.nextInitialOffset = Math.max(this.nextInitialOffset, machine.fencingOffset + 1);
+    this.highestFencingOffset = Math.max(this.highestFencingOffset, this.nextInitialOffset);
   }
 
   /** The part's fixed order: ordinary machines first, by name. */
@@ -87,84 +87,91 @@
 
   /** The part needs a new term before its tokens reach those of the next one. */
   get isRunningOut(): boolean {
-    return isRunningOut(this.mostBump, TOKEN_STEP);
+    return isRunningOut(this.highestFencingOffset, FENCING_TOKENS_PER_TERM);
   }
 
   /** The token that our commands to a machine carry. */
-  tokenOf(machine: Machine): number {
-    return this.baseToken + machine.bump;
+  fencingTokenOf(machine: Machine): number {
+    return this.baseFencingToken + machine.fencingOffset;
   }
 
   /**
    * Makes all that was sent straight to it powerless as soon as the raised token reaches it. Old
    * tokens still prove that it hears us: nothing has gone amiss.
    */
-  fence(machine: Machine): void {
-    machine.bump++;
-    machine.exposed = false;
-    this.mostBump = Math.max(this.mostBump, machine.bump);
+  raiseFencingToken(machine: Machine): void {
+    machine.fencingOffset++;
+    machine.hasUnfencedStart = false;
+    this.highestFencingOffset = Math.max(this.highestFencingOffset, machine.fencingOffset);
   }
 
   /** From now on only a report that shows a token not given out yet proves that it hears us. */
-  doubt(machine: Machine): void {
-    this.fence(machine);
-    machine.proofBump = machine.bump;
-    if (machine.proven) machine.asked = 0;
-    machine.proven = false;
+  requireAcknowledgement(machine: Machine): void {
+    this.raiseFencingToken(machine);
+    machine.requiredFencingOffset = machine.fencingOffset;
+    if (machine.isAcknowledged) machine.unacknowledgedAnswers = 0;
+    machine.isAcknowledged = false;
   }
 
   /**
    * Orders a report among what is known of its machine. `askedAt`: steady time at which we sent
    * the call that this report answers, null for a report that came by itself.
    */
-  order(machine: Machine, report: WorkerReport, askedAt: number | null): Worth {
-    const order = report.session - machine.session || report.seq - machine.seq;
-    const shows = report.token >= this.baseToken + machine.proofBump;
+  order(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
+    const order =
+      heartbeat.agentEpoch - machine.agentEpoch || heartbeat.sequence - machine.sequence;
+    const shows = heartbeat.fencingToken >= this.baseFencingToken + machine.requiredFencingOffset;
     // A machine that is back at once may count anew. Its reports then look like late copies, but a
     // copy can't show a token that was first given out after everything known, nor answer a call.
     const counts =
-      (shows && !machine.proven) || (askedAt !== null && machine.observedAt <= askedAt);
+      (shows && !machine.isAcknowledged) || (askedAt !== null && machine.observedAt <= askedAt);
     if (order <= 0 && !counts) {
-      this.doubtIfSilent(machine);
+      this.requireAcknowledgementIfSilent(machine);
       return 'older';
     }
-    const ended = machine.session > 0 && report.session > machine.session;
-    this.takeOver(machine, report, shows);
-    if (askedAt === null) machine.reportedAt = machine.observedAt;
-    settleDirect(machine, report);
+    const ended = machine.agentEpoch > 0 && heartbeat.agentEpoch > machine.agentEpoch;
+    this.adopt(machine, heartbeat, shows);
+    if (askedAt === null) machine.heartbeatAt = machine.observedAt;
+    settleDirectCalls(machine, heartbeat);
     // Its lease ran out although we answered: perhaps it does not hear us.
-    if (ended) this.doubt(machine);
+    if (ended) this.requireAcknowledgement(machine);
     return ended ? 'newSession' : 'newer';
   }
 
   /** Only late copies come of its reports: perhaps it counts anew. */
-  private doubtIfSilent(machine: Machine): void {
+  private requireAcknowledgementIfSilent(machine: Machine): void {
     const silentMs = this.clock.now() - machine.observedAt;
-    if (machine.proven && silentMs > 2 * this.options.reportS * 1000) this.doubt(machine);
+    if (machine.isAcknowledged && silentMs > 2 * this.options.heartbeatIntervalS * 1000)
+      this.requireAcknowledgement(machine);
   }
 
   /** `shows`: the report shows a token that proves that the machine hears us. */
-  private takeOver(machine: Machine, report: WorkerReport, shows: boolean): void {
+  private adopt(machine: Machine, heartbeat: Heartbeat, shows: boolean): void {
     const now = this.clock.now();
-    machine.session = report.session;
-    machine.seq = report.seq;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.sequence = heartbeat.sequence;
     machine.observedAt = now;
-    machine.ours = report.token >= this.baseToken + machine.firstBump;
-    if (machine.ours) machine.bump = Math.max(machine.bump, report.token - this.baseToken);
-    machine.proven = shows;
+    machine.hasShownOurToken =
+      heartbeat.fencingToken >= this.baseFencingToken + machine.initialFencingOffset;
+    if (machine.hasShownOurToken)
+      machine.fencingOffset = Math.max(
+        machine.fencingOffset,
+        heartbeat.fencingToken - this.baseFencingToken,
+      );
+    machine.isAcknowledged = shows;
     if (!shows) return;
-    machine.provenAt = now;
-    machine.asked = 0;
+    machine.acknowledgedAt = now;
+    machine.unacknowledgedAnswers = 0;
   }
 
   /** Notes that a report is answered with 200, which may renew the worker's lease. */
-  answered(machine: Machine, worth: Worth): void {
+  answered(machine: Machine, freshness: HeartbeatFreshness): void {
     const now = this.clock.now();
     // An older report was sent before the newest one came: its answer renews to that at the most.
-    const until = worth === 'older' ? machine.observedAt : now;
+    const until = freshness === 'older' ? machine.observedAt : now;
     machine.answeredAt = Math.max(machine.answeredAt, until);
-    if (machine.proven) return;
-    if (machine.asked++ === 0) machine.askedAt = now;
+    if (machine.isAcknowledged) return;
+    if (machine.unacknowledgedAnswers++ === 0) machine.unacknowledgedSince = now;
   }
 
   /**
@@ -172,9 +179,13 @@
    * no longer answered, so that time proves the end of its tasks.
    */
   mayAnswer(machine: Machine): boolean {
-    const { leaseS, reportS } = this.options;
-    if (machine.proven || machine.asked <= Math.ceil(leaseS / reportS)) return true;
-    return this.clock.now() - machine.askedAt < leaseS * 1000;
+    const { leaseS, heartbeatIntervalS: heartbeatIntervalS } = this.options;
+    if (
+      machine.isAcknowledged ||
+      machine.unacknowledgedAnswers <= Math.ceil(leaseS / heartbeatIntervalS)
+    )
+      return true;
+    return this.clock.now() - machine.unacknowledgedSince < leaseS * 1000;
   }
 
   /** The state that the leader recorded for a machine; without a record it may be used. */
@@ -183,18 +194,20 @@
   }
 
   /** Whether tasks may be started on it. */
-  usable(machine: Machine): boolean {
-    return machine.proven && !machine.leaving && this.recordedState(machine.name) === 'rented';
+  isSchedulable(machine: Machine): boolean {
+    return (
+      machine.isAcknowledged && !machine.isLeaving && this.recordedState(machine.name) === 'rented'
+    );
   }
 
   /** A machine's health as the other nodes are told. */
   health(machine: Machine): MachineHealth {
-    if (machine.leaving) return 'leaving';
+    if (machine.isLeaving) return 'leaving';
     if (machine.errors.size >= FAULTY_ERRORS) return 'faulty';
     // Answers to calls renew no lease: a machine whose reports don't reach us loses its tasks, and
     // what is started there by calls as well.
-    const silentMs = this.clock.now() - Math.min(machine.provenAt, machine.reportedAt);
-    return silentMs > this.options.reportS * 1000 * SILENT_REPORTS ? 'silent' : 'ok';
+    const silentMs = this.clock.now() - Math.min(machine.acknowledgedAt, machine.heartbeatAt);
+    return silentMs > this.options.heartbeatIntervalS * 1000 * MISSED_HEARTBEATS ? 'silent' : 'ok';
   }
 
   /** The steady time from which nothing of ours can be on this machine any more. */
@@ -203,7 +216,7 @@
     if (!machine) return this.options.fenceAt;
     const lease = this.options.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
     const answered = machine.answeredAt + lease;
-    return machine.ours ? answered : Math.max(answered, this.options.fenceAt);
+    return machine.hasShownOurToken ? answered : Math.max(answered, this.options.fenceAt);
   }
 
   /** Forgets machines that are gone, or that nobody has spoken to for long. */
@@ -225,7 +238,7 @@
   }
 
   /** The room on an empty machine of a type; none for a type that is not known. */
-  capacity(typeName: string): Room {
+  capacity(typeName: string): Resources {
     const type = this.type(typeName);
     return { cpus: type?.cpus ?? 0, gpus: type?.gpus ?? 0, memoryGb: type?.memoryGb ?? 0 };
   }
--- a/src/coordination/shard-state/task-index.ts
+++ b/src/coordination/shard-state/task-index.ts
@@ -1,46 +1,46 @@
 /** Indexes of a part's chunks by job, and of its placed tasks by machine. */
-import type { Chunk, Slot } from './assignment.js';
+import type { Assignment, Slot } from './assignment.js';
 
-const NO_SLOTS: ReadonlyMap<Slot, Chunk> = new Map();
+const NO_SLOTS: ReadonlyMap<Slot, Assignment> = new Map();
 
 /** Finds the chunks of a job and the tasks placed on a machine. */
 export class TaskIndex {
-  private readonly byJob = new Map<string, Set<Chunk>>();
-  private readonly byMachine = new Map<string, Map<Slot, Chunk>>();
+  private readonly byJob = new Map<string, Set<Assignment>>();
+  private readonly byMachine = new Map<string, Map<Slot, Assignment>>();
 
   /** Adds a chunk to those of its job. */
-  addChunk(chunk: Chunk): void {
-    const group = this.byJob.get(chunk.job);
-    if (group) group.add(chunk);
-    else this.byJob.set(chunk.job, new Set([chunk]));
+  addAssignment(assignment: Assignment): void {
+    const group = this.byJob.get(assignment.job);
+    if (group) group.add(assignment);
+    else this.byJob.set(assignment.job, new Set([assignment]));
   }
 
   /** Removes a chunk; true: it was the last of its job. */
-  removeChunk(chunk: Chunk): boolean {
-    const group = this.byJob.get(chunk.job);
-    group?.delete(chunk);
-    if (group?.size === 0) this.byJob.delete(chunk.job);
-    return !this.byJob.has(chunk.job);
+  removeAssignment(assignment: Assignment): boolean {
+    const group = this.byJob.get(assignment.job);
+    group?.delete(assignment);
+    if (group?.size === 0) this.byJob.delete(assignment.job);
+    return !this.byJob.has(assignment.job);
   }
 
   /** Counts a slot as placed on its machine. */
-  addPlacement(chunk: Chunk, slot: Slot): void {
-    chunk.placed++;
+  addPlacement(assignment: Assignment, slot: Slot): void {
+    assignment.placed++;
     const group = this.byMachine.get(slot.machine);
-    if (group) group.set(slot, chunk);
-    else this.byMachine.set(slot.machine, new Map([[slot, chunk]]));
+    if (group) group.set(slot, assignment);
+    else this.byMachine.set(slot.machine, new Map([[slot, assignment]]));
   }
 
   /** Counts a slot as no longer placed on its machine. */
-  removePlacement(chunk: Chunk, slot: Slot): void {
-    chunk.placed--;
+  removePlacement(assignment: Assignment, slot: Slot): void {
+    assignment.placed--;
     const group = this.byMachine.get(slot.machine);
     group?.delete(slot);
     if (group?.size === 0) this.byMachine.delete(slot.machine);
   }
 
   /** The chunks of a job. */
-  ofJob(job: string): Iterable<Chunk> {
+  ofJob(job: string): Iterable<Assignment> {
     return this.byJob.get(job) ?? [];
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** The tasks placed on a machine. */
-  onMachine(machine: string): ReadonlyMap<Slot, Chunk> {
+  onMachine(machine: string): ReadonlyMap<Slot, Assignment> {
     return this.byMachine.get(machine) ?? NO_SLOTS;
   }
 }
--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -1,28 +1,28 @@
 /** The tasks assigned to one part, and the changes of their state. */
-import { chunkPrefix, readChunkKey } from '../../storage/keys.js';
+import { assignmentPrefix, readAssignmentKey } from '../../storage/keys.js';
 import { readRanges } from '../../storage/ranges.js';
-import type { ChunkRecord } from '../../storage/records.js';
+import type { AssignmentRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
-import { PlannedPieces, splitChunk, type Piece } from './assignment-pieces.js';
+import { PlannedPieces, splitAssignment, type Piece } from './assignment-pieces.js';
 import {
   clearPlacement,
-  createChunk,
+  createAssignment,
   isCommitted,
   readSlots,
-  type Chunk,
+  type Assignment,
   type Slot,
 } from './assignment.js';
 import { TaskIndex } from './task-index.js';
 
-export type { Chunk, Slot } from './assignment.js';
+export type { Assignment as Chunk, Slot } from './assignment.js';
 
 /** Where a task is placed, under which attempt, and what the bandit based it on. */
 export type Placement = Pick<Slot, 'machine' | 'attempt' | 'context'>;
 
 /** A task of the part together with its chunk. */
 export interface TaskSlot {
-  chunk: Chunk;
+  assignment: Assignment;
   slot: Slot;
 }
 
@@ -31,52 +31,52 @@
  * report costs what its own machine holds and a round what has changed, whatever the part's size.
  */
 export class Tasks {
-  readonly chunks = new Map<string, Chunk>();
+  readonly assignments = new Map<string, Assignment>();
   /** Chunks with tasks that wait for a place. */
-  readonly waiting = new Set<Chunk>();
+  readonly waiting = new Set<Assignment>();
   /** Chunks that are not as the state service holds them. */
-  readonly dirty = new Set<Chunk>();
+  readonly dirty = new Set<Assignment>();
   /** Chunks of gangs. */
-  readonly gangs = new Set<Chunk>();
+  readonly gangs = new Set<Assignment>();
   /** Pieces of chunks that are being written. */
   readonly plannedPieces = new PlannedPieces();
   private readonly index = new TaskIndex();
 
   constructor(
-    private readonly part: string,
+    private readonly shard: string,
     private readonly replica: StoreReplica,
     private readonly clock: Clock,
   ) {
-    for (const [key] of replica.below<ChunkRecord>(chunkPrefix(part))) this.changed(key);
+    for (const [key] of replica.below<AssignmentRecord>(assignmentPrefix(shard))) this.changed(key);
   }
 
   // --- What the state service holds ----------------------------------------------------------
 
   /** A key of the replica changed. Only new and gone chunks count: the part alone changes its own. */
   changed(key: string): void {
-    if (!key.startsWith(chunkPrefix(this.part))) return;
-    const held = this.replica.get<ChunkRecord>(key);
-    const known = this.chunks.get(key);
+    if (!key.startsWith(assignmentPrefix(this.shard))) return;
+    const held = this.replica.get<AssignmentRecord>(key);
+    const known = this.assignments.get(key);
     if (!held) {
       if (known) this.drop(known);
       return;
     }
     if (known) return;
-    const name = readChunkKey(key);
+    const name = readAssignmentKey(key);
     if (!name) return;
     const plan = this.plannedPieces.get(key);
     // A piece that was given up and carried out late: its tasks must not stand in two chunks here.
     if (!plan && !Number.isInteger(name.number)) this.resyncSharing(name.job, held.value);
-    const chunk = createChunk({ key, job: name.job, number: name.number }, held.value);
-    this.chunks.set(key, chunk);
-    if (chunk.record.attempt !== undefined) this.gangs.add(chunk);
-    this.index.addChunk(chunk);
-    if (plan) this.carryOver(plan.from, plan.pieces, chunk);
-    else this.fill(chunk);
+    const assignment = createAssignment({ key, job: name.job, number: name.number }, held.value);
+    this.assignments.set(key, assignment);
+    if (assignment.record.attempt !== undefined) this.gangs.add(assignment);
+    this.index.addAssignment(assignment);
+    if (plan) this.carryOver(plan.from, plan.pieces, assignment);
+    else this.fill(assignment);
   }
 
   /** Resyncs the job's chunks that have tasks in common with the record. */
-  private resyncSharing(job: string, record: ChunkRecord): void {
+  private resyncSharing(job: string, record: AssignmentRecord): void {
     const ids = readRanges(record.ids);
     for (const other of [...this.of(job)]) {
       if (ids.some((id) => other.slots.has(id))) this.resync(other);
@@ -84,47 +84,50 @@
   }
 
   /** Goes back to what is stored; reports tell again what was heard meanwhile. */
-  resync(chunk: Chunk): void {
-    const held = this.replica.get<ChunkRecord>(chunk.key);
+  resync(assignment: Assignment): void {
+    const held = this.replica.get<AssignmentRecord>(assignment.key);
     if (!held) {
-      this.drop(chunk);
+      this.drop(assignment);
       return;
     }
-    this.empty(chunk);
-    chunk.stored = held.value;
-    chunk.record = held.value;
-    this.fill(chunk);
+    this.empty(assignment);
+    assignment.stored = held.value;
+    assignment.record = held.value;
+    this.fill(assignment);
   }
 
   /** Forgets a chunk; true: it was the last of its job. */
-  drop(chunk: Chunk): boolean {
-    this.empty(chunk);
-    this.gangs.delete(chunk);
-    this.chunks.delete(chunk.key);
-    return this.index.removeChunk(chunk);
+  drop(assignment: Assignment): boolean {
+    this.empty(assignment);
+    this.gangs.delete(assignment);
+    this.assignments.delete(assignment.key);
+    return this.index.removeAssignment(assignment);
   }
 
   /** Gives a chunk the slots that its stored record has. */
-  private fill(chunk: Chunk): void {
-    for (const slot of readSlots(chunk.stored, this.clock.now())) {
-      chunk.slots.set(slot.index, slot);
-      if (slot.state === 'live') this.index.addPlacement(chunk, slot);
-      else if (slot.state === 'pending') chunk.waiting.add(slot);
+  private fill(assignment: Assignment): void {
+    for (const slot of readSlots(assignment.stored, this.clock.now())) {
+      assignment.slots.set(slot.index, slot);
+      if (slot.state === 'live') this.index.addPlacement(assignment, slot);
+      else if (slot.state === 'pending') assignment.waiting.add(slot);
     }
-    if (chunk.waiting.size > 0) this.waiting.add(chunk);
+    if (assignment.waiting.size > 0) this.waiting.add(assignment);
     // Some of a gang's tasks were placed, and some no more: what is left of this attempt is no gang.
-    chunk.broken = chunk.record.attempt !== undefined && chunk.placed > 0 && chunk.waiting.size > 0;
+    assignment.broken =
+      assignment.record.attempt !== undefined &&
+      assignment.placed > 0 &&
+      assignment.waiting.size > 0;
   }
 
   /** Removes a chunk's slots from the chunk and from all indexes. */
-  private empty(chunk: Chunk): void {
-    for (const slot of chunk.slots.values()) {
-      if (slot.state === 'live') this.index.removePlacement(chunk, slot);
+  private empty(assignment: Assignment): void {
+    for (const slot of assignment.slots.values()) {
+      if (slot.state === 'live') this.index.removePlacement(assignment, slot);
     }
-    chunk.slots.clear();
-    chunk.waiting.clear();
-    this.waiting.delete(chunk);
-    this.clean(chunk);
+    assignment.slots.clear();
+    assignment.waiting.clear();
+    this.waiting.delete(assignment);
+    this.clean(assignment);
   }
 
   // --- Pieces --------------------------------------------------------------------------------
@@ -133,60 +136,60 @@
    * The chunk's record as it is now, in pieces of at most so many bytes; new placements only on the
    * machines that are named.
    */
-  pieces(chunk: Chunk, newMachines: ReadonlySet<string>, maxBytes: number): Piece[] {
+  pieces(assignment: Assignment, newMachines: ReadonlySet<string>, maxBytes: number): Piece[] {
     const isKeyTaken = (key: string): boolean =>
-      this.chunks.has(key) || this.replica.get(key) !== null;
-    return splitChunk(chunk, { newMachines, maxBytes, isKeyTaken });
+      this.assignments.has(key) || this.replica.get(key) !== null;
+    return splitAssignment(assignment, { newMachines, maxBytes, isKeyTaken });
   }
 
   /**
    * Moves what a piece holds from its chunk into the new one, as it is by now: what was sent stays
    * sent, and nothing starts again.
    */
-  private carryOver(from: Chunk, pieces: Piece[], chunk: Chunk): void {
+  private carryOver(from: Assignment, pieces: Piece[], assignment: Assignment): void {
     from.stored = pieces[0]?.record ?? from.stored;
-    for (const slot of pieces.find((piece) => piece.key === chunk.key)?.slots ?? []) {
+    for (const slot of pieces.find((piece) => piece.key === assignment.key)?.slots ?? []) {
       if (from.slots.get(slot.index) !== slot) continue;
       from.slots.delete(slot.index);
-      chunk.slots.set(slot.index, slot);
+      assignment.slots.set(slot.index, slot);
       if (slot.state === 'live') {
         this.index.removePlacement(from, slot);
-        this.index.addPlacement(chunk, slot);
+        this.index.addPlacement(assignment, slot);
       }
-      if (from.waiting.delete(slot)) chunk.waiting.add(slot);
+      if (from.waiting.delete(slot)) assignment.waiting.add(slot);
     }
     if (from.waiting.size === 0) this.waiting.delete(from);
-    if (chunk.waiting.size > 0) this.waiting.add(chunk);
+    if (assignment.waiting.size > 0) this.waiting.add(assignment);
     // Changed while it was written: which of the tasks did is not known.
-    if (this.dirty.has(from)) this.touch(chunk);
+    if (this.dirty.has(from)) this.touch(assignment);
   }
 
   // --- What is to be written -----------------------------------------------------------------
 
   /** Marks a chunk as changed since it was committed. */
-  touch(chunk: Chunk): void {
-    chunk.dirtySince ??= this.clock.now();
-    this.dirty.add(chunk);
+  touch(assignment: Assignment): void {
+    assignment.dirtySince ??= this.clock.now();
+    this.dirty.add(assignment);
   }
 
   /** Marks a chunk as having no changes to be written. */
-  clean(chunk: Chunk): void {
-    chunk.dirtySince = null;
-    this.dirty.delete(chunk);
+  clean(assignment: Assignment): void {
+    assignment.dirtySince = null;
+    this.dirty.delete(assignment);
   }
 
   // --- Look-ups ------------------------------------------------------------------------------
 
   /** The chunks of a job. */
-  of(job: string): Iterable<Chunk> {
+  of(job: string): Iterable<Assignment> {
     return this.index.ofJob(job);
   }
 
   /** A task of a job; null: it is not assigned to this part. */
   find(job: string, index: number): TaskSlot | null {
-    for (const chunk of this.of(job)) {
-      const slot = chunk.slots.get(index);
-      if (slot) return { chunk, slot };
+    for (const assignment of this.of(job)) {
+      const slot = assignment.slots.get(index);
+      if (slot) return { assignment, slot };
     }
     return null;
   }
@@ -197,22 +200,22 @@
   }
 
   /** The tasks placed on a machine. */
-  on(machine: string): ReadonlyMap<Slot, Chunk> {
+  on(machine: string): ReadonlyMap<Slot, Assignment> {
     return this.index.onMachine(machine);
   }
 
   /** Whether the state service holds this placement: only then may its start be sent. */
-  committed(chunk: Chunk, slot: Slot): boolean {
-    return isCommitted(chunk, slot);
+  committed(assignment: Assignment, slot: Slot): boolean {
+    return isCommitted(assignment, slot);
   }
 
   /** How many tasks are placed, and how many wait for a place. */
   counts(): { placed: number; waiting: number } {
     let placed = 0;
     let waiting = 0;
-    for (const chunk of this.chunks.values()) {
-      placed += chunk.placed;
-      waiting += chunk.waiting.size;
+    for (const assignment of this.assignments.values()) {
+      placed += assignment.placed;
+      waiting += assignment.waiting.size;
     }
     return { placed, waiting };
   }
@@ -220,47 +223,47 @@
   // --- Changes of a task's state -------------------------------------------------------------
 
   /** Places a task on a machine. */
-  place(chunk: Chunk, slot: Slot, { machine, attempt, context }: Placement): void {
-    this.endPlacement(chunk, slot);
+  place(assignment: Assignment, slot: Slot, { machine, attempt, context }: Placement): void {
+    this.endPlacement(assignment, slot);
     slot.state = 'live';
     slot.machine = machine;
     slot.attempt = attempt;
     slot.context = context;
-    this.index.addPlacement(chunk, slot);
-    this.touch(chunk);
+    this.index.addPlacement(assignment, slot);
+    this.touch(assignment);
   }
 
   /** Makes a task wait for a place again. */
-  requeue(chunk: Chunk, slot: Slot): void {
-    this.endPlacement(chunk, slot);
+  requeue(assignment: Assignment, slot: Slot): void {
+    this.endPlacement(assignment, slot);
     // Its attempt is over for all: a gang's tasks can't be placed one by one.
-    chunk.broken = chunk.record.attempt !== undefined;
+    assignment.broken = assignment.record.attempt !== undefined;
     slot.state = 'pending';
     slot.pendingSince = this.clock.now();
-    chunk.waiting.add(slot);
-    this.waiting.add(chunk);
-    this.touch(chunk);
+    assignment.waiting.add(slot);
+    this.waiting.add(assignment);
+    this.touch(assignment);
   }
 
   /** Marks a task as done. */
-  finish(chunk: Chunk, slot: Slot): void {
-    this.endPlacement(chunk, slot);
+  finish(assignment: Assignment, slot: Slot): void {
+    this.endPlacement(assignment, slot);
     slot.state = 'done';
-    this.touch(chunk);
+    this.touch(assignment);
   }
 
   /** Gives a waiting task back to the leader. */
-  giveBack(chunk: Chunk, slot: Slot): void {
-    this.endPlacement(chunk, slot);
-    chunk.slots.delete(slot.index);
-    this.touch(chunk);
+  returnMachines(assignment: Assignment, slot: Slot): void {
+    this.endPlacement(assignment, slot);
+    assignment.slots.delete(slot.index);
+    this.touch(assignment);
   }
 
   /** Takes a task off its machine and out of the waiting ones. */
-  private endPlacement(chunk: Chunk, slot: Slot): void {
-    if (slot.state === 'live') this.index.removePlacement(chunk, slot);
-    chunk.waiting.delete(slot);
-    if (chunk.waiting.size === 0) this.waiting.delete(chunk);
+  private endPlacement(assignment: Assignment, slot: Slot): void {
+    if (slot.state === 'live') this.index.removePlacement(assignment, slot);
+    assignment.waiting.delete(slot);
+    if (assignment.waiting.size === 0) this.waiting.delete(assignment);
     clearPlacement(slot);
   }
 }
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -1,14 +1,14 @@
 /** Writes a part's changed chunks to the state service. */
-import { CHUNK_HOLD_MS } from '../../constants.js';
+import { ASSIGNMENT_HOLD_MS } from '../../constants.js';
 import type { CommitResult } from '../../storage/committer.js';
-import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
-import { ChunkTransaction, type WrittenChunk } from './assignment-transaction.js';
+import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { AssignmentTransaction, type WrittenAssignment } from './assignment-transaction.js';
 import { WriteSchedule } from './write-schedule.js';
-import type { PartContext } from './shard-context.js';
+import type { ShardContext } from './shard-context.js';
 import type { Chunk } from '../shard-state/tasks.js';
 
 /** What the writer tells its part. */
-export interface ChunkWriterCallbacks {
+export interface AssignmentWriterCallbacks {
   /** Placements on these machines are committed: their starts may be sent. */
   readonly onCommitted: (machines: ReadonlySet<string>, urgent: boolean) => void;
 }
@@ -17,16 +17,16 @@
  * Brings a part's chunks to the state service: what starts tasks at once, ends gathered, each chunk
  * within the limits of values and transactions. Everything guards the part's role.
  */
-export class ChunkWriter {
+export class AssignmentWriter {
   /** Chunks whose changes were called invalid, or are too large to be written yet. */
-  private readonly withheld: InvalidChangeBackoff;
+  private readonly withheld: RejectedChangeBackoff;
   private readonly schedule: WriteSchedule;
 
   constructor(
-    private readonly context: PartContext,
-    private readonly callbacks: ChunkWriterCallbacks,
+    private readonly context: ShardContext,
+    private readonly callbacks: AssignmentWriterCallbacks,
   ) {
-    this.withheld = new InvalidChangeBackoff(context.clock);
+    this.withheld = new RejectedChangeBackoff(context.clock);
     this.schedule = new WriteSchedule(context, this.withheld);
   }
 
@@ -39,7 +39,7 @@
   async flush(): Promise<void> {
     const { committer, options } = this.context;
     for (;;) {
-      const due = this.schedule.dueChunks();
+      const due = this.schedule.dueAssignments();
       const [first] = due;
       if (!first) return;
       // Urgent work shares no transaction with other work, which may have to wait for its turn.
@@ -62,41 +62,44 @@
   }
 
   /** The next transaction, of the first of the due chunks that are as urgent as the first one. */
-  private build(due: readonly Chunk[], urgent: boolean): ChunkTransaction {
+  private build(due: readonly Chunk[], urgent: boolean): AssignmentTransaction {
     const { log, options } = this.context;
-    const transaction = new ChunkTransaction(this.context);
-    const keys = due.map((chunk) => chunk.key);
-    for (const chunk of due.slice(0, this.withheld.together(keys, options.txnOps))) {
-      if (this.schedule.isUrgent(chunk) !== urgent) break;
-      const result = transaction.add(chunk, this.schedule.isOver(chunk));
+    const transaction = new AssignmentTransaction(this.context);
+    const keys = due.map((assignment) => assignment.key);
+    for (const assignment of due.slice(0, this.withheld.together(keys, options.transactionOps))) {
+      if (this.schedule.isUrgent(assignment) !== urgent) break;
+      const result = transaction.add(assignment, this.schedule.isOver(assignment));
       if (result.kind === 'full') break;
       if (result.kind === 'added') continue;
-      log.info({ chunk: chunk.key, pieces: result.pieces }, 'chunk too large to write yet');
-      this.withheld.hold(chunk.key, CHUNK_HOLD_MS);
+      log.info(
+        { assignment: assignment.key, pieces: result.pieces },
+        'chunk too large to write yet',
+      );
+      this.withheld.hold(assignment.key, ASSIGNMENT_HOLD_MS);
     }
     return transaction;
   }
 
   /** Nothing of this was written, or another's change is newer: what is stored counts again. */
-  private giveUp(written: readonly WrittenChunk[], result: CommitResult): void {
+  private giveUp(written: readonly WrittenAssignment[], result: CommitResult): void {
     const { log, tasks } = this.context;
     log.info({ result }, 'placements not committed');
-    for (const { chunk } of written) {
-      if (result.kind === 'invalid') this.withheld.add(chunk.key);
-      tasks.resync(chunk);
+    for (const { assignment: assignment } of written) {
+      if (result.kind === 'invalid') this.withheld.add(assignment.key);
+      tasks.resync(assignment);
     }
   }
 
   /** Takes a chunk as stored the way it was written. */
-  private takeOver({ chunk, pieces }: WrittenChunk): void {
-    const { endedChunks, failurePauses, tasks } = this.context;
-    this.withheld.clear(chunk.key);
+  private takeOver({ assignment: assignment, pieces }: WrittenAssignment): void {
+    const { endedAssignments, jobFailureBackoff, tasks } = this.context;
+    this.withheld.clear(assignment.key);
     const [first] = pieces;
     if (first) {
-      chunk.stored = first.record;
+      assignment.stored = first.record;
       return;
     }
-    endedChunks.delete(chunk);
-    if (tasks.drop(chunk)) failurePauses.clear(chunk.job);
+    endedAssignments.delete(assignment);
+    if (tasks.drop(assignment)) jobFailureBackoff.clear(assignment.job);
   }
 }
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -3,7 +3,7 @@
 import type { Bandit } from '../scheduling/bandit.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
-import type { Room } from '../capacity/resources.js';
+import type { Resources } from '../capacity/resources.js';
 import type { TaskSlot } from '../shard-state/tasks.js';
 
 /** Passes the ends of tasks on to the bandit, once it is loaded. */
@@ -17,10 +17,14 @@
   ) {}
 
   /** A task ended well on the machine. */
-  finished(machine: Machine, { chunk, slot }: TaskSlot): void {
+  finished(machine: Machine, { assignment, slot }: TaskSlot): void {
     if (!slot.context || slot.runningAt === null || !this.bandit) return;
     const ranS = (this.clock.now() - slot.runningAt) / 1000;
-    this.bandit.finished(machine.type, slot.context, ranS * this.pricePerS(machine, chunk.record));
+    this.bandit.finished(
+      machine.type,
+      slot.context,
+      ranS * this.pricePerS(machine, assignment.record),
+    );
   }
 
   /** A task failed on the machine. */
@@ -32,7 +36,7 @@
    * What a task costs per second on a machine. The paper's workers run one task at a time; ours
    * share a machine, so a task pays for the share that it keeps others from.
    */
-  private pricePerS(machine: Machine, task: Room): number {
+  private pricePerS(machine: Machine, task: Resources): number {
     const type = this.machines.type(machine.type);
     if (!type) return 0;
     const share = Math.max(
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -1,9 +1,9 @@
 /** Sends new commands straight to workers instead of waiting for their next reports. */
 import type { Command } from '../../protocol/model.js';
-import type { Direct, Machine } from '../shard-state/machine.js';
+import type { UnconfirmedCalls, Machine } from '../shard-state/machine.js';
 import type { MachineCommands } from './machine-commands.js';
-import type { PartContext } from './shard-context.js';
-import type { ReportObserver } from './heartbeat-observer.js';
+import type { ShardContext } from './shard-context.js';
+import type { HeartbeatObserver } from './heartbeat-observer.js';
 
 /**
  * Calls workers with what is new for them. One call to a machine at a time; until it was answered
@@ -12,9 +12,9 @@
  */
 export class DirectCalls {
   constructor(
-    private readonly context: PartContext,
+    private readonly context: ShardContext,
     private readonly commands: MachineCommands,
-    private readonly observer: ReportObserver,
+    private readonly observer: HeartbeatObserver,
   ) {}
 
   /** Sends what is new for the machines that are marked dirty. */
@@ -24,10 +24,10 @@
     for (const name of [...dirtyMachines]) {
       if (workers.full) return;
       const machine = machines.all.get(name);
-      if (machine?.direct) continue;
+      if (machine?.directCalls) continue;
       dirtyMachines.delete(name);
       // The answer to the report that proves that it hears us carries all that is missing.
-      if (!machine?.proven || machine.address === '') continue;
+      if (!machine?.isAcknowledged || machine.address === '') continue;
       const commands = this.newCommandsFor(machine);
       if (commands.length > 0) void this.send(machine, commands);
     }
@@ -42,24 +42,29 @@
 
   private async send(machine: Machine, commands: Command[]): Promise<void> {
     const { clock, dirtyMachines, log, machines, wake, workers } = this.context;
-    const direct: Direct = {
-      session: machine.session,
+    const direct: UnconfirmedCalls = {
+      agentEpoch: machine.agentEpoch,
       attempts: new Set(commands.map((command) => command.attempt)),
       fence: null,
     };
-    machine.direct = direct;
-    if (commands.some(({ op }) => op === 'start')) machine.exposed = true;
+    machine.directCalls = direct;
+    if (commands.some(({ op }) => op === 'start')) machine.hasUnfencedStart = true;
     const askedAt = clock.now();
-    const token = machines.tokenOf(machine);
+    const fencingToken = machines.fencingTokenOf(machine);
     try {
-      const result = await workers.command(machine.address, token, machine.session, commands);
-      if (machine.direct === direct) machine.direct = null;
-      this.observer.observe(machine, result.report, askedAt);
+      const result = await workers.command(
+        machine.address,
+        fencingToken,
+        machine.agentEpoch,
+        commands,
+      );
+      if (machine.directCalls === direct) machine.directCalls = null;
+      this.observer.observe(machine, result.heartbeat, askedAt);
       if (dirtyMachines.size > 0) wake();
     } catch (error) {
-      if (machine.direct !== direct) return;
-      machines.doubt(machine);
-      direct.fence = machines.tokenOf(machine);
+      if (machine.directCalls !== direct) return;
+      machines.requireAcknowledgement(machine);
+      direct.fence = machines.fencingTokenOf(machine);
       log.info({ machine: machine.name, error: String(error) }, 'direct commands unanswered');
     }
   }
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -17,7 +17,7 @@
 
 /** The workers' times for gangs. */
 export interface GangTimes {
-  reportS: number;
+  heartbeatIntervalS: number;
   gangWaitS: number;
   gangPeerS: number;
 }
@@ -43,24 +43,24 @@
     private readonly dependencies: GangShareDependencies,
   ) {}
 
-  private spec(chunk: Chunk): JobSpec | null {
-    return this.dependencies.replica.job(chunk.job)?.spec ?? null;
+  private spec(assignment: Chunk): JobSpec | null {
+    return this.dependencies.replica.job(assignment.job)?.spec ?? null;
   }
 
   /** Whether tasks of this chunk may start now. */
-  mayStart(chunk: Chunk): boolean {
-    if (chunk.record.attempt === undefined) return true;
-    return !chunk.broken && this.isFullyPlaced(chunk);
+  mayStart(assignment: Chunk): boolean {
+    if (assignment.record.attempt === undefined) return true;
+    return !assignment.broken && this.isFullyPlaced(assignment);
   }
 
   /** Whether all tasks of the gang have their machines, by what the state service holds. */
-  private isFullyPlaced(chunk: Chunk): boolean {
+  private isFullyPlaced(assignment: Chunk): boolean {
     let placed = 0;
-    for (const share of this.dependencies.replica.chunksOf(chunk.job)) {
-      if (share.attempt !== chunk.record.attempt || share.stopping) return false;
-      placed += share.liveCount + share.done;
+    for (const share of this.dependencies.replica.assignmentsOf(assignment.job)) {
+      if (share.attempt !== assignment.record.attempt || share.stopping) return false;
+      placed += share.placedCount + share.done;
     }
-    return placed === this.spec(chunk)?.tasks;
+    return placed === this.spec(assignment)?.tasks;
   }
 
   /**
@@ -71,30 +71,31 @@
   reconcile(): Set<string> {
     const stopped = new Set<string>();
     const now = this.dependencies.clock.now();
-    for (const chunk of this.dependencies.tasks.gangs) {
-      const spec = this.spec(chunk);
+    for (const assignment of this.dependencies.tasks.gangs) {
+      const spec = this.spec(assignment);
       if (spec === null) continue;
-      this.failOverdue(chunk, now);
-      const isAnnounced = this.propagateFailure(chunk, spec);
-      if (chunk.broken && isAnnounced) this.end(chunk, stopped);
-      else if (!chunk.broken && chunk.placed === 0) this.giveBackLate(chunk, spec, now);
+      this.failOverdue(assignment, now);
+      const isAnnounced = this.propagateFailure(assignment, spec);
+      if (assignment.broken && isAnnounced) this.end(assignment, stopped);
+      else if (!assignment.broken && assignment.placed === 0)
+        this.giveBackLate(assignment, spec, now);
     }
     return stopped;
   }
 
   /** Fails a share if the rest of its gang was not reserved, or did not start, in time. */
-  private failOverdue(chunk: Chunk, now: number): void {
+  private failOverdue(assignment: Chunk, now: number): void {
     const { log } = this.dependencies;
-    const allPlaced = chunk.waiting.size === 0;
-    chunk.placedAt = allPlaced ? (chunk.placedAt ?? now) : null;
-    const late = chunk.placedAt !== null && now - chunk.placedAt >= GANG_RESERVE_MS;
-    if (!chunk.broken && late && !this.isFullyPlaced(chunk)) {
-      chunk.broken = true;
-      log.info({ job: chunk.job }, 'gang not reserved in time');
+    const allPlaced = assignment.waiting.size === 0;
+    assignment.placedAt = allPlaced ? (assignment.placedAt ?? now) : null;
+    const late = assignment.placedAt !== null && now - assignment.placedAt >= GANG_RESERVE_MS;
+    if (!assignment.broken && late && !this.isFullyPlaced(assignment)) {
+      assignment.broken = true;
+      log.info({ job: assignment.job }, 'gang not reserved in time');
     }
-    if (!chunk.broken && this.hasWaitedTooLong(chunk, now)) {
-      chunk.broken = true;
-      log.info({ job: chunk.job }, 'gang withdrawn, it was not complete in time');
+    if (!assignment.broken && this.hasWaitedTooLong(assignment, now)) {
+      assignment.broken = true;
+      log.info({ job: assignment.job }, 'gang withdrawn, it was not complete in time');
     }
   }
 
@@ -103,25 +104,25 @@
    * whether they can see the stop. No task is told before that: progress is saved only where all
    * are told at about the same time, which an outage of the state service would prevent.
    */
-  private propagateFailure(chunk: Chunk, spec: JobSpec): boolean {
+  private propagateFailure(assignment: Chunk, spec: JobSpec): boolean {
     const { replica, tasks } = this.dependencies;
-    if (chunk.slots.size === spec.tasks) return true;
+    if (assignment.slots.size === spec.tasks) return true;
     // All parts must stop their shares within the time that tasks wait for lost peers.
-    const isStored = replica.chunksOf(chunk.job).some((share) => share.stopping);
-    if (isStored) chunk.broken = true;
-    if (chunk.broken && !chunk.stored.stopping) tasks.touch(chunk);
-    return isStored || chunk.stored.stopping === true;
+    const isStored = replica.assignmentsOf(assignment.job).some((share) => share.stopping);
+    if (isStored) assignment.broken = true;
+    if (assignment.broken && !assignment.stored.stopping) tasks.touch(assignment);
+    return isStored || assignment.stored.stopping === true;
   }
 
   /**
    * Whether tasks here have waited for the others until just before they end by themselves, one by
    * one. Withdrawn together they free their machines sooner, and nothing is lost.
    */
-  private hasWaitedTooLong(chunk: Chunk, now: number): boolean {
-    const { gangWaitS, reportS } = this.options;
-    const patienceMs = Math.max(gangWaitS / 2, gangWaitS - reportS) * 1000;
+  private hasWaitedTooLong(assignment: Chunk, now: number): boolean {
+    const { gangWaitS, heartbeatIntervalS: heartbeatIntervalS } = this.options;
+    const patienceMs = Math.max(gangWaitS / 2, gangWaitS - heartbeatIntervalS) * 1000;
     let since = Infinity;
-    for (const slot of chunk.slots.values()) {
+    for (const slot of assignment.slots.values()) {
       if (slot.state === 'done' || slot.runningAt !== null) return false;
       since = Math.min(since, slot.gatheringAt ?? Infinity);
     }
@@ -133,76 +134,83 @@
    * all of its tasks are told within `gang_peer_s`; else what it did since its last checkpoint is
    * lost, and it goes on unless that is little.
    */
-  mayStop(chunk: Chunk): boolean {
-    const spec = this.spec(chunk);
+  mayStop(assignment: Chunk): boolean {
+    const spec = this.spec(assignment);
     if (spec === null) return true;
-    return this.isReachable(chunk, spec) || this.progressAtRiskS(chunk, spec) <= GANG_LOSS_S;
+    return (
+      this.isReachable(assignment, spec) || this.progressAtRiskS(assignment, spec) <= GANG_LOSS_S
+    );
   }
 
   /** Whether a stop reaches all tasks of the gang in time. */
-  private isReachable(chunk: Chunk, spec: JobSpec): boolean {
-    const shared = chunk.slots.size < spec.tasks;
+  private isReachable(assignment: Chunk, spec: JobSpec): boolean {
+    const shared = assignment.slots.size < spec.tasks;
     if (shared && this.options.gangPeerS * 1000 < SHARED_STOP_MS) return false;
-    return [...this.machinesOf(chunk.job)].every((name) => {
+    return [...this.machinesOf(assignment.job)].every((name) => {
       const machine = this.dependencies.machines.all.get(name);
       return (
-        machine?.proven === true &&
-        !machine.direct &&
+        machine?.isAcknowledged === true &&
+        !machine.directCalls &&
         this.dependencies.machines.health(machine) === 'ok'
       );
     });
   }
 
   /** Seconds that the gang ran since its last checkpoint, at the most; 0 where it never saves. */
-  private progressAtRiskS(chunk: Chunk, spec: JobSpec): number {
+  private progressAtRiskS(assignment: Chunk, spec: JobSpec): number {
     let since = Infinity;
-    for (const slot of chunk.slots.values()) since = Math.min(since, slot.runningAt ?? Infinity);
+    for (const slot of assignment.slots.values())
+      since = Math.min(since, slot.runningAt ?? Infinity);
     if (since === Infinity) return 0;
     // Where its last attempt ended is not known here: its checkpoints may come at any moment.
     return Math.min(spec.checkpointS, (this.dependencies.clock.now() - since) / 1000);
   }
 
   /** Stops all tasks of a failed share; once none is left it goes back to the leader. */
-  private end(chunk: Chunk, stopped: Set<string>): void {
+  private end(assignment: Chunk, stopped: Set<string>): void {
     const machines: string[] = [];
-    for (const slot of [...chunk.slots.values()]) {
+    for (const slot of [...assignment.slots.values()]) {
       if (slot.state !== 'live' || slot.halting) continue;
       // What was never committed was never sent either.
-      if (this.dependencies.tasks.committed(chunk, slot)) {
+      if (this.dependencies.tasks.committed(assignment, slot)) {
         slot.halting = true;
         machines.push(slot.machine);
         stopped.add(slot.machine);
-      } else this.dependencies.tasks.requeue(chunk, slot);
+      } else this.dependencies.tasks.requeue(assignment, slot);
     }
     if (machines.length > 0) {
       this.dependencies.log.info(
-        { job: chunk.job, attempt: chunk.record.attempt, machines },
+        { job: assignment.job, attempt: assignment.record.attempt, machines },
         'gang stops',
       );
     }
-    if (chunk.placed > 0) return;
-    this.dependencies.log.info({ job: chunk.job, attempt: chunk.record.attempt }, 'gang goes back');
-    this.giveBack(chunk);
+    if (assignment.placed > 0) return;
+    this.dependencies.log.info(
+      { job: assignment.job, attempt: assignment.record.attempt },
+      'gang goes back',
+    );
+    this.returnMachines(assignment);
   }
 
   /** Gives a share back that has waited for room for its time; infeasible ones wait less. */
-  private giveBackLate(chunk: Chunk, spec: JobSpec, now: number): void {
+  private giveBackLate(assignment: Chunk, spec: JobSpec, now: number): void {
     const urgent = rankOf(spec.priority) >= URGENT;
-    const patience = urgent || chunk.infeasible ? RELEASE_MS : GANG_HOLD_MS;
-    const [first] = chunk.waiting;
-    if (first && now - first.pendingSince >= patience) this.giveBack(chunk);
+    const patience = urgent || assignment.infeasible ? RELEASE_MS : GANG_HOLD_MS;
+    const [first] = assignment.waiting;
+    if (first && now - first.pendingSince >= patience) this.returnMachines(assignment);
   }
 
-  private giveBack(chunk: Chunk): void {
-    for (const slot of [...chunk.waiting]) this.dependencies.tasks.giveBack(chunk, slot);
+  private returnMachines(assignment: Chunk): void {
+    for (const slot of [...assignment.waiting])
+      this.dependencies.tasks.returnMachines(assignment, slot);
   }
 
   /** Names of the machines on which this part has placed tasks of a job's gang. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
-    for (const chunk of this.dependencies.tasks.of(job)) {
-      if (chunk.record.attempt === undefined) continue;
-      for (const slot of chunk.slots.values()) {
+    for (const assignment of this.dependencies.tasks.of(job)) {
+      if (assignment.record.attempt === undefined) continue;
+      for (const slot of assignment.slots.values()) {
         if (slot.state === 'live') machines.add(slot.machine);
       }
     }
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../../transport/clock.js';
 
 /** Lets a job wait after failures of its tasks, longer after each until one succeeds. */
-export class FailurePauses {
+export class JobFailureBackoff {
   private readonly failures = new Map<string, { count: number; until: number }>();
 
   constructor(private readonly clock: Clock) {}
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -1,12 +1,12 @@
 /** Requeues the tasks of machines that are lost. */
 import { SWEEP_MS } from '../../constants.js';
-import type { PartContext } from './shard-context.js';
+import type { ShardContext } from './shard-context.js';
 
 /** Looks periodically for machines that are gone or whose lease has surely run out. */
 export class LostMachines {
   private sweptAt = -Infinity;
 
-  constructor(private readonly context: PartContext) {}
+  constructor(private readonly context: ShardContext) {}
 
   /** Requeues the tasks of lost machines, if a sweep is due. */
   sweep(): void {
@@ -19,7 +19,7 @@
       if (!gone && now < machines.deadAt(name)) continue;
       const lost = [...tasks.on(name)];
       log.info({ machine: name, tasks: lost.length, gone }, 'machine lost, its tasks wait');
-      for (const [slot, chunk] of lost) tasks.requeue(chunk, slot);
+      for (const [slot, assignment] of lost) tasks.requeue(assignment, slot);
     }
     machines.sweep();
   }
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -1,10 +1,10 @@
 /** Makes the commands that bring a machine to what is wanted of it. */
 import { COMMANDS_MAX } from '../../constants.js';
-import type { Command, TaskReport } from '../../protocol/model.js';
+import type { Command, TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
-import { fits, take, type Room } from '../capacity/resources.js';
+import { fits, allocate, type Resources } from '../capacity/resources.js';
 import type { Slot, TaskSlot } from '../shard-state/tasks.js';
-import { jobSpec, type PartContext } from './shard-context.js';
+import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
 /** The commands for one machine while they are collected. */
@@ -13,7 +13,7 @@
   /** What was sent before is sent again if it is still missing. */
   readonly resend: boolean;
   /** Room on the machine beside the tasks that are counted so far. */
-  readonly room: Room;
+  readonly free: Resources;
   /** Placements that the machine's newest report lists. */
   readonly listed: Set<Slot>;
   readonly commands: Command[];
@@ -21,78 +21,82 @@
 
 /** Compares what is wanted of a machine with its newest report. */
 export class MachineCommands {
-  constructor(private readonly context: PartContext) {}
+  constructor(private readonly context: ShardContext) {}
 
   /** What makes the machine do what is wanted; `resend`: also what was sent before. */
   commandsFor(machine: Machine, { resend }: { resend: boolean }): Command[] {
     const { machines } = this.context;
-    const room = machines.capacity(machine.type);
-    const batch: CommandBatch = { machine, resend, room, listed: new Set(), commands: [] };
-    for (const report of machine.tasks) this.addForReported(batch, report);
+    const free = machines.capacity(machine.type);
+    const batch: CommandBatch = { machine, resend, free, listed: new Set(), commands: [] };
+    for (const heartbeat of machine.tasks) this.addForReported(batch, heartbeat);
     // Once forgotten, a start that was sent straight to the worker and is delivered once more would
     // run again: what forgets it carries a token that makes all earlier direct calls powerless.
-    if (machine.exposed && batch.commands.some(({ op }) => op === 'forget')) {
-      machines.fence(machine);
+    if (machine.hasUnfencedStart && batch.commands.some(({ op }) => op === 'forget')) {
+      machines.raiseFencingToken(machine);
     }
-    if (machines.usable(machine)) this.addStarts(batch);
+    if (machines.isSchedulable(machine)) this.addStarts(batch);
     return batch.commands.slice(0, COMMANDS_MAX);
   }
 
   /** Counts the room of a task on the machine, and stops it if it is not wanted there. */
-  private addForReported(batch: CommandBatch, report: TaskReport): void {
+  private addForReported(batch: CommandBatch, heartbeat: TaskStatus): void {
     const { tasks } = this.context;
-    const { machine, resend, room } = batch;
-    const chunk = tasks.find(report.task.job, report.task.index)?.chunk;
+    const { machine, resend, free: free } = batch;
+    const assignment = tasks.find(heartbeat.task.job, heartbeat.task.index)?.assignment;
     // Of an unknown task the need is not known: it counts as if it took all of the machine.
-    if (report.state !== 'exited') take(room, chunk ? chunk.record : { ...room });
-    const wanted = findReported(tasks, machine, report);
+    if (heartbeat.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
+    const wanted = findReported(tasks, machine, heartbeat);
     if (!wanted) {
-      if (resend) this.addRemoval(batch, report);
+      if (resend) this.addRemoval(batch, heartbeat);
       return;
     }
     batch.listed.add(wanted.slot);
-    this.addStop(batch, report, wanted);
+    this.addStop(batch, heartbeat, wanted);
   }
 
   /** Stops a placed task whose job is over, or which makes room for others. */
-  private addStop(batch: CommandBatch, report: TaskReport, { chunk, slot }: TaskSlot): void {
-    const spec = jobSpec(this.context, chunk.job);
-    const stop = spec === null || (slot.halting && report.state !== 'saving');
+  private addStop(
+    batch: CommandBatch,
+    heartbeat: TaskStatus,
+    { assignment, slot }: TaskSlot,
+  ): void {
+    const spec = jobSpec(this.context, assignment.job);
+    const stop = spec === null || (slot.halting && heartbeat.state !== 'saving');
     if (!stop || (slot.stopSent && !batch.resend)) return;
     slot.stopSent = true;
     const graceS = spec !== null && spec.checkpointS > 0 ? spec.saveS : 0;
-    batch.commands.push({ op: 'stop', task: report.task, attempt: report.attempt, graceS });
+    batch.commands.push({ op: 'stop', task: heartbeat.task, attempt: heartbeat.attempt, graceS });
   }
 
   /** A task on the machine that is not wanted there: stopped, or forgotten once it has ended. */
-  private addRemoval({ machine, commands }: CommandBatch, report: TaskReport): void {
-    const { task, attempt } = report;
-    if (report.state !== 'exited') {
+  private addRemoval({ machine, commands }: CommandBatch, heartbeat: TaskStatus): void {
+    const { task, attempt } = heartbeat;
+    if (heartbeat.state !== 'exited') {
       commands.push({ op: 'stop', task, attempt, graceS: 0 });
       return;
     }
     // Forgotten only after the state service knows the end: until then a new owner of this part
     // would take the placement for one whose start was lost.
     // Nor while a start sent straight to the worker may still arrive: it would run once more.
-    const chunk = this.context.tasks.find(task.job, task.index)?.chunk;
-    const stored = chunk?.stored.live[String(task.index)];
-    if (stored?.[1] !== attempt && !machine.direct?.attempts.has(attempt)) {
+    const assignment = this.context.tasks.find(task.job, task.index)?.assignment;
+    const stored = assignment?.stored.live[String(task.index)];
+    if (stored?.[1] !== attempt && !machine.directCalls?.attempts.has(attempt)) {
       commands.push({ op: 'forget', task, attempt });
     }
   }
 
   /** Starts what is placed on the machine and not there, where its room allows. */
-  private addStarts({ machine, resend, room, listed, commands }: CommandBatch): void {
+  private addStarts({ machine, resend, free: free, listed, commands }: CommandBatch): void {
     const { gangs, tasks } = this.context;
     const missing = [...tasks.on(machine.name)].filter(([slot]) => !listed.has(slot));
-    for (const [slot, chunk] of missing) if (slot.startSent) take(room, chunk.record);
-    for (const [slot, chunk] of missing) {
-      if (!tasks.committed(chunk, slot) || slot.halting) continue;
-      if (jobSpec(this.context, chunk.job) === null || !gangs.mayStart(chunk)) continue;
-      if (slot.startSent ? !resend : !fits(room, chunk.record)) continue;
-      if (!slot.startSent) take(room, chunk.record);
+    for (const [slot, assignment] of missing) if (slot.startSent) allocate(free, assignment.record);
+    for (const [slot, assignment] of missing) {
+      if (!tasks.committed(assignment, slot) || slot.halting) continue;
+      if (jobSpec(this.context, assignment.job) === null || !gangs.mayStart(assignment)) continue;
+      if (slot.startSent ? !resend : !fits(free, assignment.record)) continue;
+      if (!slot.startSent) allocate(free, assignment.record);
       slot.startSent = true;
-      const task = { job: chunk.job, index: slot.index };
+      const task = { job: assignment.job, index: slot.index };
       commands.push({ op: 'start', task, attempt: slot.attempt });
     }
   }
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -3,17 +3,17 @@
 import type { JobSpec } from '../../protocol/model.js';
 import { reservingPlace } from '../capacity/gang-capacity.js';
 import { machinesOf } from '../capacity/machine-inventory.js';
-import { placeKey } from '../capacity/priorities.js';
-import type { PartContext } from './shard-context.js';
+import { shardZoneKey } from '../capacity/priorities.js';
+import type { ShardContext } from './shard-context.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
 
 /** Some room for the next gang is kept free by the part that has most machines for it. */
-export class GangReservation {
+export class ReservedGang {
   private readonly recentGangs: RecentGangs;
   private reserved: JobSpec | null = null;
   private checkAgainAt = -Infinity;
 
-  constructor(private readonly context: PartContext) {
+  constructor(private readonly context: ShardContext) {
     this.recentGangs = new RecentGangs(context.clock);
   }
 
@@ -36,7 +36,7 @@
     const next = this.recentGangs.largestNotUrgent;
     if (!next) return null;
     const place = reservingPlace(next, machinesOf(replica));
-    const ours = machines.inOrder().some(({ zone }) => placeKey(options.part, zone) === place);
+    const ours = machines.inOrder().some(({ zone }) => shardZoneKey(options.shard, zone) === place);
     return ours ? next : null;
   }
 }
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -2,26 +2,26 @@
 import { BEGIN_WITHIN_S, KEPT_FROM_MS } from '../../constants.js';
 import { ARMS } from '../../storage/keys.js';
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
-import { Placing, type PlacingOptions } from '../scheduling/scheduler.js';
-import type { GangReservation } from './reserved-gang.js';
-import { machineTypeNames, type PartContext } from './shard-context.js';
+import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.js';
+import type { ReservedGang } from './reserved-gang.js';
+import { machineTypeNames, type ShardContext } from './shard-context.js';
 
 /** Creates the placing once the catalog of machine types is known. */
-export class PlacingLoader {
-  private loaded: Placing | null = null;
+export class SchedulerLoader {
+  private loaded: Scheduler | null = null;
 
   constructor(
-    private readonly context: PartContext,
-    private readonly reservation: GangReservation,
+    private readonly context: ShardContext,
+    private readonly reservation: ReservedGang,
   ) {}
 
   /** The placing; null: it is not loaded yet. */
-  get placing(): Placing | null {
+  get scheduler(): Scheduler | null {
     return this.loaded;
   }
 
   /** Loads the placing; null: there is no catalog yet. */
-  async load(): Promise<Placing | null> {
+  async load(): Promise<Scheduler | null> {
     const types = machineTypeNames(this.context);
     if (types.length === 0) return null;
     const { clock, costLearning, log, machines, options, tasks } = this.context;
@@ -31,21 +31,21 @@
     this.restore(bandit);
     costLearning.bandit = bandit;
     const dependencies = { tasks, machines, bandit, clock, log };
-    this.loaded = new Placing(this.placingOptions(), dependencies);
+    this.loaded = new Scheduler(this.schedulerOptions(), dependencies);
     return this.loaded;
   }
 
   /** Gives the bandit what was stored of its arms. */
   private restore(bandit: Bandit): void {
     const { options, replica } = this.context;
-    for (const [key, held] of replica.below<ArmRecord>(`${ARMS}${options.part}/`)) {
+    for (const [key, held] of replica.below<ArmRecord>(`${ARMS}${options.shard}/`)) {
       const further = (at: number) => replica.get<ArmRecord>(`${key}+${at}`)?.value;
       bandit.restore(key.slice(key.lastIndexOf('/') + 1), held.value, further);
     }
   }
 
-  private placingOptions(): PlacingOptions {
-    const { failurePauses, gangs, options, replica } = this.context;
+  private schedulerOptions(): SchedulerOptions {
+    const { jobFailureBackoff, gangs, options, replica } = this.context;
     return {
       number: options.number,
       term: options.term,
@@ -54,8 +54,8 @@
       beganLate: (id) => this.beganLate(id),
       waitsLong: (id) => this.waitsLong(id),
       nextGang: () => this.reservation.next(),
-      pauses: (id) => failurePauses.isPaused(id),
-      mayStopGang: (chunk) => gangs.mayStop(chunk),
+      pauses: (id) => jobFailureBackoff.isPaused(id),
+      mayStopGang: (assignment) => gangs.mayStop(assignment),
       gangWaitS: options.gangWaitS,
     };
   }
@@ -64,14 +64,14 @@
   private beganLate(job: string): boolean {
     const { replica } = this.context;
     if (!this.isOlderThan(job, BEGIN_WITHIN_S * 1000)) return false;
-    return replica.chunksOf(job).every((chunk) => chunk.done === 0);
+    return replica.assignmentsOf(job).every((assignment) => assignment.done === 0);
   }
 
   /** Whether nothing of a job runs long after it came. */
   private waitsLong(job: string): boolean {
     const { replica } = this.context;
     if (!this.isOlderThan(job, KEPT_FROM_MS)) return false;
-    return replica.chunksOf(job).every((chunk) => chunk.liveCount === 0);
+    return replica.assignmentsOf(job).every((assignment) => assignment.placedCount === 0);
   }
 
   /** Whether a job was accepted at least so many ms ago and is not over. */
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -11,12 +11,12 @@
 import type { Machines } from '../shard-state/machines.js';
 import type { Chunk, Tasks } from '../shard-state/tasks.js';
 import type { CostLearning } from './cost-learning.js';
-import type { FailurePauses } from './job-failure-backoff.js';
+import type { JobFailureBackoff } from './job-failure-backoff.js';
 
 /** A part's identity and settings, and what its node tells it. */
-export interface PartOptions {
+export interface ShardOptions {
   /** Name of the part. */
-  part: string;
+  shard: string;
   /** Number of the part among all, which its attempts carry. */
   number: number;
   /** Term of the owner's role. */
@@ -30,13 +30,13 @@
   /** Seconds that a worker's tasks outlive its last answered report. */
   leaseS: number;
   /** Seconds between a worker's reports. */
-  reportS: number;
+  heartbeatIntervalS: number;
   /** Seconds for which a gang's task waits for the others. */
   gangWaitS: number;
   /** Seconds within which all tasks of a gang must be told to stop for its progress to be saved. */
   gangPeerS: number;
   /** Operations that one transaction may have. */
-  txnOps: number;
+  transactionOps: number;
   /** Bytes that one stored value may have. */
   valueBytes: number;
   /** How much the bandit explores; 0: never. */
@@ -52,13 +52,13 @@
   /** What the replica knows is recent enough to act on it before the outside. */
   current: () => boolean;
   /** How far this node's writes to the state service reach. */
-  limiter: Pick<RateLimiter, 'supply' | 'hasRoom'>;
+  limiter: Pick<RateLimiter, 'supply' | 'hasCapacity'>;
   /** Something urgent was written: the leader should not wait for its next look. */
   written: () => void;
 }
 
 /** The services that a part uses. */
-export interface PartServices {
+export interface ShardServices {
   readonly replica: StoreReplica;
   readonly committer: Committer;
   readonly workers: WorkerApi;
@@ -69,33 +69,33 @@
 }
 
 /** The services together with the state that several steps use. */
-export interface PartContext extends PartServices {
-  readonly options: PartOptions;
+export interface ShardContext extends ShardServices {
+  readonly options: ShardOptions;
   readonly machines: Machines;
   readonly tasks: Tasks;
   readonly gangs: GangShares;
-  readonly failurePauses: FailurePauses;
+  readonly jobFailureBackoff: JobFailureBackoff;
   readonly costLearning: CostLearning;
   /** Machines for which there may be commands that are not in any answer yet. */
   readonly dirtyMachines: Set<string>;
   /** Chunks of jobs that are over. */
-  readonly endedChunks: Set<Chunk>;
+  readonly endedAssignments: Set<Chunk>;
 }
 
 /** A job's description; null: it is over. */
-export function jobSpec({ replica }: Pick<PartContext, 'replica'>, job: string): JobSpec | null {
+export function jobSpec({ replica }: Pick<ShardContext, 'replica'>, job: string): JobSpec | null {
   return replica.job(job)?.spec ?? null;
 }
 
 /** Notes that there may be commands for these machines. */
 export function markDirty(
-  { dirtyMachines }: Pick<PartContext, 'dirtyMachines'>,
+  { dirtyMachines }: Pick<ShardContext, 'dirtyMachines'>,
   machines: Iterable<string>,
 ): void {
   for (const machine of machines) dirtyMachines.add(machine);
 }
 
 /** Names of the machine types in the stored catalog; none while there is no catalog. */
-export function machineTypeNames({ replica }: Pick<PartContext, 'replica'>): string[] {
+export function machineTypeNames({ replica }: Pick<ShardContext, 'replica'>): string[] {
   return (readCatalog(replica) ?? []).map((type) => type.name);
 }
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -1,10 +1,10 @@
 /** A part's reports to the other nodes: the health of its machines, and what it has learned. */
 
-import { STATUS_PACE_MS, TXN_BYTES, VALUE_SHARE } from '../../constants.js';
+import { STATUS_PACE_MS, TRANSACTION_BYTES, VALUE_SHARE } from '../../constants.js';
 import { bytesOf, type Committer } from '../../storage/committer.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import { STATUSES, armKey, statusKey } from '../../storage/keys.js';
-import { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { MachineHealth, StatusRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
@@ -13,11 +13,11 @@
 import type { Machines } from '../shard-state/machines.js';
 
 /** What a status needs to know of its part. */
-export interface StatusOptions {
-  part: string;
+export interface ShardStatusOptions {
+  shard: string;
   roleKey: string;
   roleRevision: number;
-  txnOps: number;
+  transactionOps: number;
   valueBytes: number;
   snapshotMs: number;
   alive: () => boolean;
@@ -25,7 +25,7 @@
 }
 
 /** The services that a status uses. */
-export interface StatusServices {
+export interface ShardStatusServices {
   readonly replica: StoreReplica;
   readonly committer: Committer;
   readonly clock: Clock;
@@ -50,20 +50,20 @@
 }
 
 /** What a part tells others beside its tasks: its machines' health, and what it has learned. */
-export class Status {
+export class ShardStatus {
   /** The records as the state service holds them, as far as is known, by shard. */
   private readonly sent = new Map<number, StatusRecord['machines']>();
   private statusAt = -Infinity;
   private snapshotAt: number;
-  private readonly invalidBackoff: InvalidChangeBackoff;
+  private readonly rejectedChangeBackoff: RejectedChangeBackoff;
 
   constructor(
-    private readonly options: StatusOptions,
-    private readonly services: StatusServices,
+    private readonly options: ShardStatusOptions,
+    private readonly services: ShardStatusServices,
     private readonly machines: Machines,
   ) {
     const { clock } = services;
-    this.invalidBackoff = new InvalidChangeBackoff(clock);
+    this.rejectedChangeBackoff = new RejectedChangeBackoff(clock);
     this.snapshotAt = clock.now() + options.snapshotMs;
     this.inherit();
   }
@@ -74,19 +74,19 @@
    * machines that never came up, and returns it.
    */
   private inherit(): void {
-    const prefix = `${STATUSES}${this.options.part}/`;
+    const prefix = `${STATUSES}${this.options.shard}/`;
     for (const [key, held] of this.services.replica.below<StatusRecord>(prefix)) {
       this.sent.set(Number(key.slice(prefix.length)), held.value.machines);
       for (const [name, [type, zone, spot, health]] of Object.entries(held.value.machines)) {
         const machine = this.machines.add(name, type, zone, spot === 1);
-        machine.leaving = health === 'leaving';
+        machine.isLeaving = health === 'leaving';
         machine.answeredAt = -Infinity;
       }
     }
   }
 
   /** Writes what changed and is due. */
-  async round(bandit: Bandit | null, types: readonly string[]): Promise<void> {
+  async reconcile(bandit: Bandit | null, types: readonly string[]): Promise<void> {
     await this.writeStatus();
     await this.snapshot(bandit, types);
   }
@@ -99,10 +99,10 @@
    * since that version counts them to find those that it must empty.
    */
   private plan(entries: ReadonlyMap<string, Entry>): StatusPage[] {
-    const room = Math.floor(this.options.valueBytes * VALUE_SHARE) - bytesOf({ machines: {} });
+    const capacity = Math.floor(this.options.valueBytes * VALUE_SHARE) - bytesOf({ machines: {} });
     const pages: StatusPage[] = [];
     const open = (): StatusPage => {
-      const page: StatusPage = { names: new Set(), left: room, losing: false };
+      const page: StatusPage = { names: new Set(), left: capacity, losing: false };
       pages.push(page);
       return page;
     };
@@ -130,7 +130,7 @@
         put(page, name);
       }
     }
-    this.emptyLast(pages, room, movers, size);
+    this.emptyLast(pages, capacity, movers, size);
     for (const name of entries.keys()) if (!placed.has(name)) movers.add(name);
     // By name and to the last shards first: names grow with time, and the version before orders
     // its shards by name. So little moves when it takes the part, and nothing to a later shard.
@@ -144,7 +144,7 @@
   /** The last shard in use goes into the others once they have plenty of room for it. */
   private emptyLast(
     pages: StatusPage[],
-    room: number,
+    capacity: number,
     movers: Set<string>,
     size: (name: string) => number,
   ): void {
@@ -152,8 +152,8 @@
     if (!last || last === pages[0] || pages.some((page) => page.losing)) return;
     const others = pages.slice(0, pages.indexOf(last));
     // Shards that are nearly full don't count: their rests may fit no machine.
-    const free = others.reduce((sum, { left }) => sum + (left < room / 4 ? 0 : left), 0);
-    if (free < room - last.left + room) return;
+    const free = others.reduce((sum, { left }) => sum + (left < capacity / 4 ? 0 : left), 0);
+    if (free < capacity - last.left + capacity) return;
     for (const name of last.names) movers.add(name);
     for (const name of last.names) last.left += size(name);
     last.names.clear();
@@ -182,11 +182,11 @@
     order.push(...[...pages.keys()].filter((at) => pages[at]?.losing));
     for (const at of order) {
       const machines = records[at] ?? {};
-      const key = statusKey(this.options.part, at);
+      const key = statusKey(this.options.shard, at);
       if (JSON.stringify(this.sent.get(at)) === JSON.stringify(machines)) continue;
       // The shard that gains a machine is written before the one that loses it, and if it can't be,
       // neither is: missing from all, a machine would be taken for one that never came up.
-      if (this.invalidBackoff.has(key)) return;
+      if (this.rejectedChangeBackoff.has(key)) return;
       const value: StatusRecord = { machines };
       if (!(await this.write('status', [{ key, value }]))) return;
       this.sent.set(at, machines);
@@ -201,8 +201,8 @@
     const { alive } = this.options;
     const result = await this.services.committer.commit(purpose, guards, changes, alive);
     for (const { key } of changes) {
-      if (result.kind === 'invalid') this.invalidBackoff.add(key);
-      else this.invalidBackoff.clear(key);
+      if (result.kind === 'invalid') this.rejectedChangeBackoff.add(key);
+      else this.rejectedChangeBackoff.clear(key);
     }
     return result.kind === 'done';
   }
@@ -216,19 +216,22 @@
     const most = Math.floor(this.options.valueBytes * VALUE_SHARE);
     for (const type of types) {
       const keyOf = (at: number): string =>
-        armKey(this.options.part, at === 0 ? type : `${type}+${at}`);
+        armKey(this.options.shard, at === 0 ? type : `${type}+${at}`);
       const held = this.services.replica.get<ArmRecord>(keyOf(0))?.value;
       const same = bandit.records(type, most, held?.stamp ?? 0);
       const isHeld = (record: ArmRecord, at: number): boolean =>
         JSON.stringify(this.services.replica.get(keyOf(at))?.value) === JSON.stringify(record);
       if (same.length === 0 || same.every(isHeld)) continue;
       const records = bandit.records(type, most, (held?.stamp ?? 0) + 1);
-      if (records.some((_, at) => this.invalidBackoff.has(keyOf(at)))) continue;
+      if (records.some((_, at) => this.rejectedChangeBackoff.has(keyOf(at)))) continue;
       // The main record last: the others count only with it.
       const changes = records.map((value, at): Change => ({ key: keyOf(at), value })).reverse();
-      const perTxn = Math.max(1, Math.min(this.options.txnOps, Math.floor(TXN_BYTES / most)));
-      for (let at = 0; at < changes.length; at += perTxn) {
-        if (!(await this.write('part', changes.slice(at, at + perTxn)))) break;
+      const changesPerTransaction = Math.max(
+        1,
+        Math.min(this.options.transactionOps, Math.floor(TRANSACTION_BYTES / most)),
+      );
+      for (let at = 0; at < changes.length; at += changesPerTransaction) {
+        if (!(await this.write('part', changes.slice(at, at + changesPerTransaction)))) break;
       }
     }
   }
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,71 +1,76 @@
 /** One part of the cluster as its owner runs it: machines and the tasks assigned to them. */
-import { TOKEN_STEP } from '../../constants.js';
-import { CHUNKS, JOBS, readChunkKey } from '../../storage/keys.js';
-import type { Command, WorkerReport } from '../../protocol/model.js';
-import { ChunkWriter } from './assignment-writer.js';
+import { FENCING_TOKENS_PER_TERM } from '../../constants.js';
+import { ASSIGNMENTS, JOBS, readAssignmentKey } from '../../storage/keys.js';
+import type { Command, Heartbeat } from '../../protocol/model.js';
+import { AssignmentWriter } from './assignment-writer.js';
 import { GangShares } from './gang-shares.js';
 import type { Machine } from '../shard-state/machine.js';
 import { Machines } from '../shard-state/machines.js';
 import { CostLearning } from './cost-learning.js';
 import { DirectCalls } from './direct-calls.js';
 import { withdrawIfEnded } from './ended-jobs.js';
-import { FailurePauses } from './job-failure-backoff.js';
-import { GangReservation } from './reserved-gang.js';
+import { JobFailureBackoff } from './job-failure-backoff.js';
+import { ReservedGang } from './reserved-gang.js';
 import { LostMachines } from './lost-machines.js';
 import { MachineCommands } from './machine-commands.js';
 import {
   jobSpec,
   machineTypeNames,
   markDirty,
-  type PartContext,
-  type PartOptions,
-  type PartServices,
+  type ShardContext,
+  type ShardOptions,
+  type ShardServices,
 } from './shard-context.js';
-import { PlacingLoader } from './scheduler-loader.js';
-import { ReportObserver } from './heartbeat-observer.js';
+import { SchedulerLoader } from './scheduler-loader.js';
+import { HeartbeatObserver } from './heartbeat-observer.js';
 import { releaseWaitingTasks } from './task-release.js';
-import { Status } from './shard-status.js';
+import { ShardStatus } from './shard-status.js';
 import { Tasks } from '../shard-state/tasks.js';
 
-export type { PartOptions, PartServices } from './shard-context.js';
+export type {
+  ShardOptions as PartOptions,
+  ShardServices as PartServices,
+} from './shard-context.js';
 
 /** The answer to a worker's report; not ok: the report must not be answered. */
-export type ReportAnswer = { ok: true; token: number; commands: Command[] } | { ok: false };
+export type HeartbeatAnswer =
+  { ok: true; fencingToken: number; commands: Command[] } | { ok: false };
 
 /**
  * One part as its owner runs it: its machines and the tasks assigned to it. Wanted is that every
  * task runs on one machine and that machines run nothing else; reports tell what is, and the
  * answers to them carry the commands that make up the difference.
  */
-export class Part {
-  private readonly context: PartContext;
+export class Shard {
+  private readonly context: ShardContext;
   private readonly commands: MachineCommands;
-  private readonly observer: ReportObserver;
+  private readonly observer: HeartbeatObserver;
   private readonly directCalls: DirectCalls;
-  private readonly gangReservation: GangReservation;
-  private readonly placingLoader: PlacingLoader;
+  private readonly gangReservation: ReservedGang;
+  private readonly schedulerLoader: SchedulerLoader;
   private readonly lostMachines: LostMachines;
-  private readonly writer: ChunkWriter;
-  private readonly status: Status;
+  private readonly writer: AssignmentWriter;
+  private readonly status: ShardStatus;
   private busy = false;
 
-  constructor(options: PartOptions, services: PartServices) {
+  constructor(options: ShardOptions, services: ShardServices) {
     this.context = createContext(options, services);
     this.commands = new MachineCommands(this.context);
-    this.observer = new ReportObserver(this.context);
+    this.observer = new HeartbeatObserver(this.context);
     this.directCalls = new DirectCalls(this.context, this.commands, this.observer);
-    this.gangReservation = new GangReservation(this.context);
-    this.placingLoader = new PlacingLoader(this.context, this.gangReservation);
+    this.gangReservation = new ReservedGang(this.context);
+    this.schedulerLoader = new SchedulerLoader(this.context, this.gangReservation);
     this.lostMachines = new LostMachines(this.context);
-    this.writer = new ChunkWriter(this.context, {
+    this.writer = new AssignmentWriter(this.context, {
       onCommitted: (machines, urgent) => {
         markDirty(this.context, machines);
         if (urgent) options.written();
         this.directCalls.sendPending();
       },
     });
-    for (const chunk of this.context.tasks.chunks.values()) withdrawIfEnded(this.context, chunk);
-    this.status = new Status(options, services, this.machines);
+    for (const assignment of this.context.tasks.assignments.values())
+      withdrawIfEnded(this.context, assignment);
+    this.status = new ShardStatus(options, services, this.machines);
   }
 
   /** The machines that report to this part. */
@@ -74,8 +79,8 @@
   }
 
   /** Half of the numbers of this term are used: the part should go on under a new one. */
-  get needsNewTerm(): boolean {
-    return this.machines.isRunningOut || (this.placingLoader.placing?.isRunningOut ?? false);
+  get needsTermRenewal(): boolean {
+    return this.machines.isRunningOut || (this.schedulerLoader.scheduler?.isRunningOut ?? false);
   }
 
   /** How many machines the part has, and how many tasks are placed and wait, for the metrics. */
@@ -88,22 +93,22 @@
   /** A key of the replica changed; true: this part may have something to do. */
   changed(key: string): boolean {
     if (key.startsWith(JOBS)) return this.jobChanged(key.slice(JOBS.length));
-    const { endedChunks, tasks } = this.context;
+    const { endedAssignments: endedAssignments, tasks } = this.context;
     if (tasks.gangs.size > 0 && this.otherShareChanged(key)) return true;
-    const before = tasks.chunks.get(key);
+    const before = tasks.assignments.get(key);
     tasks.changed(key);
-    const chunk = tasks.chunks.get(key);
-    if (chunk && !before) withdrawIfEnded(this.context, chunk);
-    if (before && !chunk) endedChunks.delete(before);
-    return before !== chunk;
+    const assignment = tasks.assignments.get(key);
+    if (assignment && !before) withdrawIfEnded(this.context, assignment);
+    if (before && !assignment) endedAssignments.delete(before);
+    return before !== assignment;
   }
 
   /** A job is new, has changed or is over; true: it has tasks in this part. */
   private jobChanged(job: string): boolean {
     this.gangReservation.noteJob(jobSpec(this.context, job));
     let known = false;
-    for (const chunk of this.context.tasks.of(job)) {
-      withdrawIfEnded(this.context, chunk);
+    for (const assignment of this.context.tasks.of(job)) {
+      withdrawIfEnded(this.context, assignment);
       known = true;
     }
     // A round that waits for the state service must not hold up what ends tasks.
@@ -114,8 +119,8 @@
   /** True: another part's share of a gang of ours changed, so that ours may start. */
   private otherShareChanged(key: string): boolean {
     const { gangs, options } = this.context;
-    const name = key.startsWith(CHUNKS) ? readChunkKey(key) : null;
-    if (!name || name.part === options.part) return false;
+    const name = key.startsWith(ASSIGNMENTS) ? readAssignmentKey(key) : null;
+    if (!name || name.shard === options.shard) return false;
     const machines = gangs.machinesOf(name.job);
     markDirty(this.context, machines);
     return machines.size > 0;
@@ -124,22 +129,29 @@
   // --- Reports -------------------------------------------------------------------------------
 
   /** Takes over a worker's report; the answer carries the commands for its machine. */
-  handleReport(report: WorkerReport): ReportAnswer {
-    const newer = report.token >= this.machines.baseToken + TOKEN_STEP;
-    if (newer || this.machines.recordedState(report.machine) === 'gone') return { ok: false };
-    const machine = this.machines.all.get(report.machine) ?? this.addMachine(report);
-    const worth = this.observer.observe(machine, report, null);
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
+    const newer =
+      heartbeat.fencingToken >= this.machines.baseFencingToken + FENCING_TOKENS_PER_TERM;
+    if (newer || this.machines.recordedState(heartbeat.machine) === 'gone') return { ok: false };
+    const machine = this.machines.all.get(heartbeat.machine) ?? this.addMachine(heartbeat);
+    const freshness = this.observer.observe(machine, heartbeat, null);
     if (!this.machines.mayAnswer(machine)) return { ok: false };
-    this.machines.answered(machine, worth);
+    this.machines.answered(machine, freshness);
     // What is put into the answer to a late copy is lost: starts go only to who hears us.
-    const commands = worth === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
-    return { ok: true, token: this.machines.tokenOf(machine), commands };
+    const commands =
+      freshness === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
+    return { ok: true, fencingToken: this.machines.fencingTokenOf(machine), commands };
   }
 
-  private addMachine(report: WorkerReport): Machine {
+  private addMachine(heartbeat: Heartbeat): Machine {
     const { log, wake } = this.context;
-    const machine = this.machines.add(report.machine, report.type, report.zone, report.spot);
-    log.info({ machine: report.machine, type: report.type }, 'machine reports');
+    const machine = this.machines.add(
+      heartbeat.machine,
+      heartbeat.type,
+      heartbeat.zone,
+      heartbeat.spot,
+    );
+    log.info({ machine: heartbeat.machine, type: heartbeat.type }, 'machine reports');
     wake();
     return machine;
   }
@@ -147,40 +159,40 @@
   // --- Rounds --------------------------------------------------------------------------------
 
   /** One round: find the difference between what is wanted and what is, and commit it. */
-  async round(): Promise<void> {
+  async reconcile(): Promise<void> {
     if (this.busy) return;
     this.busy = true;
     this.writer.sweep();
     try {
-      const placing = this.placingLoader.placing ?? (await this.placingLoader.load());
-      if (!placing) return;
+      const scheduler = this.schedulerLoader.scheduler ?? (await this.schedulerLoader.load());
+      if (!scheduler) return;
       this.lostMachines.sweep();
-      markDirty(this.context, placing.place());
-      markDirty(this.context, placing.consolidate());
+      markDirty(this.context, scheduler.place());
+      markDirty(this.context, scheduler.consolidate());
       markDirty(this.context, this.context.gangs.reconcile());
       releaseWaitingTasks(this.context);
       await this.writer.flush();
       this.directCalls.sendPending();
-      await this.status.round(this.context.costLearning.bandit, machineTypeNames(this.context));
+      await this.status.reconcile(this.context.costLearning.bandit, machineTypeNames(this.context));
     } finally {
       this.busy = false;
     }
   }
 }
 
-function createContext(options: PartOptions, services: PartServices): PartContext {
+function createContext(options: ShardOptions, services: ShardServices): ShardContext {
   const { clock, log, replica } = services;
   const machines = new Machines(options, replica, clock);
-  const tasks = new Tasks(options.part, replica, clock);
+  const tasks = new Tasks(options.shard, replica, clock);
   return {
     ...services,
     options,
     machines,
     tasks,
     gangs: new GangShares(options, { tasks, machines, replica, clock, log }),
-    failurePauses: new FailurePauses(clock),
+    jobFailureBackoff: new JobFailureBackoff(clock),
     costLearning: new CostLearning(machines, clock),
     dirtyMachines: new Set(),
-    endedChunks: new Set(),
+    endedAssignments: new Set(),
   };
 }
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -1,21 +1,21 @@
 /** Gives tasks back to the leader for which the part has no room. */
 import { QUEUE_RELEASE_MS, RELEASE_MS } from '../../constants.js';
 import { rankOf } from '../../protocol/model.js';
-import { jobSpec, type PartContext } from './shard-context.js';
+import { jobSpec, type ShardContext } from './shard-context.js';
 
 /** Gives tasks of arrays and services back to the leader that found no room here for a while. */
-export function releaseWaitingTasks(context: PartContext): void {
-  const { clock, failurePauses, tasks } = context;
+export function releaseWaitingTasks(context: ShardContext): void {
+  const { clock, jobFailureBackoff: jobFailureBackoff, tasks } = context;
   const now = clock.now();
-  for (const chunk of [...tasks.waiting]) {
-    const spec = jobSpec(context, chunk.job);
-    if (chunk.record.attempt !== undefined) continue;
-    if (spec === null || failurePauses.isPaused(chunk.job)) continue;
+  for (const assignment of [...tasks.waiting]) {
+    const spec = jobSpec(context, assignment.job);
+    if (assignment.record.attempt !== undefined) continue;
+    if (spec === null || jobFailureBackoff.isPaused(assignment.job)) continue;
     // The leader queues lower work here ahead of the room for it; urgent work must not wait.
     const urgent = rankOf(spec.priority) >= rankOf('high');
     const patience = urgent ? RELEASE_MS : QUEUE_RELEASE_MS;
-    for (const slot of [...chunk.waiting]) {
-      if (now - slot.pendingSince >= patience) tasks.giveBack(chunk, slot);
+    for (const slot of [...assignment.waiting]) {
+      if (now - slot.pendingSince >= patience) tasks.returnMachines(assignment, slot);
     }
   }
 }
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,26 +1,26 @@
 /** Decides which of a part's chunks are to be written now. */
 import { DONE_GATHER_MS, PLACE_GATHER_MS, YIELD_MS } from '../../constants.js';
-import type { InvalidChangeBackoff } from '../../storage/rejected-change-backoff.js';
+import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { rankOf } from '../../protocol/model.js';
-import { jobSpec, type PartContext } from './shard-context.js';
+import { jobSpec, type ShardContext } from './shard-context.js';
 import type { Chunk } from '../shard-state/tasks.js';
 
 /** Orders the changed chunks by urgency and holds back what can be gathered with other changes. */
 export class WriteSchedule {
   constructor(
-    private readonly context: PartContext,
+    private readonly context: ShardContext,
     /** Chunks whose changes were called invalid, or are too large to be written yet. */
-    private readonly withheld: InvalidChangeBackoff,
+    private readonly withheld: RejectedChangeBackoff,
   ) {}
 
   /** The chunks that are due, urgent ones first. */
-  dueChunks(): Chunk[] {
-    const { clock, endedChunks, tasks } = this.context;
+  dueAssignments(): Chunk[] {
+    const { clock, endedAssignments: endedAssignments, tasks } = this.context;
     const now = clock.now();
-    for (const chunk of endedChunks) if (this.isOver(chunk)) tasks.touch(chunk);
+    for (const assignment of endedAssignments) if (this.isOver(assignment)) tasks.touch(assignment);
     const due: Chunk[] = [];
-    for (const chunk of tasks.dirty) {
-      if (!this.withheld.has(chunk.key) && this.isDue(chunk, now)) due.push(chunk);
+    for (const assignment of tasks.dirty) {
+      if (!this.withheld.has(assignment.key) && this.isDue(assignment, now)) due.push(assignment);
     }
     return due.sort((a, b) => Number(this.isUrgent(b)) - Number(this.isUrgent(a)));
   }
@@ -29,19 +29,19 @@
   mayWriteOrdinary(due: readonly Chunk[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
-    const old = due.some((chunk) => now - (chunk.dirtySince ?? now) > YIELD_MS);
-    return old || options.limiter.hasRoom(Math.min(due.length, options.txnOps));
+    const old = due.some((assignment) => now - (assignment.dirtySince ?? now) > YIELD_MS);
+    return old || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
   }
 
   /** Removed once its job is over, or all of it was given back, and nothing of it is placed. */
-  isOver(chunk: Chunk): boolean {
-    if (chunk.slots.size === 0) return true;
-    return chunk.placed === 0 && jobSpec(this.context, chunk.job) === null;
+  isOver(assignment: Chunk): boolean {
+    if (assignment.slots.size === 0) return true;
+    return assignment.placed === 0 && jobSpec(this.context, assignment.job) === null;
   }
 
   /** Whether the chunk's job is a gang or has at least high priority. */
-  isUrgent(chunk: Chunk): boolean {
-    const spec = jobSpec(this.context, chunk.job);
+  isUrgent(assignment: Chunk): boolean {
+    const spec = jobSpec(this.context, assignment.job);
     if (spec?.kind === 'gang') return true;
     return spec !== null && rankOf(spec.priority) >= rankOf('high');
   }
@@ -50,29 +50,30 @@
    * Whether a chunk's changes should be written now. What starts tasks is; ends wait a moment for
    * others, since a write for each short task is more than the state service takes.
    */
-  private isDue(chunk: Chunk, now: number): boolean {
-    if (this.isOver(chunk)) return true;
-    const age = now - (chunk.dirtySince ?? now);
+  private isDue(assignment: Chunk, now: number): boolean {
+    if (this.isOver(assignment)) return true;
+    const age = now - (assignment.dirtySince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= DONE_GATHER_MS[supply]) return true;
     // Other parts with tasks of the gang stop theirs when they see this.
-    const shared = chunk.slots.size < (jobSpec(this.context, chunk.job)?.tasks ?? 0);
-    if (chunk.broken && shared && !chunk.stored.stopping) return true;
-    if (!this.startsTasks(chunk) && this.isOpen(chunk)) return false;
-    return this.isUrgent(chunk) || age >= PLACE_GATHER_MS[supply];
+    const shared = assignment.slots.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
+    if (assignment.broken && shared && !assignment.stored.stopping) return true;
+    if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
+    return this.isUrgent(assignment) || age >= PLACE_GATHER_MS[supply];
   }
 
   /** Whether some of the chunk's placements are not committed yet. */
-  private startsTasks(chunk: Chunk): boolean {
-    return [...chunk.slots.values()].some(
-      (slot) => slot.state === 'live' && !this.context.tasks.committed(chunk, slot),
+  private startsTasks(assignment: Chunk): boolean {
+    return [...assignment.slots.values()].some(
+      (slot) => slot.state === 'live' && !this.context.tasks.committed(assignment, slot),
     );
   }
 
   /** Whether tasks of the chunk wait for a place or are placed. */
-  private isOpen(chunk: Chunk): boolean {
+  private isOpen(assignment: Chunk): boolean {
     return (
-      chunk.waiting.size > 0 || [...chunk.slots.values()].some(({ state }) => state === 'live')
+      assignment.waiting.size > 0 ||
+      [...assignment.slots.values()].some(({ state }) => state === 'live')
     );
   }
 }
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -1,6 +1,6 @@
 /** The client of the cloud: the catalogue of machine types, rentals and returns. */
 
-import { NoAnswer, type HttpClient } from '../transport/http-client.js';
+import { OutcomeUnknownError, type HttpClient } from '../transport/http-client.js';
 import type { ListedMachine, MachineType } from './model.js';
 
 /**
@@ -25,7 +25,7 @@
   types(): Promise<MachineType[] | null>;
   rent(rental: Rental): Promise<RentResult>;
   /** True: the machines and everything on them are gone. */
-  giveBack(machines: string[]): Promise<boolean>;
+  returnMachines(machines: string[]): Promise<boolean>;
   list(after: string): Promise<{ machines: ListedMachine[]; more: boolean } | null>;
 }
 
@@ -110,10 +110,10 @@
     }
     if (answer.status === 503 && body?.error === 'no capacity') return { kind: 'noCapacity' };
     if (answer.status === 429 || answer.status === 503) return { kind: 'later' };
-    throw new NoAnswer(`rental: odd status ${answer.status}`);
+    throw new OutcomeUnknownError(`rental: odd status ${answer.status}`);
   }
 
-  async giveBack(machines: string[]): Promise<boolean> {
+  async returnMachines(machines: string[]): Promise<boolean> {
     const answer = await this.http.call(
       'POST',
       '/rentals/return',
--- a/src/protocol/environment.ts
+++ b/src/protocol/environment.ts
@@ -1,14 +1,14 @@
 /** What a controller needs from its surroundings. */
 import type { CloudApi } from './cloud-api.js';
 import type { PeerMessage } from './peer-messages.js';
-import type { StateApi } from './key-value-store.js';
+import type { KeyValueStore } from './key-value-store.js';
 import type { WorkerApi } from './worker-api.js';
 import type { Clock } from '../transport/clock.js';
 
 /** The clock and the services that a node uses; tests pass simulated ones. */
 export interface Environment {
   readonly clock: Clock;
-  readonly state: StateApi;
+  readonly state: KeyValueStore;
   readonly cloud: CloudApi;
   readonly workers: WorkerApi;
   /** Sends a message to a peer; false: there is no connection to it. */
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -1,6 +1,6 @@
 /** The client of the state service: guarded transactions, leases and a watch over a key space. */
 
-import { NoAnswer, type HttpClient } from '../transport/http-client.js';
+import { OutcomeUnknownError, type HttpClient } from '../transport/http-client.js';
 
 /** A key with its value, at the revision of its last change. */
 export interface Entry {
@@ -20,7 +20,7 @@
   { key: string; value: unknown; lease?: number } | { key: string; remove: true };
 
 /** `failed`: the keys whose guards did not hold. */
-export type TxnResult = { ok: true; revision: number } | { ok: false; failed: string[] };
+export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
 /** The changes since the revision that was asked for. */
 export interface WatchResult {
@@ -30,7 +30,7 @@
 }
 
 /** The state service did not carry the request out. */
-export class Refused extends Error {
+export class StoreRejectedError extends Error {
   constructor(
     readonly status: number,
     readonly reason: string | null = null,
@@ -44,13 +44,13 @@
 export const NO_SUCH_LEASE = 'no such lease';
 
 /** What the rest of the program needs of the state service; tests put a stand-in here. */
-export interface StateApi {
+export interface KeyValueStore {
   get(key: string): Promise<{ value: unknown; revision: number } | null>;
   list(
     prefix: string,
     after: string | null,
   ): Promise<{ entries: Entry[]; more: boolean; revision: number }>;
-  txn(guards: Guard[], changes: Change[]): Promise<TxnResult>;
+  compareAndSwap(guards: Guard[], changes: Change[]): Promise<CompareAndSwapResult>;
   grant(ttlMs: number): Promise<number>;
   /** False: the lease has ended. */
   extend(lease: number): Promise<boolean>;
@@ -61,7 +61,7 @@
 type Body = Record<string, unknown>;
 
 /** A request to the state service. */
-interface StateRequest {
+interface StoreRequest {
   method: 'GET' | 'POST';
   path: string;
   body?: unknown;
@@ -99,18 +99,18 @@
 function numberOf(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
-  throw new NoAnswer(`state service's answer lacks ${field}`);
+  throw new OutcomeUnknownError(`state service's answer lacks ${field}`);
 }
 
 /** The same for a list. */
 function listOf<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
-  throw new NoAnswer(`state service's answer lacks ${field}`);
+  throw new OutcomeUnknownError(`state service's answer lacks ${field}`);
 }
 
 /** The state service over HTTP; the wire's names stay in here. */
-export class HttpStateApi implements StateApi {
+export class HttpKeyValueStore implements KeyValueStore {
   constructor(
     private readonly http: HttpClient,
     private readonly watchHttp: HttpClient,
@@ -118,19 +118,19 @@
   ) {}
 
   private async call(
-    request: StateRequest,
+    request: StoreRequest,
     client = this.http,
     timeoutMs = this.timeoutMs,
   ): Promise<{ status: number; body: Body }> {
     const { method, path, expected } = request;
     const answer = await client.call(method, path, request.body, timeoutMs);
-    if (answer.status === 429 || answer.status === 503) throw new Refused(answer.status);
+    if (answer.status === 429 || answer.status === 503) throw new StoreRejectedError(answer.status);
     if (!expected.includes(answer.status)) {
       if (answer.status === 400) {
         const reason = (answer.body as Body | null)?.['error'];
-        throw new Refused(400, typeof reason === 'string' ? reason : null);
+        throw new StoreRejectedError(400, typeof reason === 'string' ? reason : null);
       }
-      throw new NoAnswer(`${method} ${path}: odd status ${answer.status}`);
+      throw new OutcomeUnknownError(`${method} ${path}: odd status ${answer.status}`);
     }
     const parsed = (answer.body as Body | null) ?? {};
     return { status: answer.status, body: parsed };
@@ -157,7 +157,7 @@
     };
   }
 
-  async txn(guards: Guard[], changes: Change[]): Promise<TxnResult> {
+  async compareAndSwap(guards: Guard[], changes: Change[]): Promise<CompareAndSwapResult> {
     const { status, body } = await this.call({
       method: 'POST',
       path: '/txn',
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -61,7 +61,7 @@
   'done' | 'stopped' | 'error' | 'noRoom' | 'busy' | 'unknown' | 'peerLost' | 'timedOut';
 
 /** A task as a worker reports it. */
-export interface TaskReport {
+export interface TaskStatus {
   task: TaskRef;
   attempt: number;
   state: TaskState;
@@ -69,17 +69,17 @@
 }
 
 /** A worker's report of its machine and of all tasks on it. */
-export interface WorkerReport {
+export interface Heartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
   noticeS: number | null;
-  tasks: TaskReport[];
+  tasks: TaskStatus[];
 }
 
 /** An order to a worker about one task. */
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -55,8 +55,8 @@
 const RELAY = 2;
 const RELAYED = 3;
 const DETECTOR = 4;
-const STAND_DOWN = 5;
-const STOOD_DOWN = 6;
+const STEP_DOWN = 5;
+const STEPPED_DOWN = 6;
 
 type Message<Kind extends PeerMessage['kind']> = Extract<PeerMessage, { kind: Kind }>;
 
@@ -116,10 +116,10 @@
       writeRelayed(writer, message);
       break;
     case 'standDown':
-      writeTenure(writer, STAND_DOWN, message);
+      writeTenure(writer, STEP_DOWN, message);
       break;
     case 'stoodDown':
-      writeTenure(writer, STOOD_DOWN, message);
+      writeTenure(writer, STEPPED_DOWN, message);
       break;
   }
   writer.ldelim();
@@ -171,10 +171,10 @@
         body: text(3),
         isProven: integer(4) === 1,
       };
-    case STAND_DOWN:
-    case STOOD_DOWN:
+    case STEP_DOWN:
+    case STEPPED_DOWN:
       return {
-        kind: kind === STAND_DOWN ? 'standDown' : 'stoodDown',
+        kind: kind === STEP_DOWN ? 'standDown' : 'stoodDown',
         node: text(1),
         role: text(2),
         term: integer(3),
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,7 +1,7 @@
 /** Reads and checks the settings: the file that the platform hands over, and the operators' own. */
 
 import * as v from 'valibot';
-import { ATTEMPT_PARTS, GANG_PEER_S, GANG_WAIT_S, VALUE_KB_LEAST } from '../constants.js';
+import { SHARDS_PER_TERM, GANG_PEER_S, GANG_WAIT_S, VALUE_KB_LEAST } from '../constants.js';
 import {
   readOperatorSettings,
   type FleetSettings,
@@ -97,7 +97,7 @@
   teams: Team[];
   /** Seconds within which a class's tasks should start, by class. */
   startWithinS: Record<string, number>;
-  reportS: number;
+  heartbeatIntervalS: number;
   leaseS: number;
   cancelS: number;
   /** Seconds for which a gang's task waits for the others. */
@@ -105,10 +105,10 @@
   /** Seconds within which a gang's tasks notice the end of another, and within which all are told to stop. */
   gangPeerS: number;
   /** The state service's limits: of the present ones and the announced ones the stricter. */
-  stateRps: number;
-  stateWriteRps: number;
+  storeRps: number;
+  storeWriteRps: number;
   valueBytes: number;
-  txnOps: number;
+  transactionOps: number;
   cloudRps: number;
   listLagS: number;
   sockets: number;
@@ -132,8 +132,8 @@
     throw new SettingsError(file, 'members.node_name: a name stands twice');
   }
   // Attempts carry the number of the part that made them, and the leader's number beside them.
-  if (names.length >= ATTEMPT_PARTS) {
-    throw new SettingsError(file, `members: more than ${ATTEMPT_PARTS - 1} controllers`);
+  if (names.length >= SHARDS_PER_TERM) {
+    throw new SettingsError(file, `members: more than ${SHARDS_PER_TERM - 1} controllers`);
   }
 }
 
@@ -157,7 +157,7 @@
   }));
 }
 
-type StateLimits = Pick<Settings, 'stateRps' | 'stateWriteRps' | 'valueBytes' | 'txnOps'>;
+type StateLimits = Pick<Settings, 'storeRps' | 'storeWriteRps' | 'valueBytes' | 'transactionOps'>;
 
 /** Announced limits come into force without notice, so they are kept from the start. */
 function readStateLimits(state: Params['state']): StateLimits {
@@ -165,18 +165,21 @@
   const stricter = (name: keyof typeof present): number =>
     Math.min(present[name], next[name] ?? Infinity);
   return {
-    stateRps: stricter('rps'),
-    stateWriteRps: stricter('write_rps'),
+    storeRps: stricter('rps'),
+    storeWriteRps: stricter('write_rps'),
     valueBytes: Math.floor(stricter('value_kb') * 1024),
-    txnOps: stricter('txn_ops'),
+    transactionOps: stricter('txn_ops'),
   };
 }
 
-type WorkerSettings = Pick<Settings, 'reportS' | 'leaseS' | 'cancelS' | 'gangWaitS' | 'gangPeerS'>;
+type WorkerSettings = Pick<
+  Settings,
+  'heartbeatIntervalS' | 'leaseS' | 'cancelS' | 'gangWaitS' | 'gangPeerS'
+>;
 
 function readWorkers(workers: Params['workers']): WorkerSettings {
   return {
-    reportS: workers.report_s,
+    heartbeatIntervalS: workers.report_s,
     leaseS: workers.lease_s,
     cancelS: workers.cancel_s,
     gangWaitS: workers.gang_wait_s ?? GANG_WAIT_S,
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -1,15 +1,15 @@
 /** The client of workers: commands sent without waiting for the next report. */
 
-import { NoAnswer, HttpClient } from '../transport/http-client.js';
+import { OutcomeUnknownError, HttpClient } from '../transport/http-client.js';
 import type { Clock } from '../transport/clock.js';
-import type { Command, WorkerReport } from './model.js';
-import { encodeDirect, parseReport } from './worker-codec.js';
+import type { Command, Heartbeat } from './model.js';
+import { encodeDirect, parseHeartbeat } from './worker-codec.js';
 
 /** What became of commands sent straight to a worker. */
 export interface DirectResult {
   executed: boolean;
   /** The worker's report after it. */
-  report: WorkerReport;
+  heartbeat: Heartbeat;
 }
 
 /** Sends commands straight to workers; tests put a stand-in here. */
@@ -19,8 +19,8 @@
   /** Throws where no readable answer came: the commands may still be carried out. */
   command(
     address: string,
-    token: number,
-    session: number,
+    fencingToken: number,
+    agentEpoch: number,
     commands: Command[],
   ): Promise<DirectResult>;
 }
@@ -59,20 +59,20 @@
 
   async command(
     address: string,
-    token: number,
-    session: number,
+    fencingToken: number,
+    agentEpoch: number,
     commands: Command[],
   ): Promise<DirectResult> {
     this.calling.add(address);
-    const body = encodeDirect(token, session, commands);
+    const body = encodeDirect(fencingToken, agentEpoch, commands);
     const answer = await this.client(address)
       .call('POST', '/commands', body, this.timeoutMs)
       .finally(() => this.calling.delete(address));
-    const parsed = parseReport((answer.body ?? {}) as Record<string, unknown>);
+    const parsed = parseHeartbeat((answer.body ?? {}) as Record<string, unknown>);
     if ((answer.status !== 200 && answer.status !== 409) || !parsed.ok) {
-      throw new NoAnswer(`commands: odd answer ${answer.status}`);
+      throw new OutcomeUnknownError(`commands: odd answer ${answer.status}`);
     }
-    return { executed: answer.status === 200, report: parsed.value };
+    return { executed: answer.status === 200, heartbeat: parsed.value };
   }
 
   /** Ends all connections. */
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -7,14 +7,14 @@
   taskName,
   type Command,
   type ExitCause,
-  type TaskReport,
+  type TaskStatus,
   type TaskState,
-  type WorkerReport,
+  type Heartbeat,
 } from './model.js';
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-const report = v.object({
+const heartbeat = v.object({
   moth: v.pipe(v.string(), v.minLength(1), v.maxLength(100)),
   endpoint: v.nullish(v.string(), ''),
   breed: v.string(),
@@ -58,14 +58,14 @@
 const OPS: Record<Command['op'], string> = { start: 'launch', stop: 'halt', forget: 'reap' };
 
 /** The report that a body holds; workers also answer commands with one. */
-export function parseReport(body: Record<string, unknown>): Parsed<WorkerReport> {
-  const result = v.safeParse(report, body);
+export function parseHeartbeat(body: Record<string, unknown>): Parsed<Heartbeat> {
+  const result = v.safeParse(heartbeat, body);
   if (!result.success) {
     const issue = result.issues[0];
     return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
   }
   const wire = result.output;
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   for (const entry of wire.larvae) {
     const task = parseTaskName(entry.larva);
     const state = STATES[entry.stage];
@@ -81,9 +81,9 @@
       type: wire.breed,
       zone: wire.grove,
       spot: wire.windfall,
-      session: wire.flight,
-      seq: wire.wingbeat,
-      token: wire.mandate,
+      agentEpoch: wire.flight,
+      sequence: wire.wingbeat,
+      fencingToken: wire.mandate,
       noticeS: wire.warningS,
       tasks,
     },
@@ -100,13 +100,17 @@
 }
 
 /** The answer to a report: our token and the commands for the worker. */
-export function encodeReportAnswer(token: number, commands: Command[]): unknown {
-  return { mandate: token, calls: encodeCommands(commands) };
+export function encodeHeartbeatAnswer(fencingToken: number, commands: Command[]): unknown {
+  return { mandate: fencingToken, calls: encodeCommands(commands) };
 }
 
 /** Commands sent straight to a worker, for the session that the sender knows of. */
-export function encodeDirect(token: number, session: number, commands: Command[]): unknown {
-  return { mandate: token, flight: session, calls: encodeCommands(commands) };
+export function encodeDirect(
+  fencingToken: number,
+  agentEpoch: number,
+  commands: Command[],
+): unknown {
+  return { mandate: fencingToken, flight: agentEpoch, calls: encodeCommands(commands) };
 }
 
 /** The answer of a node that does not own the worker's part; null: the owner is unknown. */
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -4,10 +4,10 @@
 import { BACKOFF_FIRST_MS, BACKOFF_LAST_MS } from '../constants.js';
 import {
   NO_SUCH_LEASE,
-  Refused,
+  StoreRejectedError,
   type Change,
   type Guard,
-  type StateApi,
+  type KeyValueStore,
 } from '../protocol/key-value-store.js';
 import { Backoff } from '../transport/backoff.js';
 import { sleep, type Clock } from '../transport/clock.js';
@@ -36,7 +36,7 @@
 
 /** What a committer works with. */
 export interface CommitterOptions {
-  api: StateApi;
+  api: KeyValueStore;
   limiter: RateLimiter;
   replica: StoreReplica;
   clock: Clock;
@@ -56,7 +56,7 @@
  * other was carried out.
  */
 export class Committer {
-  private readonly api: StateApi;
+  private readonly api: KeyValueStore;
   private readonly limiter: RateLimiter;
   private readonly replica: StoreReplica;
   private readonly clock: Clock;
@@ -111,7 +111,7 @@
       try {
         return await this.attempt(transaction, unsure);
       } catch (error) {
-        if (error instanceof Refused) {
+        if (error instanceof StoreRejectedError) {
           const result = this.resultOfRefusal(transaction, error, unsure);
           if (result) return result;
         } else {
@@ -127,7 +127,7 @@
   /** One try. `unsure`: an earlier one had no answer, so the changes may be there already. */
   private async attempt(transaction: Transaction, unsure: boolean): Promise<CommitResult> {
     const { purpose, guards, changes } = transaction;
-    const result = await this.api.txn(guards, changes);
+    const result = await this.api.compareAndSwap(guards, changes);
     if (result.ok) {
       this.adopt(changes, result.revision);
       return { kind: 'done' };
@@ -144,14 +144,14 @@
   /** Null: refused only for now. */
   private resultOfRefusal(
     transaction: Transaction,
-    refusal: Refused,
+    refusal: StoreRejectedError,
     unsure: boolean,
   ): CommitResult | null {
     if (refusal.status === 400 && refusal.reason === NO_SUCH_LEASE) {
       return { kind: 'conflict', failed: [] };
     }
     if (refusal.status === 400) {
-      this.tellInvalid(transaction, refusal.reason);
+      this.logRejected(transaction, refusal.reason);
       return { kind: 'invalid', unsure };
     }
     if (refusal.status === 429) this.limiter.refused(transaction.changes.length);
@@ -180,7 +180,7 @@
   }
 
   /** A fault of this program or a limit that it does not know: the operators must hear of it. */
-  private tellInvalid({ purpose, guards, changes }: Transaction, reason: string | null): void {
+  private logRejected({ purpose, guards, changes }: Transaction, reason: string | null): void {
     const sizes = changes.map((change) => ('remove' in change ? 0 : bytesOf(change.value)));
     this.log.error(
       {
@@ -196,7 +196,7 @@
   }
 
   private adopt(changes: Change[], revision: number): void {
-    this.replica.applyOwn(
+    this.replica.applyOwnChanges(
       changes.map((change) => ({
         key: change.key,
         value: 'remove' in change ? undefined : change.value,
@@ -219,6 +219,6 @@
       const oldest = this.read.keys().next();
       if (!oldest.done) this.read.delete(oldest.value);
     }
-    if (held) this.replica.applyOwn([{ key, value: held.value, revision: held.revision }]);
+    if (held) this.replica.applyOwnChanges([{ key, value: held.value, revision: held.revision }]);
   }
 }
--- a/src/storage/keys.ts
+++ b/src/storage/keys.ts
@@ -7,7 +7,7 @@
 
 // Prefixes of one kind of record each.
 export const JOBS = 'mb/live/job/';
-export const CHUNKS = 'mb/live/chunk/';
+export const ASSIGNMENTS = 'mb/live/chunk/';
 export const MACHINES = 'mb/live/machine/';
 export const STATUSES = 'mb/live/status/';
 export const NODES = 'mb/live/node/';
@@ -37,17 +37,17 @@
 export const roleKey = (role: string): string => ROLES + role;
 
 /** All chunks of one part. */
-export const chunkPrefix = (part: string): string => `${CHUNKS}${part}/`;
+export const assignmentPrefix = (shard: string): string => `${ASSIGNMENTS}${shard}/`;
 
 /** One chunk of a job's tasks in a part. */
-export const chunkKey = (part: string, job: string, number: number): string =>
-  `${CHUNKS}${part}/${job}/${number}`;
+export const assignmentKey = (shard: string, job: string, number: number): string =>
+  `${ASSIGNMENTS}${shard}/${job}/${number}`;
 
 /** One shard of the status of a part's machines. */
-export const statusKey = (part: string, page: number): string => `${STATUSES}${part}/${page}`;
+export const statusKey = (shard: string, page: number): string => `${STATUSES}${shard}/${page}`;
 
 /** What a part has learned of a machine type. */
-export const armKey = (part: string, type: string): string => `${ARMS}${part}/${type}`;
+export const armKey = (shard: string, type: string): string => `${ARMS}${shard}/${type}`;
 
 /** A chunk taken from another one; the version before reads its number as a decimal, to sort by. */
 export const splitKey = (key: string, count: number): string => {
@@ -56,8 +56,10 @@
 };
 
 /** The parts of a chunk's key; null: it is not one. */
-export function readChunkKey(key: string): { part: string; job: string; number: number } | null {
-  const parts = key.slice(CHUNKS.length).split('/');
+export function readAssignmentKey(
+  key: string,
+): { shard: string; job: string; number: number } | null {
+  const parts = key.slice(ASSIGNMENTS.length).split('/');
   if (parts.length !== 3) return null;
-  return { part: parts[0] ?? '', job: parts[1] ?? '', number: Number(parts[2]) };
+  return { shard: parts[0] ?? '', job: parts[1] ?? '', number: Number(parts[2]) };
 }
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -2,12 +2,12 @@
 
 import {
   CHECK_OVERDUE_MS,
-  STATE_FLOOR,
-  STATE_GROWTH,
-  STATE_LIMIT,
-  STATE_SCARCE,
-  STATE_SHORT,
-  STATE_YIELD,
+  STORE_LIMIT_FLOOR,
+  STORE_LIMIT_GROWTH,
+  STORE_LIMIT_SHARE,
+  STORE_SCARCE_SHARE,
+  STORE_SHORT_SHARE,
+  STORE_LIMIT_AFTER_REFUSAL,
 } from '../constants.js';
 import { Budget } from '../transport/budget.js';
 import type { Clock } from '../transport/clock.js';
@@ -51,11 +51,11 @@
     burst: number,
   ) {
     this.rate = limit / members;
-    this.floor = this.rate * STATE_FLOOR;
+    this.floor = this.rate * STORE_LIMIT_FLOOR;
     this.grownAt = clock.now();
     this.budget = new Budget(clock, this.rate, Math.max(this.rate, burst));
-    this.fair = new Budget(clock, this.rate * STATE_SCARCE, this.rate);
-    this.equal = new Budget(clock, this.rate * STATE_SHORT, this.rate);
+    this.fair = new Budget(clock, this.rate * STORE_SCARCE_SHARE, this.rate);
+    this.equal = new Budget(clock, this.rate * STORE_SHORT_SHARE, this.rate);
   }
 
   get supply(): Supply {
@@ -73,12 +73,17 @@
     const now = this.clock.now();
     const seconds = Math.min(1, (now - this.grownAt) / 1000);
     this.grownAt = now;
-    this.set(Math.min(this.limit * STATE_LIMIT, this.rate + this.limit * STATE_GROWTH * seconds));
+    this.set(
+      Math.min(
+        this.limit * STORE_LIMIT_SHARE,
+        this.rate + this.limit * STORE_LIMIT_GROWTH * seconds,
+      ),
+    );
   }
 
   refused(): void {
     this.grownAt = this.clock.now();
-    this.set(Math.max(this.floor, this.rate * STATE_YIELD));
+    this.set(Math.max(this.floor, this.rate * STORE_LIMIT_AFTER_REFUSAL));
     this.budget.drain();
   }
 
@@ -93,7 +98,7 @@
   rps: number;
   writeRps: number;
   /** Writes of one transaction. */
-  txnOps: number;
+  transactionOps: number;
 }
 
 /** A request that waits for room. */
@@ -130,7 +135,7 @@
     members = 1,
   ) {
     this.requests = new Share(clock, limits.rps, members, 0);
-    this.writes = new Share(clock, limits.writeRps, members, limits.txnOps);
+    this.writes = new Share(clock, limits.writeRps, members, limits.transactionOps);
   }
 
   /** Waits for room for one request with so many writes. Watches and roles never wait. */
@@ -155,7 +160,7 @@
   }
 
   /** Whether so many writes would pass at once. */
-  hasRoom(cost: number): boolean {
+  hasCapacity(cost: number): boolean {
     return this.writes.budget.waitFor(cost) === 0 && this.requests.budget.waitFor(1) === 0;
   }
 
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -1,11 +1,11 @@
 /** The records of a replica, with the indexes that make their frequent readings cheap. */
 
 import { FINAL_CACHE } from '../constants.js';
-import { CATALOG, CHUNKS, FINALS, JOBS, LIVE, MACHINES, readChunkKey } from './keys.js';
+import { CATALOG, ASSIGNMENTS, FINALS, JOBS, LIVE, MACHINES, readAssignmentKey } from './keys.js';
 import {
   summarize,
-  type ChunkRecord,
-  type ChunkSummary,
+  type AssignmentRecord,
+  type AssignmentSummary,
   type FinalRecord,
   type JobRecord,
   type MachineRecord,
@@ -30,14 +30,14 @@
 
 /** A chunk whose summary is made when somebody asks for it: most nodes never do. */
 class LazySummary {
-  private made: ChunkSummary | null = null;
+  private made: AssignmentSummary | null = null;
 
   constructor(
-    private readonly name: { part: string; job: string; number: number },
-    private readonly record: ChunkRecord,
+    private readonly name: { shard: string; job: string; number: number },
+    private readonly record: AssignmentRecord,
   ) {}
 
-  get summary(): ChunkSummary {
+  get summary(): AssignmentSummary {
     this.made ??= summarize(this.name, this.record);
     return this.made;
   }
@@ -94,27 +94,27 @@
   }
 
   /** All chunks, in no order. */
-  *chunks(): Generator<ChunkSummary> {
+  *assignments(): Generator<AssignmentSummary> {
     for (const lazy of this.summaries.values()) yield lazy.summary;
   }
 
   /** How many chunks there are. */
-  get chunkCount(): number {
+  get assignmentCount(): number {
     return this.summaries.size;
   }
 
   /** The keys of all chunks. */
-  chunkKeys(): Iterable<string> {
+  assignmentKeys(): Iterable<string> {
     return this.summaries.keys();
   }
 
   /** The keys of a job's chunks. */
-  chunkKeysOf(job: string): Iterable<string> {
+  assignmentKeysOf(job: string): Iterable<string> {
     return this.byJob.get(job) ?? [];
   }
 
   /** The chunk under a key; null: there is none. */
-  chunk(key: string): ChunkSummary | null {
+  assignment(key: string): AssignmentSummary | null {
     return this.summaries.get(key)?.summary ?? null;
   }
 
@@ -124,8 +124,8 @@
   }
 
   /** The chunks of a job. */
-  chunksOf(job: string): ChunkSummary[] {
-    const found: ChunkSummary[] = [];
+  assignmentsOf(job: string): AssignmentSummary[] {
+    const found: AssignmentSummary[] = [];
     for (const key of this.byJob.get(job) ?? []) {
       const lazy = this.summaries.get(key);
       if (lazy) found.push(lazy.summary);
@@ -181,7 +181,8 @@
       setOrDelete(this.machines, key.slice(MACHINES.length), value as MachineRecord | undefined);
     }
     if (key.startsWith(CATALOG)) this.catalogChanges++;
-    if (key.startsWith(CHUNKS)) this.applyChunk(key, value as ChunkRecord | undefined);
+    if (key.startsWith(ASSIGNMENTS))
+      this.applyAssignment(key, value as AssignmentRecord | undefined);
   }
 
   /** Removals that the revision has reached need no note: no older event can come any more. */
@@ -196,8 +197,8 @@
     for (const [key, { revision }] of this.cells) yield { key, revision };
   }
 
-  private applyChunk(key: string, record: ChunkRecord | undefined): void {
-    const name = readChunkKey(key);
+  private applyAssignment(key: string, record: AssignmentRecord | undefined): void {
+    const name = readAssignmentKey(key);
     if (!name) return;
     const group = this.byJob.get(name.job);
     if (record === undefined) {
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -20,7 +20,7 @@
  * Some tasks of a job in the hands of one part. The leader makes it, only the part changes it; it
  * holds what team limits need, so that it still counts when its job's record is gone.
  */
-export interface ChunkRecord {
+export interface AssignmentRecord {
   /** Task numbers, as ranges. */
   ids: string;
   done: string;
@@ -76,17 +76,17 @@
 }
 
 /** A chunk as it counts for everyone but its own part. */
-export interface ChunkSummary {
-  part: string;
+export interface AssignmentSummary {
+  shard: string;
   job: string;
   number: number;
   ids: number[];
   done: number;
   /** The machine of each placed task. */
-  on: string[];
-  liveCount: number;
+  machines: string[];
+  placedCount: number;
   /** Tasks that are not done, and those of them that wait for a place. */
-  active: number;
+  unfinished: number;
   waiting: number;
   team: string;
   cpus: number;
@@ -100,9 +100,9 @@
 
 /** The summary of a chunk's record. */
 export function summarize(
-  key: { part: string; job: string; number: number },
-  record: ChunkRecord,
-): ChunkSummary {
+  key: { shard: string; job: string; number: number },
+  record: AssignmentRecord,
+): AssignmentSummary {
   const on: string[] = [];
   for (const index in record.live) on.push(record.live[index]?.[0] ?? '');
   const ids = readRanges(record.ids);
@@ -111,9 +111,9 @@
     ...key,
     ids,
     done,
-    on,
-    liveCount: on.length,
-    active: ids.length - done,
+    machines: on,
+    placedCount: on.length,
+    unfinished: ids.length - done,
     waiting: ids.length - done - on.length,
     team: record.team,
     cpus: record.cpus,
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -1,13 +1,13 @@
 /** Pauses for changes that the state service calls invalid. */
 
-import { INVALID_PAUSE_FIRST_MS, INVALID_PAUSE_LAST_MS } from '../constants.js';
+import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS } from '../constants.js';
 import type { Clock } from '../transport/clock.js';
 
 /**
  * What a transaction was about that the state service calls invalid. Sent again it would be refused
  * again, so it is left alone for a while, longer each time, and what else there is goes on.
  */
-export class InvalidChangeBackoff {
+export class RejectedChangeBackoff {
   private readonly held = new Map<string, { count: number; until: number }>();
 
   constructor(private readonly clock: Clock) {}
@@ -15,7 +15,7 @@
   /** Told that a transaction about it was invalid. */
   add(about: string): void {
     const count = this.held.get(about)?.count ?? 0;
-    const pause = Math.min(INVALID_PAUSE_FIRST_MS * 2 ** count, INVALID_PAUSE_LAST_MS);
+    const pause = Math.min(REJECTED_PAUSE_FIRST_MS * 2 ** count, REJECTED_PAUSE_LAST_MS);
     this.held.set(about, { count: count + 1, until: this.clock.now() + pause });
   }
 
@@ -48,7 +48,7 @@
   sweep(): void {
     const now = this.clock.now();
     for (const [about, { until }] of this.held) {
-      if (now - until > INVALID_PAUSE_LAST_MS) this.held.delete(about);
+      if (now - until > REJECTED_PAUSE_LAST_MS) this.held.delete(about);
     }
   }
 }
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -1,7 +1,7 @@
 /** Whether this node reaches the state service. */
 
 import { REACH_DOUBT_MS } from '../constants.js';
-import { Refused, type StateApi } from '../protocol/key-value-store.js';
+import { StoreRejectedError, type KeyValueStore } from '../protocol/key-value-store.js';
 import type { Clock } from '../transport/clock.js';
 
 /** Notes, from the requests that are made anyway, whether this node reaches the state service. */
@@ -17,14 +17,14 @@
   }
 
   /** The same service, with the outcome of every request noted. */
-  watch(api: StateApi): StateApi {
+  watch(api: KeyValueStore): KeyValueStore {
     const note = async <T>(call: Promise<T>): Promise<T> => {
       try {
         const result = await call;
         this.okAt = this.clock.now();
         return result;
       } catch (error) {
-        const limited = error instanceof Refused && error.status !== 503;
+        const limited = error instanceof StoreRejectedError && error.status !== 503;
         if (limited) this.okAt = this.clock.now();
         else this.failedAt = this.clock.now();
         throw error;
@@ -33,7 +33,7 @@
     return {
       get: (key) => note(api.get(key)),
       list: (prefix, after) => note(api.list(prefix, after)),
-      txn: (guards, changes) => note(api.txn(guards, changes)),
+      compareAndSwap: (guards, changes) => note(api.compareAndSwap(guards, changes)),
       grant: (ttlMs) => note(api.grant(ttlMs)),
       extend: (lease) => note(api.extend(lease)),
       watch: (prefix, since, waitMs) => note(api.watch(prefix, since, waitMs)),
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -8,7 +8,11 @@
   WATCH_HOLD_MS,
   WATCH_SPACING_MS,
 } from '../constants.js';
-import { Refused, type StateApi, type WatchResult } from '../protocol/key-value-store.js';
+import {
+  StoreRejectedError,
+  type KeyValueStore,
+  type WatchResult,
+} from '../protocol/key-value-store.js';
 import { Backoff } from '../transport/backoff.js';
 import { sleep, type Clock } from '../transport/clock.js';
 import { LIVE, ROOT } from './keys.js';
@@ -18,7 +22,7 @@
 
 /** What a replica works with. */
 export interface ReplicaOptions {
-  api: StateApi;
+  api: KeyValueStore;
   limiter: RateLimiter;
   clock: Clock;
   log: Log;
@@ -44,29 +48,29 @@
  * since the answer may have been held on its way.
  */
 export class StoreReplica extends RecordIndex {
-  private readonly api: StateApi;
+  private readonly api: KeyValueStore;
   private readonly limiter: RateLimiter;
   private readonly clock: Clock;
   private readonly log: Log;
   private readonly holdMs: number;
   private readonly spacingMs: number;
   private readonly listeners: ((keys: string[]) => void)[] = [];
-  private readonly freshListeners: ((sentAt: number) => void)[] = [];
+  private readonly currentListeners: ((sentAt: number) => void)[] = [];
   private readonly backoff: Backoff;
   /** A reading of all keys under way; null: there is none. */
   private listing: Listing | null = null;
   private stopped = false;
   private wake: (() => void) | null = null;
   /** A revision that a peer told of. */
-  private wanted = 0;
+  private hintedRevision = 0;
   /** The newest revision that this node knows of, by its watch or by its own changes. */
-  newest = 0;
+  newestRevision = 0;
   /** Steady time at which the last answered watch was sent. */
-  freshAt = -Infinity;
+  knownCurrentAt = -Infinity;
   /** All keys were read once. */
-  loaded = false;
+  isLoaded = false;
   /** The newest revision of any page of the last reading of all keys. */
-  private wholeFrom = 0;
+  private syncedFromRevision = 0;
 
   constructor(options: ReplicaOptions) {
     super();
@@ -83,13 +87,13 @@
    * False while pages of a reading of all keys describe different moments: the watch has yet to
    * bring the first up to the last.
    */
-  get whole(): boolean {
-    return this.loaded && this.revision >= this.wholeFrom;
+  get isSynced(): boolean {
+    return this.isLoaded && this.revision >= this.syncedFromRevision;
   }
 
   /** `listener` hears when each answered watch was sent: the replica is as new as that. */
-  onFresh(listener: (sentAt: number) => void): void {
-    this.freshListeners.push(listener);
+  onConfirmedCurrent(listener: (sentAt: number) => void): void {
+    this.currentListeners.push(listener);
   }
 
   /** `listener` hears of the keys that changed; of none where only the revision did. */
@@ -98,8 +102,8 @@
   }
 
   /** Takes over changes made by this node itself, ahead of the watch. */
-  applyOwn(changes: { key: string; value: unknown; revision: number }[]): void {
-    for (const one of changes) this.newest = Math.max(this.newest, one.revision);
+  applyOwnChanges(changes: { key: string; value: unknown; revision: number }[]): void {
+    for (const one of changes) this.newestRevision = Math.max(this.newestRevision, one.revision);
     const changed = changes.filter((one) => this.apply(one.key, one.value, one.revision));
     if (changed.length > 0) this.tell(changed.map((one) => one.key));
   }
@@ -121,7 +125,7 @@
       if (this.apply(key, held.value, held.revision)) keys.push(key);
     }
     this.revision = Math.max(this.revision, first);
-    this.loaded = true;
+    this.isLoaded = true;
     this.tell(keys);
   }
 
@@ -136,7 +140,7 @@
       const page = await this.api.list(LIVE, listing.after);
       this.backoff.reset();
       listing.first ??= page.revision;
-      this.wholeFrom = Math.max(this.wholeFrom, page.revision);
+      this.syncedFromRevision = Math.max(this.syncedFromRevision, page.revision);
       for (const { key, value, revision } of page.entries) {
         listing.entries.set(key, { value, revision });
         listing.after = key;
@@ -148,9 +152,9 @@
   }
 
   /** There is something new, of this revision: asks for changes soon, not after the spacing. */
-  hurry(revision: number): void {
+  pollSoon(revision: number): void {
     if (revision <= this.revision) return;
-    this.wanted = Math.max(this.wanted, revision);
+    this.hintedRevision = Math.max(this.hintedRevision, revision);
     this.wake?.();
   }
 
@@ -166,7 +170,10 @@
         this.wake = null;
         resolve();
       };
-      let cancel = this.clock.after(this.wanted > this.revision ? least : this.spacingMs, end);
+      let cancel = this.clock.after(
+        this.hintedRevision > this.revision ? least : this.spacingMs,
+        end,
+      );
       this.wake = () => {
         cancel();
         cancel = this.clock.after(Math.max(0, least - (this.clock.now() - from)), end);
@@ -178,7 +185,7 @@
   async follow(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (!this.loaded) await this.load();
+        if (!this.isLoaded) await this.load();
         await this.limiter.pass('watch', 0);
         const sentAt = this.clock.now();
         const result = await this.api.watch(ROOT, this.revision, this.holdMs);
@@ -188,27 +195,27 @@
           await this.load();
           continue;
         }
-        this.take(result);
-        this.freshAt = Math.max(this.freshAt, sentAt);
-        for (const listener of this.freshListeners) listener(sentAt);
+        this.applyWatchResult(result);
+        this.knownCurrentAt = Math.max(this.knownCurrentAt, sentAt);
+        for (const listener of this.currentListeners) listener(sentAt);
         this.backoff.reset();
         await this.pause();
       } catch (error) {
-        if (error instanceof Refused && error.status === 429) this.limiter.refused(0);
+        if (error instanceof StoreRejectedError && error.status === 429) this.limiter.refused(0);
         this.log.debug({ error: String(error) }, 'watch failed');
         await sleep(this.clock, this.backoff.next());
       }
     }
   }
 
-  private take({ events, revision }: WatchResult): void {
+  private applyWatchResult({ events, revision }: WatchResult): void {
     const keys: string[] = [];
     for (const event of events) {
       const value = event.removed ? undefined : event.value;
       if (this.apply(event.key, value, event.revision)) keys.push(event.key);
     }
     this.revision = Math.max(this.revision, revision);
-    this.newest = Math.max(this.newest, revision);
+    this.newestRevision = Math.max(this.newestRevision, revision);
     this.forgetRemovals();
     // Told even without events: the replica's freshness is what owners wait for.
     this.tell(keys);
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -12,7 +12,7 @@
 }
 
 /** No response came: the request may have been carried out, or may still be. */
-export class NoAnswer extends Error {
+export class OutcomeUnknownError extends Error {
   constructor(reason: string) {
     super(reason);
     this.name = 'NoAnswer';
@@ -71,7 +71,7 @@
       });
       const fail = (error: Error): void => {
         stopTimer();
-        reject(new NoAnswer(`${method} ${path.split('?')[0]}: ${error.message}`));
+        reject(new OutcomeUnknownError(`${method} ${path.split('?')[0]}: ${error.message}`));
       };
       const succeed = (answer: HttpAnswer): void => {
         stopTimer();
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodePeer, encodePeer, type PeerMessage } from '../src/protocol/peer-messages.js';
-import { encodeReportAnswer, parseReport } from '../src/protocol/worker-codec.js';
+import { encodeHeartbeatAnswer, parseHeartbeat } from '../src/protocol/worker-codec.js';
 import { countRanges, readRanges, writeRanges } from '../src/storage/ranges.js';
 import { FrameReader } from '../src/transport/peer-link.js';
 
@@ -25,7 +25,7 @@
 });
 
 test('reports and their answers', () => {
-  const report = {
+  const heartbeat = {
     moth: 'm-000231',
     endpoint: '10.1.0.232:9000',
     breed: 'g8',
@@ -40,7 +40,7 @@
       { larva: 'j-000398/0', try: 1, stage: 'exited', cause: 'full' },
     ],
   };
-  const parsed = parseReport(report);
+  const parsed = parseHeartbeat(heartbeat);
   assert.ok(parsed.ok);
   assert.deepEqual(parsed.value.tasks, [
     { task: { job: 'j-000412', index: 3 }, attempt: 2, state: 'running', cause: null },
@@ -52,10 +52,10 @@
     { larvae: [{ larva: 'x' }] },
     { mandate: -1 },
   ]) {
-    assert.ok(!parseReport({ ...report, ...bad }).ok, JSON.stringify(bad));
+    assert.ok(!parseHeartbeat({ ...heartbeat, ...bad }).ok, JSON.stringify(bad));
   }
   assert.deepEqual(
-    encodeReportAnswer(41, [
+    encodeHeartbeatAnswer(41, [
       { op: 'start', task: { job: 'j-1', index: 4 }, attempt: 2 },
       { op: 'stop', task: { job: 'j-2', index: 1 }, attempt: 1, graceS: 10 },
       { op: 'forget', task: { job: 'j-3', index: 0 }, attempt: 1 },
--- a/test/controller-load.test.ts
+++ b/test/controller-load.test.ts
@@ -4,7 +4,7 @@
 import { byControllerLoad, type Offer } from '../src/coordination/autoscaling/offers.js';
 import {
   orderForLeader,
-  orderForPart,
+  orderForShard,
   type Member,
 } from '../src/coordination/election/rendezvous-hashing.js';
 import { LEADER } from '../src/coordination/election/role-election.js';
@@ -27,13 +27,13 @@
 });
 
 test('a part goes to nodes of its home zone first', () => {
-  for (const [home, last] of [
+  for (const [preferredOwner, last] of [
     [{ node: 'n0', zone: 'a' }, 'n1'],
     [{ node: 'n2', zone: 'a' }, 'n1'],
   ] as const) {
-    assert.equal(orderForPart('part', home, MEMBERS)[2], last);
+    assert.equal(orderForShard('part', preferredOwner, MEMBERS)[2], last);
   }
-  const [first] = orderForPart('part', { node: 'n1', zone: 'b' }, MEMBERS);
+  const [first] = orderForShard('part', { node: 'n1', zone: 'b' }, MEMBERS);
   assert.equal(first, 'n1');
 });
 
--- a/test/fixed-forms.test.ts
+++ b/test/fixed-forms.test.ts
@@ -7,15 +7,15 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { Bandit, type ArmRecord } from '../src/coordination/scheduling/bandit.js';
-import { createChunk, readSlots } from '../src/coordination/shard-state/assignment.js';
-import { splitChunk } from '../src/coordination/shard-state/assignment-pieces.js';
+import { createAssignment, readSlots } from '../src/coordination/shard-state/assignment.js';
+import { splitAssignment } from '../src/coordination/shard-state/assignment-pieces.js';
 import { decodeDetector, encodeDetector } from '../src/protocol/detector-codec.js';
 import { decodePeer, encodePeer } from '../src/protocol/peer-messages.js';
 import { parseSubmission } from '../src/protocol/user-codec.js';
-import { parseReport } from '../src/protocol/worker-codec.js';
+import { parseHeartbeat } from '../src/protocol/worker-codec.js';
 import { readCatalog, writeCatalog } from '../src/storage/catalog.js';
-import { CATALOG, readChunkKey } from '../src/storage/keys.js';
-import type { ChunkRecord } from '../src/storage/records.js';
+import { CATALOG, readAssignmentKey } from '../src/storage/keys.js';
+import type { AssignmentRecord } from '../src/storage/records.js';
 import { FrameReader } from '../src/transport/peer-link.js';
 import { stageOf } from './world/jobs.js';
 import { replicaOf, type Records } from './world/older-records.js';
@@ -66,12 +66,12 @@
 for (const name of ['', ' with placed tasks', ' of a gang'].map((one) => `record: chunk${one}`)) {
   test(`read and written back: ${name}`, () => {
     const { key, text } = recordOf(name);
-    const identity = readChunkKey(key);
+    const identity = readAssignmentKey(key);
     assert.ok(identity);
-    const chunk = createChunk({ key, ...identity }, JSON.parse(text) as ChunkRecord);
-    for (const slot of readSlots(chunk.stored, 0)) chunk.slots.set(slot.index, slot);
+    const assignment = createAssignment({ key, ...identity }, JSON.parse(text) as AssignmentRecord);
+    for (const slot of readSlots(assignment.stored, 0)) assignment.slots.set(slot.index, slot);
     const limits = { newMachines: new Set<string>(), maxBytes: 8192, isKeyTaken: () => false };
-    const pieces = splitChunk(chunk, limits);
+    const pieces = splitAssignment(assignment, limits);
     assert.deepEqual(
       pieces.map((piece) => [piece.key, JSON.stringify(piece.record)]),
       [[key, text]],
@@ -138,7 +138,7 @@
 });
 
 test("a worker's report is read in full", () => {
-  const parsed = parseReport({
+  const parsed = parseHeartbeat({
     moth: 'm-000231',
     endpoint: '10.1.0.232:9000',
     breed: 'g8',
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -12,9 +12,9 @@
 /** What such a deployment's settings say: more of what the state service takes, and larger teams. */
 const LARGE = {
   teams: [...TEAMS, { name: 'all', cpus: 0, cpusMax: 20_000, gpus: 0, gpusMax: 0 }],
-  stateRps: 400,
-  stateWriteRps: 200,
-  txnOps: 32,
+  storeRps: 400,
+  storeWriteRps: 200,
+  transactionOps: 32,
   fleet: { ...FLEET, idleS: 600, maxMachines: 20_000 },
 };
 
@@ -24,9 +24,9 @@
 function healthyMachines(world: World): number {
   let count = 0;
   for (const { node } of world.nodes.values()) {
-    for (const { machines } of node.parts.values()) {
+    for (const { machines } of node.shards.values()) {
       for (const machine of machines.all.values()) {
-        if (machines.health(machine) === 'ok' && machine.proven) count++;
+        if (machines.health(machine) === 'ok' && machine.isAcknowledged) count++;
       }
     }
   }
@@ -35,7 +35,7 @@
 
 test('4,000 machines report, get work, and keep it when the leader ends and when all do', async () => {
   const world = new World(11, undefined, LARGE);
-  world.state.txnOps = LARGE.txnOps;
+  world.state.transactionOps = LARGE.transactionOps;
   for (let at = 0; at < MACHINES; at++) {
     world.addMachine('small', at % 2 === 0 ? 'a' : 'b', false, 500);
   }
--- a/test/forgotten-answers.test.ts
+++ b/test/forgotten-answers.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { CHECK_QUEUE } from '../src/constants.js';
 import type { JobSpec } from '../src/protocol/model.js';
-import type { TxnResult } from '../src/protocol/key-value-store.js';
+import type { CompareAndSwapResult } from '../src/protocol/key-value-store.js';
 import { finalKey, jobKey } from '../src/storage/keys.js';
 import { SPEC } from './world/lone.js';
 import { REQUESTS, userNode, type UserAsk } from './world/user-node.js';
@@ -29,7 +29,7 @@
     const { revision } = node.state;
     const before = node.request(first, JOB);
     await Promise.resolve();
-    node.replica.applyOwn([{ key: jobKey(JOB), value: recordOf(JOB), revision }]);
+    node.replica.applyOwnChanges([{ key: jobKey(JOB), value: recordOf(JOB), revision }]);
     const replies = await node.settle(before, node.request(second, JOB), other);
     for (const [at, { status }] of replies.slice(0, 2).entries()) {
       if (status !== 200) wrong.push(`${first} then ${second}: ${status} to request ${at + 1}`);
@@ -59,7 +59,7 @@
 
 const namesOnly =
   (names: (failed: string[]) => string[]) =>
-  (result: TxnResult): TxnResult =>
+  (result: CompareAndSwapResult): CompareAndSwapResult =>
     result.ok ? result : { ok: false, failed: names(result.failed) };
 
 const KNOWN = { poll: 200, repeat: 200, malformed: 200, unfit: 200, cancel: 200 };
@@ -97,7 +97,7 @@
     name: 'a record that is gone without an end',
     prepare: (node) => {
       accept(node);
-      node.replica.applyOwn([
+      node.replica.applyOwnChanges([
         { key: jobKey(JOB), value: recordOf(JOB), revision: node.state.revision },
       ]);
       node.state.change([{ key: jobKey(JOB), remove: true }]);
--- a/test/gang-claims.test.ts
+++ b/test/gang-claims.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineCapacity } from '../src/coordination/capacity/machine-capacity.js';
-import { GuaranteeClaims } from '../src/coordination/leader/fair-share-reclaim.js';
-import type { JobSpec, TaskReport } from '../src/protocol/model.js';
-import { chunkKey, jobKey } from '../src/storage/keys.js';
-import type { ChunkRecord } from '../src/storage/records.js';
+import { FairShareReclaim } from '../src/coordination/leader/fair-share-reclaim.js';
+import type { JobSpec, TaskStatus } from '../src/protocol/model.js';
+import { assignmentKey, jobKey } from '../src/storage/keys.js';
+import type { AssignmentRecord } from '../src/storage/records.js';
 import type { StoreReplica } from '../src/storage/store-replica.js';
 import { SimClock } from './world/clock.js';
-import { PLAIN_CHUNK, GANG_SHARE, JOB, SPEC, lonePart, ops } from './world/lone.js';
+import { PLAIN_ASSIGNMENT, GANG_SHARE, JOB, SPEC, loneShard, ops } from './world/lone.js';
 
 const ARRAY_JOB = 'j-000009';
 const GANG: JobSpec = { ...SPEC, kind: 'gang', team: 'red', tasks: 2, cpus: 2, memoryGb: 6 };
@@ -22,7 +22,7 @@
 /** One machine of part p with this much free, and arrays of blue on it. */
 const machine = (cpus: number, zone = 'a'): MachineCapacity => ({
   name: 'm-1',
-  part: 'p',
+  shard: 'p',
   type: 'small',
   zone,
   spot: false,
@@ -31,18 +31,18 @@
   gpus: 0,
   memoryGb: 12,
   tasks: 1,
-  lowCpus: 0,
-  lowMemoryGb: 0,
-  endingCpus: 0,
-  endingMemoryGb: 0,
+  preemptibleCpus: 0,
+  preemptibleMemoryGb: 0,
+  arrayCpus: 0,
+  arrayMemoryGb: 0,
 });
 
 /** A replica that shows an array, or a service, of `team` with so many tasks of 1 CPU on m-1. */
 function running(team: string, tasks: number, kind: JobSpec['kind']): StoreReplica {
-  const chunk = { team, cpus: 1, memoryGb: 1, liveCount: tasks, job: ARRAY_JOB };
+  const assignment = { team, cpus: 1, memoryGb: 1, placedCount: tasks, job: ARRAY_JOB };
   const on = Array.from({ length: tasks }, () => 'm-1');
   return {
-    chunks: () => [{ ...chunk, on }],
+    assignments: () => [{ ...assignment, machines: on }],
     job: () => ({ spec: { ...SPEC, kind, team } }),
   } as unknown as StoreReplica;
 }
@@ -66,19 +66,19 @@
     { name: 'not where it may go', tasks: 8, zone: 'b', want: null },
   ];
   for (const { name, team = 'blue', tasks, kind = 'array', free = 0, zone = 'a', want } of cases) {
-    const claims = new GuaranteeClaims(TEAMS, running(team, tasks, kind), new SimClock());
+    const claims = new FairShareReclaim(TEAMS, running(team, tasks, kind), new SimClock());
     const spec = { ...GANG, zone: 'a' };
     const claim = claims.find(spec, [machine(free, zone)]);
     assert.deepEqual(claim?.reclaim ?? null, want, name);
     if (want === null) continue;
-    assert.deepEqual(claim?.share, { part: 'p', zone: 'a', count: 2 }, name);
+    assert.deepEqual(claim?.share, { shard: 'p', zone: 'a', count: 2 }, name);
     // What was claimed is not claimed again before it is counted anew.
     assert.equal(claims.find(spec, [machine(free, zone)]), null, `${name}, again`);
   }
 });
 
-const ARRAY: ChunkRecord = {
-  ...PLAIN_CHUNK,
+const ARRAY: AssignmentRecord = {
+  ...PLAIN_ASSIGNMENT,
   ids: '0-2',
   live: { '0': ['m-1', 71], '1': ['m-1', 72], '2': ['m-1', 73] },
   team: 'blue',
@@ -87,7 +87,7 @@
 /** Time of day in ms: the array came a moment ago, so that nothing protects its first tasks. */
 const LATELY = Date.UTC(2100, 0);
 
-const arrayTask = (index: number): TaskReport => ({
+const arrayTask = (index: number): TaskStatus => ({
   task: { job: ARRAY_JOB, index },
   attempt: 71 + index,
   state: 'running',
@@ -111,24 +111,24 @@
     { name: 'a claim of long ago', reclaim: { blue: 3 }, lateMs: 3500, want: [] },
   ];
   for (const { name, reclaim, lateMs = 0, kind = 'array', want } of cases) {
-    const world = await lonePart({
+    const world = await loneShard({
       spec: { kind: 'gang', tasks: 2 },
       held: [
         {
           key: jobKey(ARRAY_JOB),
           value: { spec: { ...SPEC, kind, team: 'blue', tasks: 3 }, at: LATELY },
         },
-        { key: chunkKey('p', ARRAY_JOB, 5), value: ARRAY },
+        { key: assignmentKey('p', ARRAY_JOB, 5), value: ARRAY },
       ],
     });
-    world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+    world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
     await world.clock.run(world.clock.now() + 300);
     const share = { ...GANG_SHARE, ...(reclaim && { reclaim }) };
-    world.state.change([{ key: chunkKey('p', JOB, 1), value: share }]);
+    world.state.change([{ key: assignmentKey('p', JOB, 1), value: share }]);
     await world.clock.run(world.clock.now() + 300 + lateMs);
     const tasks = [0, 1, 2].map(arrayTask);
-    world.report({}, tasks);
-    await world.round(1500);
+    world.heartbeat({}, tasks);
+    await world.reconcile(1500);
     const sent = world.sent.flatMap(({ commands }) => ops(commands)).filter((op) => op === 'stop');
     assert.deepEqual(sent, want, name);
     assert.equal(Object.keys(world.stored()?.live ?? {}).length, want.length * 2, name);
--- a/test/gang-input.test.ts
+++ b/test/gang-input.test.ts
@@ -269,8 +269,13 @@
 test('gang input: settings that say nothing of gangs or coming limits are good', () => {
   const file = settingsWith('workers', '');
   const settings = readSettings(file, []);
-  const { stateRps, stateWriteRps, valueBytes, txnOps } = settings;
-  assert.deepEqual([stateRps, stateWriteRps, valueBytes, txnOps], [150, 60, 8192, 32]);
+  const {
+    storeRps: storeRps,
+    storeWriteRps: storeWriteRps,
+    valueBytes,
+    transactionOps: transactionOps,
+  } = settings;
+  assert.deepEqual([storeRps, storeWriteRps, valueBytes, transactionOps], [150, 60, 8192, 32]);
   const run = spawnSync(process.execPath, [MAIN, '--check', '--config', file], {
     encoding: 'utf8',
     timeout: 20_000,
--- a/test/gang-part.test.ts
+++ b/test/gang-part.test.ts
@@ -1,28 +1,32 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chunkKey } from '../src/storage/keys.js';
-import type { ChunkRecord } from '../src/storage/records.js';
-import type { Command, TaskReport } from '../src/protocol/model.js';
-import { JOB, lonePart } from './world/lone.js';
+import { assignmentKey } from '../src/storage/keys.js';
+import type { AssignmentRecord } from '../src/storage/records.js';
+import type { Command, TaskStatus } from '../src/protocol/model.js';
+import { JOB, loneShard } from './world/lone.js';
 
 const ATTEMPT = 900;
 const SAVE_S = 2;
-const LIVE: ChunkRecord['live'] = { '0': ['m-1', ATTEMPT], '1': ['m-1', ATTEMPT] };
+const LIVE: AssignmentRecord['live'] = { '0': ['m-1', ATTEMPT], '1': ['m-1', ATTEMPT] };
 
 /** A part that takes over its share of a gang, as a former owner stored it. */
-async function takeOver(change: Partial<ChunkRecord>, tasks = 2, other?: Partial<ChunkRecord>) {
-  const share: ChunkRecord = {
+async function takeOver(
+  change: Partial<AssignmentRecord>,
+  tasks = 2,
+  other?: Partial<AssignmentRecord>,
+) {
+  const share: AssignmentRecord = {
     ...{ ids: '0-1', done: '', live: LIVE, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 },
     ...{ zone: 'a', attempt: ATTEMPT },
   };
-  const world = await lonePart({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S } });
-  world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+  const world = await loneShard({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S } });
+  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
-  const live: ChunkRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
+  const live: AssignmentRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
   world.state.change([
-    { key: chunkKey('p', JOB, 1), value: { ...share, ...change } },
+    { key: assignmentKey('p', JOB, 1), value: { ...share, ...change } },
     ...(other
-      ? [{ key: chunkKey('q', JOB, 2), value: { ...share, ids: '2-3', live, ...other } }]
+      ? [{ key: assignmentKey('q', JOB, 2), value: { ...share, ids: '2-3', live, ...other } }]
       : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
@@ -31,7 +35,7 @@
 
 type TakenOver = Awaited<ReturnType<typeof takeOver>>;
 
-const task = (index: number, state: TaskReport['state'], cause: TaskReport['cause'] = null) => ({
+const task = (index: number, state: TaskStatus['state'], cause: TaskStatus['cause'] = null) => ({
   ...{ task: { job: JOB, index }, attempt: ATTEMPT, state, cause },
 });
 const wire = (commands: Command[]): string[] =>
@@ -49,11 +53,11 @@
     name: 'a share of which one task has no place any more ends, and goes back',
     check: async () => {
       const world = await takeOver({ live: { '0': ['m-1', ATTEMPT] } });
-      world.report({}, [task(0, 'running')]);
-      await world.round(500);
-      assert.deepEqual(wire(world.report({}, [task(0, 'running')])), [`stop 0 ${SAVE_S}`]);
-      world.report({}, [task(0, 'exited', 'stopped')]);
-      await world.round(6000);
+      world.heartbeat({}, [task(0, 'running')]);
+      await world.reconcile(500);
+      assert.deepEqual(wire(world.heartbeat({}, [task(0, 'running')])), [`stop 0 ${SAVE_S}`]);
+      world.heartbeat({}, [task(0, 'exited', 'stopped')]);
+      await world.reconcile(6000);
       assert.equal(world.stored(), undefined);
       assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
     },
@@ -63,9 +67,9 @@
     check: async () => {
       const world = await takeOver({ stopping: true }, 4, {});
       const both = [task(0, 'running'), task(1, 'running')];
-      world.report({}, both);
-      await world.round(500);
-      assert.deepEqual(wire(world.report({}, both)), [`stop 0 ${SAVE_S}`, `stop 1 ${SAVE_S}`]);
+      world.heartbeat({}, both);
+      await world.reconcile(500);
+      assert.deepEqual(wire(world.heartbeat({}, both)), [`stop 0 ${SAVE_S}`, `stop 1 ${SAVE_S}`]);
     },
   },
   {
@@ -73,8 +77,8 @@
     name: 'nothing starts in a share whose stop has begun elsewhere',
     check: async () => {
       const world = await takeOver({}, 4, { stopping: true });
-      const commands = wire(world.report());
-      await world.round(1000);
+      const commands = wire(world.heartbeat());
+      await world.reconcile(1000);
       assert.deepEqual([...commands, ...sent(world)], []);
     },
   },
@@ -82,13 +86,13 @@
     name: `a task exits with ${cause}: the other is stopped, nothing starts again, all goes back`,
     check: async () => {
       const world = await takeOver({});
-      world.report({}, [task(0, 'gathering'), task(1, 'gathering')]);
-      world.report({}, [task(0, 'exited', cause), task(1, 'gathering')]);
-      await world.round(500);
-      const told = wire(world.report({}, [task(0, 'exited', cause), task(1, 'gathering')]));
+      world.heartbeat({}, [task(0, 'gathering'), task(1, 'gathering')]);
+      world.heartbeat({}, [task(0, 'exited', cause), task(1, 'gathering')]);
+      await world.reconcile(500);
+      const told = wire(world.heartbeat({}, [task(0, 'exited', cause), task(1, 'gathering')]));
       assert.ok(told.includes(`stop 1 ${SAVE_S}`), told.join());
-      world.report({}, [task(0, 'exited', cause), task(1, 'exited', 'stopped')]);
-      await world.round(6000);
+      world.heartbeat({}, [task(0, 'exited', cause), task(1, 'exited', 'stopped')]);
+      await world.reconcile(6000);
       assert.equal(world.stored(), undefined);
       assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
     },
@@ -98,10 +102,10 @@
     name: 'other parts are told of a stop at once, before ends are gathered',
     check: async () => {
       const world = await takeOver({}, 4, {});
-      world.report({}, [task(0, 'running'), task(1, 'running')]);
-      await world.round(250);
-      world.report({}, [task(0, 'exited', 'peerLost'), task(1, 'running')]);
-      await world.round(500);
+      world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
+      await world.reconcile(250);
+      world.heartbeat({}, [task(0, 'exited', 'peerLost'), task(1, 'running')]);
+      await world.reconcile(500);
       assert.equal(world.stored()?.stopping, true);
     },
   },
@@ -109,9 +113,9 @@
     name: 'a task that is done is stored as done, and nothing starts again',
     check: async () => {
       const world = await takeOver({});
-      world.report({}, [task(0, 'running'), task(1, 'running')]);
-      world.report({}, [task(0, 'exited', 'done'), task(1, 'running')]);
-      await world.round(6000);
+      world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
+      world.heartbeat({}, [task(0, 'exited', 'done'), task(1, 'running')]);
+      await world.reconcile(6000);
       assert.equal(world.stored()?.done, '0');
       assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
     },
--- a/test/gang-plan.test.ts
+++ b/test/gang-plan.test.ts
@@ -9,9 +9,9 @@
 const GANG: JobSpec = { ...SPEC, kind: 'gang', tasks: 2, cpus: 2, memoryGb: 6, oneZone: true };
 
 let count = 0;
-const machine = (part: string, change: Partial<MachineCapacity> = {}): MachineCapacity => ({
+const machine = (shard: string, change: Partial<MachineCapacity> = {}): MachineCapacity => ({
   name: `m-${++count}`,
-  part,
+  shard,
   type: 'small',
   zone: 'a',
   spot: false,
@@ -20,20 +20,20 @@
   gpus: 0,
   memoryGb: 16,
   tasks: 0,
-  lowCpus: 0,
-  lowMemoryGb: 0,
-  endingCpus: 0,
-  endingMemoryGb: 0,
+  preemptibleCpus: 0,
+  preemptibleMemoryGb: 0,
+  arrayCpus: 0,
+  arrayMemoryGb: 0,
   ...change,
 });
 /** Full of small array tasks, by CPUs and by memory. */
 const FULL = {
   cpus: 0,
   memoryGb: 2,
-  lowCpus: 4,
-  lowMemoryGb: 14,
-  endingCpus: 4,
-  endingMemoryGb: 14,
+  preemptibleCpus: 4,
+  preemptibleMemoryGb: 14,
+  arrayCpus: 4,
+  arrayMemoryGb: 14,
 };
 
 test('where a gang goes: one part before several, free room before room to come, else nowhere', () => {
@@ -65,14 +65,14 @@
     ],
     // CPUs alone counted as room to come, and gangs waited in front of arrays for ever.
     ['arrays that end, memory too', {}, [machine('p', FULL)], 'soon p:2'],
-    ['CPUs end, memory does not', {}, [machine('p', { ...FULL, endingMemoryGb: 0 })], 'missing 2'],
+    ['CPUs end, memory does not', {}, [machine('p', { ...FULL, arrayMemoryGb: 0 })], 'missing 2'],
     ['an urgent one may stop them', { priority: 'high' }, [machine('p', FULL)], 'soon p:2'],
     ['no spot machine', {}, [machine('p', { spot: true })], 'missing 2'],
   ];
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines);
     const got = plan.shares
-      ? `${plan.when} ${plan.shares.map((one) => `${one.part}:${one.count}`).join(' ')}`
+      ? `${plan.when} ${plan.shares.map((one) => `${one.shard}:${one.count}`).join(' ')}`
       : `missing ${plan.missing}`;
     assert.equal(got, want, name);
   }
@@ -92,7 +92,7 @@
 test('where a gang goes: machines that fetch its image in time come first, arrays make room first', () => {
   const urgent: Partial<JobSpec> = { priority: 'high' };
   /** Full of tasks that rank lower and are no arrays: of a gang, say. */
-  const gangs = { ...FULL, endingCpus: 0, endingMemoryGb: 0 };
+  const gangs = { ...FULL, arrayCpus: 0, arrayMemoryGb: 0 };
   const slow = { type: 'slow' };
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
     [
@@ -119,7 +119,10 @@
     [
       'arrays are stopped before gangs',
       urgent,
-      [machine('p', { ...gangs, lowCpus: 16, lowMemoryGb: 64 }), machine('q', FULL)],
+      [
+        machine('p', { ...gangs, preemptibleCpus: 16, preemptibleMemoryGb: 64 }),
+        machine('q', FULL),
+      ],
       'soon q',
     ],
     ['gangs are stopped where there are no arrays', urgent, [machine('p', gangs)], 'soon p'],
@@ -127,7 +130,9 @@
   const hints = { lastPlace: null, fetchesInTime: (type: string) => type !== 'slow' };
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines, hints);
-    const got = plan.shares ? `${plan.when} ${plan.shares.map(({ part }) => part).join()}` : 'none';
+    const got = plan.shares
+      ? `${plan.when} ${plan.shares.map(({ shard: shard }) => shard).join()}`
+      : 'none';
     assert.equal(got, want, name);
   }
 });
