--- a/test/gang-share.test.ts
+++ b/test/gang-share.test.ts
@@ -1,40 +1,48 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chunkKey, jobKey } from '../src/storage/keys.js';
-import type { ChunkRecord } from '../src/storage/records.js';
-import type { TaskReport } from '../src/protocol/model.js';
-import { GANG_ATTEMPT, GANG_SHARE, JOB, SPEC, lonePart, ops, type LonePart } from './world/lone.js';
+import { assignmentKey, jobKey } from '../src/storage/keys.js';
+import type { AssignmentRecord } from '../src/storage/records.js';
+import type { TaskStatus } from '../src/protocol/model.js';
+import {
+  GANG_ATTEMPT,
+  GANG_SHARE,
+  JOB,
+  SPEC,
+  loneShard,
+  ops,
+  type LoneShard,
+} from './world/lone.js';
 
 /** A part with its share of a gang; `other`: the share of another part. */
-async function gang(tasks: number, other?: Partial<ChunkRecord>): Promise<LonePart> {
-  const world = await lonePart({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
-  world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<LoneShard> {
+  const world = await loneShard({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
+  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
-    { key: chunkKey('p', JOB, 1), value: GANG_SHARE },
+    { key: assignmentKey('p', JOB, 1), value: GANG_SHARE },
     ...(other
-      ? [{ key: chunkKey('q', JOB, 2), value: { ...GANG_SHARE, ids: '2-3', ...other } }]
+      ? [{ key: assignmentKey('q', JOB, 2), value: { ...GANG_SHARE, ids: '2-3', ...other } }]
       : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
   return world;
 }
 
-const shown = (index: number, state: TaskReport['state'] = 'running'): TaskReport => ({
+const shown = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
   task: { job: JOB, index },
   attempt: GANG_ATTEMPT,
   state,
   cause: state === 'exited' ? 'peerLost' : null,
 });
-const sent = (world: LonePart): string[] => world.sent.flatMap(({ commands }) => ops(commands));
+const sent = (world: LoneShard): string[] => world.sent.flatMap(({ commands }) => ops(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
     name: 'all tasks are placed under the attempt that the leader gave',
     check: async () => {
       const world = await gang(2);
-      world.report();
-      await world.round();
+      world.heartbeat();
+      await world.reconcile();
       const attempts = Object.values(world.stored()?.live ?? {}).map(([, attempt]) => attempt);
       assert.deepEqual(attempts, [GANG_ATTEMPT, GANG_ATTEMPT]);
       assert.deepEqual(sent(world), ['start', 'start']);
@@ -45,15 +53,15 @@
     name: 'none starts before all are reserved, here and in other parts',
     check: async () => {
       const world = await gang(4, {});
-      world.report();
-      await world.round();
+      world.heartbeat();
+      await world.reconcile();
       assert.equal(Object.keys(world.stored()?.live ?? {}).length, 2);
-      assert.deepEqual([...sent(world), ...ops(world.report())], []);
+      assert.deepEqual([...sent(world), ...ops(world.heartbeat())], []);
       const live = { '2': ['m-8', GANG_ATTEMPT], '3': ['m-9', GANG_ATTEMPT] };
       world.state.change([
-        { key: chunkKey('q', JOB, 2), value: { ...GANG_SHARE, ids: '2-3', live } },
+        { key: assignmentKey('q', JOB, 2), value: { ...GANG_SHARE, ids: '2-3', live } },
       ]);
-      await world.round();
+      await world.reconcile();
       assert.deepEqual(sent(world), ['start', 'start']);
     },
   },
@@ -62,20 +70,20 @@
     name: 'when one task ends all end, and the attempt is never placed again',
     check: async () => {
       const world = await gang(2);
-      world.report();
-      await world.round();
-      world.report({}, [shown(0), shown(1)]);
-      world.report({}, [shown(0, 'exited'), shown(1)]);
-      await world.round(500);
+      world.heartbeat();
+      await world.reconcile();
+      world.heartbeat({}, [shown(0), shown(1)]);
+      world.heartbeat({}, [shown(0, 'exited'), shown(1)]);
+      await world.reconcile(500);
       const stops = world
-        .report({}, [shown(0, 'exited'), shown(1)])
+        .heartbeat({}, [shown(0, 'exited'), shown(1)])
         .filter((command) => command.op === 'stop');
       assert.deepEqual(
         stops.map(({ task, graceS }) => [task.index, graceS]),
         [[1, 2]],
       );
-      world.report({}, [shown(0, 'exited'), shown(1, 'exited')]);
-      await world.round(6000);
+      world.heartbeat({}, [shown(0, 'exited'), shown(1, 'exited')]);
+      await world.reconcile(6000);
       assert.equal(world.stored(), undefined, 'goes back to the leader');
     },
   },
@@ -85,15 +93,15 @@
       const live = {
         '2': ['m-8', GANG_ATTEMPT],
         '3': ['m-9', GANG_ATTEMPT],
-      } as ChunkRecord['live'];
+      } as AssignmentRecord['live'];
       const world = await gang(4, { live });
-      world.report();
-      await world.round();
-      world.report({}, [shown(0), shown(1)]);
+      world.heartbeat();
+      await world.reconcile();
+      world.heartbeat({}, [shown(0), shown(1)]);
       const value = { ...GANG_SHARE, ids: '2-3', live, stopping: true };
-      world.state.change([{ key: chunkKey('q', JOB, 2), value }]);
-      await world.round(500);
-      const stops = world.report({}, [shown(0), shown(1)]);
+      world.state.change([{ key: assignmentKey('q', JOB, 2), value }]);
+      await world.reconcile(500);
+      const stops = world.heartbeat({}, [shown(0), shown(1)]);
       assert.deepEqual(ops(stops), ['stop', 'stop']);
       assert.deepEqual(
         stops.map(({ graceS }) => graceS),
@@ -110,38 +118,39 @@
       const later = { ...SPEC, id: 'j-000003', tasks: 4 };
       const { attempt, ...plain } = GANG_SHARE;
       assert.equal(attempt, GANG_ATTEMPT);
-      world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+      world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
       world.state.change([
         { key: jobKey(busy.id), value: { spec: busy, at: world.clock.wall() } },
         { key: jobKey(later.id), value: { spec: later, at: world.clock.wall() } },
         {
-          key: chunkKey('p', busy.id, 2),
+          key: assignmentKey('p', busy.id, 2),
           value: {
             ...plain,
             ids: '0-2',
             live: { '0': ['m-1', 1], '1': ['m-1', 2], '2': ['m-1', 3] },
           },
         },
-        { key: chunkKey('p', JOB, 5), value: GANG_SHARE },
-        { key: chunkKey('p', later.id, 6), value: { ...plain, ids: '0-3' } },
+        { key: assignmentKey('p', JOB, 5), value: GANG_SHARE },
+        { key: assignmentKey('p', later.id, 6), value: { ...plain, ids: '0-3' } },
       ]);
       await world.clock.run(world.clock.now() + 300);
-      const other = (index: number, state: TaskReport['state'] = 'running'): TaskReport => ({
+      const other = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
         task: { job: busy.id, index },
         attempt: index + 1,
         state,
         cause: state === 'exited' ? 'done' : null,
       });
       // One place is free: too few for the gang, enough for a task behind it.
-      world.report({}, [other(0), other(1), other(2)]);
-      await world.round();
+      world.heartbeat({}, [other(0), other(1), other(2)]);
+      await world.reconcile();
       const behind = (): number =>
-        Object.keys((world.state.cells.get(chunkKey('p', later.id, 6))?.value as ChunkRecord).live)
-          .length;
+        Object.keys(
+          (world.state.cells.get(assignmentKey('p', later.id, 6))?.value as AssignmentRecord).live,
+        ).length;
       assert.equal(behind(), 0);
-      world.report({}, [other(0, 'exited'), other(1), other(2)]);
-      await world.round();
-      const share = world.state.cells.get(chunkKey('p', JOB, 5))?.value as ChunkRecord;
+      world.heartbeat({}, [other(0, 'exited'), other(1), other(2)]);
+      await world.reconcile();
+      const share = world.state.cells.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
       assert.equal(Object.keys(share.live).length, 2);
     },
   },
--- a/test/gang-times.test.ts
+++ b/test/gang-times.test.ts
@@ -1,24 +1,24 @@
 /** Decisions of a part by the workers' times for gangs, `gang_wait_s` and `gang_peer_s`. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskReport } from '../src/protocol/model.js';
-import { chunkKey, jobKey } from '../src/storage/keys.js';
-import type { ChunkRecord } from '../src/storage/records.js';
+import type { TaskStatus } from '../src/protocol/model.js';
+import { assignmentKey, jobKey } from '../src/storage/keys.js';
+import type { AssignmentRecord } from '../src/storage/records.js';
 import {
   GANG_ATTEMPT,
   GANG_SHARE,
-  PLAIN_CHUNK,
+  PLAIN_ASSIGNMENT,
   JOB,
   SPEC,
-  lonePart,
+  loneShard,
   ops,
-  reportOf,
-  type LonePart,
+  heartbeatOf,
+  type LoneShard,
 } from './world/lone.js';
 
 const URGENT_JOB = 'j-000002';
 
-const shown = (index: number, state: TaskReport['state'] = 'running'): TaskReport => ({
+const shown = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
   task: { job: JOB, index },
   attempt: GANG_ATTEMPT,
   state,
@@ -26,53 +26,60 @@
 });
 
 /** A part with a gang of so many tasks, of which it has two; `other`: the share of another part. */
-async function gang(tasks: number, checkpointS: number, other?: ChunkRecord): Promise<LonePart> {
-  const world = await lonePart({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
-  world.state.change([{ key: chunkKey('p', JOB, 1), remove: true }]);
+async function gang(
+  tasks: number,
+  checkpointS: number,
+  other?: AssignmentRecord,
+): Promise<LoneShard> {
+  const world = await loneShard({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
+  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
-    { key: chunkKey('p', JOB, 1), value: GANG_SHARE },
-    ...(other ? [{ key: chunkKey('q', JOB, 2), value: other }] : []),
+    { key: assignmentKey('p', JOB, 1), value: GANG_SHARE },
+    ...(other ? [{ key: assignmentKey('q', JOB, 2), value: other }] : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
-  world.report();
-  await world.round();
+  world.heartbeat();
+  await world.reconcile();
   return world;
 }
 
 /** Answers all direct calls so far with a report of these tasks. */
-function answerCalls(world: LonePart, tasks: TaskReport[]): void {
+function answerCalls(world: LoneShard, tasks: TaskStatus[]): void {
   world.answer({}, tasks);
   for (const { done } of world.sent.splice(0)) {
-    done(reportOf({ seq: 0, token: 0, tasks }));
+    done(heartbeatOf({ sequence: 0, fencingToken: 0, tasks }));
   }
 }
 
 /** Runs on for so long, with a report each second; the stops that were sent. */
 async function stopsWithin(
-  world: LonePart,
+  world: LoneShard,
   seconds: number,
-  tasks: TaskReport[],
+  tasks: TaskStatus[],
 ): Promise<string[]> {
   const stops: string[] = [];
   const note = (list: string[]): void => void stops.push(...list.filter((op) => op === 'stop'));
   for (let passed = 0; passed < seconds && stops.length === 0; passed++) {
-    note(ops(world.report({}, tasks)));
-    await world.round(1000);
+    note(ops(world.heartbeat({}, tasks)));
+    await world.reconcile(1000);
     note(world.sent.flatMap(({ commands }) => ops(commands)));
   }
   return stops;
 }
 
 test('a gang that gathers until just before its tasks give up is withdrawn as a whole', async () => {
-  const cases: [string, TaskReport['state'][], number, number][] = [
+  const cases: [string, TaskStatus['state'][], number, number][] = [
     ['all wait for a task elsewhere', ['gathering', 'gathering'], 34, 2],
     ['not before', ['gathering', 'gathering'], 30, 0],
     ['one still fetches', ['gathering', 'fetching'], 34, 2],
     ['it runs', ['running', 'running'], 34, 0],
   ];
   for (const [name, states, seconds, want] of cases) {
-    const live = { '2': ['m-8', GANG_ATTEMPT], '3': ['m-9', GANG_ATTEMPT] } as ChunkRecord['live'];
+    const live = {
+      '2': ['m-8', GANG_ATTEMPT],
+      '3': ['m-9', GANG_ATTEMPT],
+    } as AssignmentRecord['live'];
     const world = await gang(4, 5, { ...GANG_SHARE, ids: '2-3', live });
     const tasks = states.map((state, index) => shown(index, state));
     answerCalls(world, tasks);
@@ -81,7 +88,10 @@
 });
 
 test('nobody is stopped before the other parts can know of it', async () => {
-  const live = { '2': ['m-8', GANG_ATTEMPT], '3': ['m-9', GANG_ATTEMPT] } as ChunkRecord['live'];
+  const live = {
+    '2': ['m-8', GANG_ATTEMPT],
+    '3': ['m-9', GANG_ATTEMPT],
+  } as AssignmentRecord['live'];
   const world = await gang(4, 5, { ...GANG_SHARE, ids: '2-3', live });
   answerCalls(world, [shown(0), shown(1)]);
   await stopsWithin(world, 2, [shown(0), shown(1)]);
@@ -117,7 +127,7 @@
     const urgent = { ...SPEC, id: URGENT_JOB, priority: 'high' as const, cpus: 3 };
     world.state.change([
       { key: jobKey(URGENT_JOB), value: { spec: urgent, at: world.clock.wall() } },
-      { key: chunkKey('p', URGENT_JOB, 9), value: { ...PLAIN_CHUNK, ids: '0', cpus: 3 } },
+      { key: assignmentKey('p', URGENT_JOB, 9), value: { ...PLAIN_ASSIGNMENT, ids: '0', cpus: 3 } },
     ]);
     await world.clock.run(world.clock.now() + 300);
     assert.equal((await stopsWithin(world, 2, tasks)).length, want, name);
--- a/test/gangs-controllers.test.ts
+++ b/test/gangs-controllers.test.ts
@@ -1,7 +1,7 @@
 /** Gangs whose controllers are killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEADER, partRole } from '../src/coordination/election/role-election.js';
+import { LEADER, shardRole } from '../src/coordination/election/role-election.js';
 import {
   GANG,
   OTHER,
@@ -11,7 +11,7 @@
   ends,
   killOwner,
   owner,
-  partsOf,
+  shardsOf,
   playGang,
   restart,
   submit,
@@ -34,7 +34,7 @@
     name: `a part's owner is killed ${ms} ms after the gang got to the part`,
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
-      await until(world, 'a part holds the gang', 20, () => partsOf(world, GANG).length > 0);
+      await until(world, 'a part holds the gang', 20, () => shardsOf(world, GANG).length > 0);
       await world.run(ms / 1000);
       await killOwner(world, GANG);
     },
@@ -65,9 +65,9 @@
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...SAVING });
       await begins(world, GANG, 20);
-      const [part] = partsOf(world, GANG);
-      assert.ok(part, 'no part holds the gang');
-      const node = owner(world, partRole(part));
+      const [shard] = shardsOf(world, GANG);
+      assert.ok(shard, 'no part holds the gang');
+      const node = owner(world, shardRole(shard));
       await cancel(world, GANG, world.members.find(([one]) => one !== node)?.[0]);
       await restart(world, node);
       await ends(world, [GANG], 'withdrawn', 55);
--- a/test/invalid.test.ts
+++ b/test/invalid.test.ts
@@ -3,7 +3,7 @@
 import { Committer } from '../src/storage/committer.js';
 import { jobKey } from '../src/storage/keys.js';
 import type { Log } from '../src/storage/log.js';
-import { InvalidChangeBackoff } from '../src/storage/rejected-change-backoff.js';
+import { RejectedChangeBackoff } from '../src/storage/rejected-change-backoff.js';
 import { UserRequests } from '../src/coordination/api/user-requests.js';
 import type { Change, Guard } from '../src/protocol/key-value-store.js';
 import { SimClock } from './world/clock.js';
@@ -63,19 +63,19 @@
 
 test('what was in an invalid transaction pauses longer each time, and then goes alone', async () => {
   const clock = new SimClock();
-  const invalidBackoff = new InvalidChangeBackoff(clock);
-  assert.equal(invalidBackoff.together(['a', 'b', 'c'], 2), 2);
-  invalidBackoff.add('b');
-  assert.ok(invalidBackoff.has('b') && !invalidBackoff.has('a'));
+  const rejectedChangeBackoff = new RejectedChangeBackoff(clock);
+  assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 2), 2);
+  rejectedChangeBackoff.add('b');
+  assert.ok(rejectedChangeBackoff.has('b') && !rejectedChangeBackoff.has('a'));
   await clock.run(2100);
-  assert.ok(!invalidBackoff.has('b'));
-  assert.equal(invalidBackoff.together(['a', 'b', 'c'], 3), 1);
-  assert.equal(invalidBackoff.together(['b', 'c'], 3), 1);
-  invalidBackoff.add('b');
+  assert.ok(!rejectedChangeBackoff.has('b'));
+  assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 3), 1);
+  assert.equal(rejectedChangeBackoff.together(['b', 'c'], 3), 1);
+  rejectedChangeBackoff.add('b');
   await clock.run(clock.now() + 2100);
-  assert.ok(invalidBackoff.has('b'), 'twice as long');
-  invalidBackoff.clear('b');
-  assert.equal(invalidBackoff.together(['a', 'b', 'c'], 3), 3);
+  assert.ok(rejectedChangeBackoff.has('b'), 'twice as long');
+  rejectedChangeBackoff.clear('b');
+  assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 3), 3);
 });
 
 /** Machine types that the job allows, beside one that there is, of about so many bytes. */
@@ -111,7 +111,7 @@
 /** The requests of users at a node that believes in these limits. */
 function userRequestsOn(
   { clock, log, api, limiter, replica, committer }: Awaited<ReturnType<typeof nodeStorage>>,
-  limits: { txnOps: number; valueBytes: number },
+  limits: { transactionOps: number; valueBytes: number },
 ): UserRequests {
   return new UserRequests({
     teams: TEAMS,
@@ -136,7 +136,7 @@
     const storage = await nodeStorage();
     const { clock, state } = storage;
     state.valueBytes = real;
-    const userRequests = userRequestsOn(storage, { txnOps: 8, valueBytes: believed });
+    const userRequests = userRequestsOn(storage, { transactionOps: 8, valueBytes: believed });
     const bodies = [submission(1, 0), submission(2, 2000), submission(3, 0), submission(4, 1000)];
     const replies = bodies.map((body) => userRequests.submit(body));
     await clock.run(clock.now() + 4000);
@@ -155,8 +155,8 @@
 test('a batch of large submissions stays below what one transaction may hold', async () => {
   const storage = await nodeStorage();
   const { clock, state } = storage;
-  state.txnOps = 32;
-  const userRequests = userRequestsOn(storage, { txnOps: 32, valueBytes: 8192 });
+  state.transactionOps = 32;
+  const userRequests = userRequestsOn(storage, { transactionOps: 32, valueBytes: 8192 });
   const replies = Array.from({ length: 16 }, (_, at) => userRequests.submit(submission(at, 7000)));
   await clock.run(clock.now() + 4000);
   const found = await Promise.all(replies);
--- a/test/inventory.test.ts
+++ b/test/inventory.test.ts
@@ -1,8 +1,8 @@
 /** The leader's view of the fleet: complete at any size, and decoded only where it changed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Inventory } from '../src/coordination/capacity/machine-inventory.js';
-import { Ledger } from '../src/coordination/capacity/capacity-accounting.js';
+import { MachineInventory } from '../src/coordination/capacity/machine-inventory.js';
+import { CapacityAccounting } from '../src/coordination/capacity/capacity-accounting.js';
 import { CATALOG, machineKey, statusKey } from '../src/storage/keys.js';
 import type { MachineRecord, StatusRecord } from '../src/storage/records.js';
 import type { StoreReplica } from '../src/storage/store-replica.js';
@@ -35,7 +35,7 @@
 
 interface Fleet {
   replica: StoreReplica;
-  inventory: Inventory;
+  inventory: MachineInventory;
   count: { reads: number };
   revision: number;
 }
@@ -46,15 +46,15 @@
   const count = { reads: 0 };
   let revision = 1;
   const record: MachineRecord = { state: 'rented', type: 'small', zone: 'a', spot: false, at: 0 };
-  replica.applyOwn([{ key: CATALOG, value: TYPES, revision: revision++ }]);
+  replica.applyOwnChanges([{ key: CATALOG, value: TYPES, revision: revision++ }]);
   for (let at = 0; at < MACHINES; at++) {
-    replica.applyOwn([{ key: machineKey(nameOf(at)), value: record, revision: revision++ }]);
+    replica.applyOwnChanges([{ key: machineKey(nameOf(at)), value: record, revision: revision++ }]);
   }
   for (let page = 0; page < MACHINES / PER_SHARD / 2; page++) {
     const value = countedStatus(page, count);
-    replica.applyOwn([{ key: statusKey('p', page), value, revision: revision++ }]);
+    replica.applyOwnChanges([{ key: statusKey('p', page), value, revision: revision++ }]);
   }
-  const inventory = new Inventory(MEMBERS, replica, new Ledger(replica, clock));
+  const inventory = new MachineInventory(MEMBERS, replica, new CapacityAccounting(replica, clock));
   return { replica, inventory, count, revision };
 }
 
@@ -72,7 +72,7 @@
   assert.equal(count.reads, pages, 'each record is decoded once');
   const changed = countedStatus(0, count);
   changed.machines[nameOf(0)] = ['small', 'a', 0, 'silent'];
-  replica.applyOwn([{ key: statusKey('p', 0), value: changed, revision }]);
+  replica.applyOwnChanges([{ key: statusKey('p', 0), value: changed, revision }]);
   assert.equal(inventory.machines().get(nameOf(0))?.health, 'silent');
   assert.equal(count.reads, pages + 1, 'and once more when it changes');
 });
@@ -81,7 +81,7 @@
   const { replica, inventory, revision } = largeFleet();
   const record: MachineRecord = { state: 'drain', type: 'small', zone: 'a', spot: false, at: 0 };
   assert.ok(inventory.machines().has(nameOf(1)));
-  replica.applyOwn([
+  replica.applyOwnChanges([
     { key: machineKey(nameOf(1)), value: record, revision },
     { key: machineKey(nameOf(2)), value: { ...record, state: 'gone' }, revision },
   ]);
--- a/test/late-values.test.ts
+++ b/test/late-values.test.ts
@@ -46,7 +46,7 @@
       return state.revision;
     });
     await clock.run(3000);
-    replica.applyOwn([{ key: KEY, value: written[late], revision: revisions[late] ?? 0 }]);
+    replica.applyOwnChanges([{ key: KEY, value: written[late], revision: revisions[late] ?? 0 }]);
     assert.equal(replica.get(KEY)?.value ?? null, expected, name);
   }
 });
--- a/test/loopback/cloud-front.ts
+++ b/test/loopback/cloud-front.ts
@@ -25,7 +25,7 @@
     return { status: 200, body: { breeds } };
   }
   if (path === '/rentals/return') {
-    const isDone = await api.giveBack(body['moths'] as string[]);
+    const isDone = await api.returnMachines(body['moths'] as string[]);
     return { status: isDone ? 200 : 503, body: {} };
   }
   if (method === 'GET') {
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -13,7 +13,7 @@
 import { jobOf, submissionOf, type Reply, type SimJob } from '../world/jobs.js';
 import { Judge } from '../world/judge.js';
 import { SimState } from '../world/state.js';
-import type { ReportedNode, Surroundings } from '../world/surroundings.js';
+import type { HeartbeatTarget, Surroundings } from '../world/surroundings.js';
 import type { SimWorker } from '../world/worker.js';
 import type { WireCommand } from '../world/worker-wire.js';
 import { answerForCloud } from './cloud-front.js';
@@ -56,7 +56,7 @@
 export class LoopbackCluster implements Surroundings {
   readonly clock = stoppableClock;
   readonly members: readonly (readonly [string, string])[];
-  readonly nodes: Map<string, ReportedNode>;
+  readonly nodes: Map<string, HeartbeatTarget>;
   readonly workers = new Map<string, SimWorker>();
   readonly jobs = new Map<string, SimJob>();
   readonly completed = new Set<string>();
@@ -81,7 +81,9 @@
       options.members.map(([name]) => [
         name,
         {
-          node: { report: (body) => this.call(name, 'POST', '/checkin', body, REPORT_TIMEOUT_MS) },
+          node: {
+            heartbeat: (body) => this.call(name, 'POST', '/checkin', body, REPORT_TIMEOUT_MS),
+          },
         },
       ]),
     );
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -24,7 +24,7 @@
       env: { ...process.env, LOG_LEVEL: 'info' },
     });
     this.child = child;
-    child.stderr.on('data', (part: Buffer) => this.read(part.toString()));
+    child.stderr.on('data', (shard: Buffer) => this.read(shard.toString()));
   }
 
   /** It stands still, while all clocks run. */
--- a/test/loopback/state-front.ts
+++ b/test/loopback/state-front.ts
@@ -1,11 +1,11 @@
 /** The state service's protocol over HTTP, in front of the stand-in of the simulated world. */
 import {
-  Refused,
+  StoreRejectedError,
   type Change,
   type Guard,
-  type StateApi,
+  type KeyValueStore,
 } from '../../src/protocol/key-value-store.js';
-import { NoAnswer } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/http-client.js';
 import type { SimState } from '../world/state.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
 
@@ -28,7 +28,7 @@
 
 /** Answers the requests of one node. */
 export class StateFront {
-  private readonly api: StateApi;
+  private readonly api: KeyValueStore;
 
   constructor(
     private readonly state: SimState,
@@ -41,14 +41,15 @@
     try {
       return await this.route(request);
     } catch (error) {
-      if (error instanceof Refused) return { status: error.status, body: { error: error.message } };
-      if (error instanceof NoAnswer) return null;
+      if (error instanceof StoreRejectedError)
+        return { status: error.status, body: { error: error.message } };
+      if (error instanceof OutcomeUnknownError) return null;
       throw error;
     }
   }
 
   private route({ method, path, query, body }: FrontRequest): Promise<FrontReply> {
-    if (path === '/txn') return this.txn(body);
+    if (path === '/txn') return this.compareAndSwap(body);
     if (path === '/changes') return this.changes(query);
     if (path === '/kv') return this.list(query);
     if (path.startsWith('/kv/')) return this.get(path.slice('/kv/'.length));
@@ -58,10 +59,10 @@
     return Promise.resolve({ status: 404, body: {} });
   }
 
-  private async txn(body: Record<string, unknown>): Promise<FrontReply> {
+  private async compareAndSwap(body: Record<string, unknown>): Promise<FrontReply> {
     const guards = ((body['guards'] ?? []) as WireGuard[]).map(guardOf);
     const changes = ((body['apply'] ?? []) as WireChange[]).map(changeOf);
-    const result = await this.api.txn(guards, changes);
+    const result = await this.api.compareAndSwap(guards, changes);
     if (result.ok) return { status: 200, body: { epoch: result.revision } };
     return { status: 409, body: { failed: result.failed, epoch: this.state.revision } };
   }
--- a/test/meetings-leaders.test.ts
+++ b/test/meetings-leaders.test.ts
@@ -121,10 +121,10 @@
       for (const worker of world.workers.values())
         worker.copyAfterMs = [2000, 9000, 23_000, 40_000];
       await world.run(6);
-      for (const worker of world.workers.values()) worker.holdReportsMs = 6000;
+      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 6000;
       await world.run(2);
       await change(world, 8);
-      for (const worker of world.workers.values()) worker.holdReportsMs = 0;
+      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 0;
       await world.run(1);
       await change(world, 0.3);
       await cancel(world, 'j-000002', names(world));
--- a/test/meetings-writes.test.ts
+++ b/test/meetings-writes.test.ts
@@ -1,7 +1,7 @@
 /** Meetings: transactions that are carried out late, as chunks come and go. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CHUNKS } from '../src/storage/keys.js';
+import { ASSIGNMENTS } from '../src/storage/keys.js';
 import type { SimJob } from './world/jobs.js';
 import { URGENT, change, playMeeting, submit, workersIn, type Meeting } from './world/meeting.js';
 import type { World } from './world/world.js';
@@ -68,7 +68,7 @@
       let absent: boolean | null = null;
       world.state.hold = (_node, changes) => {
         const made = changes.find((one) => one.key.includes('/j-000003/') && 'value' in one);
-        if (held !== '' || !made?.key.startsWith(CHUNKS)) return null;
+        if (held !== '' || !made?.key.startsWith(ASSIGNMENTS)) return null;
         held = made.key;
         world.clock.after(11_999, () => {
           absent = !world.state.cells.has(held);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Bandit } from '../src/coordination/scheduling/bandit.js';
 import { fitCount } from '../src/coordination/capacity/machine-capacity.js';
-import { partOf } from '../src/coordination/election/rendezvous-hashing.js';
+import { shardOf } from '../src/coordination/election/rendezvous-hashing.js';
 import { selectLateDemands } from '../src/coordination/leader/deadline-selection.js';
 
 test('the bandit agrees with a case worked by hand', () => {
@@ -69,12 +69,12 @@
   ];
   const counts: Record<string, number> = {};
   for (let at = 0; at < 400; at++) {
-    const part = partOf(`m-${at}`, 'a', members);
-    counts[part] = (counts[part] ?? 0) + 1;
-    assert.equal(partOf(`m-${at}`, 'b', members), 'n2');
-    assert.equal(part, partOf(`m-${at}`, 'a', [...members].reverse()));
+    const shard = shardOf(`m-${at}`, 'a', members);
+    counts[shard] = (counts[shard] ?? 0) + 1;
+    assert.equal(shardOf(`m-${at}`, 'b', members), 'n2');
+    assert.equal(shard, shardOf(`m-${at}`, 'a', [...members].reverse()));
   }
   assert.deepEqual(Object.keys(counts).sort(), ['n0', 'n1']);
   assert.ok(Math.min(...Object.values(counts)) > 120);
-  assert.notEqual(partOf('m-1', 'elsewhere', members), '');
+  assert.notEqual(shardOf('m-1', 'elsewhere', members), '');
 });
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -17,7 +17,7 @@
     let passed = 0;
     const gates = Array.from(
       { length: 5 },
-      () => new RateLimiter(clock, { rps: 100, writeRps: 50, txnOps: 8 }, 5),
+      () => new RateLimiter(clock, { rps: 100, writeRps: 50, transactionOps: 8 }, 5),
     );
     for (const limiter of gates.slice(0, requesting)) {
       const request = async (): Promise<void> => {
@@ -51,7 +51,7 @@
   ];
   for (const [rate, supply] of cases) {
     const clock = new SimClock();
-    const limiter = new RateLimiter(clock, { rps: 1000, writeRps: 50, txnOps: 8 }, 5);
+    const limiter = new RateLimiter(clock, { rps: 1000, writeRps: 50, transactionOps: 8 }, 5);
     for (let turn = 0; turn < rate * 20; turn++) {
       void limiter.pass('part', 1);
       await clock.run(clock.now() + 1000 / rate);
@@ -70,7 +70,7 @@
   ];
   for (const [name, rate, cost] of cases) {
     const clock = new SimClock();
-    const limiter = new RateLimiter(clock, { rps: 80, writeRps: 25, txnOps: 8 }, 3);
+    const limiter = new RateLimiter(clock, { rps: 80, writeRps: 25, transactionOps: 8 }, 3);
     for (const purpose of ['part', 'leader'] as const) {
       const ask = (): void => {
         void limiter.pass(purpose, cost);
@@ -94,7 +94,7 @@
 
 test('the state service: writes keep their order, and pass over nothing that waits before them', async () => {
   const clock = new SimClock();
-  const limiter = new RateLimiter(clock, { rps: 80, writeRps: 10, txnOps: 8 }, 1);
+  const limiter = new RateLimiter(clock, { rps: 80, writeRps: 10, transactionOps: 8 }, 1);
   const order: string[] = [];
   const pass = (name: string, purpose: Purpose, cost: number): void => {
     void limiter.pass(purpose, cost).then(() => order.push(name));
--- a/test/records-chunks.test.ts
+++ b/test/records-chunks.test.ts
@@ -1,23 +1,23 @@
 /** Chunks that one value has no room for are split with their tasks as they are. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskReport } from '../src/protocol/model.js';
-import { CHUNKS, jobKey } from '../src/storage/keys.js';
+import type { TaskStatus } from '../src/protocol/model.js';
+import { ASSIGNMENTS, jobKey } from '../src/storage/keys.js';
 import { readRanges, writeRanges } from '../src/storage/ranges.js';
-import type { ChunkRecord } from '../src/storage/records.js';
-import { JOB, lonePart, ops } from './world/lone.js';
+import type { AssignmentRecord } from '../src/storage/records.js';
+import { JOB, loneShard, ops } from './world/lone.js';
 import { SMALL, bytes } from './world/sizes.js';
 import type { SimState } from './world/state.js';
 
-const chunksOf = (state: SimState): [string, ChunkRecord][] =>
+const assignmentsOf = (state: SimState): [string, AssignmentRecord][] =>
   [...state.cells]
-    .filter(([key]) => key.startsWith(CHUNKS))
-    .map(([key, cell]) => [key, cell.value as ChunkRecord]);
+    .filter(([key]) => key.startsWith(ASSIGNMENTS))
+    .map(([key, cell]) => [key, cell.value as AssignmentRecord]);
 
 /** Each task stands in one chunk only, and each chunk says of its own tasks only. */
-function checkChunks(state: SimState, tasks: number): void {
+function checkAssignments(state: SimState, tasks: number): void {
   const ids: number[] = [];
-  for (const [key, record] of chunksOf(state)) {
+  for (const [key, record] of assignmentsOf(state)) {
     const own = readRanges(record.ids);
     ids.push(...own);
     const done = readRanges(record.done);
@@ -33,7 +33,7 @@
 }
 
 /** What a machine reports of all tasks when so many of them, the first, are done. */
-const reportsOf = (tasks: number, done: number): TaskReport[] =>
+const heartbeatsOf = (tasks: number, done: number): TaskStatus[] =>
   Array.from({ length: tasks }, (_, at) => ({
     task: { job: JOB, index: at },
     attempt: 900_000_000_000_000 + at,
@@ -43,46 +43,46 @@
 
 test('a chunk stored larger is split with its tasks as they are, and nothing starts again', async () => {
   // Changes in one transaction, and whether the first end is enough to write the chunk at all.
-  for (const [txnOps, tasks, atOnce] of [
+  for (const [transactionOps, tasks, atOnce] of [
     [4, 130, true],
     [8, 130, true],
     [2, 100, true],
     [2, 146, false],
   ] as const) {
-    const live: ChunkRecord['live'] = {};
-    const report = (done: number): TaskReport[] => reportsOf(tasks, done);
+    const live: AssignmentRecord['live'] = {};
+    const heartbeat = (done: number): TaskStatus[] => heartbeatsOf(tasks, done);
     for (let at = 0; at < tasks; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-    const world = await lonePart({
-      txnOps,
+    const world = await loneShard({
+      transactionOps,
       valueBytes: SMALL,
       spec: { tasks, cpus: 0.01, memoryGb: 0.01 },
       ids: writeRanges(Object.keys(live).map(Number)),
       live,
     });
-    const name = `${txnOps} ${tasks}`;
+    const name = `${transactionOps} ${tasks}`;
     assert.ok(bytes(world.stored()) > SMALL, name);
-    assert.deepEqual(ops(world.report({}, report(0))), [], name);
-    world.report({}, report(1));
-    await world.round(5000);
-    checkChunks(world.state, tasks);
-    assert.equal(chunksOf(world.state).length > 1, atOnce, name);
-    for (const [, record] of chunksOf(world.state)) {
+    assert.deepEqual(ops(world.heartbeat({}, heartbeat(0))), [], name);
+    world.heartbeat({}, heartbeat(1));
+    await world.reconcile(5000);
+    checkAssignments(world.state, tasks);
+    assert.equal(assignmentsOf(world.state).length > 1, atOnce, name);
+    for (const [, record] of assignmentsOf(world.state)) {
       if (atOnce) assert.ok(bytes(record) <= SMALL, name);
     }
     // What has ended is forgotten once it is written; nothing else is said of any task.
-    const known = report(1).slice(atOnce ? 1 : 0);
-    const said = ops(world.report({}, report(1)));
+    const known = heartbeat(1).slice(atOnce ? 1 : 0);
+    const said = ops(world.heartbeat({}, heartbeat(1)));
     assert.deepEqual(said, atOnce ? ['forget'] : [], name);
-    world.report({}, known);
+    world.heartbeat({}, known);
     // The others end in all pieces.
     for (let end = 10; end < tasks + 10; end += 10) {
       const done = Math.min(end, tasks);
-      const commands = world.report({}, report(done));
+      const commands = world.heartbeat({}, heartbeat(done));
       assert.ok(!ops(commands).some((op) => op !== 'forget'), name);
-      await world.round(5000);
-      checkChunks(world.state, tasks);
+      await world.reconcile(5000);
+      checkAssignments(world.state, tasks);
     }
-    const done = chunksOf(world.state).flatMap(([, record]) => readRanges(record.done));
+    const done = assignmentsOf(world.state).flatMap(([, record]) => readRanges(record.done));
     assert.equal(done.length, tasks, name);
     assert.deepEqual(world.state.invalid, [], name);
     assert.equal(
@@ -93,30 +93,30 @@
 });
 
 test('a split whose answer is lost is carried on from what the state service holds', async () => {
-  const live: ChunkRecord['live'] = {};
+  const live: AssignmentRecord['live'] = {};
   for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-  const world = await lonePart({
+  const world = await loneShard({
     valueBytes: SMALL,
     spec: { tasks: 90, cpus: 0.01, memoryGb: 0.01 },
     ids: '0-89',
     live,
   });
-  const report = (done: number): TaskReport[] => reportsOf(90, done);
-  world.report({}, report(1));
+  const heartbeat = (done: number): TaskStatus[] => heartbeatsOf(90, done);
+  world.heartbeat({}, heartbeat(1));
   world.state.late.set('p', 3000);
-  await world.round(12_000);
-  checkChunks(world.state, 90);
-  assert.ok(chunksOf(world.state).length > 1);
-  assert.deepEqual(ops(world.report({}, report(1))), ['forget']);
-  world.report({}, report(90).slice(1));
-  await world.round(8000);
-  checkChunks(world.state, 90);
-  const done = chunksOf(world.state).flatMap(([, record]) => readRanges(record.done));
+  await world.reconcile(12_000);
+  checkAssignments(world.state, 90);
+  assert.ok(assignmentsOf(world.state).length > 1);
+  assert.deepEqual(ops(world.heartbeat({}, heartbeat(1))), ['forget']);
+  world.heartbeat({}, heartbeat(90).slice(1));
+  await world.reconcile(8000);
+  checkAssignments(world.state, 90);
+  const done = assignmentsOf(world.state).flatMap(([, record]) => readRanges(record.done));
   assert.equal(done.length, 90);
   // The job is cancelled: all pieces go.
   world.state.change([{ key: jobKey(JOB), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
-  world.report();
-  await world.round(3000);
-  assert.deepEqual(chunksOf(world.state), []);
+  world.heartbeat();
+  await world.reconcile(3000);
+  assert.deepEqual(assignmentsOf(world.state), []);
 });
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -6,7 +6,7 @@
 import type { StatusRecord } from '../src/storage/records.js';
 import { Bandit, type ArmRecord } from '../src/coordination/scheduling/bandit.js';
 import { SimClock } from './world/clock.js';
-import { lonePart } from './world/lone.js';
+import { loneShard } from './world/lone.js';
 import { followingReplica } from './world/replica.js';
 import { SMALL, bytes } from './world/sizes.js';
 import { SimState } from './world/state.js';
@@ -141,19 +141,19 @@
 
 // Missing from all shards for a moment, a machine looks to the leader like one that never came up.
 test('a status written larger is taken apart, and no machine is missing in between', async () => {
-  for (const txnOps of [2, 8]) {
+  for (const transactionOps of [2, 8]) {
     const machines: StatusRecord['machines'] = {};
     for (let at = 0; at < 80; at++) machines[`m-${100000 + at}`] = ['small', 'a', 0, 'ok'];
-    const world = await lonePart({
-      txnOps,
+    const world = await loneShard({
+      transactionOps,
       valueBytes: SMALL,
       held: [{ key: statusKey('p', 0), value: { machines } }],
     });
     assert.ok(bytes({ machines }) > SMALL);
     // The last of them report on, the first stay where they were.
-    world.report();
+    world.heartbeat();
     const from = world.state.log.length;
-    await world.round(8000);
+    await world.reconcile(8000);
     // After each single change, not only after each round.
     const held = new Map<string, string[]>([[statusKey('p', 0), Object.keys(machines)]]);
     const written = world.state.log
--- a/test/role-turns.test.ts
+++ b/test/role-turns.test.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MEMBER_RENEW_MS } from '../src/constants.js';
-import { RoleTurns } from '../src/coordination/election/candidate-order.js';
-import { StoodDownRoles } from '../src/coordination/election/stepped-down-roles.js';
-import { STORE_ALONE } from '../src/coordination/election/failover-policy.js';
-import { InvalidChangeBackoff } from '../src/storage/rejected-change-backoff.js';
+import { CandidateOrder } from '../src/coordination/election/candidate-order.js';
+import { SteppedDownRoles } from '../src/coordination/election/stepped-down-roles.js';
+import { STORE_ONLY_POLICY } from '../src/coordination/election/failover-policy.js';
+import { RejectedChangeBackoff } from '../src/storage/rejected-change-backoff.js';
 import type { Clock } from '../src/transport/clock.js';
 import { followingReplica } from './world/replica.js';
 import { SimClock } from './world/clock.js';
@@ -41,7 +41,7 @@
   const looks: string[] = [];
   for (const self of ['n0', 'n1']) {
     const clock = new MovingClock();
-    const turns = new RoleTurns({
+    const turns = new CandidateOrder({
       self: { node: self, zone: self === 'n0' ? 'a' : 'b' },
       incarnation: 'x',
       members: [
@@ -50,9 +50,9 @@
       ],
       replica,
       clock,
-      policy: STORE_ALONE,
-      stoodDown: new StoodDownRoles(clock),
-      invalidBackoff: new InvalidChangeBackoff(clock),
+      policy: STORE_ONLY_POLICY,
+      steppedDown: new SteppedDownRoles(clock),
+      rejectedChangeBackoff: new RejectedChangeBackoff(clock),
       startedAt: clock.now(),
     });
     // Both are starting, so all members are candidates for the lead.
--- a/test/rules-machines.test.ts
+++ b/test/rules-machines.test.ts
@@ -37,9 +37,9 @@
   {
     name: 'reports that arrive late',
     trouble: async (world) => {
-      for (const worker of world.workers.values()) worker.holdReportsMs = 6000;
+      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 6000;
       await world.run(12);
-      for (const worker of world.workers.values()) worker.holdReportsMs = 0;
+      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 0;
       await world.run(30);
     },
   },
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -5,10 +5,10 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { GuardedWriter } from '../src/coordination/election/guarded-writer.js';
-import { CATALOG, chunkKey, jobKey } from '../src/storage/keys.js';
+import { CATALOG, assignmentKey, jobKey } from '../src/storage/keys.js';
 import type { StoreReplica } from '../src/storage/store-replica.js';
-import { Fleet } from '../src/coordination/autoscaling/autoscaler.js';
-import { Ledger } from '../src/coordination/capacity/capacity-accounting.js';
+import { Autoscaler } from '../src/coordination/autoscaling/autoscaler.js';
+import { CapacityAccounting } from '../src/coordination/capacity/capacity-accounting.js';
 import type { Change } from '../src/protocol/key-value-store.js';
 import type { ListedMachine } from '../src/protocol/model.js';
 import { HttpWorkerApi } from '../src/protocol/worker-api.js';
@@ -47,10 +47,10 @@
     for (const change of changes) adopted.push(change.key.split('/').at(-1) ?? '');
     return Promise.resolve({ kind: 'done' as const });
   };
-  const fleet = new Fleet({
+  const fleet = new Autoscaler({
     term: 1,
     writer: { alive: () => true, commit } as unknown as GuardedWriter,
-    txnOps: 32,
+    transactionOps: 32,
     valueBytes: 8192,
     cloudRps: 1.5,
     listLagS: 12,
@@ -64,7 +64,7 @@
     cloud: {
       types: () => Promise.resolve(TYPES),
       rent: () => Promise.resolve({ kind: 'noCapacity' }),
-      giveBack: () => Promise.resolve(true),
+      returnMachines: () => Promise.resolve(true),
       list: (after) => {
         const page = all.filter((one) => one.name > after).slice(0, 3);
         return Promise.resolve({ machines: page, more: page.at(-1) !== all.at(-1) });
@@ -75,7 +75,7 @@
     random: () => 0.5,
   });
   for (let turn = 0; turn < 20; turn++) {
-    void fleet.round({ machines: [], unmet: [], comingCpus: 0, coming: null, gangs: [] });
+    void fleet.reconcile({ machines: [], unmet: [], comingCpus: 0, coming: null, gangs: [] });
     await clock.run(clock.now() + 500);
   }
   assert.deepEqual(
@@ -90,12 +90,12 @@
   const clock = new SimClock();
   const state = new SimState(clock);
   const replica = await followedReplica(clock, state);
-  const ledger = new Ledger(replica, clock);
-  ledger.refresh();
-  replica.onChange((keys) => keys.forEach((key) => ledger.changed(key)));
+  const accounting = new CapacityAccounting(replica, clock);
+  accounting.refresh();
+  replica.onChange((keys) => keys.forEach((key) => accounting.changed(key)));
   const random = xoroshiro128plus(4);
   const draw = (most: number): number => uniformInt(random, 0, most - 1);
-  const simple = (of: Ledger): unknown => {
+  const simple = (of: CapacityAccounting): unknown => {
     const round = (map: ReadonlyMap<string, object | number>): unknown =>
       [...map]
         .map(([key, value]) => [
@@ -106,7 +106,7 @@
         ])
         .filter(([, text]) => text !== '0' && text !== '{"cpus":0,"gpus":0}')
         .sort();
-    return [of.machines, of.teams, of.jobs, of.ending, of.waiting].map(round);
+    return [of.machines, of.teams, of.jobs, of.endingCpusPerS, of.waiting].map(round);
   };
   for (let turn = 0; turn < 400; turn++) {
     const job = `j-00000${draw(6)}`;
@@ -117,7 +117,7 @@
       const key = jobKey(job);
       state.change([draw(2) === 0 ? { key, remove: true } : { key, value: { spec, at: 0 } }]);
     } else {
-      const key = chunkKey(`p${draw(2)}`, job, draw(3));
+      const key = assignmentKey(`p${draw(2)}`, job, draw(3));
       const live = Object.fromEntries(
         Array.from({ length: draw(3) }, (_, at) => [String(at + 1), [`m-${draw(5)}`, 7]]),
       );
@@ -127,10 +127,10 @@
     }
     if (turn % 40 !== 39) continue;
     await clock.run(clock.now() + 300);
-    const anew = new Ledger(replica, clock);
+    const anew = new CapacityAccounting(replica, clock);
     anew.refresh();
-    assert.deepEqual(simple(ledger), simple(anew), `after ${turn} changes`);
-    assert.deepEqual([...ledger.waiting.keys()].sort(), [...anew.waiting.keys()].sort());
+    assert.deepEqual(simple(accounting), simple(anew), `after ${turn} changes`);
+    assert.deepEqual([...accounting.waiting.keys()].sort(), [...anew.waiting.keys()].sort());
   }
 });
 
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -110,11 +110,11 @@
     SETTINGS.replace('cancel_s = 54.0', `cancel_s = 54.0\n${fields}`);
   const lowered = read(next('rps = 200.0\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 2'));
   assert.deepEqual(
-    [lowered.stateRps, lowered.stateWriteRps, lowered.valueBytes, lowered.txnOps],
+    [lowered.storeRps, lowered.storeWriteRps, lowered.valueBytes, lowered.transactionOps],
     [150, 18, 2048, 2],
   );
   const partly = read(next('txn_ops = 4'));
-  assert.deepEqual([partly.stateWriteRps, partly.valueBytes, partly.txnOps], [60, 8192, 4]);
+  assert.deepEqual([partly.storeWriteRps, partly.valueBytes, partly.transactionOps], [60, 8192, 4]);
   const timed = read(gangs('gang_wait_s = 35.0\ngang_peer_s = 8.0'));
   assert.deepEqual([timed.gangWaitS, timed.gangPeerS], [35, 8]);
   const cases: [string, string | null, RegExp][] = [
--- a/test/startup.test.ts
+++ b/test/startup.test.ts
@@ -39,7 +39,7 @@
     state.refusesListing = refuses;
     const { replica } = followingReplica(clock, state, 100);
     await clock.run(20_000);
-    assert.ok(replica.whole, `${name}: not loaded`);
+    assert.ok(replica.isSynced, `${name}: not loaded`);
     assert.equal([...replica.openJobs()].length, 3000, name);
     assert.ok(state.listings <= most, `${name}: ${state.listings} pages`);
   }
@@ -57,7 +57,7 @@
   };
   const { replica } = followingReplica(clock, state, 100);
   await clock.run(5000);
-  assert.ok(replica.whole);
+  assert.ok(replica.isSynced);
   assert.equal([...replica.openJobs()].length, 300);
   assert.equal(state.listings, 6);
 });
@@ -81,7 +81,7 @@
   change();
   const { replica } = followingReplica(clock, state, 100);
   await clock.run(40_000);
-  assert.ok(replica.whole);
+  assert.ok(replica.isSynced);
   const stored = [...state.cells.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
   const held = [...replica.below(jobKey(''))].map(([key]) => key).sort();
   assert.deepEqual(held, stored);
@@ -116,7 +116,7 @@
   await clock.run(clock.now() + 10_000);
   const stored = [...state.cells.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
   const held = [...replica.below(jobKey(''))].map(([key]) => key).sort();
-  assert.ok(replica.whole);
+  assert.ok(replica.isSynced);
   assert.deepEqual(held, stored);
 });
 
@@ -132,7 +132,7 @@
           state.refusesListing = () => true;
         },
       });
-      assert.ok(!node.replica.loaded);
+      assert.ok(!node.replica.isLoaded);
       const [reply] = await node.settle(node.request(ask, id));
       // Nothing is accepted or refused before the machine types are known.
       const isSubmission = ask !== 'poll' && ask !== 'cancel';
--- a/test/state-answers.test.ts
+++ b/test/state-answers.test.ts
@@ -1,8 +1,12 @@
 /** Answers of the state service that lack what they must have: nothing may be concluded from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HttpStateApi, type StateApi } from '../src/protocol/key-value-store.js';
-import { NoAnswer, type HttpAnswer, type HttpClient } from '../src/transport/http-client.js';
+import { HttpKeyValueStore, type KeyValueStore } from '../src/protocol/key-value-store.js';
+import {
+  OutcomeUnknownError,
+  type HttpAnswer,
+  type HttpClient,
+} from '../src/transport/http-client.js';
 
 /** A client that gets this answer to everything. */
 const answering = (answer: HttpAnswer): HttpClient =>
@@ -11,7 +15,7 @@
 interface Row {
   name: string;
   body: unknown;
-  request: (api: StateApi) => Promise<unknown>;
+  request: (api: KeyValueStore) => Promise<unknown>;
 }
 
 const ROWS: Row[] = [
@@ -37,7 +41,11 @@
     body: { v: 1 },
     request: (api) => api.get('mb/live/job/j-1'),
   },
-  { name: 'a transaction without a revision', body: {}, request: (api) => api.txn([], []) },
+  {
+    name: 'a transaction without a revision',
+    body: {},
+    request: (api) => api.compareAndSwap([], []),
+  },
   { name: 'a lease without a number', body: {}, request: (api) => api.grant(1000) },
 ];
 
@@ -45,20 +53,27 @@
 test('state service: an answer that lacks what it must have is none', async () => {
   for (const { name, body, request } of ROWS) {
     const client = answering({ status: 200, body });
-    await assert.rejects(request(new HttpStateApi(client, client, 1000)), NoAnswer, name);
+    await assert.rejects(
+      request(new HttpKeyValueStore(client, client, 1000)),
+      OutcomeUnknownError,
+      name,
+    );
   }
 });
 
 test('state service: whole answers are read', async () => {
-  const of = (status: number, body: unknown): StateApi => {
+  const of = (status: number, body: unknown): KeyValueStore => {
     const client = answering({ status, body });
-    return new HttpStateApi(client, client, 1000);
+    return new HttpKeyValueStore(client, client, 1000);
   };
   assert.deepEqual(await of(200, { v: 1, mark: 4 }).get('k'), { value: 1, revision: 4 });
   assert.equal(await of(404, { epoch: 5 }).get('k'), null);
-  assert.deepEqual(await of(200, { epoch: 5 }).txn([], []), { ok: true, revision: 5 });
-  assert.deepEqual(await of(409, { failed: ['k'] }).txn([], []), { ok: false, failed: ['k'] });
-  assert.deepEqual(await of(409, null).txn([], []), { ok: false, failed: [] });
+  assert.deepEqual(await of(200, { epoch: 5 }).compareAndSwap([], []), { ok: true, revision: 5 });
+  assert.deepEqual(await of(409, { failed: ['k'] }).compareAndSwap([], []), {
+    ok: false,
+    failed: ['k'],
+  });
+  assert.deepEqual(await of(409, null).compareAndSwap([], []), { ok: false, failed: [] });
   assert.equal(await of(410, null).watch('mb/', 1, 10), null);
   assert.deepEqual(await of(200, { items: [], more: false, epoch: 5 }).list('mb/', null), {
     entries: [],
--- a/test/suspicion-cuts.test.ts
+++ b/test/suspicion-cuts.test.ts
@@ -6,8 +6,8 @@
 import type { World } from './world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
-const STORE_ALONE = 'not confirmed in time: by the state service alone';
-const STOOD_DOWN = 'stood down';
+const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
+const STEPPED_DOWN = 'stood down';
 const REPLACED = 'a later process answers';
 
 const nodes = (world: World): string[] => world.members.map(([name]) => name);
@@ -15,7 +15,7 @@
 /** What names another tenure than n1's of its part, or is sent by no member. */
 const FOREIGN = [{ term: 7 }, { incarnation: 'x' }, { node: 'stranger' }];
 
-function refusesToStandDown(world: World, requests: Partial<RoleTenure>[]): void {
+function refusesToStepDown(world: World, requests: Partial<RoleTenure>[]): void {
   const tenure = { node: 'n0', role: 'part-n1', term: 1, incarnation: 'n1-2' };
   for (const fields of requests) {
     const message = { kind: 'standDown' as const, ...tenure, ...fields };
@@ -73,14 +73,14 @@
   },
   {
     name: 'a node that the state service alone refuses stands down',
-    reasons: [STOOD_DOWN],
-    trouble: async ({ world, stoodDown }) => {
+    reasons: [STEPPED_DOWN],
+    trouble: async ({ world, steppedDown }) => {
       world.state.refused.add('n1');
       // By now it would stand down, if it were asked for its own tenure by a member.
       await world.run(4);
-      refusesToStandDown(world, FOREIGN);
+      refusesToStepDown(world, FOREIGN);
       await world.run(36);
-      assert.ok(stoodDown.includes('n1 part-n1'), stoodDown.join());
+      assert.ok(steppedDown.includes('n1 part-n1'), steppedDown.join());
       assert.doesNotMatch(Object.values(tenures(world)).join(), /n1 /);
       world.state.refused.clear();
       await world.run(20);
@@ -89,7 +89,7 @@
   },
   {
     name: 'the answer of a node that stood down is lost: the wait ends',
-    reasons: [STORE_ALONE],
+    reasons: [STORE_ONLY_POLICY],
     trouble: async ({ world }) => {
       world.onPeerMessage = (message) =>
         message.kind === 'stoodDown' ? { ...message, role: 'lost' } : message;
@@ -142,7 +142,7 @@
   },
   {
     name: 'a node that stood down and that nobody follows goes on under a new term',
-    trouble: async ({ world, stoodDown }) => {
+    trouble: async ({ world, steppedDown }) => {
       const before = Number(tenures(world)['part-n1']?.split(' ')[1]);
       world.onPeerMessage = (message) => {
         // From now on the state service serves this node alone.
@@ -157,7 +157,7 @@
       world.onPeerMessage = (message) => message;
       world.state.refused.clear();
       await world.run(10);
-      assert.ok(stoodDown.includes('n1 part-n1'));
+      assert.ok(steppedDown.includes('n1 part-n1'));
       const [owner, term] = tenures(world)['part-n1']?.split(' ') ?? [];
       assert.equal(owner, 'n1');
       assert.ok(Number(term) > before);
@@ -167,7 +167,7 @@
     name: 'a late request to stand down meets a node that is registered',
     keepsTerms: true,
     trouble: async ({ world }) => {
-      refusesToStandDown(world, [{}, ...FOREIGN]);
+      refusesToStepDown(world, [{}, ...FOREIGN]);
       await world.run(10);
     },
   },
--- a/test/suspicion-off.test.ts
+++ b/test/suspicion-off.test.ts
@@ -25,9 +25,10 @@
 
 test('a start without failure detection loads nothing of it', () => {
   const loaded = [...loadedBy(join(here, '..', 'src', 'main.js'))];
-  assert.ok(loaded.some((name) => name.endsWith('/coordination/roles.js')));
+  assert.ok(loaded.some((name) => name.endsWith('/coordination/election/role-election.js')));
   assert.ok(loaded.includes('hono/router/pattern-router'));
-  const unneeded = /suspicion|failure-detector|detector-codec|detection-report|plot|sketches/;
+  const unneeded =
+    /failure-detection\/(?!detection-service)|suspicion|failure-detector|detector-codec|detection-report|plot|sketches/;
   assert.deepEqual(
     loaded.filter((name) => unneeded.test(name)),
     [],
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -13,7 +13,7 @@
 import type { World } from './world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
-const STORE_ALONE = 'not confirmed in time: by the state service alone';
+const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
 
 const nodes = (world: World): string[] => world.members.map(([name]) => name);
 
@@ -63,7 +63,7 @@
   },
   {
     name: 'one survivor of three',
-    reasons: [STORE_ALONE],
+    reasons: [STORE_ONLY_POLICY],
     trouble: async ({ world }) => {
       world.kill('n1');
       world.kill('n2');
@@ -140,9 +140,9 @@
   });
 }
 
-const partsOf = (world: World, job: string): Set<string> => {
+const shardsOf = (world: World, job: string): Set<string> => {
   const { replica } = world.nodes.get(world.leader)?.node ?? assert.fail('nobody leads');
-  return new Set([...replica.chunksOf(job)].map(({ part }) => part));
+  return new Set([...replica.assignmentsOf(job)].map(({ shard: shard }) => shard));
 };
 
 test("suspicion: a suspected owner's part gets nothing new, keeps what it runs, and not for long", async () => {
@@ -152,8 +152,8 @@
   await world.run(2.6);
   void world.submit('j-000003', { tasks: 4, cpus: 1, team: 'wide', runS: 20 }, world.leader);
   await world.run(1.5);
-  assert.ok(partsOf(world, 'j-000003').size > 0);
-  assert.ok(!partsOf(world, 'j-000003').has('n2'));
+  assert.ok(shardsOf(world, 'j-000003').size > 0);
+  assert.ok(!shardsOf(world, 'j-000003').has('n2'));
   for (const machine of machines) assert.ok(world.workers.has(machine), `${machine} was returned`);
   // Peers that can't reach each other suspect each other for as long as that lasts.
   await world.run(20);
@@ -161,7 +161,7 @@
   await world.run(12);
   void world.submit('j-000004', { tasks: 2, cpus: 1, team: 'wide', zone: 'b', runS: 20 }, 'n0');
   await world.run(8);
-  assert.ok(partsOf(world, 'j-000004').has('n2'));
+  assert.ok(shardsOf(world, 'j-000004').has('n2'));
   world.cuts.clear();
   await world.run(60);
   assert.deepEqual(world.broken, []);
--- a/test/team-reserve.test.ts
+++ b/test/team-reserve.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { STARVED_MS } from '../src/constants.js';
 import { AssignmentHistory } from '../src/coordination/leader/assignment-history.js';
-import { PartAssignment } from '../src/coordination/leader/shard-assignment.js';
+import { ShardAssignment } from '../src/coordination/leader/shard-assignment.js';
 import type { OpenJob } from '../src/coordination/leader/scheduling-order.js';
 import { SimClock } from './world/clock.js';
 import { SPEC } from './world/lone.js';
@@ -27,7 +27,7 @@
   let allowed = 0;
   const history = new AssignmentHistory();
   history.isStarved(OPEN, 0);
-  const assignment = new PartAssignment({
+  const assignment = new ShardAssignment({
     limits: {
       remaining: () => ({ cpus: remaining, gpus: 0 }),
       urgentReserve: () => RESERVE,
@@ -38,12 +38,12 @@
     distribution: {
       distribute: (_job: OpenJob, count: number) => {
         allowed = count;
-        return { chunks: [], assigned: 0, queued: 0 };
+        return { assignments: [], assigned: 0, queued: 0 };
       },
     } as never,
     clock: new SimClock(),
   });
-  const round = { startedAt: starvedMs, chunks: [], unmet: [], machines: [] };
+  const round = { startedAt: starvedMs, assignments: [], unmet: [], machines: [] };
   assignment.assign(OPEN, round as never);
   return allowed;
 }
--- a/test/term-numbers.test.ts
+++ b/test/term-numbers.test.ts
@@ -1,9 +1,9 @@
 /** Numbers of a term: each once, and a new term in time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { TOKEN_STEP } from '../src/constants.js';
+import { FENCING_TOKENS_PER_TERM } from '../src/constants.js';
 import { TermNumbers } from '../src/coordination/election/term-numbers.js';
-import { partRole } from '../src/coordination/election/role-election.js';
+import { shardRole } from '../src/coordination/election/role-election.js';
 import { roleKey } from '../src/storage/keys.js';
 import type { RoleRecord } from '../src/storage/records.js';
 import { settled } from './world/requests.js';
@@ -35,17 +35,17 @@
     const starts = world.starts.length;
     assert.equal(starts, 8);
     const busy = world.members.find(([name]) => {
-      return (world.nodes.get(name)?.node.parts.get(name)?.machines.all.size ?? 0) > 0;
+      return (world.nodes.get(name)?.node.shards.get(name)?.machines.all.size ?? 0) > 0;
     });
     const [name = assert.fail('no part has machines')] = busy ?? [];
     const owner = world.nodes.get(name)?.node;
-    const part = owner?.parts.get(name);
-    const [machine] = part?.machines.all.values() ?? [];
-    assert.ok(part && machine);
-    const roles = world.members.map(([node]) => partRole(node));
+    const shard = owner?.shards.get(name);
+    const [machine] = shard?.machines.all.values() ?? [];
+    assert.ok(shard && machine);
+    const roles = world.members.map(([node]) => shardRole(node));
     const before = roles.map((role) => termOf(world, role));
-    while (!part.needsNewTerm) part.machines.fence(machine);
-    assert.ok(machine.bump < TOKEN_STEP);
+    while (!shard.needsTermRenewal) shard.machines.raiseFencingToken(machine);
+    assert.ok(machine.fencingOffset < FENCING_TOKENS_PER_TERM);
     for (const [node] of world.members) {
       for (const worker of world.workers.keys()) if (cutS > 0) world.cuts.add(`${node}>${worker}`);
     }
@@ -53,10 +53,10 @@
     world.cuts.clear();
     await world.run(20);
     const after = roles.map((role) => termOf(world, role));
-    const expected = roles.map((role, at) => (before[at] ?? 0) + Number(role === partRole(name)));
+    const expected = roles.map((role, at) => (before[at] ?? 0) + Number(role === shardRole(name)));
     assert.deepEqual(after, expected, 'only its own role has a new term');
-    const renewed = owner?.parts.get(name);
-    assert.ok(renewed && renewed !== part && !renewed.needsNewTerm);
+    const renewed = owner?.shards.get(name);
+    assert.ok(renewed && renewed !== shard && !renewed.needsTermRenewal);
     await world.run(60);
     assert.deepEqual(world.broken, []);
     if (cutS < 20) assert.equal(world.starts.length, starts, 'nothing had to start again');
--- a/test/trace.ts
+++ b/test/trace.ts
@@ -53,8 +53,8 @@
   detects: boolean,
 ): Promise<string> {
   const world = new World(seed, undefined, {
-    stateRps: LIMITS.rps,
-    stateWriteRps: LIMITS.writeRps,
+    storeRps: LIMITS.rps,
+    storeWriteRps: LIMITS.writeRps,
     suspicion: detects ? SUSPICION : null,
   });
   world.capacity = MACHINES + 10;
--- a/test/upgrade-crossings.test.ts
+++ b/test/upgrade-crossings.test.ts
@@ -1,25 +1,25 @@
 /** Chunks that go to and fro between this version and the one in production. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskReport } from '../src/protocol/model.js';
-import { JOB, lonePart, ops, type LonePart } from './world/lone.js';
+import type { TaskStatus } from '../src/protocol/model.js';
+import { JOB, loneShard, ops, type LoneShard } from './world/lone.js';
 import { rangesAsRead } from './world/older-checks.js';
 import { writtenByProduction } from './world/production-chunks.js';
 import { OLDER } from './world/older-versions.js';
 import type { SimState } from './world/state.js';
-import { CHUNK, assertReadable, type Written } from './world/readable.js';
+import { ASSIGNMENT, assertReadable, type Written } from './world/readable.js';
 
 const ATTEMPT = 900_000_000_000_000;
 const MACHINES = ['m-1', 'm-2', 'm-3', 'm-4', 'm-5'];
 const LIMIT = 2048;
-const CHUNKS = 'mb/live/chunk/p/';
+const ASSIGNMENTS = 'mb/live/chunk/p/';
 
 type Stored = ReturnType<typeof writtenByProduction>;
 
 interface Crossing {
   name: string;
   tasks: number;
-  txnOps: number;
+  transactionOps: number;
   /** Writes a second that the state service takes; null: any. */
   writeRps: number | null;
   gang: boolean;
@@ -30,9 +30,9 @@
 /** Machine and attempt of each task, as all owners must have it. */
 type Placements = Map<number, [machine: string, attempt: number]>;
 
-const chunksOf = (state: SimState): [string, Stored][] =>
+const assignmentsOf = (state: SimState): [string, Stored][] =>
   [...state.cells]
-    .filter(([key]) => key.startsWith(CHUNKS))
+    .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, { value }]) => [key, value as Stored]);
 
 /** After each transaction each task is in one chunk, neither lost nor doubled. */
@@ -41,7 +41,7 @@
   const revisions = [...new Set(log.map((one) => one.revision))];
   for (const revision of revisions) {
     for (const { key, value, removed } of log.filter((one) => one.revision === revision)) {
-      if (!key.startsWith(CHUNKS)) continue;
+      if (!key.startsWith(ASSIGNMENTS)) continue;
       if (removed) held.delete(key);
       else held.set(key, value);
     }
@@ -57,12 +57,12 @@
 
 /** This version as the owner of what is stored; `run` must leave every task in one chunk. */
 async function ownedByThisVersion(
-  { tasks, txnOps, writeRps, gang }: Crossing,
+  { tasks, transactionOps, writeRps, gang }: Crossing,
   stored: Map<string, unknown>,
-  run: (world: LonePart) => Promise<void>,
+  run: (world: LoneShard) => Promise<void>,
 ): Promise<Map<string, unknown>> {
-  const world = await lonePart({
-    txnOps,
+  const world = await loneShard({
+    transactionOps,
     valueBytes: LIMIT,
     spec: { tasks, cpus: 0.01, memoryGb: 0.01, kind: gang ? 'gang' : 'array' },
     held: [...stored].map(([key, value]) => ({ key, value })),
@@ -72,22 +72,22 @@
   await run(world);
   const log = world.state.log.slice(from);
   assertWhole(log, stored, tasks);
-  assertReadable(log.filter(({ key }) => key.startsWith(CHUNKS)));
+  assertReadable(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
   assert.deepEqual(world.state.invalid, []);
   const all = [...world.sent.flatMap(({ commands }) => ops(commands))];
   assert.ok(!all.includes('start'), 'what runs is not started again');
-  for (const [key, value] of chunksOf(world.state)) {
+  for (const [key, value] of assignmentsOf(world.state)) {
     if (!log.some((one) => one.key === key)) continue;
     const bytes = Buffer.byteLength(JSON.stringify(value));
     assert.ok(bytes <= LIMIT, `${key} takes ${bytes}`);
   }
-  return new Map(chunksOf(world.state));
+  return new Map(assignmentsOf(world.state));
 }
 
 /** Each machine reports its tasks; of those in `done` it says that they are. */
-function reportAll(world: LonePart, placements: Placements, done: ReadonlySet<number>): void {
+function reportAll(world: LoneShard, placements: Placements, done: ReadonlySet<number>): void {
   for (const machine of MACHINES) {
-    const tasks: TaskReport[] = [...placements]
+    const tasks: TaskStatus[] = [...placements]
       .filter(([, [name]]) => name === machine)
       .map(([index, [, attempt]]) => ({
         task: { job: JOB, index },
@@ -95,7 +95,7 @@
         state: done.has(index) ? 'exited' : 'running',
         cause: done.has(index) ? 'done' : null,
       }));
-    const commands = world.report({ machine }, tasks);
+    const commands = world.heartbeat({ machine }, tasks);
     assert.ok(!ops(commands).includes('stop'), `${machine}: nothing is stopped`);
     assert.ok(!ops(commands).includes('start'), `${machine}: nothing is started`);
   }
@@ -114,17 +114,17 @@
   for (let at = 0; at < tasks; at++)
     placements.set(at, [MACHINES[at % 5] ?? '', ATTEMPT + (gang ? 0 : at)]);
   const live = Object.fromEntries(placements);
-  const first = { ...CHUNK, ids: `0-${tasks - 1}`, done: '', live, later: [1] };
+  const first = { ...ASSIGNMENT, ids: `0-${tasks - 1}`, done: '', live, later: [1] };
   const record = { ...first, cpus: 0.01, memoryGb: 0.01, ...(gang ? { attempt: ATTEMPT } : {}) };
   assert.ok(Buffer.byteLength(JSON.stringify(record)) > LIMIT);
-  let stored = new Map<string, unknown>([[`${CHUNKS}${JOB}/1`, record]]);
+  let stored = new Map<string, unknown>([[`${ASSIGNMENTS}${JOB}/1`, record]]);
 
   // This version takes it over, and takes it apart as soon as something of it changes. What ends
   // later is written in the pieces.
   stored = await ownedByThisVersion(row, stored, async (world) => {
     for (const ends of [0, 6, 9]) {
       reportAll(world, placements, upTo(ends));
-      await world.round(8000);
+      await world.reconcile(8000);
     }
   });
   assert.ok(row.atOnce ? stored.size > 1 : stored.size === 1, `${stored.size} chunks`);
@@ -144,10 +144,10 @@
   // And to this version again, which reads what that one left, and carries it to its end.
   stored = await ownedByThisVersion(row, stored, async (world) => {
     reportAll(world, placements, upTo(64));
-    await world.round(4000);
-    assert.ok(chunksOf(world.state).length > 1);
-    assert.deepEqual(doneIn(new Map(chunksOf(world.state))), [...upTo(64)]);
-    for (const [key, value] of chunksOf(world.state)) {
+    await world.reconcile(4000);
+    assert.ok(assignmentsOf(world.state).length > 1);
+    assert.deepEqual(doneIn(new Map(assignmentsOf(world.state))), [...upTo(64)]);
+    for (const [key, value] of assignmentsOf(world.state)) {
       assert.deepEqual(value.later, [1], `${key}: what a later version added`);
       assert.equal(value.attempt, gang ? ATTEMPT : undefined, `${key}: of a gang`);
       assert.equal(value.stopping, undefined, key);
@@ -155,7 +155,7 @@
         assert.deepEqual(one, placements.get(Number(index)), `${key}: ${index}`);
     }
     reportAll(world, placements, upTo(tasks));
-    await world.round(8000);
+    await world.reconcile(8000);
   });
   assert.deepEqual(doneIn(stored), [...upTo(tasks)]);
 }
@@ -164,7 +164,7 @@
   {
     name: 'more pieces than changes',
     tasks: 146,
-    txnOps: 2,
+    transactionOps: 2,
     writeRps: null,
     gang: false,
     atOnce: false,
@@ -172,7 +172,7 @@
   {
     name: 'four changes a transaction',
     tasks: 130,
-    txnOps: 4,
+    transactionOps: 4,
     writeRps: null,
     gang: false,
     atOnce: true,
@@ -180,7 +180,7 @@
   {
     name: 'two changes and two writes a second',
     tasks: 90,
-    txnOps: 2,
+    transactionOps: 2,
     writeRps: 2,
     gang: false,
     atOnce: true,
@@ -188,7 +188,7 @@
   {
     name: 'a gang in four pieces',
     tasks: 130,
-    txnOps: 4,
+    transactionOps: 4,
     writeRps: null,
     gang: true,
     atOnce: true,
--- a/test/upgrade-objections.test.ts
+++ b/test/upgrade-objections.test.ts
@@ -4,7 +4,7 @@
 import { JOB, SPEC } from './world/lone.js';
 import { OLDER } from './world/older-versions.js';
 import { TYPES } from './world/settings.js';
-import { CHUNK } from './world/readable.js';
+import { ASSIGNMENT } from './world/readable.js';
 
 const ROLE = { owner: 'n0', incarnation: 'n0-1', term: 1, movedAt: 0 };
 const ARM = {
@@ -45,17 +45,17 @@
   },
   {
     key: `mb/live/chunk/p/${JOB}/1`,
-    good: CHUNK,
+    good: ASSIGNMENT,
     bad: [
-      ...Object.keys(CHUNK).map((field) => without(CHUNK, field)),
-      { ...CHUNK, ids: [0, 1, 2, 3] },
-      { ...CHUNK, ids: '0..3' },
-      { ...CHUNK, ids: '0-3,2' },
-      { ...CHUNK, done: '4' },
-      { ...CHUNK, done: '0' },
-      { ...CHUNK, live: { '4': ['m-1', 7] } },
-      { ...CHUNK, live: { '0': ['m-1', 2 ** 60] } },
-      { ...CHUNK, live: { '0': { machine: 'm-1', attempt: 7 } } },
+      ...Object.keys(ASSIGNMENT).map((field) => without(ASSIGNMENT, field)),
+      { ...ASSIGNMENT, ids: [0, 1, 2, 3] },
+      { ...ASSIGNMENT, ids: '0..3' },
+      { ...ASSIGNMENT, ids: '0-3,2' },
+      { ...ASSIGNMENT, done: '4' },
+      { ...ASSIGNMENT, done: '0' },
+      { ...ASSIGNMENT, live: { '4': ['m-1', 7] } },
+      { ...ASSIGNMENT, live: { '0': ['m-1', 2 ** 60] } },
+      { ...ASSIGNMENT, live: { '0': { machine: 'm-1', attempt: 7 } } },
     ],
     badKeys: [`mb/live/chunk/p/${JOB}/1/1`, `mb/live/chunk/p/${JOB}/1-1`],
   },
@@ -110,7 +110,7 @@
   },
 ];
 
-const GANG_CHUNK = { ...CHUNK, attempt: 7, stopping: true };
+const GANG_ASSIGNMENT = { ...ASSIGNMENT, attempt: 7, stopping: true };
 const MORE = { ...{ classes: [], types: [], a: [], b: [] }, stamp: 5 };
 const FURTHER = { ...MORE, moreClasses: [], moreA: [], moreB: [] };
 BROKEN.push(
@@ -123,11 +123,11 @@
   {
     key: `mb/live/chunk/p/${JOB}/1.1`,
     gangsOnly: true,
-    good: GANG_CHUNK,
+    good: GANG_ASSIGNMENT,
     bad: [
-      { ...GANG_CHUNK, attempt: '7', live: {} },
-      { ...GANG_CHUNK, attempt: 8 },
-      { ...GANG_CHUNK, stopping: 1 },
+      { ...GANG_ASSIGNMENT, attempt: '7', live: {} },
+      { ...GANG_ASSIGNMENT, attempt: 8 },
+      { ...GANG_ASSIGNMENT, stopping: 1 },
     ],
   },
   {
--- a/test/upgrade-records.test.ts
+++ b/test/upgrade-records.test.ts
@@ -7,11 +7,11 @@
 import { test } from 'node:test';
 import { readCatalog } from '../src/storage/catalog.js';
 import { stageOf } from './world/jobs.js';
-import { JOB, lonePart } from './world/lone.js';
+import { JOB, loneShard } from './world/lone.js';
 import {
   ARM,
   ATTEMPT,
-  CHUNK_1,
+  ASSIGNMENT_1,
   KIND,
   LATER,
   SPEC,
@@ -72,18 +72,24 @@
   {
     name: 'a chunk of 89f79d3 is no share of a gang',
     records: {
-      [CHUNK_1]: { ids: '0-3,7', done: '1', live: { '2': ['m-1', ATTEMPT] }, ...KIND, ...LATER },
+      [ASSIGNMENT_1]: {
+        ids: '0-3,7',
+        done: '1',
+        live: { '2': ['m-1', ATTEMPT] },
+        ...KIND,
+        ...LATER,
+      },
     },
     check: async (records) => {
       const replica = await replicaOf(records);
-      assert.deepEqual(replica.chunk(CHUNK_1), {
+      assert.deepEqual(replica.assignment(ASSIGNMENT_1), {
         ...SUMMARY,
         number: 3_000_001,
         ids: [0, 1, 2, 3, 7],
         done: 1,
-        on: ['m-1'],
-        liveCount: 1,
-        active: 4,
+        machines: ['m-1'],
+        placedCount: 1,
+        unfinished: 4,
         waiting: 3,
         attempt: null,
         stopping: false,
@@ -93,7 +99,7 @@
   {
     name: 'shares of a gang keep their attempt, and that it ends',
     records: {
-      [CHUNK_1]: { ids: '0', done: '', live: {}, ...KIND, attempt: ATTEMPT, ...LATER },
+      [ASSIGNMENT_1]: { ids: '0', done: '', live: {}, ...KIND, attempt: ATTEMPT, ...LATER },
       [`mb/live/chunk/q/${JOB}/3000002`]: {
         ...{ ids: '1', done: '', live: { '1': ['m-1', ATTEMPT] }, ...KIND },
         ...{ attempt: ATTEMPT, stopping: true },
@@ -106,12 +112,12 @@
       );
       for (const one of [records, rewritten]) {
         const replica = await replicaOf(one);
-        const shares = replica.chunksOf(JOB).map(({ part, attempt, stopping, waiting }) => {
-          return { part, attempt, stopping, waiting };
+        const shares = replica.assignmentsOf(JOB).map(({ shard, attempt, stopping, waiting }) => {
+          return { shard, attempt, stopping, waiting };
         });
         assert.deepEqual(shares, [
-          { part: 'p', attempt: ATTEMPT, stopping: false, waiting: 1 },
-          { part: 'q', attempt: ATTEMPT, stopping: true, waiting: 0 },
+          { shard: 'p', attempt: ATTEMPT, stopping: false, waiting: 1 },
+          { shard: 'q', attempt: ATTEMPT, stopping: true, waiting: 0 },
         ]);
       }
     },
@@ -119,19 +125,24 @@
   {
     name: 'a chunk that was taken apart counts with all its pieces',
     records: {
-      [CHUNK_1]: { ids: '0-1', done: '0', live: {}, ...KIND },
-      [`${CHUNK_1}.1`]: { ids: '2', done: '', live: { '2': ['m-2', ATTEMPT] }, ...KIND },
-      [`${CHUNK_1}.2`]: { ids: '3', done: '', live: {}, ...KIND },
+      [ASSIGNMENT_1]: { ids: '0-1', done: '0', live: {}, ...KIND },
+      [`${ASSIGNMENT_1}.1`]: { ids: '2', done: '', live: { '2': ['m-2', ATTEMPT] }, ...KIND },
+      [`${ASSIGNMENT_1}.2`]: { ids: '3', done: '', live: {}, ...KIND },
     },
     check: async (records) => {
       const replica = await replicaOf(records);
-      const chunks = replica.chunksOf(JOB).sort((a, b) => a.number - b.number);
+      const assignments = replica.assignmentsOf(JOB).sort((a, b) => a.number - b.number);
       assert.deepEqual(
-        chunks.map(({ part, number, ids, on }) => ({ part, number, ids, on })),
+        assignments.map(({ shard, number, ids, machines }) => ({
+          shard,
+          number,
+          ids,
+          machines,
+        })),
         [
-          { part: 'p', number: 3_000_001, ids: [0, 1], on: [] },
-          { part: 'p', number: 3_000_001.1, ids: [2], on: ['m-2'] },
-          { part: 'p', number: 3_000_001.2, ids: [3], on: [] },
+          { shard: 'p', number: 3_000_001, ids: [0, 1], machines: [] },
+          { shard: 'p', number: 3_000_001.1, ids: [2], machines: ['m-2'] },
+          { shard: 'p', number: 3_000_001.2, ids: [3], machines: [] },
         ],
       );
     },
@@ -148,9 +159,9 @@
       const [[key = '', value] = []] = Object.entries(records);
       for (const state of ['rented', 'drain', 'gone', null]) {
         const held = state === null ? [] : [{ key, value: { ...(value as object), state } }];
-        const world = await lonePart({ held });
-        world.report();
-        await world.round();
+        const world = await loneShard({ held });
+        world.heartbeat();
+        await world.reconcile();
         const placed = Object.keys(world.stored()?.live ?? {}).length;
         assert.equal(placed, state === 'rented' || state === null ? 1 : 0, `${state}`);
       }
@@ -166,10 +177,10 @@
     },
     check: async (records) => {
       const held = Object.entries(records).map(([key, value]) => ({ key, value }));
-      const world = await lonePart({ held });
+      const world = await loneShard({ held });
       const from = world.state.log.length;
-      world.report({ machine: 'm-4' });
-      await world.round(8000);
+      world.heartbeat({ machine: 'm-4' });
+      await world.reconcile(8000);
       assert.ok(world.state.log.slice(from).some(({ key }) => key.startsWith('mb/live/status/p/')));
       const machines = Object.assign(
         {},
@@ -198,10 +209,10 @@
       await world.run(60);
       type Role = { owner: string; term: number; movedAt: number };
       const leader = valueOf<Role>(world.state, 'mb/live/role/leader');
-      const part = valueOf<Role>(world.state, 'mb/live/role/part-n0');
+      const shard = valueOf<Role>(world.state, 'mb/live/role/part-n0');
       assert.deepEqual([leader.owner, leader.term], ['n0', TERM + 1]);
       assert.ok(leader.movedAt >= from);
-      assert.deepEqual([part.owner, part.term, part.movedAt], ['n0', TERM + 1, 7]);
+      assert.deepEqual([shard.owner, shard.term, shard.movedAt], ['n0', TERM + 1, 7]);
     },
   },
   {
--- a/test/upgrade-writes.test.ts
+++ b/test/upgrade-writes.test.ts
@@ -6,12 +6,12 @@
 import { test } from 'node:test';
 import { writeCatalog } from '../src/storage/catalog.js';
 import { SimClock } from './world/clock.js';
-import { JOB, lonePart } from './world/lone.js';
+import { JOB, loneShard } from './world/lone.js';
 import { followingReplica } from './world/replica.js';
 import { SimState } from './world/state.js';
 import { TYPES } from './world/settings.js';
 import type { Records } from './world/older-records.js';
-import { CHUNK, assertReadable, type Written } from './world/readable.js';
+import { ASSIGNMENT, assertReadable, type Written } from './world/readable.js';
 import { World } from './world/world.js';
 
 /** A key without what differs from one record of its kind to the next. */
@@ -68,8 +68,8 @@
     name: 'a share of a gang that ends with the others',
     kinds: ['mb/live/chunk'],
     write: async () => {
-      const share = { ...CHUNK, done: '', attempt: 7 };
-      const world = await lonePart({
+      const share = { ...ASSIGNMENT, done: '', attempt: 7 };
+      const world = await loneShard({
         spec: { kind: 'gang', tasks: 4 },
         held: [
           { key: `mb/live/chunk/p/${JOB}/1`, value: { ...share, ids: '0-1', live: {} } },
@@ -77,11 +77,11 @@
         ],
       });
       const from = world.state.log.length;
-      world.report();
-      await world.round();
+      world.heartbeat();
+      await world.reconcile();
       const value = { ...share, ids: '2-3', live: {}, stopping: true };
       world.state.change([{ key: `mb/live/chunk/q/${JOB}/2`, value }]);
-      await world.round();
+      await world.reconcile();
       const written = world.state.log.slice(from);
       const own = written.filter(({ key }) => key.startsWith('mb/live/chunk/p/'));
       const values = own.map((one) => one.value as Records | undefined);
@@ -124,10 +124,10 @@
         Array.from({ length: 90 }, (_, at) => [`m-${1000 + at}`, ['small', 'a', 0, 'ok']]),
       );
       const held = [{ key: 'mb/live/status/p/0', value: { machines } }];
-      const world = await lonePart({ valueBytes: 1024, held });
+      const world = await loneShard({ valueBytes: 1024, held });
       const from = world.state.log.length;
-      world.report();
-      await world.round(20_000);
+      world.heartbeat();
+      await world.reconcile(20_000);
       // 89f79d3 counts the shards that there are, and empties those past its own: no gaps.
       const pages = [...world.state.cells.keys()]
         .filter((key) => key.startsWith('mb/live/status/p/'))
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -5,7 +5,7 @@
   FINALS,
   LIVE,
   armKey,
-  chunkKey,
+  assignmentKey,
   finalKey,
   jobKey,
   machineKey,
@@ -13,7 +13,7 @@
   roleKey,
   statusKey,
 } from '../src/storage/keys.js';
-import type { ChunkRecord, StatusRecord } from '../src/storage/records.js';
+import type { AssignmentRecord, StatusRecord } from '../src/storage/records.js';
 import type { Settings } from '../src/protocol/settings.js';
 import { SPEC } from './world/lone.js';
 import type { SimJob } from './world/jobs.js';
@@ -47,7 +47,7 @@
     fields(value, { spec: 'object', at: 'number' }) &&
     Object.keys(SPEC).every((field) => field in value.spec) &&
     (value.spec as { id: string }).id === id,
-  chunk: (name, value: ChunkRecord) =>
+  chunk: (name, value: AssignmentRecord) =>
     name.length === 3 &&
     Number.isFinite(Number(name[2])) &&
     fields(value, {
@@ -143,7 +143,7 @@
   const spec = { ...SPEC, cpus: 0.1, memoryGb: 0.1, estimateS: 600 };
   const kind = { team: 'red', cpus: 0.1, gpus: 0, memoryGb: 0.1, zone: 'a' };
   const attempt = (at: number): number => (TERM * 64 + 1) * 2 ** 20 + at;
-  const live: ChunkRecord['live'] = {};
+  const live: AssignmentRecord['live'] = {};
   for (let at = 0; at < tasks; at++) live[String(at)] = [names[at % MACHINES] ?? '', attempt(at)];
   const [last = ''] = names.slice(-1);
   const role = { owner: 'n0', incarnation: 'n0-before', term: TERM, movedAt: 0 };
@@ -155,11 +155,11 @@
     { key: jobKey('j-000001'), value: { spec: { ...spec, id: 'j-000001', tasks }, at: wall } },
     { key: jobKey('j-000002'), value: { spec: { ...spec, id: 'j-000002', tasks: 10 }, at: wall } },
     {
-      key: chunkKey('n0', 'j-000001', 3_000_001),
+      key: assignmentKey('n0', 'j-000001', 3_000_001),
       value: { ids: `0-${tasks - 1}`, done: '', live, ...kind },
     },
     {
-      key: chunkKey('n0', 'j-000002', 3_000_002),
+      key: assignmentKey('n0', 'j-000002', 3_000_002),
       value: { ids: '0-9', done: '0-4', live: { '5': [last, attempt(tasks)] }, ...kind },
     },
     ...names.map((name) => ({
@@ -192,22 +192,22 @@
   return world;
 }
 
-const LOWERED = { valueBytes: 2048, txnOps: 4 };
+const LOWERED = { valueBytes: 2048, transactionOps: 4 };
 
 test('a new version takes over what the old one left, and writes what the old one reads', async () => {
   // Live tasks in one chunk, the limits that the settings tell of, and when they come into force.
-  const cases: [string, number, Pick<Settings, 'valueBytes' | 'txnOps'>, number][] = [
+  const cases: [string, number, Pick<Settings, 'valueBytes' | 'transactionOps'>, number][] = [
     ['in force from the start', 130, LOWERED, 0],
     ['in force in the middle of it', 130, LOWERED, 31],
-    ['two changes a transaction', 90, { valueBytes: 2048, txnOps: 2 }, 0],
-    ['nothing announced', 130, { valueBytes: 8192, txnOps: 8 }, Infinity],
+    ['two changes a transaction', 90, { valueBytes: 2048, transactionOps: 2 }, 0],
+    ['nothing announced', 130, { valueBytes: 8192, transactionOps: 8 }, Infinity],
   ];
   for (const [name, tasks, limits, atS] of cases) {
     const world = await leftBehind(tasks, limits);
     const from = world.state.log.length;
     const lower = (): void => {
       world.state.valueBytes = limits.valueBytes;
-      world.state.txnOps = limits.txnOps;
+      world.state.transactionOps = limits.transactionOps;
     };
     if (atS === 0) lower();
     else if (atS < Infinity) world.clock.after(atS * 1000, lower);
@@ -221,7 +221,7 @@
           for (const one of Object.keys((value as StatusRecord).machines)) listed.add(one);
         }
         if (kind !== 'chunk') continue;
-        for (const range of (value as ChunkRecord).ids.split(',')) {
+        for (const range of (value as AssignmentRecord).ids.split(',')) {
           const [first = 0, end = first] = range.split('-').map(Number);
           for (let id = first; id <= end; id++) {
             assert.equal(
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -1,7 +1,7 @@
 /** The cloud of the simulated world: rents machines and takes them back. */
 import type { CloudApi } from '../../src/protocol/cloud-api.js';
 import type { ListedMachine } from '../../src/protocol/model.js';
-import { NoAnswer } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/http-client.js';
 import { TYPES } from './settings.js';
 import { SimWorker } from './worker.js';
 import type { Surroundings } from './surroundings.js';
@@ -27,7 +27,7 @@
       types: () =>
         this.catalog
           ? Promise.resolve(structuredClone(TYPES))
-          : Promise.reject(new NoAnswer('no catalogue')),
+          : Promise.reject(new OutcomeUnknownError('no catalogue')),
       rent: ({ request, type, zone, spot, count }) => {
         const before = this.requests.get(request);
         if (before) return Promise.resolve({ kind: 'rented', machines: before });
@@ -37,7 +37,7 @@
         this.requests.set(request, machines);
         return Promise.resolve({ kind: 'rented', machines });
       },
-      giveBack: (machines) => {
+      returnMachines: (machines) => {
         if (this.trouble) return Promise.resolve(false);
         for (const name of machines) this.removeMachine(name);
         return Promise.resolve(true);
--- a/test/world/commanded-gang.ts
+++ b/test/world/commanded-gang.ts
@@ -13,7 +13,7 @@
   world.kill('n0');
   await world.submit(JOB, { gang: true, tasks: 3, runS: 10, ...job });
   const answer = { status: 200, body: { mandate: 1, calls: [] } };
-  const node = { report: () => Promise.resolve(answer) };
+  const node = { heartbeat: () => Promise.resolve(answer) };
   world.nodes.set('n0', { node: node as never, kill: () => undefined });
   for (let at = 0; at < 4; at++) world.addMachine('small', at < 3 ? 'a' : 'b', false, 0);
   await world.run(1);
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -2,11 +2,11 @@
 import type { Environment } from '../../src/coordination/controller/controller-node.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
-import type { StateApi } from '../../src/protocol/key-value-store.js';
+import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
 import type { DirectResult } from '../../src/protocol/worker-api.js';
-import { encodeDirect, parseReport } from '../../src/protocol/worker-codec.js';
+import { encodeDirect, parseHeartbeat } from '../../src/protocol/worker-codec.js';
 import type { Clock } from '../../src/transport/clock.js';
-import { NoAnswer } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/http-client.js';
 import type { World } from './world.js';
 
 /** ms that messages between nodes take. */
@@ -17,8 +17,8 @@
 /** Commands from a node to a machine, without waiting for its next report. */
 interface DirectCall {
   address: string;
-  token: number;
-  session: number;
+  fencingToken: number;
+  agentEpoch: number;
   commands: Command[];
 }
 
@@ -39,8 +39,8 @@
     cloud: world.cloud.api(),
     workers: {
       full: false,
-      command: (address, token, session, commands) =>
-        guarded(callDirect(world, name, { address, token, session, commands })),
+      command: (address, fencingToken, agentEpoch, commands) =>
+        guarded(callDirect(world, name, { address, fencingToken, agentEpoch, commands })),
     },
     connectedPeers: () =>
       [...world.nodes.keys()].filter((peer) => peer !== name && !world.cut(name, peer)),
@@ -61,11 +61,11 @@
   };
 }
 
-function stateOf(api: StateApi, guarded: Guarded): StateApi {
+function stateOf(api: KeyValueStore, guarded: Guarded): KeyValueStore {
   return {
     get: (key) => guarded(api.get(key)),
     list: (prefix, after) => guarded(api.list(prefix, after)),
-    txn: (guards, changes) => guarded(api.txn(guards, changes)),
+    compareAndSwap: (guards, changes) => guarded(api.compareAndSwap(guards, changes)),
     grant: (ttl) => guarded(api.grant(ttl)),
     extend: (lease) => guarded(api.extend(lease)),
     watch: (prefix, since, wait) => guarded(api.watch(prefix, since, wait)),
@@ -93,23 +93,23 @@
 function callDirect(
   world: World,
   node: string,
-  { address, token, session, commands }: DirectCall,
+  { address, fencingToken: fencingToken, agentEpoch: agentEpoch, commands }: DirectCall,
 ): Promise<DirectResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
     const cut = !worker || worker.deaf || world.cut(node, worker.machine.name);
     const held = Math.max(worker?.holdDirectMs ?? 0, worker?.hungMs ?? 0);
-    const { calls } = encodeDirect(token, session, commands) as { calls: never[] };
-    world.clock.after(DIRECT_LIMIT_MS, () => reject(new NoAnswer('timed out')));
+    const { calls } = encodeDirect(fencingToken, agentEpoch, commands) as { calls: never[] };
+    world.clock.after(DIRECT_LIMIT_MS, () => reject(new OutcomeUnknownError('timed out')));
     if (cut) return;
     world.clock.after(world.linkMs + held, () => {
-      const reply = worker.command(token, session, calls);
+      const reply = worker.command(fencingToken, agentEpoch, calls);
       for (const later of worker.repeatDirectMs) {
-        world.clock.after(later, () => worker.command(token, session, calls));
+        world.clock.after(later, () => worker.command(fencingToken, agentEpoch, calls));
       }
-      const parsed = parseReport(JSON.parse(reply.body) as Record<string, unknown>);
+      const parsed = parseHeartbeat(JSON.parse(reply.body) as Record<string, unknown>);
       if (parsed.ok && held === 0)
-        resolve({ executed: reply.status === 200, report: parsed.value });
+        resolve({ executed: reply.status === 200, heartbeat: parsed.value });
     });
   });
 }
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -1,8 +1,8 @@
 /** Rules of the operators' page on gangs, played in the simulated world: the rows' common steps. */
 import assert from 'node:assert/strict';
-import { partRole } from '../../src/coordination/election/role-election.js';
-import { FINALS, readChunkKey, roleKey } from '../../src/storage/keys.js';
-import type { ChunkRecord } from '../../src/storage/records.js';
+import { shardRole } from '../../src/coordination/election/role-election.js';
+import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
 import * as script from './gang-script.js';
 import { GANG, SAVING, gangWorld } from './gang-script.js';
 import { GangWatch } from './gang-watch.js';
@@ -98,9 +98,9 @@
   owners(id = GANG): Set<string> {
     const owners = new Set<string>();
     for (const key of this.world.state.cells.keys()) {
-      const share = readChunkKey(key);
+      const share = readAssignmentKey(key);
       if (share?.job !== id) continue;
-      const role = this.world.state.cells.get(roleKey(partRole(share.part)))?.value;
+      const role = this.world.state.cells.get(roleKey(shardRole(share.shard)))?.value;
       owners.add((role as { owner: string }).owner);
     }
     return owners;
@@ -109,8 +109,8 @@
   /** The machine of each task of a job that has one, by what the state service holds. */
   reserved(id = GANG): string[] {
     return [...this.world.state.cells].flatMap(([key, cell]) =>
-      readChunkKey(key)?.job === id
-        ? Object.values((cell.value as ChunkRecord).live).map(([machine]) => machine)
+      readAssignmentKey(key)?.job === id
+        ? Object.values((cell.value as AssignmentRecord).live).map(([machine]) => machine)
         : [],
     );
   }
@@ -119,8 +119,8 @@
   attempts(id = GANG): Set<number | undefined> {
     const attempts = new Set<number | undefined>();
     for (const { key, value, removed } of this.world.state.log) {
-      if (removed || readChunkKey(key)?.job !== id) continue;
-      attempts.add((value as ChunkRecord).attempt);
+      if (removed || readAssignmentKey(key)?.job !== id) continue;
+      attempts.add((value as AssignmentRecord).attempt);
     }
     return attempts;
   }
--- a/test/world/gang-script.ts
+++ b/test/world/gang-script.ts
@@ -1,7 +1,7 @@
 /** Gangs in the simulated world: the steps of their scripts, and how they must end. */
 import assert from 'node:assert/strict';
-import { partRole } from '../../src/coordination/election/role-election.js';
-import { FINALS, readChunkKey, roleKey } from '../../src/storage/keys.js';
+import { shardRole } from '../../src/coordination/election/role-election.js';
+import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
 import { stageOf as stage, type SimJob } from './jobs.js';
 import * as requests from './requests.js';
 import { FLEET } from './settings.js';
@@ -101,16 +101,16 @@
 }
 
 /** The parts that hold something of a job. */
-export const partsOf = (world: World, id: string): string[] =>
+export const shardsOf = (world: World, id: string): string[] =>
   [...world.state.cells.keys()]
-    .map(readChunkKey)
-    .flatMap((chunk) => (chunk?.job === id ? [chunk.part] : []));
+    .map(readAssignmentKey)
+    .flatMap((assignment) => (assignment?.job === id ? [assignment.shard] : []));
 
 /** Kills the node that owns a part with tasks of the job; it is back 4 s later. */
 export async function killOwner(world: World, id: string): Promise<void> {
-  const [part] = partsOf(world, id);
-  assert.ok(part, `no part holds ${id}`);
-  await restart(world, owner(world, partRole(part)));
+  const [shard] = shardsOf(world, id);
+  assert.ok(shard, `no part holds ${id}`);
+  await restart(world, owner(world, shardRole(shard)));
 }
 
 /** Kills a node; it is back 4 s later. */
--- a/test/world/lone.ts
+++ b/test/world/lone.ts
@@ -1,10 +1,10 @@
 /** One part on its own, with its state service, and what machines report to it. */
 import { Committer } from '../../src/storage/committer.js';
-import { CATALOG, chunkKey, jobKey, roleKey } from '../../src/storage/keys.js';
-import type { ChunkRecord, JobRecord } from '../../src/storage/records.js';
-import { Part } from '../../src/coordination/shard/shard.js';
-import { TOKEN_STEP } from '../../src/constants.js';
-import type { Command, JobSpec, TaskReport, WorkerReport } from '../../src/protocol/model.js';
+import { CATALOG, assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord, JobRecord } from '../../src/storage/records.js';
+import { Shard } from '../../src/coordination/shard/shard.js';
+import { FENCING_TOKENS_PER_TERM } from '../../src/constants.js';
+import type { Command, JobSpec, TaskStatus, Heartbeat } from '../../src/protocol/model.js';
 import { SimClock } from './clock.js';
 import { followingReplica } from './replica.js';
 import { SimState } from './state.js';
@@ -14,7 +14,7 @@
 export const JOB = 'j-000001';
 const TERM = 5;
 /** The token of the part's term. */
-export const TOKEN = TERM * TOKEN_STEP;
+export const TOKEN = TERM * FENCING_TOKENS_PER_TERM;
 
 /** The spec of that job. */
 export const SPEC: JobSpec = {
@@ -41,7 +41,7 @@
 };
 
 /** A chunk of two tasks of that job's kind, of which none is placed. */
-export const PLAIN_CHUNK: ChunkRecord = {
+export const PLAIN_ASSIGNMENT: AssignmentRecord = {
   ids: '0-1',
   done: '',
   live: {},
@@ -54,34 +54,34 @@
 /** The attempt under which a gang's tasks start. */
 export const GANG_ATTEMPT = 900;
 /** The same as a share of a gang. */
-export const GANG_SHARE: ChunkRecord = { ...PLAIN_CHUNK, attempt: GANG_ATTEMPT };
+export const GANG_SHARE: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
 /** What differs from the default: one task of one job, with room for all changes at once. */
-interface LonePartOptions {
+interface LoneShardOptions {
   /** A former owner placed the task. */
   placed?: boolean;
   spec?: Partial<JobSpec>;
   zone?: string;
   ids?: string;
   agedMs?: number;
-  txnOps?: number;
+  transactionOps?: number;
   valueBytes?: number;
   /** Placements beside the first. */
-  live?: ChunkRecord['live'];
+  live?: AssignmentRecord['live'];
   done?: string;
   /** What else is there from the start. */
   held?: { key: string; value: unknown }[];
 }
 
 /** Stores what is there from the start: the role, the catalogue, a job and its only chunk. */
-function fill(state: SimState, clock: SimClock, options: LonePartOptions): void {
-  const chunk: ChunkRecord = {
+function fill(state: SimState, clock: SimClock, options: LoneShardOptions): void {
+  const assignment: AssignmentRecord = {
     ids: options.ids ?? '0',
     done: options.done ?? '',
     live: {
       ...(options.placed ? { '0': ['m-1', 77] as const } : {}),
       ...options.live,
-    } as ChunkRecord['live'],
+    } as AssignmentRecord['live'],
     team: 'red',
     cpus: 1,
     gpus: 0,
@@ -96,40 +96,40 @@
     { key: roleKey('part-p'), value: { owner: 'p' } },
     { key: CATALOG, value: TYPES },
     { key: jobKey(JOB), value: job },
-    { key: chunkKey('p', JOB, 1), value: chunk },
+    { key: assignmentKey('p', JOB, 1), value: assignment },
     ...(options.held ?? []),
   ]);
 }
 
 /** One part on its own, with its state service. */
-export async function lonePart(options: LonePartOptions = {}) {
+export async function loneShard(options: LoneShardOptions = {}) {
   const clock = new SimClock();
   const state = new SimState(clock);
   fill(state, clock, options);
-  state.txnOps = options.txnOps ?? 8;
+  state.transactionOps = options.transactionOps ?? 8;
   state.valueBytes = options.valueBytes ?? 8192;
   const store = followingReplica(clock, state, 100);
   const { replica } = store;
   await clock.run(500);
   const sent: {
-    token: number;
+    fencingToken: number;
     commands: Command[];
     fail: () => void;
-    done: (report: WorkerReport) => void;
+    done: (heartbeat: Heartbeat) => void;
   }[] = [];
-  const part = new Part(
+  const shard = new Shard(
     {
-      part: 'p',
+      shard: 'p',
       number: 0,
       term: TERM,
       roleKey: roleKey('part-p'),
       roleRevision: replica.revisionOf(roleKey('part-p')),
       fenceAt: 60_000,
       leaseS: 24,
-      reportS: 3,
+      heartbeatIntervalS: 3,
       gangWaitS: 35,
       gangPeerS: 8,
-      txnOps: options.txnOps ?? 8,
+      transactionOps: options.transactionOps ?? 8,
       valueBytes: options.valueBytes ?? 8192,
       alpha: 2,
       penalty: 2,
@@ -137,7 +137,7 @@
       startWithinS: {},
       alive: () => true,
       current: () => true,
-      limiter: { supply: 'scarce', hasRoom: () => true },
+      limiter: { supply: 'scarce', hasCapacity: () => true },
       written: () => undefined,
     },
     {
@@ -145,13 +145,13 @@
       committer: new Committer(store),
       workers: {
         full: false,
-        command: (_address, token, _session, commands) =>
+        command: (_address, fencingToken, _agentEpoch, commands) =>
           new Promise((resolve, reject) => {
             sent.push({
-              token,
+              fencingToken,
               commands,
               fail: () => reject(new Error('no answer')),
-              done: (report) => resolve({ executed: true, report }),
+              done: (heartbeat) => resolve({ executed: true, heartbeat }),
             });
           }),
       },
@@ -160,32 +160,42 @@
       wake: () => undefined,
     },
   );
-  replica.onChange((keys) => keys.forEach((key) => part.changed(key)));
+  replica.onChange((keys) => keys.forEach((key) => shard.changed(key)));
   let seq = 0;
-  const answer = (change: Partial<WorkerReport> = {}, tasks: TaskReport[] = []) =>
-    part.handleReport(reportOf({ seq: ++seq, tasks, ...change }));
-  const report = (change: Partial<WorkerReport> = {}, tasks: TaskReport[] = []): Command[] => {
+  const answer = (change: Partial<Heartbeat> = {}, tasks: TaskStatus[] = []) =>
+    shard.handleHeartbeat(heartbeatOf({ sequence: ++seq, tasks, ...change }));
+  const heartbeat = (change: Partial<Heartbeat> = {}, tasks: TaskStatus[] = []): Command[] => {
     const given = answer(change, tasks);
     return given.ok ? given.commands : [];
   };
   /** Rounds for so long: ends of tasks gather for a while before they are written. */
-  const round = async (ms = 2000): Promise<void> => {
+  const reconcile = async (ms = 2000): Promise<void> => {
     for (let at = 0; at < ms; at += 250) {
-      void part.round();
+      void shard.reconcile();
       await clock.run(clock.now() + 250);
     }
   };
-  const stored = (): ChunkRecord | undefined =>
-    state.cells.get(chunkKey('p', JOB, 1))?.value as ChunkRecord | undefined;
+  const stored = (): AssignmentRecord | undefined =>
+    state.cells.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
   const cancel = async (): Promise<void> => {
     state.change([{ key: jobKey(JOB), remove: true }]);
     await clock.run(clock.now() + 300);
   };
-  return { clock, state, part, answer, report, round, stored, cancel, sent };
+  return {
+    clock,
+    state,
+    shard,
+    answer,
+    heartbeat,
+    reconcile,
+    stored,
+    cancel,
+    sent,
+  };
 }
 
 /** Its first task runs. */
-export const running = (attempt: number): TaskReport => ({
+export const running = (attempt: number): TaskStatus => ({
   task: { job: JOB, index: 0 },
   attempt,
   state: 'running',
@@ -193,7 +203,7 @@
 });
 
 /** Its first task is done. */
-export const ended = (attempt: number): TaskReport => ({
+export const ended = (attempt: number): TaskStatus => ({
   ...running(attempt),
   state: 'exited',
   cause: 'done',
@@ -203,18 +213,18 @@
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
 
 /** A part on its own, and what a test sees and does of it. */
-export type LonePart = Awaited<ReturnType<typeof lonePart>>;
+export type LoneShard = Awaited<ReturnType<typeof loneShard>>;
 
 /** A report of machine m-1, the first of its first session unless told otherwise. */
-export const reportOf = (change: Partial<WorkerReport>): WorkerReport => ({
+export const heartbeatOf = (change: Partial<Heartbeat>): Heartbeat => ({
   machine: 'm-1',
   address: '10.0.0.1:9',
   type: 'small',
   zone: 'a',
   spot: false,
-  session: 1,
-  seq: 1,
-  token: TOKEN,
+  agentEpoch: 1,
+  sequence: 1,
+  fencingToken: TOKEN,
   noticeS: null,
   tasks: [],
   ...change,
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -66,9 +66,9 @@
 /** What a chunk says of its job's tasks. */
 export const KIND = { team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' };
 /** What a replica says of a chunk of this kind. */
-export const SUMMARY = { part: 'p', job: JOB, ...KIND };
+export const SUMMARY = { shard: 'p', job: JOB, ...KIND };
 /** The key of the first chunk of the job. */
-export const CHUNK_1 = `mb/live/chunk/p/${JOB}/3000001`;
+export const ASSIGNMENT_1 = `mb/live/chunk/p/${JOB}/3000001`;
 /** The term of the roles that are left. */
 export const TERM = 3;
 /** The attempt of the tasks that are left. */
--- a/test/world/production-chunks.ts
+++ b/test/world/production-chunks.ts
@@ -10,13 +10,15 @@
 
 /** writeRanges of both versions. */
 function asRanges(ids: Iterable<number>): string {
-  const parts: [number, number][] = [];
+  const ranges: [number, number][] = [];
   for (const id of [...ids].sort((a, b) => a - b)) {
-    const last = parts[parts.length - 1];
+    const last = ranges[ranges.length - 1];
     if (last && last[1] === id - 1) last[1] = id;
-    else parts.push([id, id]);
+    else ranges.push([id, id]);
   }
-  return parts.map(([first, last]) => (first === last ? `${first}` : `${first}-${last}`)).join(',');
+  return ranges
+    .map(([first, last]) => (first === last ? `${first}` : `${first}-${last}`))
+    .join(',');
 }
 
 /**
--- a/test/world/readable.ts
+++ b/test/world/readable.ts
@@ -16,7 +16,7 @@
 }
 
 /** A chunk that all versions take. */
-export const CHUNK = {
+export const ASSIGNMENT = {
   ...{ ids: '0-3', done: '1', live: { '0': ['m-1', 7] } },
   ...{ team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' },
 };
--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -15,7 +15,7 @@
  */
 export function followingReplica(clock: SimClock, state: SimState, rps: number, log: Log = silent) {
   const api = state.api(NODE);
-  const limiter = new RateLimiter(clock, { rps, writeRps: rps, txnOps: 8 });
+  const limiter = new RateLimiter(clock, { rps, writeRps: rps, transactionOps: 8 });
   const store = { api, limiter, clock, log, random: () => 0.5 };
   const replica = new StoreReplica(store);
   void replica.follow();
--- a/test/world/state.ts
+++ b/test/world/state.ts
@@ -3,15 +3,15 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
   NO_SUCH_LEASE,
-  Refused,
+  StoreRejectedError,
   type Change,
   type Entry,
   type Guard,
-  type StateApi,
-  type TxnResult,
+  type KeyValueStore,
+  type CompareAndSwapResult,
   type WatchResult,
 } from '../../src/protocol/key-value-store.js';
-import { NoAnswer } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/http-client.js';
 import type { Clock } from '../../src/transport/clock.js';
 
 interface Cell {
@@ -45,7 +45,7 @@
   listings = 0;
   refusesListing: (listing: number) => boolean = () => false;
   /** Puts and deletes that one transaction may hold, and four times as many guards. */
-  txnOps = 8;
+  transactionOps = 8;
   /** Bytes that one value may take. */
   valueBytes = 8192;
   /** Transactions that were refused with 400, by their keys. */
@@ -59,7 +59,7 @@
   /** ms that the answer to a transaction takes longer, after it was carried out. */
   answerLateMs: (node: string, changes: Change[]) => number = () => 0;
   /** What a node is told of a transaction that was looked at in time. */
-  answerOf: (result: TxnResult) => TxnResult = (result) => result;
+  answerOf: (result: CompareAndSwapResult) => CompareAndSwapResult = (result) => result;
   /** Changes that watches may still ask for. */
   changesKept = 10_000;
   /** ms that the answer to a watch is on its way. */
@@ -108,14 +108,14 @@
     }
   }
 
-  txn(guards: Guard[], changes: Change[]): TxnResult {
+  compareAndSwap(guards: Guard[], changes: Change[]): CompareAndSwapResult {
     const failed = guards
       .filter((guard) => (this.cells.get(guard.key)?.revision ?? 0) !== guard.revision)
       .map((guard) => guard.key);
     // An expired lease is refused whatever the guards say: also a late copy can't bring it back.
     for (const one of changes) {
       if ('lease' in one && one.lease !== undefined && !this.leases.has(one.lease)) {
-        throw new Refused(400);
+        throw new StoreRejectedError(400);
       }
     }
     if (failed.length > 0) return { ok: false, failed };
@@ -145,7 +145,7 @@
       if (this.outage) this.carryOut(guards, changes, 50);
       else {
         try {
-          if (!this.txn(guards, changes).ok) this.lateRefusals++;
+          if (!this.compareAndSwap(guards, changes).ok) this.lateRefusals++;
         } catch {
           // Refused: its lease has ended meanwhile.
         }
@@ -173,24 +173,24 @@
   private valid(guards: Guard[], changes: Change[]): boolean {
     const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
     return (
-      changes.length <= this.txnOps &&
-      guards.length <= 4 * this.txnOps &&
+      changes.length <= this.transactionOps &&
+      guards.length <= 4 * this.transactionOps &&
       bytes({ guards, changes }) <= 64 * 1024 &&
       changes.every((one) => 'remove' in one || bytes(one.value) <= this.valueBytes)
     );
   }
 
   /** The service as one node reaches it. */
-  api(node: string): StateApi {
+  api(node: string): KeyValueStore {
     const { clock } = this;
     const served = async (writes = 0): Promise<void> => {
       await new Promise<void>((resolve) => clock.after(this.answerMs, resolve));
       if (this.hanging.has(node)) {
         await new Promise<void>((resolve) => clock.after(2000, resolve));
-        throw new NoAnswer('timed out');
+        throw new OutcomeUnknownError('timed out');
       }
-      if (this.outage || this.refused.has(node)) throw new Refused(503);
-      if (!this.withinLimits(writes)) throw new Refused(429);
+      if (this.outage || this.refused.has(node)) throw new StoreRejectedError(503);
+      if (!this.withinLimits(writes)) throw new StoreRejectedError(429);
     };
     return {
       get: async (key) => {
@@ -200,7 +200,7 @@
       },
       list: async (prefix, after) => {
         await served();
-        if (this.refusesListing(++this.listings)) throw new Refused(429);
+        if (this.refusesListing(++this.listings)) throw new StoreRejectedError(429);
         const entries: Entry[] = [...this.cells]
           .filter(([key]) => key.startsWith(prefix) && (after === null || key > after))
           .sort(([a], [b]) => (a < b ? -1 : 1))
@@ -212,32 +212,32 @@
         const page = entries.slice(0, this.pageKeys);
         return { entries: page, more: page.length < entries.length, revision: this.revision };
       },
-      txn: async (guards, changes) => {
+      compareAndSwap: async (guards, changes) => {
         await served(changes.length);
         const gone = changes.some(
           (one) => 'lease' in one && one.lease !== undefined && !this.leases.has(one.lease),
         );
-        if (gone) throw new Refused(400, NO_SUCH_LEASE);
+        if (gone) throw new StoreRejectedError(400, NO_SUCH_LEASE);
         if (!this.valid(guards, changes)) {
           this.invalid.push(changes.map((one) => one.key));
-          throw new Refused(400, 'too large');
+          throw new StoreRejectedError(400, 'too large');
         }
         const delay = this.late.get(node);
         if (delay !== undefined && changes.length > 0) {
           this.late.delete(node);
           this.carryOut(guards, changes, delay);
-          throw new NoAnswer('held');
+          throw new OutcomeUnknownError('held');
         }
         const heldMs = this.delayOf(node, changes);
         if (heldMs !== null) {
           this.carryOut(guards, changes, heldMs);
           await new Promise<void>((resolve) => clock.after(2000, resolve));
-          throw new NoAnswer('held');
+          throw new OutcomeUnknownError('held');
         }
-        const result = this.answerOf(this.txn(guards, changes));
+        const result = this.answerOf(this.compareAndSwap(guards, changes));
         if (this.lostShare > 0 && uniformFloat64(this.random) < this.lostShare) {
           await new Promise<void>((resolve) => clock.after(2000, resolve));
-          throw new NoAnswer('lost');
+          throw new OutcomeUnknownError('lost');
         }
         const lateMs = this.answerLateMs(node, changes);
         if (lateMs > 0) await new Promise<void>((resolve) => clock.after(lateMs, resolve));
@@ -268,7 +268,7 @@
               if (lateMs > 0) await new Promise<void>((resolve) => clock.after(lateMs, resolve));
               return answer;
             }
-          } else if (clock.now() > until + 2000) throw new NoAnswer('timed out');
+          } else if (clock.now() > until + 2000) throw new OutcomeUnknownError('timed out');
           await new Promise<void>((resolve) => clock.after(20, resolve));
         }
       },
--- a/test/world/surroundings.ts
+++ b/test/world/surroundings.ts
@@ -7,15 +7,15 @@
 import type { Answer } from './worker-wire.js';
 
 /** A node, as workers reach it. */
-export interface ReportedNode {
-  readonly node: { report(body: string): Promise<Answer> };
+export interface HeartbeatTarget {
+  readonly node: { heartbeat(body: string): Promise<Answer> };
 }
 
 /** The world around workers, cloud and judge. */
 export interface Surroundings {
   readonly clock: Clock;
   readonly members: readonly (readonly [string, string])[];
-  readonly nodes: ReadonlyMap<string, ReportedNode>;
+  readonly nodes: ReadonlyMap<string, HeartbeatTarget>;
   readonly workers: Map<string, SimWorker>;
   readonly jobs: Map<string, SimJob>;
   readonly completed: Set<string>;
--- a/test/world/suspicion.ts
+++ b/test/world/suspicion.ts
@@ -21,18 +21,19 @@
   world: World;
   records: DetectionRecord[];
   /** What was logged as stood down: the node and the role. */
-  stoodDown: string[];
+  steppedDown: string[];
 }
 
 /** A world whose nodes detect failures, with machines and work of both teams running. */
 export async function watchfulWorld(seed: number, members?: Members): Promise<WatchfulWorld> {
   const records: DetectionRecord[] = [];
-  const stoodDown: string[] = [];
+  const steppedDown: string[] = [];
   const logOf = (node: string): typeof silent => ({
     ...silent,
     info: (fields, message) => {
       if ('detection' in fields) records.push(fields.detection as DetectionRecord);
-      if (message === 'stood down') stoodDown.push(`${node} ${(fields as { role: string }).role}`);
+      if (message === 'stood down')
+        steppedDown.push(`${node} ${(fields as { role: string }).role}`);
     },
   });
   const world = new World(seed, members, WATCHFUL, logOf);
@@ -41,7 +42,7 @@
   void world.submit('j-000001', { tasks: 16, runS: 60 });
   void world.submit('j-000002', { team: 'blue', tasks: 2, service: true, spot: false });
   await world.run(8);
-  return { world, records, stoodDown };
+  return { world, records, steppedDown };
 }
 
 /** A trouble, and what must come of it. */
--- a/test/world/sweep.ts
+++ b/test/world/sweep.ts
@@ -172,8 +172,8 @@
 /** Plays a trouble by this seed: nothing may be forgotten, and every end stays. */
 export async function sweep({ begin }: Trouble, seed: number, size: Size): Promise<void> {
   const world = new World(seed, size.members, {
-    stateRps: size.rps,
-    stateWriteRps: size.writeRps,
+    storeRps: size.rps,
+    storeWriteRps: size.writeRps,
   });
   world.capacity = size.machines + 10;
   world.state.limits = { rps: size.rps, writeRps: size.writeRps };
--- a/test/world/user-node.ts
+++ b/test/world/user-node.ts
@@ -44,7 +44,7 @@
   const users = new UserRequests({
     ...store,
     teams: TEAMS,
-    txnOps: 8,
+    transactionOps: 8,
     valueBytes: 8192,
     checkMs,
     committer: new Committer(store),
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -73,7 +73,7 @@
     const most = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
     const needed = job.cpus * (job.gang ? job.tasks : 1);
     if ((running.cpus.get(job.team) ?? 0) + needed > most) return false;
-    return [...this.world.workers.values()].some((worker) => hasRoom(worker, job));
+    return [...this.world.workers.values()].some((worker) => hasCapacity(worker, job));
   }
 
   private isBegun(id: string, job: SimJob): boolean {
@@ -84,7 +84,7 @@
   }
 }
 
-function hasRoom(worker: SimWorker, job: SimJob): boolean {
+function hasCapacity(worker: SimWorker, job: SimJob): boolean {
   const { machine } = worker;
   if (worker.dead || (machine.spot && !job.spot)) return false;
   if (job.zone !== null && job.zone !== machine.zone) return false;
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -16,7 +16,7 @@
 }
 
 /** ms between two reports when nothing changes. */
-const REPORT_MS = 3000;
+const HEARTBEAT_MS = 3000;
 /** ms after which a report that was not taken goes to the next node. */
 const RETRY_MS = 1000;
 /** ms after which a report without an answer has failed. */
@@ -27,9 +27,9 @@
 /** A stand-in for a machine's worker: reports, leases, tokens, sessions and commands. */
 export class SimWorker {
   readonly tasks = new Map<string, Task>();
-  private session = 1;
+  private agentEpoch = 1;
   private seq = 0;
-  private token = 0;
+  private fencingToken = 0;
   private renewedAt: number;
   private target = 0;
   dead = false;
@@ -38,7 +38,7 @@
   /** Direct calls that were carried out are delivered once more so much later. */
   repeatDirectMs: number[] = [];
   /** Reports sent from now on are held back this long, and their answers are lost. */
-  holdReportsMs = 0;
+  holdHeartbeatsMs = 0;
   /** Its reports arrive, but answers and commands do not reach it. */
   deaf = false;
   /** Its reports reach no controller; direct calls reach it. */
@@ -68,9 +68,9 @@
   /** The machine is back at once, without memory of sessions, tokens and tasks. */
   restart(): void {
     this.tasks.clear();
-    this.session = 1;
+    this.agentEpoch = 1;
     this.seq = 0;
-    this.token = 0;
+    this.fencingToken = 0;
     this.renewedAt = this.world.clock.now();
   }
 
@@ -87,14 +87,18 @@
   }
 
   /** A direct call: carried out if token and session match, perhaps late. */
-  command(token: number, session: number, calls: WireCommand[]): { status: number; body: string } {
-    if (token < this.token) this.staleOrders++;
-    const match = !this.dead && token >= this.token && session === this.session;
+  command(
+    fencingToken: number,
+    agentEpoch: number,
+    calls: WireCommand[],
+  ): { status: number; body: string } {
+    if (fencingToken < this.fencingToken) this.staleOrders++;
+    const match = !this.dead && fencingToken >= this.fencingToken && agentEpoch === this.agentEpoch;
     if (match) {
-      this.token = token;
+      this.fencingToken = fencingToken;
       for (const call of calls) this.execute(call);
     }
-    return { status: match ? 200 : 409, body: this.reportBody() };
+    return { status: match ? 200 : 409, body: this.heartbeatBody() };
   }
 
   /** Hangs: no reports, direct calls are carried out when it goes on; its lease runs out as ever. */
@@ -111,29 +115,29 @@
     if (this.dead) return;
     if (this.world.clock.now() - this.renewedAt > this.world.workerLeaseMs) {
       this.tasks.clear();
-      this.session++;
+      this.agentEpoch++;
       this.renewedAt = this.world.clock.now();
     }
     this.world.clock.after(500, () => this.tick());
     if (this.hungMs > 0) return;
     if (!this.reporting && (this.seq === 0 || this.changed || this.due <= this.world.clock.now())) {
-      void this.report();
+      void this.heartbeat();
     }
   }
 
   private changed = false;
   private due = 0;
 
-  private reportBody(): string {
+  private heartbeatBody(): string {
     return JSON.stringify({
       moth: this.machine.name,
       endpoint: this.machine.address,
       breed: this.machine.type,
       grove: this.machine.zone,
       windfall: this.machine.spot,
-      flight: this.session,
+      flight: this.agentEpoch,
       wingbeat: ++this.seq,
-      mandate: this.token,
+      mandate: this.fencingToken,
       larvae: [...this.tasks].map(([larva, task]) => ({
         larva,
         try: task.attempt,
@@ -144,15 +148,15 @@
     });
   }
 
-  private async report(): Promise<void> {
+  private async heartbeat(): Promise<void> {
     const { world } = this;
     this.reporting = true;
     this.changed = false;
-    this.due = world.clock.now() + REPORT_MS;
+    this.due = world.clock.now() + HEARTBEAT_MS;
     const sentAt = world.clock.now();
-    const session = this.session;
+    const agentEpoch = this.agentEpoch;
     const [name = ''] = world.members[this.target] ?? [];
-    const reply = await this.send(name, this.reportBody());
+    const reply = await this.send(name, this.heartbeatBody());
     this.reporting = false;
     if (this.dead) return;
     const parsed = bodyOf(reply);
@@ -166,18 +170,18 @@
       this.due = world.clock.now() + RETRY_MS;
       return;
     }
-    if (session === this.session) this.take(parsed, sentAt);
+    if (agentEpoch === this.agentEpoch) this.take(parsed, sentAt);
   }
 
   /** An answer to a report of this session: the lease is renewed, unless its token is older. */
   private take(answer: WireAnswer | null, sentAt: number): void {
-    const token = answer?.mandate ?? -1;
-    if (token < this.token) {
+    const fencingToken = answer?.mandate ?? -1;
+    if (fencingToken < this.fencingToken) {
       this.staleOrders++;
       return;
     }
-    if (token > this.token) this.changed = true;
-    this.token = token;
+    if (fencingToken > this.fencingToken) this.changed = true;
+    this.fencingToken = fencingToken;
     this.renewedAt = sentAt;
     for (const command of answer?.calls ?? []) this.execute(command);
   }
@@ -185,19 +189,19 @@
   /** Sends a report to a node, with its copies; null: no answer in time. */
   private send(name: string, body: string): Promise<Answer | null> {
     const { world } = this;
-    const held = this.holdReportsMs;
+    const held = this.holdHeartbeatsMs;
     const entry = world.nodes.get(name);
     const reach = entry !== undefined && !this.mute && !world.cut(name, this.machine.name);
     for (const later of this.copyAfterMs) {
       const [copyTo = ''] = world.members[world.chance(world.members.length)] ?? [];
-      world.clock.after(later, () => void world.nodes.get(copyTo)?.node.report(body));
+      world.clock.after(later, () => void world.nodes.get(copyTo)?.node.heartbeat(body));
     }
     return new Promise<Answer | null>((resolve) => {
       world.clock.after(ANSWER_LIMIT_MS, () => resolve(null));
       if (!reach || !entry) return;
       world.clock.after(world.linkMs + held, () => {
         world.at(name, () => {
-          void entry.node.report(body).then((reply) => {
+          void entry.node.heartbeat(body).then((reply) => {
             if (!world.cut(name, this.machine.name) && !this.deaf)
               world.clock.after(world.linkMs, () => resolve(reply));
           });
@@ -236,8 +240,8 @@
     this.tasks.set(command.larva, task);
     // What fetches or waits for its gang holds its place as well.
     const held = [...this.tasks.values()].filter((one) => one.state !== 'exited');
-    const room = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
-    if (held.reduce((sum, one) => sum + one.cpus, 0) > room + 1e-6) {
+    const free = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
+    if (held.reduce((sum, one) => sum + one.cpus, 0) > free + 1e-6) {
       this.end(task, 'full');
       return;
     }
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -5,12 +5,12 @@
 import { HttpCloudApi } from '../../src/protocol/cloud-api.js';
 import { encodeDetector } from '../../src/protocol/detector-codec.js';
 import { encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
-import { HttpStateApi } from '../../src/protocol/key-value-store.js';
+import { HttpKeyValueStore } from '../../src/protocol/key-value-store.js';
 import { encodeJobState, encodeJobView } from '../../src/protocol/user-codec.js';
 import {
   encodeDirect,
   encodeRedirect,
-  encodeReportAnswer,
+  encodeHeartbeatAnswer,
 } from '../../src/protocol/worker-codec.js';
 import type { HttpAnswer, HttpClient } from '../../src/transport/http-client.js';
 import { banditForms, metricForms, recordForms, type Forms } from './written-records.js';
@@ -98,8 +98,8 @@
     { op: 'forget' as const, task, attempt: 1 },
   ];
   const forms: Record<string, unknown> = {
-    'worker: answer': encodeReportAnswer(41, commands),
-    'worker: answer without commands': encodeReportAnswer(41, []),
+    'worker: answer': encodeHeartbeatAnswer(41, commands),
+    'worker: answer without commands': encodeHeartbeatAnswer(41, []),
     'worker: direct commands': encodeDirect(41, 2, commands),
     'worker: redirect': encodeRedirect('moth-2'),
     'worker: redirect to nobody': encodeRedirect(null),
@@ -155,7 +155,7 @@
       },
     },
   });
-  const api = new HttpStateApi(client, client, 2000);
+  const api = new HttpKeyValueStore(client, client, 2000);
   const guards = [{ key: 'a/b', revision: 0 }];
   const changes = [
     { key: 'a/b', value: { c: 1 }, lease: 7 },
@@ -166,7 +166,7 @@
     await api.get('mb/live/job/j-000001'),
     await api.list('mb/live/', null),
     await api.list('mb/live/', 'mb/live/job/j-000001'),
-    await api.txn(guards, changes),
+    await api.compareAndSwap(guards, changes),
     await api.grant(6000),
     await api.extend(7),
     await api.watch('mb/', 431, 1000),
@@ -211,7 +211,7 @@
   const answers = [
     await api.types(),
     await api.rent({ request: 'r-17', type: 'g8', zone: 'a', spot: true, count: 12 }),
-    await api.giveBack(['m-000231', 'm-000232']),
+    await api.returnMachines(['m-000231', 'm-000232']),
     await api.list(''),
     await api.list('m-000230'),
   ];
