--- a/test/unable-nodes.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -1,9 +1,9 @@
 /** Nodes that take users and can't decide alone: each request is answered in its time, by whoever can. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Reply } from './world/jobs.js';
-import { SERVICE, submit } from './world/meeting.js';
-import { World } from './world/world.js';
+import type { Reply } from '../world/jobs.js';
+import { SERVICE, submit } from '../world/overlapping-faults.js';
+import { World } from '../world/world.js';
 
 /** ms that users wait for answers. */
 const POLL_MS = 2000;
--- a/test/answers.test.ts
+++ b/test/api/job-answers.test.ts
@@ -1,9 +1,9 @@
 /** What users are told of jobs: ends that are not known yet, and those that are. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { stageOf as stage } from './world/jobs.js';
-import { settled } from './world/requests.js';
-import { World } from './world/world.js';
+import { stageOf as stage } from '../world/jobs.js';
+import { settled } from '../world/requests.js';
+import { World } from '../world/world.js';
 
 test('a cancellation that is not committed is not confirmed, and holds once it is', async () => {
   const world = new World(7);
--- a/test/odd-requests.test.ts
+++ b/test/api/mistaken-requests.test.ts
@@ -1,10 +1,10 @@
 /** Requests that users send by mistake, once more, or too early. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { stageOf } from './world/jobs.js';
-import { names, submit } from './world/meeting.js';
-import { settled } from './world/requests.js';
-import { World } from './world/world.js';
+import { stageOf } from '../world/jobs.js';
+import { names, submit } from '../world/overlapping-faults.js';
+import { settled } from '../world/requests.js';
+import { World } from '../world/world.js';
 
 /** What users send by mistake, and what each must get. */
 const FIELDS = [
--- a/test/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -1,9 +1,9 @@
 /** Submissions: what is malformed, and what can never run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { neverRuns } from '../src/coordination/api/admission.js';
-import { parseJson, parseSubmission } from '../src/protocol/user-codec.js';
-import { TEAMS, TYPES } from './world/settings.js';
+import { neverRuns } from '../../src/coordination/api/admission.js';
+import { parseJson, parseSubmission } from '../../src/protocol/user-codec.js';
+import { TEAMS, TYPES } from '../world/settings.js';
 
 const good = {
   ref: 'j-000412',
--- a/test/controller-load.test.ts
+++ b/test/autoscaling/controller-load.test.ts
@@ -1,15 +1,15 @@
 /** What keeps the controllers evenly busy: who leads, and in which zones machines are rented. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { byControllerLoad, type Offer } from '../src/coordination/autoscaling/offers.js';
+import { byControllerLoad, type Offer } from '../../src/coordination/autoscaling/offers.js';
 import {
   orderForLeader,
   orderForShard,
   type Member,
-} from '../src/coordination/election/rendezvous-hashing.js';
-import { LEADER } from '../src/coordination/election/role-election.js';
-import { World } from './world/world.js';
-import { TYPES } from './world/settings.js';
+} from '../../src/coordination/election/rendezvous-hashing.js';
+import { LEADER } from '../../src/coordination/election/role-election.js';
+import { World } from '../world/world.js';
+import { TYPES } from '../world/settings.js';
 
 const MEMBERS: Member[] = [
   { node: 'n0', zone: 'a' },
--- a/test/headroom.test.ts
+++ b/test/autoscaling/headroom.test.ts
@@ -1,8 +1,8 @@
 /** Room that is kept free for urgent work: while there is work, and not for ever after. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FLEET } from './world/settings.js';
-import { World } from './world/world.js';
+import { FLEET } from '../world/settings.js';
+import { World } from '../world/world.js';
 
 const HEADROOM_CPUS = 6;
 const FOLLOWING = { ...FLEET, idleS: 12, headroomCpus: HEADROOM_CPUS };
--- a/test/inventory.test.ts
+++ b/test/capacity/machine-inventory.test.ts
@@ -1,15 +1,15 @@
 /** The leader's view of the fleet: complete at any size, and decoded only where it changed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MachineInventory } from '../src/coordination/capacity/machine-inventory.js';
-import { CapacityAccounting } from '../src/coordination/capacity/capacity-accounting.js';
-import { CATALOG, machineKey, statusKey } from '../src/storage/keys.js';
-import type { MachineRecord, StatusRecord } from '../src/storage/records.js';
-import type { StoreReplica } from '../src/storage/store-replica.js';
-import { SimClock } from './world/clock.js';
-import { followingReplica } from './world/replica.js';
-import { TYPES } from './world/settings.js';
-import { SimState } from './world/state.js';
+import { MachineInventory } from '../../src/coordination/capacity/machine-inventory.js';
+import { CapacityAccounting } from '../../src/coordination/capacity/capacity-accounting.js';
+import { CATALOG, machineKey, statusKey } from '../../src/storage/keys.js';
+import type { MachineRecord, StatusRecord } from '../../src/storage/records.js';
+import type { StoreReplica } from '../../src/storage/store-replica.js';
+import { SimClock } from '../world/clock.js';
+import { followingReplica } from '../world/replica.js';
+import { TYPES } from '../world/settings.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
 
 const MACHINES = 4_000;
 const PER_SHARD = 100;
@@ -42,7 +42,7 @@
 
 function largeFleet(): Fleet {
   const clock = new SimClock();
-  const { replica } = followingReplica(clock, new SimState(clock), 1e6);
+  const { replica } = followingReplica(clock, new SimKeyValueStore(clock), 1e6);
   const count = { reads: 0 };
   let revision = 1;
   const record: MachineRecord = { state: 'rented', type: 'small', zone: 'a', spot: false, at: 0 };
--- a/test/rules-controllers.test.ts
+++ b/test/cluster/controller-faults.test.ts
@@ -1,7 +1,7 @@
 /** The rules hold through troubles of controllers and of the state service. */
 import { test } from 'node:test';
-import { playCase, type RuleCase } from './world/rule-case.js';
-import { WATCHFUL } from './world/suspicion.js';
+import { playCase, type RuleCase } from '../world/fault-case.js';
+import { WATCHFUL } from '../world/suspicion.js';
 
 const CASES: RuleCase[] = [
   { name: 'a quiet day', trouble: (world) => world.run(20) },
--- a/test/gang-rules-restarts.test.ts
+++ b/test/cluster/gang-rules-restarts.test.ts
@@ -1,9 +1,9 @@
 /** Rules for gangs: restarts, ends, placement, and what users are told. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEASE_S, LONG, playRule, type Row } from './world/gang-scenario.js';
-import { GANG, OTHER } from './world/gang-script.js';
-import { stageOf } from './world/jobs.js';
+import { LEASE_S, LONG, playRule, type Row } from '../world/gang-scenario.js';
+import { GANG, OTHER } from '../world/gang-script.js';
+import { stageOf } from '../world/jobs.js';
 
 const ROWS: Row[] = [
   // --- Restarts ------------------------------------------------------------------------------
--- a/test/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -1,10 +1,10 @@
 /** Rules for gangs: members that are lost or late, orderly stops, and owners that are killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { GANG_PEER_S, GANG_WAIT_S } from './world/gang.js';
-import { LEASE_S, LONG, URGENT, WIDE, playRule, type Row } from './world/gang-scenario.js';
-import { GANG, OTHER } from './world/gang-script.js';
-import type { SimWorker } from './world/worker.js';
+import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
+import { LEASE_S, LONG, URGENT, WIDE, playRule, type Row } from '../world/gang-scenario.js';
+import { GANG, OTHER } from '../world/gang-script.js';
+import type { SimWorker } from '../world/worker.js';
 
 const ROWS: Row[] = [
   // --- A member is lost ----------------------------------------------------------------------
--- a/test/gangs-controllers.test.ts
+++ b/test/cluster/gangs-controller-faults.test.ts
@@ -1,7 +1,7 @@
 /** Gangs whose controllers are killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEADER, shardRole } from '../src/coordination/election/role-election.js';
+import { LEADER, shardRole } from '../../src/coordination/election/role-election.js';
 import {
   GANG,
   OTHER,
@@ -18,7 +18,7 @@
   tasksOf,
   until,
   type Row,
-} from './world/gang-script.js';
+} from '../world/gang-script.js';
 
 const ROWS: Row[] = [
   ...[100, 300, 600, 1000, 1500, 2000].map((ms): Row => ({
--- a/test/gangs-machines.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -15,7 +15,7 @@
   tasksOf,
   until,
   type Row,
-} from './world/gang-script.js';
+} from '../world/gang-script.js';
 
 const ROWS: Row[] = [
   ...[true, false].map((noticed): Row => ({
--- a/test/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -16,7 +16,7 @@
   submit,
   until,
   type Row,
-} from './world/gang-script.js';
+} from '../world/gang-script.js';
 
 const ROWS: Row[] = [
   {
--- a/test/fleet-size.test.ts
+++ b/test/cluster/large-fleet.test.ts
@@ -1,10 +1,10 @@
 /** A fleet of 4,000 machines: adopted, placed on, through a change of leader and a restart of all. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { stageOf } from './world/jobs.js';
-import { settled } from './world/requests.js';
-import { FLEET, TEAMS } from './world/settings.js';
-import { World } from './world/world.js';
+import { stageOf } from '../world/jobs.js';
+import { settled } from '../world/requests.js';
+import { FLEET, TEAMS } from '../world/settings.js';
+import { World } from '../world/world.js';
 
 const MACHINES = 4_000;
 const TASKS = 500;
--- a/test/rules-machines.test.ts
+++ b/test/cluster/machine-faults.test.ts
@@ -1,6 +1,6 @@
 /** The rules hold through troubles of machines, reports and commands. */
 import { test } from 'node:test';
-import { playCase, type RuleCase } from './world/rule-case.js';
+import { playCase, type RuleCase } from '../world/fault-case.js';
 
 const CASES: RuleCase[] = [
   {
--- a/test/meetings-writes.test.ts
+++ b/test/cluster/overlapping-faults-late-writes.test.ts
@@ -1,10 +1,17 @@
 /** Meetings: transactions that are carried out late, as chunks come and go. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ASSIGNMENTS } from '../src/storage/keys.js';
-import type { SimJob } from './world/jobs.js';
-import { URGENT, change, playMeeting, submit, workersIn, type Meeting } from './world/meeting.js';
-import type { World } from './world/world.js';
+import { ASSIGNMENTS } from '../../src/storage/keys.js';
+import type { SimJob } from '../world/jobs.js';
+import {
+  URGENT,
+  change,
+  playMeeting,
+  submit,
+  workersIn,
+  type Meeting,
+} from '../world/overlapping-faults.js';
+import type { World } from '../world/world.js';
 
 const SHORT: Partial<SimJob> = { tasks: 40, runS: 3 };
 
--- a/test/meetings-leaders.test.ts
+++ b/test/cluster/overlapping-faults-leaders.test.ts
@@ -1,8 +1,8 @@
 /** Meetings: leaders and other controllers that change, stand alone or are refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { nodeKey } from '../src/storage/keys.js';
-import { stageOf } from './world/jobs.js';
+import { nodeKey } from '../../src/storage/keys.js';
+import { stageOf } from '../world/jobs.js';
 import {
   SERVICE,
   cancel,
@@ -14,9 +14,9 @@
   playMeeting,
   submit,
   type Meeting,
-} from './world/meeting.js';
-import { settled } from './world/requests.js';
-import { World } from './world/world.js';
+} from '../world/overlapping-faults.js';
+import { settled } from '../world/requests.js';
+import { World } from '../world/world.js';
 
 const ROWS: Meeting[] = [
   {
--- a/test/meetings-machines.test.ts
+++ b/test/cluster/overlapping-faults-machines.test.ts
@@ -13,8 +13,8 @@
   submit,
   workersIn,
   type Meeting,
-} from './world/meeting.js';
-import type { World } from './world/world.js';
+} from '../world/overlapping-faults.js';
+import type { World } from '../world/world.js';
 
 const ROWS: Meeting[] = [
   {
--- a/test/meetings-gap.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -1,7 +1,7 @@
 /** Meetings: a node that is refused alone, then an outage for all, with cancellations between them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { stageOf } from './world/jobs.js';
+import { stageOf } from '../world/jobs.js';
 import {
   URGENT,
   cancel,
@@ -11,8 +11,8 @@
   playMeeting,
   submit,
   type Meeting,
-} from './world/meeting.js';
-import type { World } from './world/world.js';
+} from '../world/overlapping-faults.js';
+import type { World } from '../world/world.js';
 
 interface Gap {
   /** s after the beginning of the outage; below 0: before it. */
--- a/test/meetings-work.test.ts
+++ b/test/cluster/overlapping-faults-workload.test.ts
@@ -1,9 +1,9 @@
 /** Meetings: users and much work: the end of a job, full machines, full teams. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { stageOf } from './world/jobs.js';
-import { URGENT, names, playMeeting, submit, type Meeting } from './world/meeting.js';
-import { settled } from './world/requests.js';
+import { stageOf } from '../world/jobs.js';
+import { URGENT, names, playMeeting, submit, type Meeting } from '../world/overlapping-faults.js';
+import { settled } from '../world/requests.js';
 
 const ROWS: Meeting[] = [
   {
--- a/test/overload.test.ts
+++ b/test/cluster/overload.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './world/world.js';
+import { World } from '../world/world.js';
 
 // Seen in a recorded incident: large jobs that stepped back for smaller ones of their team, which
 // was at its limit all day, never ended.
--- a/test/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -4,23 +4,23 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { GuardedWriter } from '../src/coordination/election/guarded-writer.js';
-import { CATALOG, assignmentKey, jobKey } from '../src/storage/keys.js';
-import type { StoreReplica } from '../src/storage/store-replica.js';
-import { Autoscaler } from '../src/coordination/autoscaling/autoscaler.js';
-import { CapacityAccounting } from '../src/coordination/capacity/capacity-accounting.js';
-import type { Change } from '../src/protocol/key-value-store.js';
-import type { ListedMachine } from '../src/protocol/model.js';
-import { HttpWorkerApi } from '../src/protocol/worker-api.js';
-import { systemClock } from '../src/transport/clock.js';
-import { listenHttp } from '../src/transport/http-server.js';
-import { SimClock } from './world/clock.js';
-import { SPEC } from './world/lone.js';
-import { followingReplica } from './world/replica.js';
-import { SimState } from './world/state.js';
-import { TYPES, silent } from './world/settings.js';
+import type { GuardedWriter } from '../../src/coordination/election/guarded-writer.js';
+import { CATALOG, assignmentKey, jobKey } from '../../src/storage/keys.js';
+import type { StoreReplica } from '../../src/storage/store-replica.js';
+import { Autoscaler } from '../../src/coordination/autoscaling/autoscaler.js';
+import { CapacityAccounting } from '../../src/coordination/capacity/capacity-accounting.js';
+import type { Change } from '../../src/protocol/key-value-store.js';
+import type { ListedMachine } from '../../src/protocol/model.js';
+import { HttpWorkerApi } from '../../src/protocol/worker-api.js';
+import { systemClock } from '../../src/transport/clock.js';
+import { listenHttp } from '../../src/transport/http-server.js';
+import { SimClock } from '../world/clock.js';
+import { SPEC } from '../world/shard-fixture.js';
+import { followingReplica } from '../world/replica.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import { TYPES, silent } from '../world/settings.js';
 
-async function followedReplica(clock: SimClock, state: SimState): Promise<StoreReplica> {
+async function followedReplica(clock: SimClock, state: SimKeyValueStore): Promise<StoreReplica> {
   const { replica } = followingReplica(clock, state, 1e6);
   await clock.run(500);
   return replica;
@@ -30,7 +30,7 @@
 // at a time: the second page was never read, so that nothing beyond 500 machines was adopted.
 test('a list of several pages is read to its end though the cloud takes one request a second', async () => {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   state.change([{ key: CATALOG, value: TYPES }]);
   const replica = await followedReplica(clock, state);
   const all: ListedMachine[] = Array.from({ length: 7 }, (_, at) => ({
@@ -88,7 +88,7 @@
 // anew after hundreds of random changes.
 test('the sums of the leader are those of the chunks, whatever changes', async () => {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   const replica = await followedReplica(clock, state);
   const accounting = new CapacityAccounting(replica, clock);
   accounting.refresh();
--- a/test/relay.test.ts
+++ b/test/controller/request-relay.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { settled } from './world/requests.js';
-import { World } from './world/world.js';
+import { settled } from '../world/requests.js';
+import { World } from '../world/world.js';
 
 // A node that alone is refused by the state service, or has not read its keys yet, still serves
 // users through its peers, and never with an older answer than theirs.
--- a/test/startup.test.ts
+++ b/test/controller/startup.test.ts
@@ -1,18 +1,18 @@
 /** A node that starts: how soon it has read what is stored, and what it can tell before. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CATALOG, finalKey, jobKey } from '../src/storage/keys.js';
-import { SimClock } from './world/clock.js';
-import { SPEC } from './world/lone.js';
-import { followingReplica } from './world/replica.js';
-import { TYPES } from './world/settings.js';
-import { SimState } from './world/state.js';
-import { REQUESTS, userNode } from './world/user-node.js';
+import { CATALOG, finalKey, jobKey } from '../../src/storage/keys.js';
+import { SimClock } from '../world/clock.js';
+import { SPEC } from '../world/shard-fixture.js';
+import { followingReplica } from '../world/replica.js';
+import { TYPES } from '../world/settings.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import { REQUESTS, userNode } from '../world/api-fixture.js';
 
 const jobName = (number: number): string => `j-${String(number).padStart(6, '0')}`;
 
 /** As many open jobs as this. */
-function fill(state: SimState, jobs: number): void {
+function fill(state: SimKeyValueStore, jobs: number): void {
   const numbers = Array.from({ length: jobs }, (_, number) => number);
   state.change([
     { key: CATALOG, value: TYPES },
@@ -33,7 +33,7 @@
   ];
   for (const [name, refuses, most] of cases) {
     const clock = new SimClock();
-    const state = new SimState(clock);
+    const state = new SimKeyValueStore(clock);
     fill(state, 3000);
     state.pageKeys = 100;
     state.refusesListing = refuses;
@@ -47,7 +47,7 @@
 
 test('start: a reading that took longer than changes are kept begins anew, and ends', async () => {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   fill(state, 300);
   state.pageKeys = 100;
   // Between its first two pages more changes pass by than a watch could tell of.
@@ -64,7 +64,7 @@
 
 test('start: keys that change while pages are read are as they should be in the end', async () => {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   fill(state, 300);
   state.pageKeys = 20;
   state.refusesListing = (listing) => listing % 3 !== 0;
@@ -89,7 +89,7 @@
 
 test('start: a reload after missed changes keeps what is there, and nothing else', async () => {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   fill(state, 200);
   state.pageKeys = 30;
   const { replica } = followingReplica(clock, state, 100);
--- a/test/role-turns.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -1,15 +1,15 @@
 /** Whose turn it is to take a free role, on a clock that moves on between two readings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MEMBER_RENEW_MS } from '../src/constants.js';
-import { CandidateOrder } from '../src/coordination/election/candidate-order.js';
-import { SteppedDownRoles } from '../src/coordination/election/stepped-down-roles.js';
-import { STORE_ONLY_POLICY } from '../src/coordination/election/failover-policy.js';
-import { RejectedChangeBackoff } from '../src/storage/rejected-change-backoff.js';
-import type { Clock } from '../src/transport/clock.js';
-import { followingReplica } from './world/replica.js';
-import { SimClock } from './world/clock.js';
-import { SimState } from './world/state.js';
+import { MEMBER_RENEW_MS } from '../../src/constants.js';
+import { CandidateOrder } from '../../src/coordination/election/candidate-order.js';
+import { SteppedDownRoles } from '../../src/coordination/election/stepped-down-roles.js';
+import { STORE_ONLY_POLICY } from '../../src/coordination/election/failover-policy.js';
+import { RejectedChangeBackoff } from '../../src/storage/rejected-change-backoff.js';
+import type { Clock } from '../../src/transport/clock.js';
+import { followingReplica } from '../world/replica.js';
+import { SimClock } from '../world/clock.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
 
 /** Each reading is later than the one before, as on a real machine. */
 class MovingClock implements Clock {
@@ -37,7 +37,7 @@
 // and each takeover waited for the next round, half a second later.
 test('the first choice takes a free role when it first sees it, the second a turn later', () => {
   const simulated = new SimClock();
-  const { replica } = followingReplica(simulated, new SimState(simulated), 100);
+  const { replica } = followingReplica(simulated, new SimKeyValueStore(simulated), 100);
   const looks: string[] = [];
   for (const self of ['n0', 'n1']) {
     const clock = new MovingClock();
--- a/test/takeover.test.ts
+++ b/test/election/failover.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './world/world.js';
+import { World } from '../world/world.js';
 
 // Seen in the first recorded incident of the larger deployment: the first status of a part's new
 // owner was empty, and the leader returned the part's whole fleet as machines that never came up.
--- a/test/leases.test.ts
+++ b/test/election/lease-timing.test.ts
@@ -1,7 +1,7 @@
 /** Grace, lease and fence, by the timing of the settings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { fenceEndsAt, graceMs, leaseMs } from '../src/coordination/election/lease-timing.js';
+import { fenceEndsAt, graceMs, leaseMs } from '../../src/coordination/election/lease-timing.js';
 
 test('grace and lease end before a cancellation is due; fences cover every former owner', () => {
   for (const timing of [
--- a/test/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -1,13 +1,13 @@
 /** Numbers of a term: each once, and a new term in time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FENCING_TOKENS_PER_TERM } from '../src/constants.js';
-import { TermNumbers } from '../src/coordination/election/term-numbers.js';
-import { shardRole } from '../src/coordination/election/role-election.js';
-import { roleKey } from '../src/storage/keys.js';
-import type { RoleRecord } from '../src/storage/records.js';
-import { settled } from './world/requests.js';
-import { World } from './world/world.js';
+import { FENCING_TOKENS_PER_TERM } from '../../src/constants.js';
+import { TermNumbers } from '../../src/coordination/election/term-numbers.js';
+import { shardRole } from '../../src/coordination/election/role-election.js';
+import { roleKey } from '../../src/storage/keys.js';
+import type { RoleRecord } from '../../src/storage/records.js';
+import { settled } from '../world/requests.js';
+import { World } from '../world/world.js';
 
 test('a term hands out its numbers once each, and none of the next term', () => {
   const numbers = new TermNumbers(700, 10);
--- a/test/suspicion-off.test.ts
+++ b/test/failure-detection/disabled.test.ts
@@ -4,9 +4,9 @@
 import { dirname, join } from 'node:path';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import type { PeerMessage } from '../src/protocol/peer-messages.js';
-import { WATCHFUL } from './world/suspicion.js';
-import { World } from './world/world.js';
+import type { PeerMessage } from '../../src/protocol/peer-messages.js';
+import { WATCHFUL } from '../world/suspicion.js';
+import { World } from '../world/world.js';
 
 const here = dirname(fileURLToPath(import.meta.url));
 const STATIC_IMPORT = /^(?:import|export)[^;]*?from '([^']+)';|^import '([^']+)';/gm;
@@ -24,7 +24,7 @@
 }
 
 test('a start without failure detection loads nothing of it', () => {
-  const loaded = [...loadedBy(join(here, '..', 'src', 'main.js'))];
+  const loaded = [...loadedBy(join(here, '..', '..', 'src', 'main.js'))];
   assert.ok(loaded.some((name) => name.endsWith('/coordination/election/role-election.js')));
   assert.ok(loaded.includes('hono/router/pattern-router'));
   const unneeded =
--- a/test/suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -9,8 +9,8 @@
   WATCHFUL,
   type SuspicionRow,
   type WatchfulWorld,
-} from './world/suspicion.js';
-import type { World } from './world/world.js';
+} from '../world/suspicion.js';
+import type { World } from '../world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
 const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
--- a/test/suspicion-cuts.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -1,9 +1,9 @@
 /** Nodes that lose one another or the state service, with failure detection: when roles are taken. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { RoleTenure } from '../src/protocol/peer-messages.js';
-import { playRow, split, tenures, type SuspicionRow } from './world/suspicion.js';
-import type { World } from './world/world.js';
+import type { RoleTenure } from '../../src/protocol/peer-messages.js';
+import { playRow, split, tenures, type SuspicionRow } from '../world/suspicion.js';
+import type { World } from '../world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
 const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
--- a/test/gang-claims.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -1,14 +1,21 @@
 /** Gangs within their team's guarantee stop arrays that other teams run beyond theirs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineCapacity } from '../src/coordination/capacity/machine-capacity.js';
-import { FairShareReclaim } from '../src/coordination/leader/fair-share-reclaim.js';
-import type { JobSpec, TaskStatus } from '../src/protocol/model.js';
-import { assignmentKey, jobKey } from '../src/storage/keys.js';
-import type { AssignmentRecord } from '../src/storage/records.js';
-import type { StoreReplica } from '../src/storage/store-replica.js';
-import { SimClock } from './world/clock.js';
-import { PLAIN_ASSIGNMENT, GANG_SHARE, JOB, SPEC, loneShard, ops } from './world/lone.js';
+import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
+import { FairShareReclaim } from '../../src/coordination/leader/fair-share-reclaim.js';
+import type { JobSpec, TaskStatus } from '../../src/protocol/model.js';
+import { assignmentKey, jobKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
+import type { StoreReplica } from '../../src/storage/store-replica.js';
+import { SimClock } from '../world/clock.js';
+import {
+  PLAIN_ASSIGNMENT,
+  GANG_SHARE,
+  JOB,
+  SPEC,
+  shardFixture,
+  ops,
+} from '../world/shard-fixture.js';
 
 const ARRAY_JOB = 'j-000009';
 const GANG: JobSpec = { ...SPEC, kind: 'gang', team: 'red', tasks: 2, cpus: 2, memoryGb: 6 };
@@ -111,7 +118,7 @@
     { name: 'a claim of long ago', reclaim: { blue: 3 }, lateMs: 3500, want: [] },
   ];
   for (const { name, reclaim, lateMs = 0, kind = 'array', want } of cases) {
-    const world = await loneShard({
+    const world = await shardFixture({
       spec: { kind: 'gang', tasks: 2 },
       held: [
         {
--- a/test/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -1,10 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { missingGangCapacity, reservingPlace } from '../src/coordination/capacity/gang-capacity.js';
-import { planGang } from '../src/coordination/leader/gang-plan.js';
-import type { MachineCapacity } from '../src/coordination/capacity/machine-capacity.js';
-import type { JobSpec } from '../src/protocol/model.js';
-import { SPEC } from './world/lone.js';
+import {
+  missingGangCapacity,
+  reservingPlace,
+} from '../../src/coordination/capacity/gang-capacity.js';
+import { planGang } from '../../src/coordination/leader/gang-plan.js';
+import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
+import type { JobSpec } from '../../src/protocol/model.js';
+import { SPEC } from '../world/shard-fixture.js';
 
 const GANG: JobSpec = { ...SPEC, kind: 'gang', tasks: 2, cpus: 2, memoryGb: 6, oneZone: true };
 
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -1,6 +1,6 @@
 /** Built controllers as processes, against stand-ins of state service, cloud and workers over HTTP. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
-import net, { type AddressInfo } from 'node:net';
+import net from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -11,9 +11,9 @@
 import { SimCloud } from '../world/cloud.js';
 import { SimGangs } from '../world/gang.js';
 import { jobOf, submissionOf, type Reply, type SimJob } from '../world/jobs.js';
-import { Judge } from '../world/judge.js';
-import { SimState } from '../world/state.js';
-import type { HeartbeatTarget, Surroundings } from '../world/surroundings.js';
+import { InvariantChecker } from '../world/invariant-checker.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import type { HeartbeatTarget, SimulationHost } from '../world/simulation-host.js';
 import type { SimWorker } from '../world/worker.js';
 import type { WireCommand } from '../world/worker-wire.js';
 import { answerForCloud } from './cloud-front.js';
@@ -44,16 +44,36 @@
   operators: readonly string[];
 }
 
+/**
+ * Ports of controllers lie below those that the system gives to outgoing connections (from 32,768 on): one of
+ * these could be taken by another test between the look for it and the start of the controller.
+ */
+const FIRST_PORT = 20_000;
+const PORT_COUNT = 12_000;
+/** Ports that clusters of this process have been given. */
+const givenPorts = new Set<number>();
+let nextPort = process.pid % PORT_COUNT;
+
+function canListen(port: number): Promise<boolean> {
+  return new Promise((resolve) => {
+    const server = net.createServer();
+    server.once('error', () => resolve(false));
+    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)));
+  });
+}
+
 async function freePort(): Promise<number> {
-  const server = net.createServer();
-  await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  const { port } = server.address() as AddressInfo;
-  await new Promise((resolve) => server.close(resolve));
-  return port;
+  for (let tries = 0; tries < PORT_COUNT; tries++) {
+    const port = FIRST_PORT + (nextPort++ % PORT_COUNT);
+    if (givenPorts.has(port)) continue;
+    givenPorts.add(port);
+    if (await canListen(port)) return port;
+  }
+  throw new Error('no port is free');
 }
 
 /** Real controllers with all that surrounds them. */
-export class LoopbackCluster implements Surroundings {
+export class LoopbackCluster implements SimulationHost {
   readonly clock = stoppableClock;
   readonly members: readonly (readonly [string, string])[];
   readonly nodes: Map<string, HeartbeatTarget>;
@@ -65,9 +85,9 @@
   readonly linkMs = 0;
   readonly workerLeaseMs = LEASE_S * 1000;
   readonly starts: { task: string; machine: string }[] = [];
-  readonly state = new SimState(stoppableClock);
+  readonly state = new SimKeyValueStore(stoppableClock);
   readonly cloud: SimCloud = new SimCloud(this);
-  private readonly judge = new Judge(this);
+  private readonly invariants = new InvariantChecker(this);
   private readonly processes = new Map<string, ControllerProcess>();
   private readonly fronts = new Map<string, string>();
   private readonly servers: HttpFront[] = [];
@@ -123,7 +143,7 @@
 
   /** Each breach of a rule. */
   get broken(): string[] {
-    return this.judge.broken;
+    return this.invariants.broken;
   }
 
   /** Machines that the cloud rents out, and that no record of the controllers names. */
@@ -147,12 +167,21 @@
   ): Promise<void> {
     const endsAt = this.clock.now() + limitS * 1000;
     while (!(await holds())) {
-      if (this.clock.now() > endsAt) throw new Error(`not within ${limitS} s: ${what}`);
-      this.judge.check(CANCEL_S);
+      if (this.clock.now() > endsAt)
+        throw new Error(`not within ${limitS} s: ${what}${this.ends()}`);
+      this.invariants.check(CANCEL_S);
       await sleep(systemClock, TURN_MS);
     }
   }
 
+  /** The controllers that ended by themselves, with what they said. */
+  private ends(): string {
+    return [...this.processes]
+      .filter(([, { hasEnded }]) => hasEnded)
+      .map(([name, { lastWords }]) => `; ${name} has ended: ${lastWords}`)
+      .join('');
+  }
+
   /** A user's request to a controller. */
   async submit(id: string, job: Partial<SimJob>, at: string): Promise<Reply> {
     if (!this.jobs.has(id)) this.jobs.set(id, jobOf(job));
@@ -189,11 +218,11 @@
 
   started(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name });
-    this.judge.started(worker, task);
+    this.invariants.started(worker, task);
   }
 
   gangStarted(job: string, attempt: number): void {
-    this.judge.gangStarted(job, attempt);
+    this.invariants.gangStarted(job, attempt);
   }
 
   // --- Sockets -------------------------------------------------------------------------------
@@ -206,7 +235,7 @@
   ): Promise<Reply> {
     const requestedAt = this.clock.now();
     const reply = await this.call(at, method, path, body, USER_TIMEOUT_MS);
-    if (reply.status !== 0) this.judge.replied(kind, id, requestedAt, reply);
+    if (reply.status !== 0) this.invariants.replied(kind, id, requestedAt, reply);
     return reply;
   }
 
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -14,6 +14,8 @@
   /** What it logged, over all its starts. */
   readonly log: LogLine[] = [];
   private child: ChildProcess | null = null;
+  /** The last line that is no log line: why it could not start, say. */
+  lastWords = '';
   private partial = '';
 
   constructor(private readonly args: readonly string[]) {}
@@ -24,7 +26,12 @@
       env: { ...process.env, LOG_LEVEL: 'info' },
     });
     this.child = child;
-    child.stderr.on('data', (shard: Buffer) => this.read(shard.toString()));
+    child.stderr.on('data', (bytes: Buffer) => this.read(bytes.toString()));
+  }
+
+  /** It ended by itself. */
+  get hasEnded(): boolean {
+    return this.child !== null && this.child.exitCode !== null;
   }
 
   /** It stands still, while all clocks run. */
@@ -51,6 +58,7 @@
     this.partial = lines.pop() ?? '';
     for (const line of lines) {
       if (line.startsWith('{')) this.log.push(JSON.parse(line) as LogLine);
+      else if (line !== '') this.lastWords = line;
     }
   }
 }
--- a/test/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -1,9 +1,9 @@
 /** Real controllers on loopback: frozen, thawed and cut from the state service, with failure detection. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { nodeKey } from '../src/storage/keys.js';
-import { stageOf } from './world/jobs.js';
-import { LoopbackCluster } from './loopback/cluster.js';
+import { nodeKey } from '../../src/storage/keys.js';
+import { stageOf } from '../world/jobs.js';
+import { LoopbackCluster } from './cluster.js';
 
 const MEMBERS = [
   ['n0', 'a'],
--- a/test/loopback/state-front.ts
+++ b/test/loopback/state-front.ts
@@ -6,7 +6,7 @@
   type KeyValueStore,
 } from '../../src/protocol/key-value-store.js';
 import { OutcomeUnknownError } from '../../src/transport/http-client.js';
-import type { SimState } from '../world/state.js';
+import type { SimKeyValueStore } from '../world/key-value-store.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
 
 interface WireGuard {
@@ -31,7 +31,7 @@
   private readonly api: KeyValueStore;
 
   constructor(
-    private readonly state: SimState,
+    private readonly state: SimKeyValueStore,
     node: string,
   ) {
     this.api = state.api(node);
--- a/test/detections.test.ts
+++ b/test/packages/detection-report.test.ts
@@ -8,9 +8,9 @@
 import { fileURLToPath } from 'node:url';
 import { gzipSync } from 'node:zlib';
 import { probeQuantiles, readHistories } from '@mothbank/detection-report';
-import { watchfulWorld } from './world/suspicion.js';
+import { watchfulWorld } from '../world/suspicion.js';
 
-const CLI = join(dirname(fileURLToPath(import.meta.url)), '..', 'src', 'cli.js');
+const CLI = join(dirname(fileURLToPath(import.meta.url)), '..', '..', 'src', 'cli.js');
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
 const path = (name: string): string => join(folder, name);
 const write = (name: string, content: string | Buffer): string => {
--- a/test/failure-detector-rules.test.ts
+++ b/test/packages/failure-detector-rules.test.ts
@@ -11,9 +11,9 @@
   type MemberUpdate,
   type VerdictInput,
 } from '@mothbank/failure-detector';
-import { DETECTOR_BYTES } from '../src/constants.js';
-import { decodeDetector, encodeDetector } from '../src/protocol/detector-codec.js';
-import { DetectorNetwork, TIMING } from './world/detector-network.js';
+import { DETECTOR_BYTES } from '../../src/constants.js';
+import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
+import { DetectorNetwork, TIMING } from '../world/detector-network.js';
 
 test('quorum: a majority of the others, three at the most, from 1 to 63 members', () => {
   const expected = new Map([
--- a/test/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MemberState } from '@mothbank/failure-detector';
-import { DetectorNetwork, type Delivery } from './world/detector-network.js';
+import { DetectorNetwork, type Delivery } from '../world/detector-network.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const named = (count: number): string[] =>
--- a/test/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -1,10 +1,10 @@
 /** Ranges, reports and peer messages, as they are written and read. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodePeer, encodePeer, type PeerMessage } from '../src/protocol/peer-messages.js';
-import { encodeHeartbeatAnswer, parseHeartbeat } from '../src/protocol/worker-codec.js';
-import { countRanges, readRanges, writeRanges } from '../src/storage/ranges.js';
-import { FrameReader } from '../src/transport/peer-link.js';
+import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
+import { encodeHeartbeatAnswer, parseHeartbeat } from '../../src/protocol/worker-codec.js';
+import { countRanges, readRanges, writeRanges } from '../../src/storage/ranges.js';
+import { FrameReader } from '../../src/transport/peer-link.js';
 
 test('ranges are written and read', () => {
   const cases: [number[], string][] = [
--- a/test/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -1,30 +1,30 @@
 /**
- * Stored and wire forms stay as they are: each example in `fixtures/forms-12c6284.json` was written
+ * Stored and wire forms stay as they are: each example in `test/fixtures/forms-12c6284.json` was written
  * by commit 12c6284, is written to the same bytes now, and is read and written back to them.
  * The file itself never changes; a later version may add a file of its own.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { Bandit, type ArmRecord } from '../src/coordination/scheduling/bandit.js';
-import { createAssignment, readSlots } from '../src/coordination/shard-state/assignment.js';
-import { splitAssignment } from '../src/coordination/shard-state/assignment-pieces.js';
-import { decodeDetector, encodeDetector } from '../src/protocol/detector-codec.js';
-import { decodePeer, encodePeer } from '../src/protocol/peer-messages.js';
-import { parseSubmission } from '../src/protocol/user-codec.js';
-import { parseHeartbeat } from '../src/protocol/worker-codec.js';
-import { readCatalog, writeCatalog } from '../src/storage/catalog.js';
-import { CATALOG, readAssignmentKey } from '../src/storage/keys.js';
-import type { AssignmentRecord } from '../src/storage/records.js';
-import { FrameReader } from '../src/transport/peer-link.js';
-import { stageOf } from './world/jobs.js';
-import { replicaOf, type Records } from './world/older-records.js';
-import { settled } from './world/requests.js';
-import { World } from './world/world.js';
-import { valuesOf, writtenForms } from './world/written-forms.js';
-import type { Forms } from './world/written-records.js';
+import { Bandit, type ArmRecord } from '../../src/coordination/scheduling/bandit.js';
+import { createAssignment, readSlots } from '../../src/coordination/shard-state/assignment.js';
+import { splitAssignment } from '../../src/coordination/shard-state/assignment-pieces.js';
+import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
+import { decodePeer, encodePeer } from '../../src/protocol/peer-messages.js';
+import { parseSubmission } from '../../src/protocol/user-codec.js';
+import { parseHeartbeat } from '../../src/protocol/worker-codec.js';
+import { readCatalog, writeCatalog } from '../../src/storage/catalog.js';
+import { CATALOG, readAssignmentKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
+import { FrameReader } from '../../src/transport/peer-link.js';
+import { stageOf } from '../world/jobs.js';
+import { replicaOf, type Records } from '../world/older-records.js';
+import { settled } from '../world/requests.js';
+import { World } from '../world/world.js';
+import { valuesOf, writtenForms } from '../world/written-forms.js';
+import type { Forms } from '../world/written-records.js';
 
-const FIXTURE = new URL('../../test/fixtures/forms-12c6284.json', import.meta.url);
+const FIXTURE = new URL('../../../test/fixtures/forms-12c6284.json', import.meta.url);
 const FORMS = JSON.parse(readFileSync(FIXTURE, 'utf8')) as Forms;
 const written = await writtenForms();
 
--- a/test/gang-input.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -6,9 +6,9 @@
 import { join } from 'node:path';
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { readSettings } from '../src/protocol/settings.js';
-import { listenHttp, type HttpReply } from '../src/transport/http-server.js';
-import { World } from './world/world.js';
+import { readSettings } from '../../src/protocol/settings.js';
+import { listenHttp, type HttpReply } from '../../src/transport/http-server.js';
+import { World } from '../world/world.js';
 
 const GANG = 'j-000001';
 
@@ -200,7 +200,7 @@
 mem_mb = 178.0
 fd_limit = 1500
 `;
-const MAIN = fileURLToPath(new URL('../src/main.js', import.meta.url));
+const MAIN = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
 after(() => rmSync(folder, { recursive: true }));
 
--- a/test/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -4,8 +4,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { GANG_PEER_S, GANG_WAIT_S, VERSION } from '../src/constants.js';
-import { readSettings } from '../src/protocol/settings.js';
+import { GANG_PEER_S, GANG_WAIT_S, VERSION } from '../../src/constants.js';
+import { readSettings } from '../../src/protocol/settings.js';
 
 const SETTINGS = `
 node_name = "moth-0"
--- a/test/placement.test.ts
+++ b/test/scheduling/scheduling-sums.test.ts
@@ -1,10 +1,10 @@
 /** The sums behind placing: the bandit, what may be late, and the parts of machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Bandit } from '../src/coordination/scheduling/bandit.js';
-import { fitCount } from '../src/coordination/capacity/machine-capacity.js';
-import { shardOf } from '../src/coordination/election/rendezvous-hashing.js';
-import { selectLateDemands } from '../src/coordination/leader/deadline-selection.js';
+import { Bandit } from '../../src/coordination/scheduling/bandit.js';
+import { fitCount } from '../../src/coordination/capacity/machine-capacity.js';
+import { shardOf } from '../../src/coordination/election/rendezvous-hashing.js';
+import { selectLateDemands } from '../../src/coordination/leader/deadline-selection.js';
 
 test('the bandit agrees with a case worked by hand', () => {
   // One class and two types: x has 1 at the class, at the type, and the load shares in between.
--- a/test/records-chunks.test.ts
+++ b/test/shard/assignment-splitting.test.ts
@@ -1,21 +1,21 @@
 /** Chunks that one value has no room for are split with their tasks as they are. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskStatus } from '../src/protocol/model.js';
-import { ASSIGNMENTS, jobKey } from '../src/storage/keys.js';
-import { readRanges, writeRanges } from '../src/storage/ranges.js';
-import type { AssignmentRecord } from '../src/storage/records.js';
-import { JOB, loneShard, ops } from './world/lone.js';
-import { SMALL, bytes } from './world/sizes.js';
-import type { SimState } from './world/state.js';
+import type { TaskStatus } from '../../src/protocol/model.js';
+import { ASSIGNMENTS, jobKey } from '../../src/storage/keys.js';
+import { readRanges, writeRanges } from '../../src/storage/ranges.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
+import { JOB, shardFixture, ops } from '../world/shard-fixture.js';
+import { SMALL, bytes } from '../world/sizes.js';
+import type { SimKeyValueStore } from '../world/key-value-store.js';
 
-const assignmentsOf = (state: SimState): [string, AssignmentRecord][] =>
+const assignmentsOf = (state: SimKeyValueStore): [string, AssignmentRecord][] =>
   [...state.cells]
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, cell]) => [key, cell.value as AssignmentRecord]);
 
 /** Each task stands in one chunk only, and each chunk says of its own tasks only. */
-function checkAssignments(state: SimState, tasks: number): void {
+function checkAssignments(state: SimKeyValueStore, tasks: number): void {
   const ids: number[] = [];
   for (const [key, record] of assignmentsOf(state)) {
     const own = readRanges(record.ids);
@@ -52,7 +52,7 @@
     const live: AssignmentRecord['live'] = {};
     const heartbeat = (done: number): TaskStatus[] => heartbeatsOf(tasks, done);
     for (let at = 0; at < tasks; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-    const world = await loneShard({
+    const world = await shardFixture({
       transactionOps,
       valueBytes: SMALL,
       spec: { tasks, cpus: 0.01, memoryGb: 0.01 },
@@ -95,7 +95,7 @@
 test('a split whose answer is lost is carried on from what the state service holds', async () => {
   const live: AssignmentRecord['live'] = {};
   for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
-  const world = await loneShard({
+  const world = await shardFixture({
     valueBytes: SMALL,
     spec: { tasks: 90, cpus: 0.01, memoryGb: 0.01 },
     ids: '0-89',
--- a/test/gang-part.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assignmentKey } from '../src/storage/keys.js';
-import type { AssignmentRecord } from '../src/storage/records.js';
-import type { Command, TaskStatus } from '../src/protocol/model.js';
-import { JOB, loneShard } from './world/lone.js';
+import { assignmentKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
+import type { Command, TaskStatus } from '../../src/protocol/model.js';
+import { JOB, shardFixture } from '../world/shard-fixture.js';
 
 const ATTEMPT = 900;
 const SAVE_S = 2;
@@ -19,7 +19,9 @@
     ...{ ids: '0-1', done: '', live: LIVE, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 },
     ...{ zone: 'a', attempt: ATTEMPT },
   };
-  const world = await loneShard({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S } });
+  const world = await shardFixture({
+    spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S },
+  });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   const live: AssignmentRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
--- a/test/gang-share.test.ts
+++ b/test/shard/gang-shares.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assignmentKey, jobKey } from '../src/storage/keys.js';
-import type { AssignmentRecord } from '../src/storage/records.js';
-import type { TaskStatus } from '../src/protocol/model.js';
+import { assignmentKey, jobKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
+import type { TaskStatus } from '../../src/protocol/model.js';
 import {
   GANG_ATTEMPT,
   GANG_SHARE,
   JOB,
   SPEC,
-  loneShard,
+  shardFixture,
   ops,
-  type LoneShard,
-} from './world/lone.js';
+  type ShardFixture,
+} from '../world/shard-fixture.js';
 
 /** A part with its share of a gang; `other`: the share of another part. */
-async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<LoneShard> {
-  const world = await loneShard({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
+async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<ShardFixture> {
+  const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
@@ -34,7 +34,7 @@
   state,
   cause: state === 'exited' ? 'peerLost' : null,
 });
-const sent = (world: LoneShard): string[] => world.sent.flatMap(({ commands }) => ops(commands));
+const sent = (world: ShardFixture): string[] => world.sent.flatMap(({ commands }) => ops(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
--- a/test/gang-times.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -1,20 +1,20 @@
 /** Decisions of a part by the workers' times for gangs, `gang_wait_s` and `gang_peer_s`. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskStatus } from '../src/protocol/model.js';
-import { assignmentKey, jobKey } from '../src/storage/keys.js';
-import type { AssignmentRecord } from '../src/storage/records.js';
+import type { TaskStatus } from '../../src/protocol/model.js';
+import { assignmentKey, jobKey } from '../../src/storage/keys.js';
+import type { AssignmentRecord } from '../../src/storage/records.js';
 import {
   GANG_ATTEMPT,
   GANG_SHARE,
   PLAIN_ASSIGNMENT,
   JOB,
   SPEC,
-  loneShard,
+  shardFixture,
   ops,
   heartbeatOf,
-  type LoneShard,
-} from './world/lone.js';
+  type ShardFixture,
+} from '../world/shard-fixture.js';
 
 const URGENT_JOB = 'j-000002';
 
@@ -30,8 +30,8 @@
   tasks: number,
   checkpointS: number,
   other?: AssignmentRecord,
-): Promise<LoneShard> {
-  const world = await loneShard({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
+): Promise<ShardFixture> {
+  const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
@@ -45,7 +45,7 @@
 }
 
 /** Answers all direct calls so far with a report of these tasks. */
-function answerCalls(world: LoneShard, tasks: TaskStatus[]): void {
+function answerCalls(world: ShardFixture, tasks: TaskStatus[]): void {
   world.answer({}, tasks);
   for (const { done } of world.sent.splice(0)) {
     done(heartbeatOf({ sequence: 0, fencingToken: 0, tasks }));
@@ -54,7 +54,7 @@
 
 /** Runs on for so long, with a report each second; the stops that were sent. */
 async function stopsWithin(
-  world: LoneShard,
+  world: ShardFixture,
   seconds: number,
   tasks: TaskStatus[],
 ): Promise<string[]> {
--- a/test/hearing.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -1,25 +1,25 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assignmentKey, machineKey } from '../src/storage/keys.js';
-import type { MachineRecord } from '../src/storage/records.js';
+import { assignmentKey, machineKey } from '../../src/storage/keys.js';
+import type { MachineRecord } from '../../src/storage/records.js';
 import {
   JOB,
   TOKEN,
   ended,
-  loneShard,
+  shardFixture,
   ops,
   heartbeatOf,
   running,
-  type LoneShard,
-} from './world/lone.js';
+  type ShardFixture,
+} from '../world/shard-fixture.js';
 
-const placed = (world: LoneShard): string | undefined => world.stored()?.live['0']?.[0];
+const placed = (world: ShardFixture): string | undefined => world.stored()?.live['0']?.[0];
 
 /**
  * What reports prove and what not. Each row tells what comes from machine m-1, whose task 0 of JOB
  * is to run, and what must follow. `m-2` stands by with room where a row calls `other`.
  */
-const ROWS: { name: string; placed?: boolean; check: (world: LoneShard) => Promise<void> }[] = [
+const ROWS: { name: string; placed?: boolean; check: (world: ShardFixture) => Promise<void> }[] = [
   {
     name: 'a machine that never shows our token gets no work',
     check: async (world) => {
@@ -182,7 +182,7 @@
 
 for (const row of ROWS) {
   test(`hearing: ${row.name}`, async () => {
-    const world = await loneShard({ placed: row.placed ?? false });
+    const world = await shardFixture({ placed: row.placed ?? false });
     assert.ok(world.stored(), JOB);
     await row.check(world);
   });
@@ -191,7 +191,7 @@
 // Answers to calls renew no lease: a machine that reaches no controller loses its tasks though it
 // answers every call, and what was started there went on being lost.
 test('hearing: a machine whose reports don’t come counts as silent though it answers calls', async () => {
-  const world = await loneShard();
+  const world = await shardFixture();
   world.heartbeat();
   await world.reconcile();
   const attempt = world.stored()?.live['0']?.[1] ?? 0;
--- a/test/part.test.ts
+++ b/test/shard/shard.test.ts
@@ -1,12 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assignmentKey, jobKey, roleKey } from '../src/storage/keys.js';
-import type { JobRecord } from '../src/storage/records.js';
-import type { Command, JobSpec, Heartbeat } from '../src/protocol/model.js';
-import { JOB, SPEC, TOKEN, ended, loneShard, ops, heartbeatOf, running } from './world/lone.js';
+import { assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
+import type { JobRecord } from '../../src/storage/records.js';
+import type { Command, JobSpec, Heartbeat } from '../../src/protocol/model.js';
+import {
+  JOB,
+  SPEC,
+  TOKEN,
+  ended,
+  shardFixture,
+  ops,
+  heartbeatOf,
+  running,
+} from '../world/shard-fixture.js';
 
 test('a start goes out only once its placement is committed', async () => {
-  const world = await loneShard();
+  const world = await shardFixture();
   world.heartbeat();
   world.state.outage = true;
   await world.reconcile();
@@ -19,7 +28,7 @@
 });
 
 test('a placement made after the role was lost is never committed nor sent', async () => {
-  const world = await loneShard();
+  const world = await shardFixture();
   world.heartbeat();
   world.state.change([{ key: roleKey('part-p'), value: { owner: 'q' } }]);
   await world.reconcile(1000);
@@ -29,7 +38,7 @@
 });
 
 test('absence proves an end only to the owner whose token the worker has shown', async () => {
-  const world = await loneShard({ placed: true });
+  const world = await shardFixture({ placed: true });
   await world.cancel();
   world.heartbeat({ fencingToken: 3 });
   await world.reconcile();
@@ -40,7 +49,7 @@
 });
 
 test('an older report proves nothing', async () => {
-  const world = await loneShard({ placed: true });
+  const world = await shardFixture({ placed: true });
   world.heartbeat({ sequence: 9 }, [running(77)]);
   await world.cancel();
   world.heartbeat({ sequence: 8 });
@@ -50,7 +59,7 @@
 });
 
 test('a direct start without an answer must be fenced before its absence counts', async () => {
-  const world = await loneShard();
+  const world = await shardFixture();
   world.heartbeat();
   await world.reconcile();
   assert.deepEqual(ops(world.sent[0]?.commands ?? []), ['start']);
@@ -65,7 +74,7 @@
 });
 
 test('an ended attempt is forgotten only after its end is committed', async () => {
-  const world = await loneShard({ placed: true });
+  const world = await shardFixture({ placed: true });
   world.heartbeat({}, [running(77)]);
   world.state.outage = true;
   world.heartbeat({}, [ended(77)]);
@@ -78,7 +87,7 @@
 });
 
 test('an ended attempt is not forgotten while a direct start of it may still arrive', async () => {
-  const world = await loneShard();
+  const world = await shardFixture();
   world.heartbeat();
   await world.reconcile();
   const attempt = world.stored()?.live['0']?.[1] ?? 0;
@@ -91,7 +100,7 @@
 });
 
 test('tasks on a machine that never spoke to the new owner wait for the fence', async () => {
-  const world = await loneShard({ placed: true });
+  const world = await shardFixture({ placed: true });
   await world.clock.run(56_000);
   await world.reconcile();
   assert.deepEqual(world.stored()?.live, { '0': ['m-1', 77] });
@@ -101,7 +110,7 @@
 });
 
 test('services of a little-used machine move to another that has room and their image', async () => {
-  const world = await loneShard({ placed: true, spec: { kind: 'service' } });
+  const world = await shardFixture({ placed: true, spec: { kind: 'service' } });
   const job: JobRecord = { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 0 };
   const assignment = { ...world.stored(), ids: '0-2', live: { '0': ['m-2', 7], '1': ['m-2', 8] } };
   world.state.change([
@@ -133,7 +142,7 @@
 });
 
 test('tasks go only where their job allows', async () => {
-  const cases: [string, Parameters<typeof loneShard>[0], Partial<Heartbeat>, boolean][] = [
+  const cases: [string, Parameters<typeof shardFixture>[0], Partial<Heartbeat>, boolean][] = [
     ['anywhere', {}, {}, true],
     ['a spot machine not allowed', {}, { spot: true }, false],
     ['a spot machine allowed', { spec: { spot: true } }, { spot: true }, true],
@@ -143,7 +152,7 @@
     ['a machine about to be taken', {}, { noticeS: 20 }, false],
   ];
   for (const [name, options, change, placed] of cases) {
-    const world = await loneShard(options);
+    const world = await shardFixture(options);
     world.heartbeat(change);
     await world.reconcile();
     assert.equal(Object.keys(world.stored()?.live ?? {}).length, placed ? 1 : 0, name);
@@ -153,7 +162,7 @@
 // Seen on the grown deployments: a chunk placed on more machines than a transaction may guard was
 // refused as malformed, again and again, and none of its tasks ever started.
 test('a chunk on more machines than one transaction can guard is written in pieces', async () => {
-  const world = await loneShard({ ids: '0-39', spec: { tasks: 40 } });
+  const world = await shardFixture({ ids: '0-39', spec: { tasks: 40 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   const record = { ids: '0-39', done: '', live: {}, team: 'red', gpus: 0, memoryGb: 1, zone: 'a' };
@@ -168,7 +177,11 @@
 // their machines, so urgent work stopped them first, again and again.
 test('urgent work stops the newest lower work, but not the first tasks of a job that waited', async () => {
   for (const waited of [false, true]) {
-    const world = await loneShard({ spec: { tasks: 4 }, ids: '0-3', agedMs: waited ? 200_000 : 0 });
+    const world = await shardFixture({
+      spec: { tasks: 4 },
+      ids: '0-3',
+      agedMs: waited ? 200_000 : 0,
+    });
     const assignment = { ids: '0', done: '', live: {}, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 };
     world.heartbeat();
     await world.reconcile();
@@ -194,7 +207,7 @@
 // Seen on the earlier two-zone site: a start that waited for stopped work to leave its machine was
 // sent only with the machine's next report, which cost urgent work half a second and more.
 test('a start that waited for stopped work follows the answer to the stop', async () => {
-  const world = await loneShard({ spec: { tasks: 4 }, ids: '0-3' });
+  const world = await shardFixture({ spec: { tasks: 4 }, ids: '0-3' });
   world.heartbeat();
   await world.reconcile();
   const tasks = Object.entries(world.stored()?.live ?? {}).map(([index, [, attempt]]) => ({
@@ -226,7 +239,7 @@
 // A placement may be committed only while its job is there: a part that has not heard yet of a
 // cancellation started tasks after it had been confirmed.
 test('a job that was called off is not placed, though its part has not heard of it', async () => {
-  const world = await loneShard();
+  const world = await shardFixture();
   world.heartbeat();
   // Gone from the store, and no watch tells of it.
   world.state.revision++;
--- a/test/gang-world-saves.test.ts
+++ b/test/stand-ins/gang-saves.test.ts
@@ -1,9 +1,9 @@
 /** The stand-in for gangs: halts, what they save, and what the judge sees. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOB, playCommanded, same, type Row } from './world/commanded-gang.js';
-import { GANG_PEER_S } from './world/gang.js';
-import { settled } from './world/gang-script.js';
+import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
+import { GANG_PEER_S } from '../world/gang.js';
+import { settled } from '../world/gang-script.js';
 
 const ROWS: Row[] = [
   {
--- a/test/gang-world-starts.test.ts
+++ b/test/stand-ins/gang-starts.test.ts
@@ -1,8 +1,8 @@
 /** The stand-in for gangs: waiting, the common start, and tasks that are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOB, playCommanded, same, type Row } from './world/commanded-gang.js';
-import { GANG_PEER_S, GANG_WAIT_S } from './world/gang.js';
+import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
+import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
 
 const ROWS: Row[] = [
   {
--- a/test/judge.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -1,10 +1,10 @@
 /** The judge of the simulated world notes each form of a forgotten job: a fault is put in for each. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Reply } from './world/jobs.js';
-import type { RequestKind } from './world/judge.js';
-import { SERVICE, names, submit } from './world/meeting.js';
-import { World } from './world/world.js';
+import type { Reply } from '../world/jobs.js';
+import type { RequestKind } from '../world/invariant-checker.js';
+import { SERVICE, names, submit } from '../world/overlapping-faults.js';
+import { World } from '../world/world.js';
 
 const JOB = 'j-000001';
 const OTHER = 'j-000002';
@@ -95,7 +95,7 @@
     await world.run(5);
     await begin?.(world);
     if (tamper) world.tamper = tamper;
-    if (isOver) world.troublesOver();
+    if (isOver) world.faultsOver();
     for (let second = 0; second < forS; second++) {
       if (second % 5 === 0) {
         for (const id of [JOB, OTHER]) {
--- a/test/verdict.test.ts
+++ b/test/stand-ins/known-failures.test.ts
@@ -1,7 +1,7 @@
 /** The list of known failures. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { objections, readKnownRed } from './verdict.js';
+import { objections, readKnownRed } from '../known-failures.js';
 
 // What a run of the tests comes to: nothing may hide behind the list of known failures.
 test('known failures are passed over, and only they, and only while they fail', () => {
--- a/test/late-values.test.ts
+++ b/test/storage/late-store-answers.test.ts
@@ -1,14 +1,14 @@
 /** Answers of the state service that come later than the watch which tells of something newer. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobKey } from '../src/storage/keys.js';
-import { SimClock } from './world/clock.js';
-import { submit } from './world/meeting.js';
-import { followingReplica } from './world/replica.js';
-import { settled } from './world/requests.js';
-import { stageOf } from './world/jobs.js';
-import { SimState } from './world/state.js';
-import { World } from './world/world.js';
+import { jobKey } from '../../src/storage/keys.js';
+import { SimClock } from '../world/clock.js';
+import { submit } from '../world/overlapping-faults.js';
+import { followingReplica } from '../world/replica.js';
+import { settled } from '../world/requests.js';
+import { stageOf } from '../world/jobs.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import { World } from '../world/world.js';
 
 const KEY = jobKey('j-000001');
 
@@ -37,7 +37,7 @@
 test('late values: what the watch has told to be removed does not come back', async () => {
   for (const { name, written, late, isWatched, expected } of LATE) {
     const clock = new SimClock();
-    const state = new SimState(clock);
+    const state = new SimKeyValueStore(clock);
     const { replica } = followingReplica(clock, state, 100);
     await clock.run(500);
     if (!isWatched) replica.stop();
--- a/test/state-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -1,12 +1,12 @@
 /** Answers of the state service that lack what they must have: nothing may be concluded from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HttpKeyValueStore, type KeyValueStore } from '../src/protocol/key-value-store.js';
+import { HttpKeyValueStore, type KeyValueStore } from '../../src/protocol/key-value-store.js';
 import {
   OutcomeUnknownError,
   type HttpAnswer,
   type HttpClient,
-} from '../src/transport/http-client.js';
+} from '../../src/transport/http-client.js';
 
 /** A client that gets this answer to everything. */
 const answering = (answer: HttpAnswer): HttpClient =>
--- a/test/records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -1,16 +1,16 @@
 /** Arms, the catalogue and the status that one value has no room for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readCatalog, writeCatalog } from '../src/storage/catalog.js';
-import { CATALOG, statusKey } from '../src/storage/keys.js';
-import type { StatusRecord } from '../src/storage/records.js';
-import { Bandit, type ArmRecord } from '../src/coordination/scheduling/bandit.js';
-import { SimClock } from './world/clock.js';
-import { loneShard } from './world/lone.js';
-import { followingReplica } from './world/replica.js';
-import { SMALL, bytes } from './world/sizes.js';
-import { SimState } from './world/state.js';
-import { TYPES } from './world/settings.js';
+import { readCatalog, writeCatalog } from '../../src/storage/catalog.js';
+import { CATALOG, statusKey } from '../../src/storage/keys.js';
+import type { StatusRecord } from '../../src/storage/records.js';
+import { Bandit, type ArmRecord } from '../../src/coordination/scheduling/bandit.js';
+import { SimClock } from '../world/clock.js';
+import { shardFixture } from '../world/shard-fixture.js';
+import { followingReplica } from '../world/replica.js';
+import { SMALL, bytes } from '../world/sizes.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import { TYPES } from '../world/settings.js';
 
 // --- Arms --------------------------------------------------------------------------------------
 
@@ -106,7 +106,7 @@
 
 test('a catalogue larger than a value is read whole, and what it no longer needs goes', async () => {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   state.valueBytes = SMALL;
   const { replica } = followingReplica(clock, state, 1000);
   const [small] = TYPES;
@@ -130,7 +130,7 @@
 
 // --- Status ------------------------------------------------------------------------------------
 
-const machinesOf = (state: SimState): string[][] => {
+const machinesOf = (state: SimKeyValueStore): string[][] => {
   const pages: string[][] = [];
   for (const [key, { value }] of state.cells) {
     if (key.startsWith('mb/live/status/p/'))
@@ -144,7 +144,7 @@
   for (const transactionOps of [2, 8]) {
     const machines: StatusRecord['machines'] = {};
     for (let at = 0; at < 80; at++) machines[`m-${100000 + at}`] = ['small', 'a', 0, 'ok'];
-    const world = await loneShard({
+    const world = await shardFixture({
       transactionOps,
       valueBytes: SMALL,
       held: [{ key: statusKey('p', 0), value: { machines } }],
--- a/test/rate-limiter.test.ts
+++ b/test/storage/rate-limiter.test.ts
@@ -1,8 +1,8 @@
 /** The members' share of the state service's limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RateLimiter, type Purpose } from '../src/storage/rate-limiter.js';
-import { SimClock } from './world/clock.js';
+import { RateLimiter, type Purpose } from '../../src/storage/rate-limiter.js';
+import { SimClock } from '../world/clock.js';
 
 test('the state service: members share its limits, and one uses what the others leave', async () => {
   // [members that ask, least and most requests a second that pass all together]
--- a/test/invalid.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Committer } from '../src/storage/committer.js';
-import { jobKey } from '../src/storage/keys.js';
-import type { Log } from '../src/storage/log.js';
-import { RejectedChangeBackoff } from '../src/storage/rejected-change-backoff.js';
-import { UserRequests } from '../src/coordination/api/user-requests.js';
-import type { Change, Guard } from '../src/protocol/key-value-store.js';
-import { SimClock } from './world/clock.js';
-import { followingReplica } from './world/replica.js';
-import { SimState } from './world/state.js';
-import { TEAMS, TYPES, silent } from './world/settings.js';
+import { Committer } from '../../src/storage/committer.js';
+import { jobKey } from '../../src/storage/keys.js';
+import type { Log } from '../../src/storage/log.js';
+import { RejectedChangeBackoff } from '../../src/storage/rejected-change-backoff.js';
+import { UserRequests } from '../../src/coordination/api/user-requests.js';
+import type { Change, Guard } from '../../src/protocol/key-value-store.js';
+import { SimClock } from '../world/clock.js';
+import { followingReplica } from '../world/replica.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import { TEAMS, TYPES, silent } from '../world/settings.js';
 
 async function nodeStorage() {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   state.change([{ key: 'mb/live/catalog', value: TYPES }]);
   const errors: Record<string, unknown>[] = [];
   const log: Log = { ...silent, error: (fields) => void errors.push(fields as never) };
--- a/test/http-server.test.ts
+++ b/test/transport/http-server.test.ts
@@ -5,7 +5,7 @@
 import { dirname, join } from 'node:path';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { listenHttp, type HttpReply, type Route } from '../src/transport/http-server.js';
+import { listenHttp, type HttpReply, type Route } from '../../src/transport/http-server.js';
 
 const LIMIT = 64;
 const ROUTES: Route[] = [
@@ -129,7 +129,7 @@
 
 // Node's fetch client took half of a small controller's start-up time, and no one used it.
 test('starting a controller does not load the fetch client', () => {
-  const main = join(dirname(fileURLToPath(import.meta.url)), '..', 'src', 'main.js');
+  const main = join(dirname(fileURLToPath(import.meta.url)), '..', '..', 'src', 'main.js');
   const script = `process.argv = [process.argv[0], 'mothbank', '--version'];
     process.on('exit', () => process.stderr.write(process.moduleLoadList.join('\\n')));
     import(${JSON.stringify(main)});`;
--- a/test/upgrade-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -1,13 +1,13 @@
 /** Chunks that go to and fro between this version and the one in production. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskStatus } from '../src/protocol/model.js';
-import { JOB, loneShard, ops, type LoneShard } from './world/lone.js';
-import { rangesAsRead } from './world/older-checks.js';
-import { writtenByProduction } from './world/production-chunks.js';
-import { OLDER } from './world/older-versions.js';
-import type { SimState } from './world/state.js';
-import { ASSIGNMENT, assertReadable, type Written } from './world/readable.js';
+import type { TaskStatus } from '../../src/protocol/model.js';
+import { JOB, shardFixture, ops, type ShardFixture } from '../world/shard-fixture.js';
+import { rangesAsRead } from '../world/older-checks.js';
+import { writtenByProduction } from '../world/production-chunks.js';
+import { OLDER } from '../world/older-versions.js';
+import type { SimKeyValueStore } from '../world/key-value-store.js';
+import { ASSIGNMENT, assertReadable, type Written } from '../world/older-readability.js';
 
 const ATTEMPT = 900_000_000_000_000;
 const MACHINES = ['m-1', 'm-2', 'm-3', 'm-4', 'm-5'];
@@ -30,7 +30,7 @@
 /** Machine and attempt of each task, as all owners must have it. */
 type Placements = Map<number, [machine: string, attempt: number]>;
 
-const assignmentsOf = (state: SimState): [string, Stored][] =>
+const assignmentsOf = (state: SimKeyValueStore): [string, Stored][] =>
   [...state.cells]
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, { value }]) => [key, value as Stored]);
@@ -59,9 +59,9 @@
 async function ownedByThisVersion(
   { tasks, transactionOps, writeRps, gang }: Crossing,
   stored: Map<string, unknown>,
-  run: (world: LoneShard) => Promise<void>,
+  run: (world: ShardFixture) => Promise<void>,
 ): Promise<Map<string, unknown>> {
-  const world = await loneShard({
+  const world = await shardFixture({
     transactionOps,
     valueBytes: LIMIT,
     spec: { tasks, cpus: 0.01, memoryGb: 0.01, kind: gang ? 'gang' : 'array' },
@@ -85,7 +85,7 @@
 }
 
 /** Each machine reports its tasks; of those in `done` it says that they are. */
-function reportAll(world: LoneShard, placements: Placements, done: ReadonlySet<number>): void {
+function reportAll(world: ShardFixture, placements: Placements, done: ReadonlySet<number>): void {
   for (const machine of MACHINES) {
     const tasks: TaskStatus[] = [...placements]
       .filter(([, [name]]) => name === machine)
--- a/test/upgrade-records.test.ts
+++ b/test/upgrade/older-records.test.ts
@@ -5,9 +5,9 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readCatalog } from '../src/storage/catalog.js';
-import { stageOf } from './world/jobs.js';
-import { JOB, loneShard } from './world/lone.js';
+import { readCatalog } from '../../src/storage/catalog.js';
+import { stageOf } from '../world/jobs.js';
+import { JOB, shardFixture } from '../world/shard-fixture.js';
 import {
   ARM,
   ATTEMPT,
@@ -24,10 +24,10 @@
   typesNamed,
   valueOf,
   type Records,
-} from './world/older-records.js';
-import { OLDER } from './world/older-versions.js';
-import { writtenByProduction } from './world/production-chunks.js';
-import { TYPES } from './world/settings.js';
+} from '../world/older-records.js';
+import { OLDER } from '../world/older-versions.js';
+import { writtenByProduction } from '../world/production-chunks.js';
+import { TYPES } from '../world/settings.js';
 
 interface ReadRow {
   name: string;
@@ -159,7 +159,7 @@
       const [[key = '', value] = []] = Object.entries(records);
       for (const state of ['rented', 'drain', 'gone', null]) {
         const held = state === null ? [] : [{ key, value: { ...(value as object), state } }];
-        const world = await loneShard({ held });
+        const world = await shardFixture({ held });
         world.heartbeat();
         await world.reconcile();
         const placed = Object.keys(world.stored()?.live ?? {}).length;
@@ -177,7 +177,7 @@
     },
     check: async (records) => {
       const held = Object.entries(records).map(([key, value]) => ({ key, value }));
-      const world = await loneShard({ held });
+      const world = await shardFixture({ held });
       const from = world.state.log.length;
       world.heartbeat({ machine: 'm-4' });
       await world.reconcile(8000);
--- a/test/upgrade-peers.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import protobuf from 'protobufjs';
-import { decodePeer, encodePeer, type PeerMessage } from '../src/protocol/peer-messages.js';
+import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
 
 /*
  * The frames between nodes as older versions read and write them. Both versions have no schema file:
--- a/test/upgrade-objections.test.ts
+++ b/test/upgrade/reader-checks.test.ts
@@ -1,10 +1,10 @@
 /** The checks that stand for the readers of older versions tell broken records apart. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOB, SPEC } from './world/lone.js';
-import { OLDER } from './world/older-versions.js';
-import { TYPES } from './world/settings.js';
-import { ASSIGNMENT } from './world/readable.js';
+import { JOB, SPEC } from '../world/shard-fixture.js';
+import { OLDER } from '../world/older-versions.js';
+import { TYPES } from '../world/settings.js';
+import { ASSIGNMENT } from '../world/older-readability.js';
 
 const ROLE = { owner: 'n0', incarnation: 'n0-1', term: 1, movedAt: 0 };
 const ARM = {
--- a/test/upgrade.test.ts
+++ b/test/upgrade/upgrade.test.ts
@@ -12,13 +12,13 @@
   nodeKey,
   roleKey,
   statusKey,
-} from '../src/storage/keys.js';
-import type { AssignmentRecord, StatusRecord } from '../src/storage/records.js';
-import type { Settings } from '../src/protocol/settings.js';
-import { SPEC } from './world/lone.js';
-import type { SimJob } from './world/jobs.js';
-import { TYPES } from './world/settings.js';
-import { World } from './world/world.js';
+} from '../../src/storage/keys.js';
+import type { AssignmentRecord, StatusRecord } from '../../src/storage/records.js';
+import type { Settings } from '../../src/protocol/settings.js';
+import { SPEC } from '../world/shard-fixture.js';
+import type { SimJob } from '../world/jobs.js';
+import { TYPES } from '../world/settings.js';
+import { World } from '../world/world.js';
 
 /*
  * What the version before this one takes of each record, as it reads it: it checks nothing, so a
--- a/test/upgrade-writes.test.ts
+++ b/test/upgrade/written-records.test.ts
@@ -4,15 +4,15 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { writeCatalog } from '../src/storage/catalog.js';
-import { SimClock } from './world/clock.js';
-import { JOB, loneShard } from './world/lone.js';
-import { followingReplica } from './world/replica.js';
-import { SimState } from './world/state.js';
-import { TYPES } from './world/settings.js';
-import type { Records } from './world/older-records.js';
-import { ASSIGNMENT, assertReadable, type Written } from './world/readable.js';
-import { World } from './world/world.js';
+import { writeCatalog } from '../../src/storage/catalog.js';
+import { SimClock } from '../world/clock.js';
+import { JOB, shardFixture } from '../world/shard-fixture.js';
+import { followingReplica } from '../world/replica.js';
+import { SimKeyValueStore } from '../world/key-value-store.js';
+import { TYPES } from '../world/settings.js';
+import type { Records } from '../world/older-records.js';
+import { ASSIGNMENT, assertReadable, type Written } from '../world/older-readability.js';
+import { World } from '../world/world.js';
 
 /** A key without what differs from one record of its kind to the next. */
 const kindOf = (key: string): string =>
@@ -69,7 +69,7 @@
     kinds: ['mb/live/chunk'],
     write: async () => {
       const share = { ...ASSIGNMENT, done: '', attempt: 7 };
-      const world = await loneShard({
+      const world = await shardFixture({
         spec: { kind: 'gang', tasks: 4 },
         held: [
           { key: `mb/live/chunk/p/${JOB}/1`, value: { ...share, ids: '0-1', live: {} } },
@@ -124,7 +124,7 @@
         Array.from({ length: 90 }, (_, at) => [`m-${1000 + at}`, ['small', 'a', 0, 'ok']]),
       );
       const held = [{ key: 'mb/live/status/p/0', value: { machines } }];
-      const world = await loneShard({ valueBytes: 1024, held });
+      const world = await shardFixture({ valueBytes: 1024, held });
       const from = world.state.log.length;
       world.heartbeat();
       await world.reconcile(20_000);
@@ -145,7 +145,7 @@
     kinds: ['mb/live/catalog', 'mb/live/catalog/N'],
     write: async () => {
       const clock = new SimClock();
-      const state = new SimState(clock);
+      const state = new SimKeyValueStore(clock);
       const { replica } = followingReplica(clock, state, 100);
       await clock.run(500);
       const types = Array.from({ length: 30 }, (_, at) => ({
--- a/test/world/questions.ts
+++ b/test/world/answered-polls.ts
@@ -20,7 +20,7 @@
   private overAt: number | null = null;
 
   /** All troubles are over. */
-  troublesOver(at: number): void {
+  faultsOver(at: number): void {
     this.overAt = at;
   }
 
--- a/test/world/user-node.ts
+++ b/test/world/api-fixture.ts
@@ -7,7 +7,7 @@
 import { jobOf, submissionOf } from './jobs.js';
 import { followingReplica } from './replica.js';
 import { TEAMS, TYPES, silent } from './settings.js';
-import { SimState } from './state.js';
+import { SimKeyValueStore } from './key-value-store.js';
 
 /** What users may ask about a job. `malformed`, `unfit`: a repeat that lacks a field, or fits nowhere. */
 export const REQUESTS = ['poll', 'repeat', 'malformed', 'unfit', 'cancel'] as const;
@@ -28,13 +28,13 @@
   /** Requests and writes a second that this node may use. */
   rps?: number;
   /** Changes the state service before the node reads it. */
-  prepare?: (state: SimState) => void;
+  prepare?: (state: SimKeyValueStore) => void;
 }
 
 /** The handlers of users' requests of one node, whose replica follows the state service. */
 export async function userNode({ checkMs = 300, rps = 100, prepare }: UserNodeOptions = {}) {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   state.change([{ key: CATALOG, value: TYPES }]);
   prepare?.(state);
   const errors: string[] = [];
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -4,7 +4,7 @@
 import { OutcomeUnknownError } from '../../src/transport/http-client.js';
 import { TYPES } from './settings.js';
 import { SimWorker } from './worker.js';
-import type { Surroundings } from './surroundings.js';
+import type { SimulationHost } from './simulation-host.js';
 
 /** Machines that are rented, and the troubles that renting may have. */
 export class SimCloud {
@@ -19,7 +19,7 @@
   private readonly requests = new Map<string, string[]>();
   private machineCount = 0;
 
-  constructor(private readonly world: Surroundings) {}
+  constructor(private readonly world: SimulationHost) {}
 
   /** The cloud as a node sees it. */
   api(): CloudApi {
--- a/test/world/rule-case.ts
+++ b/test/world/fault-case.ts
@@ -48,7 +48,7 @@
   await trouble(world);
   const cancelled = await settled(world, world.cancel('j-000002'));
   assert.equal(stage(cancelled), 'withdrawn');
-  world.troublesOver();
+  world.faultsOver();
   await world.run(150);
   assert.deepEqual(world.broken, []);
   for (const id of ['j-000001', 'j-000003', 'j-000004']) {
--- a/test/world/sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -6,7 +6,7 @@
 import { World, type Members } from './world.js';
 
 /** A trouble of users who look closely. */
-export interface Trouble {
+export interface Fault {
   name: string;
   /** Begins the trouble, and ends it by the time that all are over. */
   begin: (world: World) => void;
@@ -23,7 +23,7 @@
   void world.clock.after(seconds * 1000, run);
 
 /** Each is played by the tests of forgotten jobs. */
-export const TROUBLES: Trouble[] = [
+export const FAULTS: Fault[] = [
   { name: 'none', begin: () => undefined },
   {
     name: 'watches of one node lag',
@@ -170,7 +170,7 @@
 };
 
 /** Plays a trouble by this seed: nothing may be forgotten, and every end stays. */
-export async function sweep({ begin }: Trouble, seed: number, size: Size): Promise<void> {
+export async function sweep({ begin }: Fault, seed: number, size: Size): Promise<void> {
   const world = new World(seed, size.members, {
     storeRps: size.rps,
     storeWriteRps: size.writeRps,
@@ -196,7 +196,7 @@
   begin(world);
   users.start();
   await world.run(ENDS_S + 5);
-  world.troublesOver();
+  world.faultsOver();
   await world.run(size.restS);
   assert.deepEqual(world.broken, []);
   assert.ok(users.accepted.length > jobs * 0.9, `${users.accepted.length} of ${jobs} accepted`);
--- a/test/world/gang.ts
+++ b/test/world/gang.ts
@@ -1,5 +1,5 @@
 import type { SimWorker, Task } from './worker.js';
-import type { Surroundings } from './surroundings.js';
+import type { SimulationHost } from './simulation-host.js';
 
 export const GANG_WAIT_S = 35;
 export const GANG_PEER_S = 8;
@@ -35,7 +35,7 @@
   private runs: Run[] = [];
   private ticking = false;
 
-  constructor(private readonly world: Surroundings) {}
+  constructor(private readonly world: SimulationHost) {}
 
   /** A task has its image and waits for the others of its attempt. */
   gather(worker: SimWorker, name: string, task: Task): void {
--- a/test/world/judge.ts
+++ b/test/world/invariant-checker.ts
@@ -1,10 +1,10 @@
 /** The judge of the simulated world: notes each breach of the rules. */
 import { stageOf, type Reply, type SimJob } from './jobs.js';
-import { Questions } from './questions.js';
+import { Questions } from './answered-polls.js';
 import { TEAMS } from './settings.js';
 import { WaitingJobs } from './waiting-jobs.js';
 import type { SimWorker } from './worker.js';
-import type { Surroundings } from './surroundings.js';
+import type { SimulationHost } from './simulation-host.js';
 
 /** What users ask of nodes. */
 export type RequestKind = 'submit' | 'cancel' | 'poll';
@@ -12,7 +12,7 @@
 const isEnd = (stage: string): boolean => stage === 'done' || stage === 'withdrawn';
 
 /** Judges what nodes tell users, and what runs where. */
-export class Judge {
+export class InvariantChecker {
   /** Each breach of a rule, and by what. */
   readonly broken: string[] = [];
   /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
@@ -25,7 +25,7 @@
   private readonly questions = new Questions();
   private readonly waitingJobs: WaitingJobs;
 
-  constructor(private readonly world: Surroundings) {
+  constructor(private readonly world: SimulationHost) {
     this.waitingJobs = new WaitingJobs(world, this);
   }
 
@@ -40,10 +40,10 @@
   }
 
   /** All troubles are over: from now on each job is answered for, and none waits without need. */
-  troublesOver(): void {
+  faultsOver(): void {
     const now = this.world.clock.now();
-    this.questions.troublesOver(now);
-    this.waitingJobs.troublesOver();
+    this.questions.faultsOver(now);
+    this.waitingJobs.faultsOver();
   }
 
   private noteQuestion(kind: RequestKind, id: string, isAnswered: boolean): void {
--- a/test/world/state.ts
+++ b/test/world/key-value-store.ts
@@ -21,7 +21,7 @@
 }
 
 /** A stand-in for the state service: consistent, with leases, watches, outages and late requests. */
-export class SimState {
+export class SimKeyValueStore {
   readonly cells = new Map<string, Cell>();
   readonly log: { key: string; value: unknown; revision: number; removed: boolean }[] = [];
   private readonly leases = new Map<number, { ttl: number; ends: number }>();
@@ -124,7 +124,7 @@
   }
 
   /** The log is in the order of revisions; what a watch has not heard of is at its end. */
-  private eventsSince(since: number): SimState['log'] {
+  private eventsSince(since: number): SimKeyValueStore['log'] {
     let first = this.log.length;
     while (first > 0 && (this.log[first - 1]?.revision ?? 0) > since) first--;
     return this.log.slice(first);
--- a/test/world/readable.ts
+++ b/test/world/older-readability.ts
@@ -1,10 +1,10 @@
 /** Records of this version as older ones need them. */
 import assert from 'node:assert/strict';
 import { OLDER } from './older-versions.js';
-import type { SimState } from './state.js';
+import type { SimKeyValueStore } from './key-value-store.js';
 
 /** What the state service was told, in order. */
-export type Written = SimState['log'];
+export type Written = SimKeyValueStore['log'];
 
 /** Both older versions read all that was written. */
 export function assertReadable(log: Written): void {
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -1,9 +1,9 @@
 /** Records that older versions have left, and nodes that start with them. */
 import type { StoreReplica } from '../../src/storage/store-replica.js';
 import { SimClock } from './clock.js';
-import { JOB } from './lone.js';
+import { JOB } from './shard-fixture.js';
 import { followingReplica } from './replica.js';
-import { SimState } from './state.js';
+import { SimKeyValueStore } from './key-value-store.js';
 import { TYPES } from './settings.js';
 import { World } from './world.js';
 
@@ -14,13 +14,13 @@
 export const LATER = { later: { added: [1] } };
 
 /** Stores records as they are. */
-export const put = (state: SimState, records: Records): void =>
+export const put = (state: SimKeyValueStore, records: Records): void =>
   state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
 
 /** What a node holds of these records. */
 export async function replicaOf(records: Records): Promise<StoreReplica> {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   put(state, records);
   const { replica } = followingReplica(clock, state, 1000);
   await clock.run(500);
@@ -38,7 +38,8 @@
 }
 
 /** The value that a key has now. */
-export const valueOf = <T>(state: SimState, key: string): T => state.cells.get(key)?.value as T;
+export const valueOf = <T>(state: SimKeyValueStore, key: string): T =>
+  state.cells.get(key)?.value as T;
 
 /** A job's spec as older versions store it. */
 export const SPEC = {
--- a/test/world/meeting.ts
+++ b/test/world/overlapping-faults.ts
@@ -101,7 +101,7 @@
   for (const zone of zones) world.addMachine('small', zone, false, 500);
   await world.run(7);
   await script(world);
-  world.troublesOver();
+  world.faultsOver();
   await world.run(restS);
   t.diagnostic(`starts after a confirmed cancellation: ${world.startsAfterCancel.length}`);
   assert.deepEqual(world.broken, []);
--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -4,7 +4,7 @@
 import { StoreReplica } from '../../src/storage/store-replica.js';
 import type { SimClock } from './clock.js';
 import { silent } from './settings.js';
-import type { SimState } from './state.js';
+import type { SimKeyValueStore } from './key-value-store.js';
 
 /** Node that the replica is of. */
 const NODE = 'p';
@@ -13,7 +13,12 @@
  * A replica that follows the state service, with all it is made of; `rps`: requests and writes a
  * second. It holds what is stored once simulated time has run on a little.
  */
-export function followingReplica(clock: SimClock, state: SimState, rps: number, log: Log = silent) {
+export function followingReplica(
+  clock: SimClock,
+  state: SimKeyValueStore,
+  rps: number,
+  log: Log = silent,
+) {
   const api = state.api(NODE);
   const limiter = new RateLimiter(clock, { rps, writeRps: rps, transactionOps: 8 });
   const store = { api, limiter, clock, log, random: () => 0.5 };
--- a/test/world/lone.ts
+++ b/test/world/shard-fixture.ts
@@ -7,7 +7,7 @@
 import type { Command, JobSpec, TaskStatus, Heartbeat } from '../../src/protocol/model.js';
 import { SimClock } from './clock.js';
 import { followingReplica } from './replica.js';
-import { SimState } from './state.js';
+import { SimKeyValueStore } from './key-value-store.js';
 import { TYPES, silent } from './settings.js';
 
 /** The only job there is from the start. */
@@ -57,7 +57,7 @@
 export const GANG_SHARE: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
 /** What differs from the default: one task of one job, with room for all changes at once. */
-interface LoneShardOptions {
+interface ShardFixtureOptions {
   /** A former owner placed the task. */
   placed?: boolean;
   spec?: Partial<JobSpec>;
@@ -74,7 +74,7 @@
 }
 
 /** Stores what is there from the start: the role, the catalogue, a job and its only chunk. */
-function fill(state: SimState, clock: SimClock, options: LoneShardOptions): void {
+function fill(state: SimKeyValueStore, clock: SimClock, options: ShardFixtureOptions): void {
   const assignment: AssignmentRecord = {
     ids: options.ids ?? '0',
     done: options.done ?? '',
@@ -102,9 +102,9 @@
 }
 
 /** One part on its own, with its state service. */
-export async function loneShard(options: LoneShardOptions = {}) {
+export async function shardFixture(options: ShardFixtureOptions = {}) {
   const clock = new SimClock();
-  const state = new SimState(clock);
+  const state = new SimKeyValueStore(clock);
   fill(state, clock, options);
   state.transactionOps = options.transactionOps ?? 8;
   state.valueBytes = options.valueBytes ?? 8192;
@@ -213,7 +213,7 @@
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
 
 /** A part on its own, and what a test sees and does of it. */
-export type LoneShard = Awaited<ReturnType<typeof loneShard>>;
+export type ShardFixture = Awaited<ReturnType<typeof shardFixture>>;
 
 /** A report of machine m-1, the first of its first session unless told otherwise. */
 export const heartbeatOf = (change: Partial<Heartbeat>): Heartbeat => ({
--- a/test/world/surroundings.ts
+++ b/test/world/simulation-host.ts
@@ -12,7 +12,7 @@
 }
 
 /** The world around workers, cloud and judge. */
-export interface Surroundings {
+export interface SimulationHost {
   readonly clock: Clock;
   readonly members: readonly (readonly [string, string])[];
   readonly nodes: ReadonlyMap<string, HeartbeatTarget>;
--- a/test/world/suspicion.ts
+++ b/test/world/suspicion.ts
@@ -68,7 +68,7 @@
   world.settingsFor = () => WATCHFUL;
   for (const [node] of world.members) if (!world.nodes.has(node)) world.boot(node);
   await world.run(25);
-  world.troublesOver();
+  world.faultsOver();
   await world.run(60);
   assert.deepEqual(world.broken, []);
   const { body } = await world.poll('j-000001', 'n0');
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -1,9 +1,9 @@
 /** Finds jobs that wait though a machine has room for them and their team is under its limit. */
 import type { SimJob } from './jobs.js';
-import type { Judge } from './judge.js';
+import type { InvariantChecker } from './invariant-checker.js';
 import { TEAMS, TYPES } from './settings.js';
 import type { SimWorker } from './worker.js';
-import type { Surroundings } from './surroundings.js';
+import type { SimulationHost } from './simulation-host.js';
 
 /** ms for which a job may wait in front of free machines. */
 const WAIT_MS = 90_000;
@@ -21,12 +21,12 @@
   private readonly since = new Map<string, number>();
 
   constructor(
-    private readonly world: Surroundings,
-    private readonly judge: Pick<Judge, 'accepted' | 'told'>,
+    private readonly world: SimulationHost,
+    private readonly invariants: Pick<InvariantChecker, 'accepted' | 'told'>,
   ) {}
 
   /** From now on no job may wait without need. */
-  troublesOver(): void {
+  faultsOver(): void {
     this.isWatching = true;
   }
 
@@ -36,7 +36,7 @@
     const now = this.world.clock.now();
     const running = this.running();
     const breaches: string[] = [];
-    for (const id of this.judge.accepted) {
+    for (const id of this.invariants.accepted) {
       const job = this.world.jobs.get(id);
       if (!job || !this.waits(id, job, running)) {
         this.since.delete(id);
@@ -68,7 +68,7 @@
 
   /** Nothing of the job runs or is done, and a task of it could run at once. */
   private waits(id: string, job: SimJob, running: Running): boolean {
-    if (job.cancelledAt !== null || this.judge.told.has(id) || job.broken) return false;
+    if (job.cancelledAt !== null || this.invariants.told.has(id) || job.broken) return false;
     if ((running.tasks.get(id) ?? 0) > 0 || this.isBegun(id, job)) return false;
     const most = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
     const needed = job.cpus * (job.gang ? job.tasks : 1);
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -2,7 +2,7 @@
 import type { SimJob } from './jobs.js';
 import { TYPES } from './settings.js';
 import { bodyOf, type Answer, type WireAnswer, type WireCommand } from './worker-wire.js';
-import type { Surroundings } from './surroundings.js';
+import type { SimulationHost } from './simulation-host.js';
 
 export interface Task {
   attempt: number;
@@ -51,7 +51,7 @@
   private hungUntil = 0;
 
   constructor(
-    private readonly world: Surroundings,
+    private readonly world: SimulationHost,
     readonly machine: {
       name: string;
       address: string;
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -12,18 +12,18 @@
 import { SimCloud } from './cloud.js';
 import { SimGangs } from './gang.js';
 import { jobOf, submissionOf, unwrap, type Reply, type SimJob } from './jobs.js';
-import { Judge, type RequestKind } from './judge.js';
+import { InvariantChecker, type RequestKind } from './invariant-checker.js';
 import { environmentOf } from './environment.js';
 import { settingsOf, silent } from './settings.js';
-import { SimState } from './state.js';
-import type { Surroundings } from './surroundings.js';
+import { SimKeyValueStore } from './key-value-store.js';
+import type { SimulationHost } from './simulation-host.js';
 import type { SimWorker } from './worker.js';
 
 /** Names and zones of the nodes. */
 export type Members = [string, string][];
 
 /** Controllers, workers, cloud and state service in simulated time, and a judge of the rules. */
-export class World implements Surroundings {
+export class World implements SimulationHost {
   readonly clock = new SimClock();
   readonly state;
   readonly cloud = new SimCloud(this);
@@ -52,7 +52,7 @@
   /** ms that messages between nodes and workers take each way. */
   linkMs = 1;
   readonly workerLeaseMs = 24_000;
-  private readonly judge = new Judge(this);
+  private readonly invariants = new InvariantChecker(this);
   /** What waits for nodes that stand still. */
   private readonly frozen = new Map<string, (() => void)[]>();
   private incarnations = 0;
@@ -71,7 +71,7 @@
   ) {
     this.logOf = logOf;
     this.random = xoroshiro128plus(seed);
-    this.state = new SimState(this.clock, seed);
+    this.state = new SimKeyValueStore(this.clock, seed);
     for (const [name] of members) this.boot(name);
   }
 
@@ -216,7 +216,7 @@
 
   /** Asks a node to cancel a job. */
   cancel(id: string, at = 'n0'): Promise<Reply> {
-    this.judge.cancelRequested(id);
+    this.invariants.cancelRequested(id);
     return this.request('cancel', id, null, at);
   }
 
@@ -228,7 +228,7 @@
   private request(kind: RequestKind, id: string, body: string | null, at: string): Promise<Reply> {
     const node = this.nodes.get(at)?.node;
     if (!node) {
-      this.judge.unanswered(kind, id);
+      this.invariants.unanswered(kind, id);
       return Promise.resolve({ status: 0, body: null });
     }
     const requestedAt = this.clock.now();
@@ -236,7 +236,7 @@
       this.at(at, () => {
         void node.serve(kind, kind === 'submit' ? '' : id, body).then((raw) => {
           const reply = this.tamper(kind, id, unwrap(raw));
-          this.judge.replied(kind, id, requestedAt, reply);
+          this.invariants.replied(kind, id, requestedAt, reply);
           resolve(reply);
         });
       });
@@ -247,39 +247,39 @@
 
   /** Each breach of a rule. */
   get broken(): string[] {
-    return this.judge.broken;
+    return this.invariants.broken;
   }
 
   /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
   get startsAfterCancel(): string[] {
-    return this.judge.startsAfterCancel;
+    return this.invariants.startsAfterCancel;
   }
 
   /** Jobs that a node called accepted. */
   get accepted(): Set<string> {
-    return this.judge.accepted;
+    return this.invariants.accepted;
   }
 
   /** The ends that nodes told of jobs, with the time. */
   get told(): Map<string, { stage: string; at: number }> {
-    return this.judge.told;
+    return this.invariants.told;
   }
 
   /** Tells the judge that all troubles are over. */
-  troublesOver(): void {
-    this.judge.troublesOver();
+  faultsOver(): void {
+    this.invariants.faultsOver();
   }
 
   /** Called when all tasks of a gang run. */
   gangStarted(id: string, attempt: number): void {
     this.gangStarts.push({ job: id, attempt, at: this.clock.now() });
-    this.judge.gangStarted(id, attempt);
+    this.invariants.gangStarted(id, attempt);
   }
 
   /** Called by a worker when a task gets on its machine. */
   started(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name, at: this.clock.now() });
-    this.judge.started(worker, task);
+    this.invariants.started(worker, task);
   }
 
   /** Runs on, judging as it goes. */
@@ -287,7 +287,7 @@
     const until = this.clock.now() + seconds * 1000;
     while (this.clock.now() < until) {
       await this.clock.run(Math.min(until, this.clock.now() + 1000));
-      this.judge.check(50);
+      this.invariants.check(50);
     }
   }
 }
