--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,5 @@
-import { existsSync } from 'node:fs';
+import { createTypeScriptImportResolver } from 'eslint-import-resolver-typescript';
+import { importX } from 'eslint-plugin-import-x';
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
@@ -10,19 +11,30 @@
 };
 
 /**
- * Files that are not yet in line with a rule, by rule. This list only ever shrinks: a new file
- * keeps all rules, and a file that was brought in line is taken off.
+ * Within the coordination layer, imports go one way too: each folder lists the folders that it may
+ * import, beside the layers below.
  */
-const exceptions = {
-  'max-lines': ['src/constants.ts'],
+const coordination = {
+  election: [],
+  'failure-detection': ['election'],
+  capacity: ['election'],
+  'shard-state': ['capacity', 'election'],
+  scheduling: ['shard-state', 'capacity', 'election'],
+  shard: ['scheduling', 'shard-state', 'capacity', 'election'],
+  leader: ['capacity', 'election'],
+  autoscaling: ['capacity', 'election'],
+  api: [],
+  controller: [
+    'api',
+    'autoscaling',
+    'capacity',
+    'election',
+    'failure-detection',
+    'leader',
+    'shard',
+  ],
 };
 
-for (const file of Object.values(exceptions).flat()) {
-  if (!existsSync(new URL(file, import.meta.url))) {
-    throw new Error(`eslint.config.js: the list of exceptions names ${file}, which is not there`);
-  }
-}
-
 /** Each module begins with a doc comment of its own, apart from that of its first declaration. */
 const moduleComment = {
   meta: { type: 'suggestion', messages: { missing: 'Module has no doc comment at its top.' } },
@@ -48,14 +60,33 @@
 
 export default tseslint.config(
   { ignores: ['**/target/', '**/node_modules/'] },
-  ...tseslint.configs.recommended,
+  ...tseslint.configs.recommendedTypeChecked,
   {
     files: ['**/*.ts'],
     languageOptions: {
       parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname },
     },
     linterOptions: { reportUnusedDisableDirectives: 'error' },
+    plugins: { 'import-x': importX },
+    settings: {
+      'import-x/extensions': ['.ts'],
+      'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
+      'import-x/resolver-next': [createTypeScriptImportResolver()],
+    },
     rules: {
+      'import-x/no-cycle': 'error',
+      'no-useless-rename': 'error',
+      'object-shorthand': ['error', 'properties'],
+      '@typescript-eslint/naming-convention': [
+        'error',
+        { selector: 'default', format: ['camelCase'], leadingUnderscore: 'allow' },
+        { selector: 'variable', format: ['camelCase', 'UPPER_CASE'], leadingUnderscore: 'allow' },
+        { selector: 'import', format: ['camelCase', 'PascalCase'] },
+        { selector: 'typeLike', format: ['PascalCase'] },
+        // Names of files, of the wire and of tables of cases stand as they are there.
+        { selector: ['objectLiteralProperty', 'typeProperty', 'classProperty'], format: null },
+        { selector: 'variable', modifiers: ['destructured'], format: null },
+      ],
       '@typescript-eslint/consistent-type-imports': 'error',
       '@typescript-eslint/no-floating-promises': [
         'error',
@@ -124,5 +155,17 @@
       'no-restricted-imports': ['error', { patterns: [{ regex: '^(\\.\\./){2,}' }] }],
     },
   },
-  ...Object.entries(exceptions).map(([rule, files]) => ({ files, rules: { [rule]: 'off' } })),
+  ...Object.entries(coordination).map(([folder, lowers]) => ({
+    files: [`src/coordination/${folder}/**/*.ts`],
+    rules: {
+      'no-restricted-imports': [
+        'error',
+        {
+          patterns: Object.keys(coordination)
+            .filter((other) => other !== folder && !lowers.includes(other))
+            .map((other) => ({ group: [`**/${other}/*`] })),
+        },
+      ],
+    },
+  })),
 );
--- a/packages/detection-report/src/report.ts
+++ b/packages/detection-report/src/report.ts
@@ -38,7 +38,7 @@
     const { document } = parseHTML(
       '<!doctype html><html lang="en"><head></head><body></body></html>',
     );
-    this.document = document as unknown as Document;
+    this.document = document;
     this.document.title = TITLE;
     const charset = this.add(this.document.head, 'meta', null);
     charset.setAttribute('charset', 'utf-8');
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -4,7 +4,7 @@
 import { writeFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { compress, readHistories, reportOf } from '@mothbank/detection-report';
-import { VERSION } from './constants.js';
+import { VERSION } from './constants/program.js';
 
 /** Exit code for a command line that can't be used. */
 const EXIT_USAGE = 2;
--- /dev/null
+++ b/src/constants/protocol.ts
@@ -0,0 +1,31 @@
+/** Constants, each with unit and reason. Bounds that the protocol and the settings give. */
+
+/** Bytes; the protocol's limit for a request body. */
+export const MAX_BODY_BYTES = 64 * 1024;
+
+/** Tasks; the protocol's limit for one job. */
+export const MAX_TASKS = 100_000;
+
+/** Ratio; the protocol's bound for the drift between two steady clocks, doubled for two of them. */
+export const CLOCK_DRIFT = 0.001;
+
+/** Machines; the protocol's limit for one rental request. */
+export const RENT_MAX = 50;
+
+/** Machines; the protocol's limit for one return request. */
+export const RETURN_MAX = 100;
+
+/** Machines; the protocol's limit for one page of the machine list. */
+export const LIST_PAGE = 500;
+
+/** Guards for each put that the state service allows in one transaction. */
+export const GUARDS_PER_OP = 4;
+
+/** Bytes; a transaction may hold 64 KiB; the rest is room for names and punctuation. */
+export const TRANSACTION_BYTES = 56 * 1024;
+
+/** KiB; with smaller values a chunk of a few tasks, or a job, could not be stored. */
+export const VALUE_KB_LEAST = 0.5;
+
+/** Bytes of a failure detector's message: eight rumours with the longest names; more is dropped. */
+export const DETECTOR_BYTES = 8 * 1024;
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -1,5 +1,5 @@
 /** Cancels jobs: the final record takes the place of the job's record in one transaction. */
-import { POLL_LIMIT_MS, SUBMIT_LIMIT_MS } from '../../constants.js';
+import { POLL_LIMIT_MS, SUBMIT_LIMIT_MS } from '../../constants/api.js';
 import { isJobId } from '../../protocol/user-codec.js';
 import type { CommitResult, Committer } from '../../storage/committer.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
--- a/src/coordination/api/job-answers.ts
+++ b/src/coordination/api/job-answers.ts
@@ -2,7 +2,7 @@
  * What the handlers of users' requests share: the result of a job lookup, and the HTTP replies that
  * more than one of them gives.
  */
-import { RETRY_AFTER_S } from '../../constants.js';
+import { RETRY_AFTER_S } from '../../constants/api.js';
 import type { JobState } from '../../protocol/model.js';
 import { encodeJobState } from '../../protocol/user-codec.js';
 import type { FinalRecord } from '../../storage/records.js';
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -2,7 +2,8 @@
  * Checks of jobs with the state service: many jobs share one comparing transaction, whose guards
  * fail for those that are no longer as the replica has them.
  */
-import { CHECK_QUEUE, GROUP_COMMIT_MS, GUARDS_PER_OP, REREADS_AT_ONCE } from '../../constants.js';
+import { CHECK_QUEUE, GROUP_COMMIT_MS, REREADS_AT_ONCE } from '../../constants/api.js';
+import { GUARDS_PER_OP } from '../../constants/protocol.js';
 import {
   StoreRejectedError,
   type Guard,
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -1,5 +1,5 @@
 /** Queries for the state of a job: users' polls, and what submissions ask first. */
-import { POLL_LIMIT_MS, WATCHED_MS } from '../../constants.js';
+import { POLL_LIMIT_MS, WATCHED_MS } from '../../constants/api.js';
 import { encodeJobView, isJobId } from '../../protocol/user-codec.js';
 import { jobKey } from '../../storage/keys.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -4,8 +4,8 @@
   SUBMIT_BYTES,
   SUBMIT_LIMIT_MS,
   SUBMIT_QUEUE,
-  TRANSACTION_BYTES,
-} from '../../constants.js';
+} from '../../constants/api.js';
+import { TRANSACTION_BYTES } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import { bytesOf, type CommitResult, type Committer } from '../../storage/committer.js';
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -1,5 +1,5 @@
 /** Answers submissions: a known id first, then what can't be accepted, then the commit. */
-import { POLL_LIMIT_MS } from '../../constants.js';
+import { POLL_LIMIT_MS } from '../../constants/api.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import { parseJson, parseSubmission, submissionId } from '../../protocol/user-codec.js';
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
 /** The leader's periodic management of rented machines. */
-import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../../constants.js';
+import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../../constants/autoscaling.js';
 import { CATALOG } from '../../storage/keys.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { Backoff } from '../../transport/backoff.js';
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,5 +1,5 @@
 /** What the steps of a fleet round share: settings, services and the limits on requests. */
-import { CLOUD_SHARE } from '../../constants.js';
+import { CLOUD_SHARE } from '../../constants/autoscaling.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -1,5 +1,10 @@
 /** Computes for which tasks, and for how many CPUs, the present machines do not suffice. */
-import { COMING_SHARE, ESTIMATE_MARGIN, LATE_BOOTS, RUNNING_LEFT_S } from '../../constants.js';
+import {
+  COMING_SHARE,
+  ESTIMATE_MARGIN,
+  LATE_BOOTS,
+  RUNNING_LEFT_S,
+} from '../../constants/autoscaling.js';
 import { rankOf, type JobSpec, type MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
 
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -1,5 +1,6 @@
 /** Stores the cloud's machine types in the state service and brings them up to date periodically. */
-import { CATALOG_PERIOD_MS, TRANSACTION_BYTES } from '../../constants.js';
+import { CATALOG_PERIOD_MS } from '../../constants/autoscaling.js';
+import { TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { writeCatalog } from '../../storage/catalog.js';
 import { CATALOG } from '../../storage/keys.js';
 import type { Change } from '../../protocol/key-value-store.js';
@@ -16,15 +17,8 @@
    * in order and stops at the first failure.
    */
   async run(): Promise<void> {
-    const {
-      clock,
-      cloud,
-      cloudRequests,
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      replica,
-      valueBytes,
-      writer,
-    } = this.context;
+    const { clock, cloud, cloudRequests, rejectedChangeBackoff, replica, valueBytes, writer } =
+      this.context;
     const now = clock.now();
     if (now - this.refreshedAt < CATALOG_PERIOD_MS || !cloudRequests.trySpend()) return;
     const types = await cloud.types();
@@ -43,7 +37,7 @@
 
   /** Divides the changes, in their order, among transactions within the service's limits. */
   private transactions(changes: readonly Change[]): Change[][] {
-    const { transactionOps: transactionOps, valueBytes } = this.context;
+    const { transactionOps, valueBytes } = this.context;
     const changesPerTransaction = Math.min(
       transactionOps,
       Math.max(1, Math.floor(TRANSACTION_BYTES / valueBytes)),
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -1,5 +1,5 @@
 /** What is kept free for work to come: none once there has been no work for a while. */
-import { HEADROOM_QUIET_MS } from '../../constants.js';
+import { HEADROOM_QUIET_MS } from '../../constants/autoscaling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -4,7 +4,7 @@
   SILENT_RETURN_PERIOD_MS,
   SILENT_RETURN_SHARE,
   SILENT_SETTLE_MS,
-} from '../../constants.js';
+} from '../../constants/autoscaling.js';
 import type { Clock } from '../../transport/clock.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -1,5 +1,5 @@
 /** Drains machines that are faulty, or idle and not needed. */
-import { IDLE_KEEP_MOST } from '../../constants.js';
+import { IDLE_KEEP_MOST } from '../../constants/autoscaling.js';
 import type { MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity } from '../capacity/machine-capacity.js';
 import { neededCpus } from './capacity-demand.js';
@@ -20,7 +20,7 @@
 
   /** Records faulty machines and unneeded idle ones as draining. */
   async drain(snapshot: FleetSnapshot): Promise<void> {
-    const { rejectedChangeBackoff: rejectedChangeBackoff, log } = this.context;
+    const { rejectedChangeBackoff, log } = this.context;
     const faulty = snapshot.machines.filter((machine) => machine.health === 'faulty');
     const unneeded = this.unneededMachines(snapshot);
     const due = [...faulty, ...unneeded].filter(
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -1,5 +1,5 @@
 /** Writes the stored records of machines: their state, and the removal of old records. */
-import { GONE_KEEP_MS } from '../../constants.js';
+import { GONE_KEEP_MS } from '../../constants/autoscaling.js';
 import { MACHINES, machineKey } from '../../storage/keys.js';
 import type { MachineRecord, MachineState } from '../../storage/records.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
@@ -25,11 +25,7 @@
     machines: readonly MachineIdentity[],
     state: MachineState,
   ): Promise<RecordOutcome> {
-    const {
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      transactionOps: transactionOps,
-      writer,
-    } = this.context;
+    const { rejectedChangeBackoff, transactionOps, writer } = this.context;
     const due = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
     const names = due.map((machine) => machine.name);
     let start = 0;
@@ -70,13 +66,7 @@
    * any more. `listed`: the names in the newest list.
    */
   async removeOld(listed: ReadonlySet<string>): Promise<void> {
-    const {
-      clock,
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      replica,
-      transactionOps: transactionOps,
-      writer,
-    } = this.context;
+    const { clock, rejectedChangeBackoff, replica, transactionOps, writer } = this.context;
     const wall = clock.wall();
     const changes: Change[] = [];
     const guards: Guard[] = [];
--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -1,5 +1,5 @@
 /** What the cloud offers for rent: machine types by zone, ordinary or spot. */
-import { NO_CAPACITY_PAUSE_MS } from '../../constants.js';
+import { NO_CAPACITY_PAUSE_MS } from '../../constants/autoscaling.js';
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { fitCount, isEligible } from '../capacity/machine-capacity.js';
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,5 +1,6 @@
 /** Returns machines to the cloud: drained, stuck in booting, failed and silent ones. */
-import { RETURN_MAX, STUCK_BOOTS, STUCK_LEAST_MS } from '../../constants.js';
+import { STUCK_BOOTS, STUCK_LEAST_MS } from '../../constants/autoscaling.js';
+import { RETURN_MAX } from '../../constants/protocol.js';
 import { MACHINES } from '../../storage/keys.js';
 import type { MachineRecord } from '../../storage/records.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
@@ -46,7 +47,7 @@
 
   /** Machines that may be returned now. */
   private dueMachines(snapshot: FleetSnapshot): RecordedMachine[] {
-    const { rejectedChangeBackoff: rejectedChangeBackoff, replica } = this.context;
+    const { rejectedChangeBackoff, replica } = this.context;
     const isOccupied = this.occupiedMachines();
     const stuck = this.stuckMachines(snapshot);
     const due: RecordedMachine[] = [];
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,5 +1,6 @@
 /** Plans how many machines of which offers to rent for given tasks and for the headroom. */
-import { PREEMPTIBLE_SHARE, RENT_MAX } from '../../constants.js';
+import { PREEMPTIBLE_SHARE } from '../../constants/autoscaling.js';
+import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
   fitCount,
@@ -109,7 +110,7 @@
       if (!machine.spot)
         cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_SHARE;
     }
-    for (const { offer, capacities: capacities } of this.planned.values()) {
+    for (const { offer, capacities } of this.planned.values()) {
       if (offer.spot) continue;
       for (const capacity of capacities) cpus += Math.max(0, capacity.cpus);
     }
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -1,5 +1,5 @@
 /** Rents machines for work that the present machines can't finish in time, and for the headroom. */
-import { RENT_MAX } from '../../constants.js';
+import { RENT_MAX } from '../../constants/protocol.js';
 import type { RentResult } from '../../protocol/cloud-api.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 import { missingGangCapacity } from '../capacity/gang-capacity.js';
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -1,6 +1,6 @@
 /** The leader's running sums over all chunks. */
 
-import { ACCOUNTING_REBUILD_MS } from '../../constants.js';
+import { ACCOUNTING_REBUILD_MS } from '../../constants/capacity.js';
 import { ASSIGNMENTS, JOBS } from '../../storage/keys.js';
 import type { AssignmentSummary } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -132,7 +132,7 @@
 
   /** Adds what a chunk counts for, or subtracts it. */
   private count(entry: Entry, sign: 1 | -1): void {
-    const { assignment: assignment, ending } = entry;
+    const { assignment, ending } = entry;
     this.countTeam(assignment, sign);
     this.countJob(assignment, sign);
     if (ending > 0) {
@@ -160,7 +160,7 @@
 
   private countTask(
     machine: string,
-    { assignment: assignment, isLowPriority: low, isArray: array }: Entry,
+    { assignment, isLowPriority: low, isArray: array }: Entry,
     sign: 1 | -1,
   ): void {
     const placed = this.machines.get(machine) ?? emptyMachineUsage();
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -1,6 +1,6 @@
 /** Capacity for gangs that have not come yet: which machines are reserved, and what the fleet lacks. */
 
-import { GANG_ENDING_SHARE } from '../../constants.js';
+import { GANG_ENDING_SHARE } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
   fitCount,
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -105,8 +105,8 @@
   mode: ReclaimMode,
 ): { cpus: number; memoryGb: number } {
   const {
-    preemptibleCpus: preemptibleCpus,
-    preemptibleMemoryGb: preemptibleMemoryGb,
+    preemptibleCpus,
+    preemptibleMemoryGb,
     arrayCpus: endingCpus,
     arrayMemoryGb: endingMemoryGb,
   } = machine;
--- a/src/coordination/capacity/recent-gangs.ts
+++ b/src/coordination/capacity/recent-gangs.ts
@@ -1,6 +1,6 @@
 /** The gangs that were submitted lately: the next ones may be like them. */
 
-import { GANGS_MS } from '../../constants.js';
+import { GANGS_MS } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { URGENT } from './priorities.js';
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -1,5 +1,5 @@
 /** Runs one kind of work periodically, and soon after it is woken. */
-import { LOOP_GATHER_MS, LOOP_MS, LOOP_REST } from '../../constants.js';
+import { LOOP_GATHER_MS, LOOP_MS, LOOP_REST } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 
@@ -60,7 +60,7 @@
     this.running = true;
     this.woken = false;
     this.scheduledSoon = false;
-    const { idleMs, log, name, reconcile: reconcile } = this.options;
+    const { idleMs, log, name, reconcile } = this.options;
     try {
       await reconcile();
     } catch (error) {
--- a/src/coordination/controller/controller-node.ts
+++ b/src/coordination/controller/controller-node.ts
@@ -6,7 +6,7 @@
   LOOP_MS,
   LOOP_REST,
   ROLES_MS,
-} from '../../constants.js';
+} from '../../constants/controller.js';
 import { ARMS, NODES, ROLES } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -94,7 +94,7 @@
       activeRoles,
       relay,
     });
-    const { userEndpoint: userEndpoint, heartbeatEndpoint: heartbeatEndpoint } = this;
+    const { userEndpoint, heartbeatEndpoint } = this;
     const { detection } = services;
     this.peerEndpoint = new PeerEndpoint({
       replica,
@@ -111,14 +111,15 @@
   /** Begins to follow the state service and to run the loops. */
   start(): void {
     void this.replica.follow();
-    const { fleet, leader, shards: shards, roles } = this.loops;
+    const { fleet, leader, shards, roles } = this.loops;
     for (const loop of [roles, shards, leader, fleet]) loop.schedule(0);
     this.detection?.start();
   }
 
   /** Ends the loops and the watch of the state service. */
   stop(): void {
-    for (const loop of Object.values(this.loops)) loop.stop();
+    const { fleet, leader, shards, roles } = this.loops;
+    for (const loop of [roles, shards, leader, fleet]) loop.stop();
     this.detection?.stop();
     this.replica.stop();
   }
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -1,11 +1,7 @@
 /** Creates the services that all modules of a node share, in the order of their dependencies. */
-import {
-  CHECK_SHARE,
-  WATCH_GRACE_SHARE,
-  WATCH_HOLD_MS,
-  WATCH_SHARE,
-  WATCH_SPACING_MS,
-} from '../../constants.js';
+import { CHECK_SHARE } from '../../constants/api.js';
+import { WATCH_GRACE_SHARE } from '../../constants/election.js';
+import { WATCH_HOLD_MS, WATCH_SHARE, WATCH_SPACING_MS } from '../../constants/storage.js';
 import { Committer } from '../../storage/committer.js';
 import type { Log } from '../../storage/log.js';
 import { RateLimiter } from '../../storage/rate-limiter.js';
@@ -151,16 +147,8 @@
 }
 
 function createUserRequests(services: RoleServices): UserRequests {
-  const {
-    committer,
-    environment,
-    limiter,
-    log,
-    holderNotifier: holderNotifier,
-    replica,
-    settings,
-    state,
-  } = services;
+  const { committer, environment, limiter, log, holderNotifier, replica, settings, state } =
+    services;
   return new UserRequests({
     teams: settings.teams,
     transactionOps: settings.transactionOps,
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -3,23 +3,22 @@
 import { randomUUID } from 'node:crypto';
 import type { Server } from 'node:http';
 import type net from 'node:net';
+import { RETRY_AFTER_S } from '../../constants/api.js';
 import {
-  CROWDED_SHARE,
   CLOUD_TIMEOUT_MS,
+  CROWDED_SHARE,
   DIRECT_AT_ONCE,
   DIRECT_SOCKETS,
-  FULL_SHARE,
   DIRECT_TIMEOUT_MS,
+  FULL_SHARE,
   KEEP_ALIVE_MS,
-  LIST_PAGE,
-  MAX_BODY_BYTES,
   PEER_FRAME_BYTES,
   PEER_RETRY_MS,
   RESERVED_SOCKETS,
-  RETRY_AFTER_S,
   STORE_SOCKETS,
-  STORE_TIMEOUT_MS,
-} from '../../constants.js';
+} from '../../constants/controller.js';
+import { LIST_PAGE, MAX_BODY_BYTES } from '../../constants/protocol.js';
+import { STORE_TIMEOUT_MS } from '../../constants/storage.js';
 import type { Log } from '../../storage/log.js';
 import { HttpCloudApi } from '../../protocol/cloud-api.js';
 import { decodePeer, encodePeer } from '../../protocol/peer-messages.js';
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,5 +1,5 @@
 /** Serves workers' reports: here, or by sending the worker or its report to the part's owner. */
-import { REDIRECT_RETRY_MS } from '../../constants.js';
+import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
 import { parseJson, type Parsed } from '../../protocol/user-codec.js';
 import {
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -65,7 +65,7 @@
 
   /** Null: this node can't answer the relayed request. */
   private async replyTo({ ask, about, text }: RelayMessage): Promise<HttpReply | null> {
-    const { userEndpoint: userEndpoint, heartbeatEndpoint: heartbeatEndpoint } = this.options;
+    const { userEndpoint, heartbeatEndpoint } = this.options;
     if (ask === 'report') return heartbeatEndpoint.replyToRelayed(text);
     return userEndpoint.serveRelayed({ ask, about, text });
   }
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -1,5 +1,5 @@
 /** Passes requests of users and workers on to peers and waits for their replies. */
-import { RELAY_TIMEOUT_MS } from '../../constants.js';
+import { RELAY_TIMEOUT_MS } from '../../constants/controller.js';
 import type { Ask, PeerMessage } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import type { Environment } from '../../protocol/environment.js';
--- a/src/coordination/controller/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -1,5 +1,5 @@
 /** Logs periodically how this node uses the state service. */
-import { USE_LOG_MS } from '../../constants.js';
+import { USE_LOG_MS } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { Clock } from '../../transport/clock.js';
--- a/src/coordination/controller/unavailable-reply.ts
+++ b/src/coordination/controller/unavailable-reply.ts
@@ -1,5 +1,5 @@
 /** Replies that several kinds of requests share. */
-import { RETRY_AFTER_S } from '../../constants.js';
+import { RETRY_AFTER_S } from '../../constants/api.js';
 import type { HttpReply } from '../../transport/http-server.js';
 
 /** The request can't be served now; the sender should try again later. */
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -1,14 +1,12 @@
 /** Serves users' requests: here, or through a peer where this node can't. */
+import { POLL_WAIT_MS, RETRY_AFTER_S, SUBMIT_WAIT_MS } from '../../constants/api.js';
 import {
   POLL_ANSWER_MS,
-  POLL_WAIT_MS,
   RELAYED_CHANGE_MS,
   RELAYED_COMMIT_MS,
   RELAYED_POLL_MS,
-  RETRY_AFTER_S,
   SUBMIT_ANSWER_MS,
-  SUBMIT_WAIT_MS,
-} from '../../constants.js';
+} from '../../constants/controller.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { StoreReachability } from '../../storage/store-reachability.js';
 import type { Ask } from '../../protocol/peer-messages.js';
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -1,6 +1,10 @@
 /** Whose turn it is to take a free role. */
 
-import { PREFERRED_OWNER_SETTLE_MS, LEADER_SETTLE_MS, MEMBER_RENEW_MS } from '../../constants.js';
+import {
+  LEADER_SETTLE_MS,
+  MEMBER_RENEW_MS,
+  PREFERRED_OWNER_SETTLE_MS,
+} from '../../constants/election.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { nodeKey, roleKey } from '../../storage/keys.js';
 import type { NodeRecord, RoleRecord } from '../../storage/records.js';
@@ -40,13 +44,7 @@
 
   /** Whether a role should be claimed now. Notes since when it has been free. */
   isOurTurn(role: string, preferredOwner: Member | null): boolean {
-    const {
-      incarnation,
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      replica,
-      self,
-      steppedDown: steppedDown,
-    } = this.options;
+    const { incarnation, rejectedChangeBackoff, replica, self, steppedDown } = this.options;
     const holder = replica.get<RoleRecord>(roleKey(role))?.value ?? null;
     if (holder?.owner === self.node && holder.incarnation === incarnation) {
       this.freeSince.delete(role);
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -3,10 +3,10 @@
 import {
   CANCEL_MARGIN_S,
   CANCEL_MARGIN_SHARE,
-  CLOCK_DRIFT,
   LEASE_MARGIN_MS,
   MOVED_LONG_MS,
-} from '../../constants.js';
+} from '../../constants/election.js';
+import { CLOCK_DRIFT } from '../../constants/protocol.js';
 import type { RoleRecord } from '../../storage/records.js';
 
 /** The deployment's bounds that ownership rests on. */
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -1,6 +1,6 @@
 /** Roles: which node leads and which node owns each part. */
 
-import { MEMBER_RENEW_MS, MEMBER_TTL_MS } from '../../constants.js';
+import { MEMBER_RENEW_MS, MEMBER_TTL_MS } from '../../constants/election.js';
 import type { Committer } from '../../storage/committer.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import { nodeKey, roleKey } from '../../storage/keys.js';
@@ -88,11 +88,7 @@
     this.rejectedChangeBackoff = new RejectedChangeBackoff(clock);
     this.steppedDown = new SteppedDownRoles(clock);
     this.startedAt = clock.now();
-    const {
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      startedAt,
-      steppedDown: steppedDown,
-    } = this;
+    const { rejectedChangeBackoff, startedAt, steppedDown } = this;
     this.turns = new CandidateOrder({
       ...options,
       rejectedChangeBackoff,
@@ -229,7 +225,7 @@
     const isPreferredOwner = ({ preferredOwner }: { preferredOwner: Member | null }): number =>
       Number(preferredOwner?.node === this.self.node);
     const roles = this.allRoles().sort((a, b) => isPreferredOwner(b) - isPreferredOwner(a));
-    for (const { role, preferredOwner: preferredOwner } of roles) {
+    for (const { role, preferredOwner } of roles) {
       // What does not fit into the transaction is free for us as for all others right after it.
       if (changes.length >= this.options.transactionOps) break;
       const held = this.replica.get<RoleRecord>(roleKey(role));
@@ -264,7 +260,7 @@
   }
 
   private async claimFreeRoles(): Promise<void> {
-    for (const { role, preferredOwner: preferredOwner } of this.allRoles()) {
+    for (const { role, preferredOwner } of this.allRoles()) {
       if (this.turns.isOurTurn(role, preferredOwner)) await this.claim(role);
     }
   }
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,6 +1,6 @@
 /** Roles that this process gave up when it was asked to, by the term in which it held them. */
 
-import { STEP_DOWN_REST_MS } from '../../constants.js';
+import { STEP_DOWN_REST_MS } from '../../constants/election.js';
 import type { Clock } from '../../transport/clock.js';
 
 interface SteppedDownTerm {
--- a/src/coordination/election/term-numbers.ts
+++ b/src/coordination/election/term-numbers.ts
@@ -1,11 +1,24 @@
 /** Numbers that one term of a role hands out, each once. */
 
+import { MothbankError } from '../../transport/errors.js';
+
 /** Share of a term's numbers after which the role should go on under a new term. */
 const RENEW_SHARE = 0.5;
 
 /** Whether so many of a term's numbers are used that the role needs a new term. */
 export const isRunningOut = (used: number, size: number): boolean => used >= size * RENEW_SHARE;
 
+/** A term has no unused numbers left: its holder must go on under a new term. */
+export class TermExhaustedError extends MothbankError {
+  readonly code = 'TERM_EXHAUSTED';
+  readonly outcome = 'notExecuted';
+
+  constructor() {
+    super('the numbers of this term are used up');
+    this.name = 'TermExhaustedError';
+  }
+}
+
 /** A range of numbers that belongs to one term; numbers of other terms are never handed out. */
 export class TermNumbers {
   private used = 0;
@@ -18,7 +31,7 @@
 
   /** The next number. Throws rather than hand out a number of another term. */
   next(): number {
-    if (this.used + 1 >= this.size) throw new Error('the numbers of this term are used up');
+    if (this.used + 1 >= this.size) throw new TermExhaustedError();
     this.used++;
     return this.base + this.used;
   }
--- a/src/coordination/failure-detection/confirmed-failover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -41,7 +41,7 @@
   }
 
   mayTakeOver(holder: ExpiredHolder): boolean {
-    const { clock, detector, stepDown: stepDown } = this.options;
+    const { clock, detector, stepDown } = this.options;
     const verdict = detector.verdict(holder.node, holder.incarnation, holder.since);
     const waitedMs = clock.now() - holder.since;
     const decision = this.decide(holder, verdict, waitedMs);
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -1,7 +1,7 @@
 /** Failure detection in a controller: the detector on peer links, its policy and its records. */
 
 import { FailureDetector, type DetectorCounts } from '@mothbank/failure-detector';
-import { PROBE_TIMES_MS, STORE_ANSWERS_MS } from '../../constants.js';
+import { PROBE_TIMES_MS, STORE_ANSWERS_MS } from '../../constants/failure-detection.js';
 import { decodeDetector, encodeDetector } from '../../protocol/detector-codec.js';
 import type { SuspicionSettings } from '../../protocol/settings.js';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
--- a/src/coordination/failure-detection/flap-damping.ts
+++ b/src/coordination/failure-detection/flap-damping.ts
@@ -1,6 +1,11 @@
 /** Damps a node that loses its registration again and again. */
 
-import { FLAP_HALF_LIFE_MS, FLAP_MOST, FLAP_REUSE, FLAP_SUPPRESS } from '../../constants.js';
+import {
+  FLAP_HALF_LIFE_MS,
+  FLAP_MOST,
+  FLAP_REUSE,
+  FLAP_SUPPRESS,
+} from '../../constants/failure-detection.js';
 import type { Clock } from '../../transport/clock.js';
 
 /** A penalty that grows with each loss and decays; suppressed above one bound until below another. */
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -1,6 +1,6 @@
 /** Asks holders without a registration to give their roles up, and gives up this node's when asked. */
 
-import { STEP_DOWN_RETRY_MS } from '../../constants.js';
+import { STEP_DOWN_RETRY_MS } from '../../constants/failure-detection.js';
 import type { PeerMessage, RoleTenure } from '../../protocol/peer-messages.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -52,15 +52,7 @@
 
   /** A peer asks this node to give a role up. */
   asked(tenure: RoleTenure, answer: (message: PeerMessage) => void): void {
-    const {
-      incarnation,
-      log,
-      members,
-      node,
-      onSteppedDown: onSteppedDown,
-      roles,
-      storeAnswers,
-    } = this.options;
+    const { incarnation, log, members, node, onSteppedDown, roles, storeAnswers } = this.options;
     if (!members.has(tenure.node) || tenure.incarnation !== incarnation) return;
     // What the peer saw is over: this node is registered, and by the state service's own word.
     if (roles().isRegistered && storeAnswers()) return;
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -39,12 +39,7 @@
     assignments: readonly NewAssignment[],
     urgentKeys: ReadonlySet<string>,
   ): Promise<Set<string>> {
-    const {
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      log,
-      transactionOps: transactionOps,
-      writer,
-    } = this.options;
+    const { rejectedChangeBackoff, log, transactionOps, writer } = this.options;
     const urgentShards = new Set<string>();
     for (let start = 0; start < assignments.length;) {
       const end =
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -1,5 +1,6 @@
 /** Creates the chunk records that assign tasks of a job to a part. */
-import { ASSIGNMENT_BASE_BYTES, ASSIGNMENT_TASK_BYTES, VALUE_SHARE } from '../../constants.js';
+import { ASSIGNMENT_BASE_BYTES, ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
+import { VALUE_SHARE } from '../../constants/storage.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { assignmentKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
--- a/src/coordination/leader/assignment-history.ts
+++ b/src/coordination/leader/assignment-history.ts
@@ -1,5 +1,5 @@
 /** When tasks of each job were assigned or seen to run last: the pace of assigning depends on it. */
-import { STARVED_MS } from '../../constants.js';
+import { STARVED_MS } from '../../constants/leader.js';
 import type { OpenJob } from './scheduling-order.js';
 
 /** When a job last got tasks assigned, and how many found no room then. */
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -1,5 +1,5 @@
 /** Plans an assigning round: which tasks of which jobs go to which parts. */
-import { ASSIGN_PACE_MS, LATE_CAPACITY_SHARE } from '../../constants.js';
+import { ASSIGN_PACE_MS, LATE_CAPACITY_SHARE } from '../../constants/leader.js';
 import type { Team } from '../../protocol/settings.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
@@ -50,8 +50,7 @@
 /** CPUs of these machines that lower work uses or may use. */
 function cpusForLowerWork(machines: readonly MachineCapacity[]): number {
   return machines.reduce(
-    (sum, { cpus, preemptibleCpus: preemptibleCpus }) =>
-      sum + (Math.max(0, cpus) + preemptibleCpus),
+    (sum, { cpus, preemptibleCpus }) => sum + (Math.max(0, cpus) + preemptibleCpus),
     0,
   );
 }
@@ -68,7 +67,7 @@
   private readonly gangAssignment: GangAssignment;
 
   constructor(private readonly options: AssignmentPlannerOptions) {
-    const { clock, accounting: accounting, log, replica, startWithinS, term } = options;
+    const { clock, accounting, log, replica, startWithinS, term } = options;
     const { history } = this;
     const teams = new Map(options.teams.map((team) => [team.name, team]));
     const limits = new TeamQuota({ teams, replica, accounting, log });
@@ -112,10 +111,10 @@
   }
 
   private createCycle(startedAt: number): SchedulingCycle {
-    const { arrivals, accounting: accounting } = this.options;
+    const { arrivals, accounting } = this.options;
     const fleet = [...this.inventory.machines().values()];
     const machines = fleet.filter(
-      ({ health, shard: shard }) => health === 'ok' && this.options.acceptsNewWork(shard),
+      ({ health, shard }) => health === 'ok' && this.options.acceptsNewWork(shard),
     );
     const gang = arrivals.gangs.largestNotUrgent;
     const reserved = gang ? reservedMachines(gang, machines) : new Set<string>();
@@ -134,7 +133,7 @@
 
   /** Jobs in the order of their turn, once tasks that wait in parts have occupied their room. */
   private orderedJobs(cycle: SchedulingCycle): OpenJob[] {
-    const { clock, accounting: accounting, replica } = this.options;
+    const { clock, accounting, replica } = this.options;
     const cpus = cpusForLowerWork(cycle.machines) * LATE_CAPACITY_SHARE;
     allocateForWaitingTasks(cycle, accounting, replica);
     return schedulingOrder(replica.openJobs(), {
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -55,7 +55,7 @@
   machines: readonly MachineCapacity[],
 ): void {
   const inPlace = machines.filter(
-    ({ shard: shard, zone }) => shard === place.shard && zone === place.zone,
+    ({ shard, zone }) => shard === place.shard && zone === place.zone,
   );
   const left = allocateFree(spec, count, inPlace);
   allocateReclaimed(spec, left, inPlace);
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -27,7 +27,7 @@
     return [...this.sums.values()];
   }
 
-  add({ shard: shard, zone }: ShardZone, count: number): void {
+  add({ shard, zone }: ShardZone, count: number): void {
     if (count <= 0) return;
     const key = shardZoneKey(shard, zone);
     const sum = this.sums.get(key);
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -2,7 +2,7 @@
  * Room that a gang may claim for its team's guarantee: other teams' arrays, as far as these teams
  * run beyond their own guarantees. This is the one case in which work stops work of equal priority.
  */
-import { CLAIMS_MS } from '../../constants.js';
+import { CLAIMS_MS } from '../../constants/gangs.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
@@ -61,7 +61,7 @@
       if (best === null || place.free > best.free) best = place;
     }
     if (best === null) return null;
-    const { shard: shard, zone } = best;
+    const { shard, zone } = best;
     const reclaim = this.claimCpus(excess, Math.max(0, spec.tasks - best.free) * spec.cpus);
     return { share: { shard, zone, count: spec.tasks }, reclaim };
   }
@@ -74,7 +74,7 @@
     const places = new Map<string, CandidatePlace>();
     for (const machine of machines) {
       if (!isEligible(spec, machine)) continue;
-      const { shard: shard, zone } = machine;
+      const { shard, zone } = machine;
       const key = shardZoneKey(shard, zone);
       const place = places.get(key) ?? { shard, zone, free: 0, claimable: 0 };
       places.set(key, place);
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -1,5 +1,5 @@
 /** Assigns gangs to parts: all tasks of a gang under one attempt number, or none. */
-import { FETCH_SHARE } from '../../constants.js';
+import { FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { Log } from '../../storage/log.js';
@@ -78,7 +78,7 @@
     claim: FairShareClaim | null,
     cycle: SchedulingCycle,
   ): void {
-    const { assignmentFactory: assignmentFactory, gangs, log } = this.options;
+    const { assignmentFactory, gangs, log } = this.options;
     const { id, spec } = job;
     const attempt = gangs.attempt(id, cycle.startedAt);
     const [largest] = shares;
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -1,14 +1,13 @@
 /** What the leader remembers of gangs: their attempts, how long they wait, and where images are. */
 
+import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import {
-  SHARDS_PER_TERM,
-  ATTEMPT_STEP,
   GANG_IMAGES,
   GANG_KEEP_FOR_MS,
   GANG_KEEP_FROM_MS,
   GANG_RETRY_MOST_MS,
   GANG_RETRY_MS,
-} from '../../constants.js';
+} from '../../constants/gangs.js';
 import type { Share } from './gang-plan.js';
 import { shardZoneKey } from '../capacity/priorities.js';
 import { TermNumbers } from '../election/term-numbers.js';
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -117,7 +117,7 @@
   const places = new Map<string, PlaceCapacity>();
   for (const machine of machines) {
     if (!isEligible(spec, machine)) continue;
-    const { shard: shard, zone } = machine;
+    const { shard, zone } = machine;
     const key = shardZoneKey(shard, zone);
     const place = places.get(key) ?? { shard, zone, now: 0, soon: 0 };
     places.set(key, place);
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -50,7 +50,7 @@
 
   /** Completes all jobs whose tasks are done, until the writer gives up. */
   async run(): Promise<void> {
-    const { rejectedChangeBackoff: rejectedChangeBackoff, log, writer } = this.options;
+    const { rejectedChangeBackoff, log, writer } = this.options;
     const completed = this.completedJobs();
     for (let start = 0; start < completed.length;) {
       const ids = completed.slice(start).map((job) => job.id);
@@ -70,11 +70,7 @@
 
   /** Jobs that the ledger takes for done and that are; the others are taken off its list. */
   private completedJobs(): CompletedJob[] {
-    const {
-      rejectedChangeBackoff: rejectedChangeBackoff,
-      accounting: accounting,
-      replica,
-    } = this.options;
+    const { rejectedChangeBackoff, accounting, replica } = this.options;
     const completed: CompletedJob[] = [];
     for (const id of accounting.possiblyDone) {
       if (rejectedChangeBackoff.has(id)) continue;
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,5 +1,5 @@
 /** The work that arrived lately: what the fleet should expect. */
-import { ARRIVALS_MS } from '../../constants.js';
+import { ARRIVALS_MS } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -1,5 +1,5 @@
 /** The order in which the leader assigns tasks of open jobs. */
-import { AGED_DEADLINES, BEGIN_WITHIN_S } from '../../constants.js';
+import { AGED_DEADLINES, BEGIN_WITHIN_S } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { JobRecord } from '../../storage/records.js';
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -1,5 +1,6 @@
 /** Assigns tasks of arrays and services to parts, within the limits of their teams. */
-import { BEGIN_SHARE, KEPT_FROM_MS, STARVED_SHARE } from '../../constants.js';
+import { KEPT_FROM_MS } from '../../constants/gangs.js';
+import { BEGIN_SHARE, STARVED_SHARE } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { fitCount, need, type MachineCapacity } from '../capacity/machine-capacity.js';
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -1,6 +1,6 @@
 /** Queues of the parts: work that is assigned to a part ahead of its free room. */
 
-import { QUEUE_REFILL, QUEUE_S } from '../../constants.js';
+import { QUEUE_REFILL, QUEUE_S } from '../../constants/leader.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { shardZoneKey } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
@@ -20,7 +20,7 @@
   endingCpus: ReadonlyMap<string, number>,
 ): Map<string, Queue> {
   const queues = new Map<string, Queue>();
-  for (const { shard: shard, zone } of machines) {
+  for (const { shard, zone } of machines) {
     const key = shardZoneKey(shard, zone);
     if (queues.has(key)) continue;
     queues.set(key, { shard, zone, waitingCpus: 0, endingCpus: endingCpus.get(key) ?? 0 });
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -1,5 +1,5 @@
 /** What each team uses of its limits while the leader assigns tasks, and what it may still use. */
-import { RESERVE_SHARE, URGENT_RESERVE } from '../../constants.js';
+import { RESERVE_SHARE, URGENT_RESERVE } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Log } from '../../storage/log.js';
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -2,7 +2,7 @@
 
 import { Matrix, inverse } from 'ml-matrix';
 import { bytesOf } from '../../storage/committer.js';
-import { CLASS_CAP } from '../../constants.js';
+import { CLASS_CAP } from '../../constants/scheduling.js';
 
 /** What one arm has learned: A and b of ridge regression, with A's inverse kept beside it. */
 interface Arm {
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -5,7 +5,7 @@
   CONSOLIDATE_SETTLED_MS,
   CONSOLIDATE_SHARE,
   CONSOLIDATE_USE,
-} from '../../constants.js';
+} from '../../constants/scheduling.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
@@ -109,7 +109,7 @@
     const spec = this.job(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
-      ({ machine, free: free }) =>
+      ({ machine, free }) =>
         fits(free, assignment.record) &&
         mayRunOn(machine, spec, assignment) &&
         machine.images.has(spec.image),
@@ -117,7 +117,7 @@
   }
 
   /** Share of a machine's CPUs in use. */
-  private useOf({ machine, free: free }: Candidate): number {
+  private useOf({ machine, free }: Candidate): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
     return cpus > 0 ? 1 - free.cpus / cpus : 1;
   }
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -1,6 +1,6 @@
 /** Chooses the machines for a part's share of a gang: for all of its tasks at once, or for none. */
 
-import { CLAIM_VALID_MS } from '../../constants.js';
+import { CLAIM_VALID_MS } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Candidate, JobLookup, Victim } from './candidates.js';
@@ -93,7 +93,7 @@
   }
 
   private findAmong(
-    { spec, assignment: assignment }: GangRequest,
+    { spec, assignment }: GangRequest,
     candidates: readonly Candidate[],
     types: readonly string[],
   ): GangLayout | null {
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,6 +1,6 @@
 /** Room that a part reserves on its machines: for a gang that does not fit yet, and for the next one. */
 
-import { GANG_KEEP_TIMES } from '../../constants.js';
+import { GANG_KEEP_TIMES } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Candidate, JobLookup } from './candidates.js';
 import { fitCount } from '../capacity/machine-capacity.js';
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -1,6 +1,6 @@
 /** Chooses the machine for a task with free room: the bandit picks the type, first fit the machine. */
 
-import { FETCH_SHARE } from '../../constants.js';
+import { FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Bandit } from './bandit.js';
 import type { Candidate } from './candidates.js';
@@ -46,7 +46,7 @@
     candidates: readonly Candidate[],
     load: Load,
   ): Candidate | null {
-    const free = candidates.filter(({ free: free }) => fits(free, task));
+    const free = candidates.filter(({ free }) => fits(free, task));
     if (free.length === 0) return null;
     // Work with an aim for its start goes where its image is there in time, if that is anywhere.
     const quick = free.filter(({ machine }) => this.fetchesInTime(machine, spec));
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /** Preemption: which tasks are stopped to make room for work of higher priority, and at what cost. */
 
-import { IMAGE_VICTIMS } from '../../constants.js';
+import { IMAGE_VICTIMS } from '../../constants/scheduling.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,6 +1,7 @@
 /** One part's rounds of placing: waiting tasks go to machines, in the order of their priorities. */
 
-import { SHARDS_PER_TERM, ATTEMPT_STEP, FETCH_SLOWEST } from '../../constants.js';
+import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
+import { FETCH_SLOWEST } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -160,10 +161,7 @@
   }
 
   /** The machines that a chunk may use, less those whose room is reserved for gangs. */
-  private openTo(
-    { assignment: assignment, spec }: WaitingAssignment,
-    cycle: SchedulingCycle,
-  ): Candidate[] {
+  private openTo({ assignment, spec }: WaitingAssignment, cycle: SchedulingCycle): Candidate[] {
     const isExcluded =
       cycle.nextGang !== null && spec.kind === 'array' && !this.options.waitsLong(assignment.job);
     return cycle.candidates.filter(
@@ -178,7 +176,7 @@
     open: readonly Candidate[],
     cycle: SchedulingCycle,
   ): boolean {
-    const { assignment: assignment, spec } = entry;
+    const { assignment, spec } = entry;
     for (const slot of [...assignment.waiting]) {
       let target = this.choice.choose(spec, assignment.record, open, cycle.load);
       if (!target && rankOf(spec.priority) > cycle.lowestRank) {
@@ -200,7 +198,7 @@
     open: readonly Candidate[],
     cycle: SchedulingCycle,
   ): boolean {
-    const { assignment: assignment, spec } = entry;
+    const { assignment, spec } = entry;
     if (assignment.broken || assignment.placed > 0) return true;
     const layout = this.layOut(entry, open, cycle);
     if (!layout) {
@@ -219,7 +217,7 @@
   }
 
   private layOut(
-    { assignment: assignment, spec }: WaitingAssignment,
+    { assignment, spec }: WaitingAssignment,
     open: readonly Candidate[],
     cycle: SchedulingCycle,
   ): GangLayout | null {
@@ -238,7 +236,7 @@
 
   /** Places one task on a machine. */
   private assign(
-    { assignment: assignment, spec }: WaitingAssignment,
+    { assignment, spec }: WaitingAssignment,
     slot: Slot,
     target: Candidate,
     { load }: SchedulingCycle,
--- a/src/coordination/shard-state/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -1,12 +1,8 @@
 /** The machines of a part, and what is known of them. */
 
-import {
-  CLOCK_DRIFT,
-  FAULTY_ERRORS,
-  LEASE_MARGIN_MS,
-  MISSED_HEARTBEATS,
-  FENCING_TOKENS_PER_TERM,
-} from '../../constants.js';
+import { FENCING_TOKENS_PER_TERM, LEASE_MARGIN_MS } from '../../constants/election.js';
+import { CLOCK_DRIFT } from '../../constants/protocol.js';
+import { FAULTY_ERRORS, MISSED_HEARTBEATS } from '../../constants/shard.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { MachineHealth, MachineRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -179,7 +175,7 @@
    * no longer answered, so that time proves the end of its tasks.
    */
   mayAnswer(machine: Machine): boolean {
-    const { leaseS, heartbeatIntervalS: heartbeatIntervalS } = this.options;
+    const { leaseS, heartbeatIntervalS } = this.options;
     if (
       machine.isAcknowledged ||
       machine.unacknowledgedAnswers <= Math.ceil(leaseS / heartbeatIntervalS)
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -1,11 +1,8 @@
 /** Builds one transaction that writes chunks, within the limits of the state service. */
-import {
-  ASSIGNMENT_BYTES,
-  ASSIGNMENT_TASK_BYTES,
-  GUARDS_PER_OP,
-  TRANSACTION_BYTES,
-  VALUE_SHARE,
-} from '../../constants.js';
+import { ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
+import { GUARDS_PER_OP, TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { ASSIGNMENT_BYTES } from '../../constants/shard.js';
+import { VALUE_SHARE } from '../../constants/storage.js';
 import { jobKey, machineKey } from '../../storage/keys.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { ShardContext } from './shard-context.js';
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -1,5 +1,5 @@
 /** Writes a part's changed chunks to the state service. */
-import { ASSIGNMENT_HOLD_MS } from '../../constants.js';
+import { ASSIGNMENT_HOLD_MS } from '../../constants/shard.js';
 import type { CommitResult } from '../../storage/committer.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { AssignmentTransaction, type WrittenAssignment } from './assignment-transaction.js';
@@ -84,14 +84,14 @@
   private giveUp(written: readonly WrittenAssignment[], result: CommitResult): void {
     const { log, tasks } = this.context;
     log.info({ result }, 'placements not committed');
-    for (const { assignment: assignment } of written) {
+    for (const { assignment } of written) {
       if (result.kind === 'invalid') this.withheld.add(assignment.key);
       tasks.resync(assignment);
     }
   }
 
   /** Takes a chunk as stored the way it was written. */
-  private takeOver({ assignment: assignment, pieces }: WrittenAssignment): void {
+  private takeOver({ assignment, pieces }: WrittenAssignment): void {
     const { endedAssignments, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
     const [first] = pieces;
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -4,9 +4,9 @@
   GANG_HOLD_MS,
   GANG_LOSS_S,
   GANG_RESERVE_MS,
-  RELEASE_MS,
   SHARED_STOP_MS,
-} from '../../constants.js';
+} from '../../constants/gangs.js';
+import { RELEASE_MS } from '../../constants/shard.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
@@ -119,7 +119,7 @@
    * one. Withdrawn together they free their machines sooner, and nothing is lost.
    */
   private hasWaitedTooLong(assignment: Chunk, now: number): boolean {
-    const { gangWaitS, heartbeatIntervalS: heartbeatIntervalS } = this.options;
+    const { gangWaitS, heartbeatIntervalS } = this.options;
     const patienceMs = Math.max(gangWaitS / 2, gangWaitS - heartbeatIntervalS) * 1000;
     let since = Infinity;
     for (const slot of assignment.slots.values()) {
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,5 +1,5 @@
 /** Pauses of jobs whose tasks failed. */
-import { FAILURE_PAUSE_MAX_S, FAILURE_PAUSE_S } from '../../constants.js';
+import { FAILURE_PAUSE_MAX_S, FAILURE_PAUSE_S } from '../../constants/shard.js';
 import type { Clock } from '../../transport/clock.js';
 
 /** Lets a job wait after failures of its tasks, longer after each until one succeeds. */
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -1,5 +1,5 @@
 /** Requeues the tasks of machines that are lost. */
-import { SWEEP_MS } from '../../constants.js';
+import { SWEEP_MS } from '../../constants/shard.js';
 import type { ShardContext } from './shard-context.js';
 
 /** Looks periodically for machines that are gone or whose lease has surely run out. */
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -1,5 +1,5 @@
 /** Makes the commands that bring a machine to what is wanted of it. */
-import { COMMANDS_MAX } from '../../constants.js';
+import { COMMANDS_MAX } from '../../constants/shard.js';
 import type { Command, TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
@@ -41,7 +41,7 @@
   /** Counts the room of a task on the machine, and stops it if it is not wanted there. */
   private addForReported(batch: CommandBatch, heartbeat: TaskStatus): void {
     const { tasks } = this.context;
-    const { machine, resend, free: free } = batch;
+    const { machine, resend, free } = batch;
     const assignment = tasks.find(heartbeat.task.job, heartbeat.task.index)?.assignment;
     // Of an unknown task the need is not known: it counts as if it took all of the machine.
     if (heartbeat.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
@@ -86,7 +86,7 @@
   }
 
   /** Starts what is placed on the machine and not there, where its room allows. */
-  private addStarts({ machine, resend, free: free, listed, commands }: CommandBatch): void {
+  private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
     const { gangs, tasks } = this.context;
     const missing = [...tasks.on(machine.name)].filter(([slot]) => !listed.has(slot));
     for (const [slot, assignment] of missing) if (slot.startSent) allocate(free, assignment.record);
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -1,5 +1,5 @@
 /** Decides for which gang the part keeps some room free. */
-import { GANG_RESERVING_PLACE_MS } from '../../constants.js';
+import { GANG_RESERVING_PLACE_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { reservingPlace } from '../capacity/gang-capacity.js';
 import { machinesOf } from '../capacity/machine-inventory.js';
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -1,5 +1,6 @@
 /** Creates the placing of a part with what its bandit has learned. */
-import { BEGIN_WITHIN_S, KEPT_FROM_MS } from '../../constants.js';
+import { KEPT_FROM_MS } from '../../constants/gangs.js';
+import { BEGIN_WITHIN_S } from '../../constants/leader.js';
 import { ARMS } from '../../storage/keys.js';
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
 import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.js';
@@ -26,8 +27,8 @@
     if (types.length === 0) return null;
     const { clock, costLearning, log, machines, options, tasks } = this.context;
     // Loaded late: the matrix library is the largest of all, and start-up time is dear.
-    const { Bandit: BanditClass } = await import('../scheduling/bandit.js');
-    const bandit = new BanditClass(types, options.alpha, options.penalty);
+    const module = await import('../scheduling/bandit.js');
+    const bandit = new module.Bandit(types, options.alpha, options.penalty);
     this.restore(bandit);
     costLearning.bandit = bandit;
     const dependencies = { tasks, machines, bandit, clock, log };
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -1,6 +1,8 @@
 /** A part's reports to the other nodes: the health of its machines, and what it has learned. */
 
-import { STATUS_PACE_MS, TRANSACTION_BYTES, VALUE_SHARE } from '../../constants.js';
+import { TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { STATUS_PACE_MS } from '../../constants/shard.js';
+import { VALUE_SHARE } from '../../constants/storage.js';
 import { bytesOf, type Committer } from '../../storage/committer.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import { STATUSES, armKey, statusKey } from '../../storage/keys.js';
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,5 +1,5 @@
 /** One part of the cluster as its owner runs it: machines and the tasks assigned to them. */
-import { FENCING_TOKENS_PER_TERM } from '../../constants.js';
+import { FENCING_TOKENS_PER_TERM } from '../../constants/election.js';
 import { ASSIGNMENTS, JOBS, readAssignmentKey } from '../../storage/keys.js';
 import type { Command, Heartbeat } from '../../protocol/model.js';
 import { AssignmentWriter } from './assignment-writer.js';
@@ -93,7 +93,7 @@
   /** A key of the replica changed; true: this part may have something to do. */
   changed(key: string): boolean {
     if (key.startsWith(JOBS)) return this.jobChanged(key.slice(JOBS.length));
-    const { endedAssignments: endedAssignments, tasks } = this.context;
+    const { endedAssignments, tasks } = this.context;
     if (tasks.gangs.size > 0 && this.otherShareChanged(key)) return true;
     const before = tasks.assignments.get(key);
     tasks.changed(key);
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -1,11 +1,11 @@
 /** Gives tasks back to the leader for which the part has no room. */
-import { QUEUE_RELEASE_MS, RELEASE_MS } from '../../constants.js';
+import { QUEUE_RELEASE_MS, RELEASE_MS } from '../../constants/shard.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /** Gives tasks of arrays and services back to the leader that found no room here for a while. */
 export function releaseWaitingTasks(context: ShardContext): void {
-  const { clock, jobFailureBackoff: jobFailureBackoff, tasks } = context;
+  const { clock, jobFailureBackoff, tasks } = context;
   const now = clock.now();
   for (const assignment of [...tasks.waiting]) {
     const spec = jobSpec(context, assignment.job);
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,5 +1,5 @@
 /** Decides which of a part's chunks are to be written now. */
-import { DONE_GATHER_MS, PLACE_GATHER_MS, YIELD_MS } from '../../constants.js';
+import { DONE_GATHER_MS, PLACE_GATHER_MS, YIELD_MS } from '../../constants/shard.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
@@ -15,7 +15,7 @@
 
   /** The chunks that are due, urgent ones first. */
   dueAssignments(): Chunk[] {
-    const { clock, endedAssignments: endedAssignments, tasks } = this.context;
+    const { clock, endedAssignments, tasks } = this.context;
     const now = clock.now();
     for (const assignment of endedAssignments) if (this.isOver(assignment)) tasks.touch(assignment);
     const due: Chunk[] = [];
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 import { Command } from 'commander';
 import { pino, type Logger } from 'pino';
 import { Controller, SettingsError, readSettings, type Settings } from './index.js';
-import { VERSION } from './constants.js';
+import { VERSION } from './constants/program.js';
 
 /** Names that LOG_LEVEL may have; any other counts as `info`. */
 const LOG_LEVELS = ['fatal', 'error', 'warn', 'info', 'debug', 'trace', 'silent'];
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -1,6 +1,7 @@
 /** The client of the cloud: the catalogue of machine types, rentals and returns. */
 
-import { OutcomeUnknownError, type HttpClient } from '../transport/http-client.js';
+import { OutcomeUnknownError } from '../transport/errors.js';
+import type { HttpClient } from '../transport/http-client.js';
 import type { ListedMachine, MachineType } from './model.js';
 
 /**
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -2,7 +2,7 @@
 
 import type { DetectorBody, DetectorMessage, MemberUpdate } from '@mothbank/failure-detector';
 import protobuf from 'protobufjs/minimal.js';
-import { DETECTOR_BYTES } from '../constants.js';
+import { DETECTOR_BYTES } from '../constants/protocol.js';
 import { delimited, varint, WIRE_TYPE_BITS, WIRE_TYPE_MASK } from './protobuf-tags.js';
 
 const { Reader, Writer } = protobuf;
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -1,6 +1,7 @@
 /** The client of the state service: guarded transactions, leases and a watch over a key space. */
 
-import { OutcomeUnknownError, type HttpClient } from '../transport/http-client.js';
+import { MothbankError, OutcomeUnknownError } from '../transport/errors.js';
+import type { HttpClient } from '../transport/http-client.js';
 
 /** A key with its value, at the revision of its last change. */
 export interface Entry {
@@ -30,13 +31,16 @@
 }
 
 /** The state service did not carry the request out. */
-export class StoreRejectedError extends Error {
+export class StoreRejectedError extends MothbankError {
+  readonly code = 'STORE_REJECTED';
+  readonly outcome = 'notExecuted';
+
   constructor(
     readonly status: number,
     readonly reason: string | null = null,
   ) {
     super(`state service answered ${status}${reason === null ? '' : ` (${reason})`}`);
-    this.name = 'Refused';
+    this.name = 'StoreRejectedError';
   }
 }
 
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -1,7 +1,7 @@
 /** The operators' own settings, from any number of files; docs/operations.md explains each. */
 
 import * as v from 'valibot';
-import { MEMBER_TTL_MS } from '../constants.js';
+import { MEMBER_TTL_MS } from '../constants/election.js';
 import { amount, checkFile, positive, readToml, SettingsError } from './settings-file.js';
 
 const placement = v.object({
--- a/src/protocol/settings-file.ts
+++ b/src/protocol/settings-file.ts
@@ -3,6 +3,7 @@
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
+import { MothbankError } from '../transport/errors.js';
 
 /** A finite number above zero. */
 export const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
@@ -10,7 +11,10 @@
 export const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 
 /** Settings that can't be used; the message is one line that names file and field. */
-export class SettingsError extends Error {
+export class SettingsError extends MothbankError {
+  readonly code = 'SETTINGS';
+  readonly outcome = 'notExecuted';
+
   constructor(file: string, reason: string) {
     super(`${file}: ${reason.split('\n')[0]}`);
     this.name = 'SettingsError';
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,7 +1,9 @@
 /** Reads and checks the settings: the file that the platform hands over, and the operators' own. */
 
 import * as v from 'valibot';
-import { SHARDS_PER_TERM, GANG_PEER_S, GANG_WAIT_S, VALUE_KB_LEAST } from '../constants.js';
+import { SHARDS_PER_TERM } from '../constants/election.js';
+import { GANG_PEER_S, GANG_WAIT_S } from '../constants/gangs.js';
+import { VALUE_KB_LEAST } from '../constants/protocol.js';
 import {
   readOperatorSettings,
   type FleetSettings,
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -1,7 +1,7 @@
 /** The users' wire format: submissions in, job states out. */
 
 import * as v from 'valibot';
-import { MAX_TASKS } from '../constants.js';
+import { MAX_TASKS } from '../constants/protocol.js';
 import type { JobSpec, JobState, Priority } from './model.js';
 
 /** Job ids have this form on the wire. */
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -1,6 +1,7 @@
 /** The client of workers: commands sent without waiting for the next report. */
 
-import { OutcomeUnknownError, HttpClient } from '../transport/http-client.js';
+import { OutcomeUnknownError } from '../transport/errors.js';
+import { HttpClient } from '../transport/http-client.js';
 import type { Clock } from '../transport/clock.js';
 import type { Command, Heartbeat } from './model.js';
 import { encodeDirect, parseHeartbeat } from './worker-codec.js';
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -1,6 +1,6 @@
 /** The machine types in the state service: read from and written to as many records as they take. */
 
-import { VALUE_SHARE } from '../constants.js';
+import { VALUE_SHARE } from '../constants/storage.js';
 import type { Change } from '../protocol/key-value-store.js';
 import type { MachineType } from '../protocol/model.js';
 import { bytesOf } from './committer.js';
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -1,7 +1,7 @@
 /** Commits transactions to the state service and finds out what became of them. */
 
 import { isDeepStrictEqual } from 'node:util';
-import { BACKOFF_FIRST_MS, BACKOFF_LAST_MS } from '../constants.js';
+import { BACKOFF_FIRST_MS, BACKOFF_LAST_MS } from '../constants/storage.js';
 import {
   NO_SUCH_LEASE,
   StoreRejectedError,
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -2,13 +2,13 @@
 
 import {
   CHECK_OVERDUE_MS,
+  STORE_LIMIT_AFTER_REFUSAL,
   STORE_LIMIT_FLOOR,
   STORE_LIMIT_GROWTH,
   STORE_LIMIT_SHARE,
   STORE_SCARCE_SHARE,
   STORE_SHORT_SHARE,
-  STORE_LIMIT_AFTER_REFUSAL,
-} from '../constants.js';
+} from '../constants/storage.js';
 import { Budget } from '../transport/budget.js';
 import type { Clock } from '../transport/clock.js';
 
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -1,6 +1,6 @@
 /** The records of a replica, with the indexes that make their frequent readings cheap. */
 
-import { FINAL_CACHE } from '../constants.js';
+import { FINAL_CACHE } from '../constants/storage.js';
 import { CATALOG, ASSIGNMENTS, FINALS, JOBS, LIVE, MACHINES, readAssignmentKey } from './keys.js';
 import {
   summarize,
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -1,6 +1,6 @@
 /** Pauses for changes that the state service calls invalid. */
 
-import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS } from '../constants.js';
+import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS } from '../constants/storage.js';
 import type { Clock } from '../transport/clock.js';
 
 /**
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -1,6 +1,6 @@
 /** Whether this node reaches the state service. */
 
-import { REACH_DOUBT_MS } from '../constants.js';
+import { REACH_DOUBT_MS } from '../constants/storage.js';
 import { StoreRejectedError, type KeyValueStore } from '../protocol/key-value-store.js';
 import type { Clock } from '../transport/clock.js';
 
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -7,7 +7,7 @@
   STORE_CHANGES_KEPT,
   WATCH_HOLD_MS,
   WATCH_SPACING_MS,
-} from '../constants.js';
+} from '../constants/storage.js';
 import {
   StoreRejectedError,
   type KeyValueStore,
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -15,3 +15,24 @@
   const lanes = Math.min(limit, items.length);
   await Promise.all(Array.from({ length: lanes }, lane));
 }
+
+/** Runs one piece of work at a time: a call while another one runs is skipped. */
+export class SingleFlight {
+  private running = false;
+
+  /** Whether a piece of work runs now. */
+  get isRunning(): boolean {
+    return this.running;
+  }
+
+  /** Runs the work; undefined: it was skipped. */
+  async run<Result>(work: () => Promise<Result>): Promise<Result | undefined> {
+    if (this.running) return undefined;
+    this.running = true;
+    try {
+      return await work();
+    } finally {
+      this.running = false;
+    }
+  }
+}
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -3,6 +3,7 @@
 import http from 'node:http';
 import { parseAddress } from './address.js';
 import type { Clock } from './clock.js';
+import { OutcomeUnknownError } from './errors.js';
 
 /** A complete response, whatever its status. */
 export interface HttpAnswer {
@@ -11,14 +12,6 @@
   body: unknown;
 }
 
-/** No response came: the request may have been carried out, or may still be. */
-export class OutcomeUnknownError extends Error {
-  constructor(reason: string) {
-    super(reason);
-    this.name = 'NoAnswer';
-  }
-}
-
 /** A body that is no JSON counts as none; the status alone then decides. */
 function parseBody(parts: Buffer[]): unknown {
   if (parts.length === 0) return null;
@@ -71,7 +64,8 @@
       });
       const fail = (error: Error): void => {
         stopTimer();
-        reject(new OutcomeUnknownError(`${method} ${path.split('?')[0]}: ${error.message}`));
+        const reason = `${method} ${path.split('?')[0]}: ${error.message}`;
+        reject(new OutcomeUnknownError(reason, { cause: error }));
       };
       const succeed = (answer: HttpAnswer): void => {
         stopTimer();
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -3,6 +3,7 @@
 import net from 'node:net';
 import { parseAddress } from './address.js';
 import type { Clock } from './clock.js';
+import { FrameTooLongError } from './errors.js';
 
 /** Bits that a frame's length may take as a varint: more can't be a length. */
 const LENGTH_BITS = 35;
@@ -29,7 +30,7 @@
     if (length > maxBytes) break;
     return { length, bytes: at + 1 };
   }
-  if (length > maxBytes || shift >= LENGTH_BITS) throw new Error('frame too long');
+  if (length > maxBytes || shift >= LENGTH_BITS) throw new FrameTooLongError();
   return null;
 }
 
--- a/test/api/accepted-job-lookups.test.ts
+++ b/test/api/accepted-job-lookups.test.ts
@@ -1,7 +1,7 @@
 /** An accepted job is never told to be absent, or refused, whatever this node had heard of it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CHECK_QUEUE } from '../../src/constants.js';
+import { CHECK_QUEUE } from '../../src/constants/api.js';
 import type { JobSpec } from '../../src/protocol/model.js';
 import type { CompareAndSwapResult } from '../../src/protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../src/storage/keys.js';
--- a/test/deploy.test.ts
+++ b/test/deploy.test.ts
@@ -14,10 +14,13 @@
 const SEMI_SPACES = 3;
 
 const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
-const deploy = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
+const deploy = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8')) as Record<
+  string,
+  string
+>;
 
 const flag = (name: string): number => {
-  const found = new RegExp(`--${name}=(\\d+)`).exec(String(deploy['run']));
+  const found = new RegExp(`--${name}=(\\d+)`).exec(deploy['run'] ?? '');
   return Number(found?.[1]);
 };
 
@@ -29,7 +32,7 @@
 
 // esbuild's --keep-names defines the name of each closure when it is made, in hot code too.
 test('the build does not name closures at run time, and shortens no names of functions', () => {
-  const build = String(deploy['build']);
+  const build = deploy['build'] ?? '';
   assert.match(build, /esbuild src\/main\.ts --bundle/);
   assert.doesNotMatch(build, /--keep-names|--minify-identifiers|--minify /);
 });
--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -1,7 +1,7 @@
 /** Whose turn it is to take a free role, on a clock that moves on between two readings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MEMBER_RENEW_MS } from '../../src/constants.js';
+import { MEMBER_RENEW_MS } from '../../src/constants/election.js';
 import { CandidateOrder } from '../../src/coordination/election/candidate-order.js';
 import { SteppedDownRoles } from '../../src/coordination/election/stepped-down-roles.js';
 import { STORE_ONLY_POLICY } from '../../src/coordination/election/failover-policy.js';
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -1,7 +1,7 @@
 /** Numbers of a term: each once, and a new term in time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FENCING_TOKENS_PER_TERM } from '../../src/constants.js';
+import { FENCING_TOKENS_PER_TERM } from '../../src/constants/election.js';
 import { TermNumbers } from '../../src/coordination/election/term-numbers.js';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { roleKey } from '../../src/storage/keys.js';
--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -142,7 +142,7 @@
 
 const shardsOf = (world: World, job: string): Set<string> => {
   const { replica } = world.nodes.get(world.leader)?.node ?? assert.fail('nobody leads');
-  return new Set([...replica.assignmentsOf(job)].map(({ shard: shard }) => shard));
+  return new Set([...replica.assignmentsOf(job)].map(({ shard }) => shard));
 };
 
 test("suspicion: a suspected owner's part gets nothing new, keeps what it runs, and not for long", async () => {
--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -134,7 +134,7 @@
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines, hints);
     const got = plan.shares
-      ? `${plan.when} ${plan.shares.map(({ shard: shard }) => shard).join()}`
+      ? `${plan.when} ${plan.shares.map(({ shard }) => shard).join()}`
       : 'none';
     assert.equal(got, want, name);
   }
--- a/test/leader/team-quota-reserve.test.ts
+++ b/test/leader/team-quota-reserve.test.ts
@@ -1,7 +1,7 @@
 /** How much of its team's limit lower work may use, beside what is reserved for urgent work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { STARVED_MS } from '../../src/constants.js';
+import { STARVED_MS } from '../../src/constants/leader.js';
 import { AssignmentHistory } from '../../src/coordination/leader/assignment-history.js';
 import { ShardAssignment } from '../../src/coordination/leader/shard-assignment.js';
 import type { OpenJob } from '../../src/coordination/leader/scheduling-order.js';
--- a/test/loopback/state-front.ts
+++ b/test/loopback/state-front.ts
@@ -5,7 +5,7 @@
   type Guard,
   type KeyValueStore,
 } from '../../src/protocol/key-value-store.js';
-import { OutcomeUnknownError } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { SimKeyValueStore } from '../world/key-value-store.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
 
--- a/test/packages/failure-detector-rules.test.ts
+++ b/test/packages/failure-detector-rules.test.ts
@@ -11,7 +11,7 @@
   type MemberUpdate,
   type VerdictInput,
 } from '@mothbank/failure-detector';
-import { DETECTOR_BYTES } from '../../src/constants.js';
+import { DETECTOR_BYTES } from '../../src/constants/protocol.js';
 import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
 import { DetectorNetwork, TIMING } from '../world/detector-network.js';
 
--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -46,7 +46,7 @@
       await network.run(20);
     },
     allowed: { m1: ['suspect', 'alive'] as MemberState[] },
-    atEnd: { m1: 'alive' as MemberState },
+    atEnd: { m1: 'alive' as const },
   })),
   {
     name: 'a member held 5 s is suspected at most, and refutes',
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -183,9 +183,8 @@
 });
 
 test('a cluster takes over all records that 12c6284 left, and ends their jobs', async () => {
-  const records = Object.fromEntries(
-    JSON.parse(FORMS['all records'] ?? '[]') as [string, unknown][],
-  ) as Records;
+  const stored = JSON.parse(FORMS['all records'] ?? '[]') as [string, unknown][];
+  const records: Records = Object.fromEntries(stored);
   const world = new World(11, undefined, { suspicion: null });
   for (const [name] of world.members) world.kill(name);
   world.state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -269,12 +269,7 @@
 test('gang input: settings that say nothing of gangs or coming limits are good', () => {
   const file = settingsWith('workers', '');
   const settings = readSettings(file, []);
-  const {
-    storeRps: storeRps,
-    storeWriteRps: storeWriteRps,
-    valueBytes,
-    transactionOps: transactionOps,
-  } = settings;
+  const { storeRps, storeWriteRps, valueBytes, transactionOps } = settings;
   assert.deepEqual([storeRps, storeWriteRps, valueBytes, transactionOps], [150, 60, 8192, 32]);
   const run = spawnSync(process.execPath, [MAIN, '--check', '--config', file], {
     encoding: 'utf8',
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -4,7 +4,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { GANG_PEER_S, GANG_WAIT_S, VERSION } from '../../src/constants.js';
+import { GANG_PEER_S, GANG_WAIT_S } from '../../src/constants/gangs.js';
+import { VERSION } from '../../src/constants/program.js';
 import { readSettings } from '../../src/protocol/settings.js';
 
 const SETTINGS = `
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -173,9 +173,10 @@
   {
     name: 'commands in the answer to a late copy do not count as delivered',
     placed: true,
-    check: async (world) => {
+    check: (world) => {
       assert.deepEqual(ops(world.heartbeat({ fencingToken: 3, sequence: 7 })), []);
       assert.deepEqual(ops(world.heartbeat({ sequence: 8 })), ['start']);
+      return Promise.resolve();
     },
   },
 ];
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -2,11 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HttpKeyValueStore, type KeyValueStore } from '../../src/protocol/key-value-store.js';
-import {
-  OutcomeUnknownError,
-  type HttpAnswer,
-  type HttpClient,
-} from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/errors.js';
+import type { HttpAnswer, HttpClient } from '../../src/transport/http-client.js';
 
 /** A client that gets this answer to everything. */
 const answering = (answer: HttpAnswer): HttpClient =>
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -1,7 +1,7 @@
 /** The cloud of the simulated world: rents machines and takes them back. */
 import type { CloudApi } from '../../src/protocol/cloud-api.js';
 import type { ListedMachine } from '../../src/protocol/model.js';
-import { OutcomeUnknownError } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import { TYPES } from './settings.js';
 import { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -6,7 +6,7 @@
 import type { DirectResult } from '../../src/protocol/worker-api.js';
 import { encodeDirect, parseHeartbeat } from '../../src/protocol/worker-codec.js';
 import type { Clock } from '../../src/transport/clock.js';
-import { OutcomeUnknownError } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { World } from './world.js';
 
 /** ms that messages between nodes take. */
@@ -30,7 +30,7 @@
     new Promise((resolve, reject) => {
       call.then(
         (value) => world.at(name, () => (isDead() ? undefined : resolve(value))),
-        (error: unknown) => world.at(name, () => (isDead() ? undefined : reject(error as Error))),
+        (error: Error) => world.at(name, () => (isDead() ? undefined : reject(error))),
       );
     });
   return {
@@ -93,7 +93,7 @@
 function callDirect(
   world: World,
   node: string,
-  { address, fencingToken: fencingToken, agentEpoch: agentEpoch, commands }: DirectCall,
+  { address, fencingToken, agentEpoch, commands }: DirectCall,
 ): Promise<DirectResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -11,7 +11,7 @@
   type CompareAndSwapResult,
   type WatchResult,
 } from '../../src/protocol/key-value-store.js';
-import { OutcomeUnknownError } from '../../src/transport/http-client.js';
+import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { Clock } from '../../src/transport/clock.js';
 
 interface Cell {
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -3,7 +3,7 @@
 import { CATALOG, assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
 import type { AssignmentRecord, JobRecord } from '../../src/storage/records.js';
 import { Shard } from '../../src/coordination/shard/shard.js';
-import { FENCING_TOKENS_PER_TERM } from '../../src/constants.js';
+import { FENCING_TOKENS_PER_TERM } from '../../src/constants/election.js';
 import type { Command, JobSpec, TaskStatus, Heartbeat } from '../../src/protocol/model.js';
 import { SimClock } from './clock.js';
 import { followingReplica } from './replica.js';
@@ -81,7 +81,7 @@
     live: {
       ...(options.placed ? { '0': ['m-1', 77] as const } : {}),
       ...options.live,
-    } as AssignmentRecord['live'],
+    },
     team: 'red',
     cpus: 1,
     gpus: 0,
