--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -26,7 +26,7 @@
   /** ms between two checking transactions: what comes meanwhile shares the next. */
   checkMs: number;
   replica: StoreReplica;
-  api: KeyValueStore;
+  keyValueStore: KeyValueStore;
   limiter: RateLimiter;
   clock: Clock;
   log: Log;
@@ -159,9 +159,9 @@
    * everyone who asked before.
    */
   private async compare(group: Check[]): Promise<Set<string>> {
-    const { api, replica } = this.options;
+    const { keyValueStore, replica } = this.options;
     const guards = guardsOf(group, replica);
-    const result = await api.compareAndSwap(guards, []);
+    const result = await keyValueStore.compareAndSwap(guards, []);
     if (!result.ok) return new Set(result.failed);
     for (const check of group) {
       const proof = AbsenceProof.fromTransaction(check.id, guards, result);
@@ -213,10 +213,10 @@
 
   /** Reads a job whose guards failed; what is found goes into the replica too. */
   private async reread(id: string, isOver: boolean): Promise<JobLookup> {
-    const { limiter, api, replica } = this.options;
+    const { limiter, keyValueStore, replica } = this.options;
     if (!isOver) {
       await limiter.pass('check', 0);
-      const live = await api.get(jobKey(id));
+      const live = await keyValueStore.get(jobKey(id));
       if (live) {
         replica.applyOwnChanges([{ key: jobKey(id), value: live.value, revision: live.revision }]);
         return this.openLookup(id);
@@ -224,7 +224,7 @@
     }
     // The job's record goes in the change that makes its final record, which stays.
     await limiter.pass('check', 0);
-    const final = await api.get(finalKey(id));
+    const final = await keyValueStore.get(finalKey(id));
     // Neither record: two reads at two moments don't prove that there was none all the time.
     if (!final) return UNSURE;
     replica.keepFinal(id, final.value as FinalRecord);
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -24,7 +24,7 @@
   /** ms between two checking transactions: what comes meanwhile shares the next. */
   checkMs: number;
   replica: StoreReplica;
-  api: KeyValueStore;
+  keyValueStore: KeyValueStore;
   limiter: RateLimiter;
   committer: Committer;
   clock: Clock;
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -39,7 +39,7 @@
 /** The services that the modules of a node share. */
 export interface ControllerServices extends ControllerServicesOptions {
   /** The state service; the outcome of every request to it is noted for `reachability`. */
-  readonly state: KeyValueStore;
+  readonly keyValueStore: KeyValueStore;
   /** All nodes of the cluster, by name. */
   readonly members: readonly Member[];
   /** Uniform in [0, 1). */
@@ -83,7 +83,7 @@
   const { environment, incarnation, log, settings } = options;
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
-  const state = reachability.watch(environment.state);
+  const state = reachability.watch(environment.keyValueStore);
   const { storeRps: rps, storeWriteRps: writeRps, transactionOps } = settings;
   const limiter = new RateLimiter(
     clock,
@@ -91,7 +91,7 @@
     settings.peers.length + 1,
   );
   const random = randomOf(hash(incarnation));
-  const common = { api: state, limiter, clock, log, random };
+  const common = { keyValueStore: state, limiter, clock, log, random };
   const replica = new StoreReplica({
     ...common,
     holdMs: Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_SHARE)),
@@ -101,7 +101,7 @@
   const members = [selfOf(settings), ...settings.peers].sort((a, b) => (a.node < b.node ? -1 : 1));
   return {
     ...options,
-    state,
+    keyValueStore: state,
     members,
     random,
     reachability,
@@ -128,14 +128,14 @@
 }
 
 function createRoles(services: StoreServices, policy: FailoverPolicy): RoleElection {
-  const { environment, settings, state } = services;
+  const { environment, settings, keyValueStore: state } = services;
   const { committer, incarnation, limiter, log, members, replica } = services;
   return new RoleElection({
     self: selfOf(settings),
     incarnation,
     members,
     timing: settings,
-    api: state,
+    keyValueStore: state,
     limiter,
     replica,
     committer,
@@ -147,15 +147,23 @@
 }
 
 function createUserRequests(services: RoleServices): UserRequests {
-  const { committer, environment, limiter, log, holderNotifier, replica, settings, state } =
-    services;
+  const {
+    committer,
+    environment,
+    limiter,
+    log,
+    holderNotifier,
+    replica,
+    settings,
+    keyValueStore: state,
+  } = services;
   return new UserRequests({
     teams: settings.teams,
     transactionOps: settings.transactionOps,
     valueBytes: settings.valueBytes,
     checkMs: requestSpacingMs(settings, CHECK_SHARE),
     replica,
-    api: state,
+    keyValueStore: state,
     limiter,
     committer,
     clock: environment.clock,
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -116,13 +116,13 @@
   links: Map<string, PeerLink>,
 ): { environment: Environment; clients: { close(): void }[] } {
   const clock = systemClock;
-  const storeHttp = new HttpClient(settings.state, clock, STORE_SOCKETS);
-  const watchHttp = new HttpClient(settings.state, clock, 1);
+  const storeHttp = new HttpClient(settings.keyValueStore, clock, STORE_SOCKETS);
+  const watchHttp = new HttpClient(settings.keyValueStore, clock, 1);
   const cloudHttp = new HttpClient(settings.cloud, clock, CLOUD_SOCKETS);
   const workers = new HttpWorkerApi(clock, DIRECT_TIMEOUT_MS, directSockets, DIRECT_AT_ONCE);
   const environment: Environment = {
     clock,
-    state: new HttpKeyValueStore(storeHttp, watchHttp, STORE_TIMEOUT_MS),
+    keyValueStore: new HttpKeyValueStore(storeHttp, watchHttp, STORE_TIMEOUT_MS),
     cloud: new HttpCloudApi(cloudHttp, CLOUD_TIMEOUT_MS, LIST_PAGE),
     workers,
     connectedPeers: () => [...links].filter(([, link]) => link.connected).map(([name]) => name),
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -51,7 +51,7 @@
       return { status: 421, body: encodeRedirect(owner) };
     }
     // Back so soon after a redirect: it can't reach the owner, but perhaps this node can.
-    const relayed = await relay.request(owner, { ask: 'report', about: '', text: text ?? '' });
+    const relayed = await relay.request(owner, { ask: 'heartbeat', about: '', text: text ?? '' });
     return relayed ?? unavailable('no owner acts');
   }
 
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -45,8 +45,8 @@
         relay.settle(message);
         return;
       case 'detector':
-      case 'standDown':
-      case 'stoodDown':
+      case 'stepDown':
+      case 'steppedDown':
         detection?.receive(message, answer);
     }
   }
@@ -66,7 +66,7 @@
   /** Null: this node can't answer the relayed request. */
   private async replyTo({ ask, about, text }: RelayMessage): Promise<HttpReply | null> {
     const { userEndpoint, heartbeatEndpoint } = this.options;
-    if (ask === 'report') return heartbeatEndpoint.replyToRelayed(text);
+    if (ask === 'heartbeat') return heartbeatEndpoint.replyToRelayed(text);
     return userEndpoint.serveRelayed({ ask, about, text });
   }
 }
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -18,7 +18,7 @@
 
 /** A user's request. */
 export interface UserRequest {
-  readonly ask: Exclude<Ask, 'report'>;
+  readonly ask: Exclude<Ask, 'heartbeat'>;
   /** Id of the job that is asked about; '' in a submission. */
   readonly about: string;
   /** The body; null: there is none, or it was longer than the limit. */
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -23,7 +23,7 @@
   incarnation: string;
   members: readonly Member[];
   timing: LeaseTiming;
-  api: KeyValueStore;
+  keyValueStore: KeyValueStore;
   limiter: RateLimiter;
   replica: StoreReplica;
   committer: Committer;
@@ -189,7 +189,7 @@
   private async renewLease(lease: number, now: number): Promise<boolean> {
     if (now - this.renewedAt < MEMBER_RENEW_MS) return true;
     await this.options.limiter.pass('role', 0);
-    if (await this.options.api.extend(lease)) {
+    if (await this.options.keyValueStore.extend(lease)) {
       this.renewedAt = now;
       return true;
     }
@@ -202,7 +202,7 @@
     if (this.hasRegistration) this.options.policy.registrationLost();
     this.hasRegistration = false;
     await this.options.limiter.pass('role', 0);
-    const lease = await this.options.api.grant(MEMBER_TTL_MS);
+    const lease = await this.options.keyValueStore.grant(MEMBER_TTL_MS);
     const { guards, changes } = this.registration(lease);
     const result = await this.options.committer.commit('role', guards, changes, () => true);
     if (result.kind === 'invalid') this.rejectedChangeBackoff.add(REGISTRATION);
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -71,8 +71,8 @@
 
   receive(message: PeerMessage, answer: Answer): void {
     if (message.kind === 'detector') this.receiveDetector(message.payload, answer);
-    else if (message.kind === 'standDown') this.stepDown.asked(message, answer);
-    else if (message.kind === 'stoodDown') this.stepDown.answered(message);
+    else if (message.kind === 'stepDown') this.stepDown.asked(message, answer);
+    else if (message.kind === 'steppedDown') this.stepDown.answered(message);
   }
 
   /** A suspected owner's part keeps what it runs and gets nothing new, for a bounded time. */
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -47,7 +47,7 @@
     const now = clock.now();
     if (now - (this.askedAt.get(role) ?? -Infinity) < STEP_DOWN_RETRY_MS) return;
     this.askedAt.set(role, now);
-    send(node, { kind: 'standDown', node: this.options.node, role, term, incarnation });
+    send(node, { kind: 'stepDown', node: this.options.node, role, term, incarnation });
   }
 
   /** A peer asks this node to give a role up. */
@@ -60,7 +60,7 @@
     if (!roles().stepDown(role, term) && !roles().hasSteppedDown(role, term)) return;
     onSteppedDown();
     log.info({ role, term, for: tenure.node }, 'stood down');
-    answer({ kind: 'stoodDown', node, role, term, incarnation });
+    answer({ kind: 'steppedDown', node, role, term, incarnation });
   }
 
   /** A holder answers that it gave a role up. */
--- a/src/protocol/environment.ts
+++ b/src/protocol/environment.ts
@@ -8,7 +8,7 @@
 /** The clock and the services that a node uses; tests pass simulated ones. */
 export interface Environment {
   readonly clock: Clock;
-  readonly state: KeyValueStore;
+  readonly keyValueStore: KeyValueStore;
   readonly cloud: CloudApi;
   readonly workers: WorkerApi;
   /** Sends a message to a peer; false: there is no connection to it. */
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -26,9 +26,9 @@
   /** A message of the failure detector, as its own codec has it. */
   | { kind: 'detector'; payload: Uint8Array }
   /** The sender sees that the receiver's registration has ended, and asks it to give a role up. */
-  | ({ kind: 'standDown' } & RoleTenure)
+  | ({ kind: 'stepDown' } & RoleTenure)
   /** The sender acts and answers no more under this term, and takes nothing up under it. */
-  | ({ kind: 'stoodDown' } & RoleTenure);
+  | ({ kind: 'steppedDown' } & RoleTenure);
 
 /** A role that a process held under a term. `node`: the sender of the message. */
 export interface RoleTenure {
@@ -46,7 +46,7 @@
 }
 
 /** What a relayed request asks; `about` is the job's id where there is one. */
-export const ASKS = ['report', 'submit', 'poll', 'cancel'] as const;
+export const ASKS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
 /** The kind of a relayed request. */
 export type Ask = (typeof ASKS)[number];
 
@@ -115,10 +115,10 @@
     case 'relayed':
       writeRelayed(writer, message);
       break;
-    case 'standDown':
+    case 'stepDown':
       writeTenure(writer, STEP_DOWN, message);
       break;
-    case 'stoodDown':
+    case 'steppedDown':
       writeTenure(writer, STEPPED_DOWN, message);
       break;
   }
@@ -174,7 +174,7 @@
     case STEP_DOWN:
     case STEPPED_DOWN:
       return {
-        kind: kind === STEP_DOWN ? 'standDown' : 'stoodDown',
+        kind: kind === STEP_DOWN ? 'stepDown' : 'steppedDown',
         node: text(1),
         role: text(2),
         term: integer(3),
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -93,7 +93,7 @@
   peerListen: string;
   peers: { node: string; zone: string; address: string }[];
   cloud: string;
-  state: string;
+  keyValueStore: string;
   zones: string[];
   skewMs: number;
   teams: Team[];
@@ -206,7 +206,7 @@
       address: member.peer_addr,
     })),
     cloud: raw.services.cloud,
-    state: raw.services.state,
+    keyValueStore: raw.services.state,
     zones: params.zones,
     skewMs: params.skew_ms,
     teams: readTeams(params.teams),
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -36,7 +36,7 @@
 
 /** What a committer works with. */
 export interface CommitterOptions {
-  api: KeyValueStore;
+  keyValueStore: KeyValueStore;
   limiter: RateLimiter;
   replica: StoreReplica;
   clock: Clock;
@@ -56,7 +56,7 @@
  * other was carried out.
  */
 export class Committer {
-  private readonly api: KeyValueStore;
+  private readonly keyValueStore: KeyValueStore;
   private readonly limiter: RateLimiter;
   private readonly replica: StoreReplica;
   private readonly clock: Clock;
@@ -66,7 +66,7 @@
   private readonly read = new Map<string, { value: unknown; revision: number } | null>();
 
   constructor(options: CommitterOptions) {
-    this.api = options.api;
+    this.keyValueStore = options.keyValueStore;
     this.limiter = options.limiter;
     this.replica = options.replica;
     this.clock = options.clock;
@@ -127,7 +127,7 @@
   /** One try. `unsure`: an earlier one had no answer, so the changes may be there already. */
   private async attempt(transaction: Transaction, unsure: boolean): Promise<CommitResult> {
     const { purpose, guards, changes } = transaction;
-    const result = await this.api.compareAndSwap(guards, changes);
+    const result = await this.keyValueStore.compareAndSwap(guards, changes);
     if (result.ok) {
       this.adopt(changes, result.revision);
       return { kind: 'done' };
@@ -213,7 +213,7 @@
 
   private async reread(purpose: Purpose, key: string): Promise<void> {
     await this.limiter.pass(purpose, 0);
-    const held = await this.api.get(key);
+    const held = await this.keyValueStore.get(key);
     this.read.set(key, held);
     if (this.read.size > READ_CACHE) {
       const oldest = this.read.keys().next();
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -17,7 +17,7 @@
   }
 
   /** The same service, with the outcome of every request noted. */
-  watch(api: KeyValueStore): KeyValueStore {
+  watch(keyValueStore: KeyValueStore): KeyValueStore {
     const note = async <T>(call: Promise<T>): Promise<T> => {
       try {
         const result = await call;
@@ -31,12 +31,12 @@
       }
     };
     return {
-      get: (key) => note(api.get(key)),
-      list: (prefix, after) => note(api.list(prefix, after)),
-      compareAndSwap: (guards, changes) => note(api.compareAndSwap(guards, changes)),
-      grant: (ttlMs) => note(api.grant(ttlMs)),
-      extend: (lease) => note(api.extend(lease)),
-      watch: (prefix, since, waitMs) => note(api.watch(prefix, since, waitMs)),
+      get: (key) => note(keyValueStore.get(key)),
+      list: (prefix, after) => note(keyValueStore.list(prefix, after)),
+      compareAndSwap: (guards, changes) => note(keyValueStore.compareAndSwap(guards, changes)),
+      grant: (ttlMs) => note(keyValueStore.grant(ttlMs)),
+      extend: (lease) => note(keyValueStore.extend(lease)),
+      watch: (prefix, since, waitMs) => note(keyValueStore.watch(prefix, since, waitMs)),
     };
   }
 }
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -22,7 +22,7 @@
 
 /** What a replica works with. */
 export interface ReplicaOptions {
-  api: KeyValueStore;
+  keyValueStore: KeyValueStore;
   limiter: RateLimiter;
   clock: Clock;
   log: Log;
@@ -48,7 +48,7 @@
  * since the answer may have been held on its way.
  */
 export class StoreReplica extends RecordIndex {
-  private readonly api: KeyValueStore;
+  private readonly keyValueStore: KeyValueStore;
   private readonly limiter: RateLimiter;
   private readonly clock: Clock;
   private readonly log: Log;
@@ -74,7 +74,7 @@
 
   constructor(options: ReplicaOptions) {
     super();
-    this.api = options.api;
+    this.keyValueStore = options.keyValueStore;
     this.limiter = options.limiter;
     this.clock = options.clock;
     this.log = options.log;
@@ -137,7 +137,7 @@
     for (;;) {
       const listing = (this.listing ??= { entries: new Map(), first: null, after: null });
       await this.limiter.pass('watch', 0);
-      const page = await this.api.list(LIVE, listing.after);
+      const page = await this.keyValueStore.list(LIVE, listing.after);
       this.backoff.reset();
       listing.first ??= page.revision;
       this.syncedFromRevision = Math.max(this.syncedFromRevision, page.revision);
@@ -188,7 +188,7 @@
         if (!this.isLoaded) await this.load();
         await this.limiter.pass('watch', 0);
         const sentAt = this.clock.now();
-        const result = await this.api.watch(ROOT, this.revision, this.holdMs);
+        const result = await this.keyValueStore.watch(ROOT, this.revision, this.holdMs);
         if (this.stopped) return;
         if (result === null) {
           this.log.info({ since: this.revision }, 'changes no longer kept, reading all keys again');
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -18,7 +18,7 @@
 function refusesToStepDown(world: World, requests: Partial<RoleTenure>[]): void {
   const tenure = { node: 'n0', role: 'part-n1', term: 1, incarnation: 'n1-2' };
   for (const fields of requests) {
-    const message = { kind: 'standDown' as const, ...tenure, ...fields };
+    const message = { kind: 'stepDown' as const, ...tenure, ...fields };
     world.nodes.get('n1')?.node.receive(message, () => assert.fail(JSON.stringify(fields)));
   }
 }
@@ -92,7 +92,7 @@
     reasons: [STORE_ONLY_POLICY],
     trouble: async ({ world }) => {
       world.onPeerMessage = (message) =>
-        message.kind === 'stoodDown' ? { ...message, role: 'lost' } : message;
+        message.kind === 'steppedDown' ? { ...message, role: 'lost' } : message;
       world.state.refused.add('n1');
       await world.run(40);
       assert.doesNotMatch(Object.values(tenures(world)).join(), /n1 /);
@@ -146,7 +146,7 @@
       const before = Number(tenures(world)['part-n1']?.split(' ')[1]);
       world.onPeerMessage = (message) => {
         // From now on the state service serves this node alone.
-        if (message.kind === 'stoodDown') {
+        if (message.kind === 'steppedDown') {
           for (const other of ['n0', 'n2']) world.state.refused.add(other);
           world.state.refused.delete('n1');
         }
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -110,7 +110,14 @@
 
 /** The requests of users at a node that believes in these limits. */
 function userRequestsOn(
-  { clock, log, api, limiter, replica, committer }: Awaited<ReturnType<typeof nodeStorage>>,
+  {
+    clock,
+    log,
+    keyValueStore,
+    limiter,
+    replica,
+    committer,
+  }: Awaited<ReturnType<typeof nodeStorage>>,
   limits: { transactionOps: number; valueBytes: number },
 ): UserRequests {
   return new UserRequests({
@@ -118,7 +125,7 @@
     ...limits,
     checkMs: 100,
     replica,
-    api,
+    keyValueStore: api,
     limiter,
     committer,
     clock,
--- a/test/upgrade/peer-messages.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -121,7 +121,7 @@
 }
 
 /** `number`: of the question; a schema leaves zero out, both ways. */
-const relayRow = (ask: 'report' | 'submit' | 'poll' | 'cancel', number?: number): Row => ({
+const relayRow = (ask: 'heartbeat' | 'submit' | 'poll' | 'cancel', number?: number): Row => ({
   name: `relay of ${ask}`,
   message: { kind: 'relay', id: REVISION, ask, about: 'j-1', text: '{"ä":1}' },
   numbers: [2, [1, VARINT], [2, VARINT], [3, DELIMITED], [4, DELIMITED]],
@@ -158,7 +158,7 @@
     fromProduction: { kind: 'poke', node: 'n1', revision: REVISION },
   },
   // What is asked goes by number, in the order that both older versions have.
-  relayRow('report'),
+  relayRow('heartbeat'),
   relayRow('submit', 1),
   relayRow('poll', 2),
   relayRow('cancel', 3),
@@ -199,11 +199,11 @@
   const rows: [PeerMessage, [number, ...[number, number][]]][] = [
     [{ kind: 'detector', payload }, [4, [1, DELIMITED]]],
     [
-      { kind: 'standDown', ...tenure },
+      { kind: 'stepDown', ...tenure },
       [5, [1, DELIMITED], [2, DELIMITED], [3, VARINT], [4, DELIMITED]],
     ],
     [
-      { kind: 'stoodDown', ...tenure },
+      { kind: 'steppedDown', ...tenure },
       [6, [1, DELIMITED], [2, DELIMITED], [3, VARINT], [4, DELIMITED]],
     ],
   ];
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -35,7 +35,7 @@
     });
   return {
     clock: clockOf(world, name, isDead),
-    state: stateOf(world.state.api(name), guarded),
+    keyValueStore: stateOf(world.state.api(name), guarded),
     cloud: world.cloud.api(),
     workers: {
       full: false,
--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -19,9 +19,9 @@
   rps: number,
   log: Log = silent,
 ) {
-  const api = state.api(NODE);
+  const keyValueStore = state.api(NODE);
   const limiter = new RateLimiter(clock, { rps, writeRps: rps, transactionOps: 8 });
-  const store = { api, limiter, clock, log, random: () => 0.5 };
+  const store = { keyValueStore, limiter, clock, log, random: () => 0.5 };
   const replica = new StoreReplica(store);
   void replica.follow();
   return { ...store, replica };
--- a/test/world/settings.ts
+++ b/test/world/settings.ts
@@ -51,7 +51,7 @@
       .filter(([name]) => name !== node)
       .map(([name, site]) => ({ node: name, zone: site, address: '127.0.0.1:1' })),
     cloud: '',
-    state: '',
+    keyValueStore: '',
     zones: ['a', 'b'],
     skewMs: 100,
     teams: TEAMS,
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -26,14 +26,14 @@
     revision: 41,
     cancelled: { job: 'j-000412', tasks: 16 },
   },
-  'relay report': { kind: 'relay', id: 7, ask: 'report', about: '', text: '{"moth":"ä"}' },
+  'relay report': { kind: 'relay', id: 7, ask: 'heartbeat', about: '', text: '{"moth":"ä"}' },
   'relay submit': { kind: 'relay', id: 8, ask: 'submit', about: '', text: '{}' },
   'relay poll': { kind: 'relay', id: 9, ask: 'poll', about: 'j-000001', text: '' },
   'relay cancel': { kind: 'relay', id: 2 ** 35, ask: 'cancel', about: 'j-000002', text: '' },
   relayed: { kind: 'relayed', id: 7, status: 200, body: '{"a":1}', isProven: false },
   'relayed, proven': { kind: 'relayed', id: 8, status: 404, body: '{}', isProven: true },
-  'stand down': { kind: 'standDown', ...TENURE },
-  'stood down': { kind: 'stoodDown', ...TENURE },
+  'stand down': { kind: 'stepDown', ...TENURE },
+  'stood down': { kind: 'steppedDown', ...TENURE },
 };
 
 const DETECTOR_MESSAGE = {
