--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -125,7 +125,7 @@
     ...limits,
     checkMs: 100,
     replica,
-    keyValueStore: api,
+    keyValueStore,
     limiter,
     committer,
     clock,
