--- a/test/run.ts
+++ b/test/run.ts
@@ -8,7 +8,7 @@
 import { objections, readKnownRed } from './known-failures.js';
 
 /** Tests that there were when this was last raised: a run that finds fewer has lost some on the way. */
-const LEAST_TESTS = 529;
+const LEAST_TESTS = 550;
 
 const here = dirname(fileURLToPath(import.meta.url));
 const list = join(here, '..', '..', 'KNOWN-RED.txt');
