--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,5 +1,5 @@
 /** What the steps of a fleet round share: settings, services and the limits on requests. */
-import { CLOUD_SHARE } from '../../constants/autoscaling.js';
+import { CLOUD_REQUEST_SHARE } from '../../constants/autoscaling.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
@@ -59,7 +59,7 @@
   private readonly budget: Budget;
 
   constructor(clock: Clock, cloudRps: number) {
-    const rate = cloudRps * CLOUD_SHARE;
+    const rate = cloudRps * CLOUD_REQUEST_SHARE;
     this.budget = new Budget(clock, rate, Math.max(1, rate));
   }
 
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -1,9 +1,9 @@
 /** Computes for which tasks, and for how many CPUs, the present machines do not suffice. */
 import {
-  COMING_SHARE,
+  EXPECTED_WORK_SHARE,
   ESTIMATE_MARGIN,
-  LATE_BOOTS,
-  RUNNING_LEFT_S,
+  LATE_TASK_BOOT_TIMES,
+  ASSUMED_REMAINING_RUN_S,
 } from '../../constants/autoscaling.js';
 import { rankOf, type JobSpec, type MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
@@ -35,11 +35,15 @@
  */
 export function neededCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
   let workCpuS = 0;
-  for (const machine of snapshot.machines) workCpuS += machine.preemptibleCpus * RUNNING_LEFT_S;
+  for (const machine of snapshot.machines)
+    workCpuS += machine.preemptibleCpus * ASSUMED_REMAINING_RUN_S;
   for (const { spec, count } of snapshot.unmet) {
     if (spec.kind !== 'service') workCpuS += count * spec.cpus * Math.max(1, spec.estimateS);
   }
-  return workCpuS / (quickestBootS(types) * LATE_BOOTS) + snapshot.comingCpus * COMING_SHARE;
+  return (
+    workCpuS / (quickestBootS(types) * LATE_TASK_BOOT_TIMES) +
+    snapshot.comingCpus * EXPECTED_WORK_SHARE
+  );
 }
 
 /**
@@ -55,7 +59,8 @@
   const demand: TaskDemand[] = [];
   // CPU seconds ahead of a job: what runs is half done on average.
   let aheadCpuS = 0;
-  for (const machine of snapshot.machines) aheadCpuS += machine.preemptibleCpus * RUNNING_LEFT_S;
+  for (const machine of snapshot.machines)
+    aheadCpuS += machine.preemptibleCpus * ASSUMED_REMAINING_RUN_S;
   for (const unmet of byUrgency(snapshot.unmet)) {
     const { spec, count } = unmet;
     if (spec.kind === 'service' || spec.deadlineS === null || spec.cpus <= 0) {
@@ -66,7 +71,7 @@
     // What would be late even on a machine rented now does not justify renting at any price: it is
     // to be done within a few boots from now.
     const untilDueS = (dueAt(unmet) - wall) / 1000 - runS;
-    const slackS = Math.max(untilDueS, bootS * LATE_BOOTS);
+    const slackS = Math.max(untilDueS, bootS * LATE_TASK_BOOT_TIMES);
     const workCpuS = count * spec.cpus * runS;
     const inTimeCpuS = Math.max(0, presentCpus * slackS - aheadCpuS);
     const late = Math.min(count, Math.ceil((workCpuS - inTimeCpuS) / (spec.cpus * runS)));
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -1,5 +1,5 @@
 /** What is kept free for work to come: none once there has been no work for a while. */
-import { HEADROOM_QUIET_MS } from '../../constants/autoscaling.js';
+import { HEADROOM_RELEASE_AFTER_MS } from '../../constants/autoscaling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
@@ -34,6 +34,6 @@
   }
 
   private get isQuiet(): boolean {
-    return this.clock.now() - this.lastWorkAt >= HEADROOM_QUIET_MS;
+    return this.clock.now() - this.lastWorkAt >= HEADROOM_RELEASE_AFTER_MS;
   }
 }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -1,9 +1,9 @@
 /** Decides which machines have been silent long enough to be returned. */
 import {
-  SILENT_RETURN_MAX,
+  SILENT_RETURN_MAX_MACHINES,
   SILENT_RETURN_PERIOD_MS,
-  SILENT_RETURN_SHARE,
-  SILENT_SETTLE_MS,
+  SILENT_RETURN_MAX_FLEET_SHARE,
+  SILENT_CONFIRM_MS,
 } from '../../constants/autoscaling.js';
 import type { Clock } from '../../transport/clock.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
@@ -40,9 +40,10 @@
     }
     const affected = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
     // Parts report on their machines one after the other: a cut shows only when all have done so.
-    const waitMs = affected.size <= SILENT_RETURN_MAX ? SILENT_SETTLE_MS : this.leaseS * 1000;
-    const shareOfFleet = Math.floor(machines.length * SILENT_RETURN_SHARE);
-    const limit = Math.max(SILENT_RETURN_MAX, shareOfFleet);
+    const waitMs =
+      affected.size <= SILENT_RETURN_MAX_MACHINES ? SILENT_CONFIRM_MS : this.leaseS * 1000;
+    const shareOfFleet = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_SHARE);
+    const limit = Math.max(SILENT_RETURN_MAX_MACHINES, shareOfFleet);
     this.dueNames.clear();
     for (const [name, since] of this.silentSince) {
       if (now - since < waitMs) continue;
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -1,5 +1,5 @@
 /** Drains machines that are faulty, or idle and not needed. */
-import { IDLE_KEEP_MOST } from '../../constants/autoscaling.js';
+import { IDLE_TIME_MAX_FACTOR } from '../../constants/autoscaling.js';
 import type { MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity } from '../capacity/machine-capacity.js';
 import { neededCpus } from './capacity-demand.js';
@@ -50,7 +50,7 @@
       this.idleSince.set(machine.name, since);
       // Cheap capacity stays longer, since renting in its place would cost more.
       const priceRatio = highestPrice / Math.max(PRICE_EPSILON, cpuPrice(machine, types));
-      if (now - since < idleMs * Math.min(IDLE_KEEP_MOST, priceRatio)) continue;
+      if (now - since < idleMs * Math.min(IDLE_TIME_MAX_FACTOR, priceRatio)) continue;
       const headroomLoss = machine.spot ? 0 : Math.max(0, machine.cpus);
       if (headroom - headroomLoss < requiredHeadroom && headroomLoss > 0) continue;
       if (spareCpus < machine.cpus) continue;
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -1,5 +1,5 @@
 /** Writes the stored records of machines: their state, and the removal of old records. */
-import { GONE_KEEP_MS } from '../../constants/autoscaling.js';
+import { RETURNED_RECORD_RETENTION_MS } from '../../constants/autoscaling.js';
 import { MACHINES, machineKey } from '../../storage/keys.js';
 import type { MachineRecord, MachineState } from '../../storage/records.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
@@ -72,7 +72,8 @@
     const guards: Guard[] = [];
     for (const [key, held] of replica.below<MachineRecord>(MACHINES)) {
       if (held.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
-      if (wall - held.value.at < GONE_KEEP_MS || changes.length >= transactionOps) continue;
+      if (wall - held.value.at < RETURNED_RECORD_RETENTION_MS || changes.length >= transactionOps)
+        continue;
       guards.push({ key, revision: held.revision });
       changes.push({ key, remove: true });
     }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,5 +1,5 @@
 /** Returns machines to the cloud: drained, stuck in booting, failed and silent ones. */
-import { STUCK_BOOTS, STUCK_LEAST_MS } from '../../constants/autoscaling.js';
+import { BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MIN_MARGIN_MS } from '../../constants/autoscaling.js';
 import { RETURN_MAX } from '../../constants/protocol.js';
 import { MACHINES } from '../../storage/keys.js';
 import type { MachineRecord } from '../../storage/records.js';
@@ -89,7 +89,7 @@
     const bootingNames = new Set(booting.map((machine) => machine.name));
     return (name, record) => {
       const bootMs = (types.get(record.type)?.bootS ?? UNKNOWN_BOOT_S) * 1000;
-      const limitMs = Math.max(bootMs * STUCK_BOOTS, bootMs + STUCK_LEAST_MS);
+      const limitMs = Math.max(bootMs * BOOT_TIMEOUT_FACTOR, bootMs + BOOT_TIMEOUT_MIN_MARGIN_MS);
       return bootingNames.has(name) && wall - record.at > limitMs;
     };
   }
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,5 +1,5 @@
 /** Plans how many machines of which offers to rent for given tasks and for the headroom. */
-import { PREEMPTIBLE_SHARE } from '../../constants/autoscaling.js';
+import { PREEMPTIBLE_CPU_SHARE } from '../../constants/autoscaling.js';
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
@@ -108,7 +108,7 @@
     for (const machine of [...healthy, ...this.options.booting]) {
       // CPUs that urgent work may preempt count in part, since preemption loses work done.
       if (!machine.spot)
-        cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_SHARE;
+        cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_CPU_SHARE;
     }
     for (const { offer, capacities } of this.planned.values()) {
       if (offer.spot) continue;
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -1,5 +1,5 @@
 /** Assigns gangs to parts: all tasks of a gang under one attempt number, or none. */
-import { FETCH_SHARE } from '../../constants/scheduling.js';
+import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { Log } from '../../storage/log.js';
@@ -118,7 +118,7 @@
       fetchesInTime: (name) => {
         const type = types.get(name);
         if (withinS === undefined || !type) return true;
-        return spec.imageGb <= type.fetchGbPerS * withinS * FETCH_SHARE;
+        return spec.imageGb <= type.fetchGbPerS * withinS * START_TARGET_FETCH_SHARE;
       },
     };
   }
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -2,7 +2,7 @@
 
 import { Matrix, inverse } from 'ml-matrix';
 import { bytesOf } from '../../storage/committer.js';
-import { CLASS_CAP } from '../../constants/scheduling.js';
+import { MAX_TASK_CLASSES } from '../../constants/scheduling.js';
 
 /** What one arm has learned: A and b of ridge regression, with A's inverse kept beside it. */
 interface Arm {
@@ -57,13 +57,13 @@
   ) {}
 
   private get size(): number {
-    return CLASS_CAP + 1 + 2 * this.types.length;
+    return MAX_TASK_CLASSES + 1 + 2 * this.types.length;
   }
 
   private classAt(name: string): number {
     const known = this.classes.indexOf(name);
     if (known >= 0) return known;
-    if (this.classes.length >= CLASS_CAP) return CLASS_CAP;
+    if (this.classes.length >= MAX_TASK_CLASSES) return MAX_TASK_CLASSES;
     return this.classes.push(name) - 1;
   }
 
@@ -87,8 +87,8 @@
     let total = 0;
     for (const count of load.values()) total += count;
     this.types.forEach((name, at) => {
-      vector[CLASS_CAP + 1 + at] = total === 0 ? 0 : (load.get(name) ?? 0) / total;
-      if (name === type) vector[CLASS_CAP + 1 + this.types.length + at] = 1;
+      vector[MAX_TASK_CLASSES + 1 + at] = total === 0 ? 0 : (load.get(name) ?? 0) / total;
+      if (name === type) vector[MAX_TASK_CLASSES + 1 + this.types.length + at] = 1;
     });
     return vector;
   }
@@ -185,7 +185,7 @@
     // Arms are written at different times: one may know more classes than another.
     const both = Math.min(this.classes.length, record.classes.length);
     if (this.classes.slice(0, both).join() !== record.classes.slice(0, both).join()) return;
-    this.classes.push(...record.classes.slice(both, CLASS_CAP));
+    this.classes.push(...record.classes.slice(both, MAX_TASK_CLASSES));
     const design = Matrix.zeros(this.size, this.size);
     for (const [row, column, value] of record.a) {
       design.set(row, column, value);
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,10 +1,10 @@
 /** Consolidation of services: little-used machines are emptied, so that they can be returned. */
 
 import {
-  CONSOLIDATE_MS,
-  CONSOLIDATE_SETTLED_MS,
-  CONSOLIDATE_SHARE,
-  CONSOLIDATE_USE,
+  CONSOLIDATION_PERIOD_MS,
+  SETTLED_AFTER_MS,
+  CONSOLIDATION_MAX_MACHINE_SHARE,
+  CONSOLIDATION_MAX_CPU_USE,
 } from '../../constants/scheduling.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -29,7 +29,7 @@
 
 /** Whether a task ran long enough for its start to have been worth it. */
 export function isSettled(slot: Slot, clock: Clock): boolean {
-  return slot.runningAt !== null && clock.now() - slot.runningAt > CONSOLIDATE_SETTLED_MS;
+  return slot.runningAt !== null && clock.now() - slot.runningAt > SETTLED_AFTER_MS;
 }
 
 /** Moves services away from the machines of a part that are little used. */
@@ -52,13 +52,13 @@
     const now = clock.now();
     const emptied = new Set<string>();
     if (tasks.waiting.size > 0 || now < this.nextAt) return emptied;
-    this.nextAt = now + CONSOLIDATE_MS;
+    this.nextAt = now + CONSOLIDATION_PERIOD_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ empty }) => !empty);
     used.sort((a, b) => this.useOf(a) - this.useOf(b));
-    const most = Math.max(1, Math.round(used.length * CONSOLIDATE_SHARE));
+    const most = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_SHARE));
     for (const [at, candidate] of used.entries()) {
-      if (this.useOf(candidate) > CONSOLIDATE_USE || emptied.size >= most) return emptied;
+      if (this.useOf(candidate) > CONSOLIDATION_MAX_CPU_USE || emptied.size >= most) return emptied;
       if (this.empty(candidate, used.slice(at + 1))) emptied.add(candidate.machine.name);
     }
     return emptied;
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -1,6 +1,6 @@
 /** Chooses the machine for a task with free room: the bandit picks the type, first fit the machine. */
 
-import { FETCH_SHARE } from '../../constants/scheduling.js';
+import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Bandit } from './bandit.js';
 import type { Candidate } from './candidates.js';
@@ -72,7 +72,10 @@
   /** Whether a machine has a job's image soon enough for the start aim of its class, if it has one. */
   fetchesInTime(machine: Machine, spec: JobSpec): boolean {
     const withinS = this.options.startWithinS[spec.class];
-    return withinS === undefined || this.fetchSeconds(machine, spec) <= withinS * FETCH_SHARE;
+    return (
+      withinS === undefined ||
+      this.fetchSeconds(machine, spec) <= withinS * START_TARGET_FETCH_SHARE
+    );
   }
 
   /** Seconds that a machine will take to fetch a job's image. */
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /** Preemption: which tasks are stopped to make room for work of higher priority, and at what cost. */
 
-import { IMAGE_VICTIMS } from '../../constants/scheduling.js';
+import { IMAGE_FETCH_COST } from '../../constants/scheduling.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -77,7 +77,7 @@
     // The fetch of an image can take as long as an urgent start may; stopped tasks only lose work.
     const cost =
       victims.reduce((sum, victim) => sum + this.costOf(victim), 0) +
-      (candidate.machine.images.has(spec.image) ? 0 : IMAGE_VICTIMS);
+      (candidate.machine.images.has(spec.image) ? 0 : IMAGE_FETCH_COST);
     return { candidate, victims, cost };
   }
 
