--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -1,32 +1,30 @@
-/** The machines that may take tasks in one round of placing. */
+/** The machines that may take tasks in one scheduling cycle. */
 
 import type { JobSpec } from '../../protocol/model.js';
 import { isEligible } from '../capacity/machine-capacity.js';
+import { allocate, type Resources } from '../capacity/resources.js';
+import type { Assignment } from '../shard-state/assignment.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
-import { allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
+import type { Tasks } from '../shard-state/tasks.js';
 
-/** A machine that may take tasks, and what is left of it in this round. */
+/** A machine that may take tasks, and what is left of it in this cycle. */
 export interface Candidate {
   machine: Machine;
-  /** The room that is left on it. */
+  /** Its free resources. */
   free: Resources;
-  /** Whether it holds no tasks. */
-  empty: boolean;
-  /** Its room is reserved for a gang that does not fit yet. */
-  reserved: boolean;
-  /** Its room is reserved for the next gang: most arrays may not use it. */
+  /** Whether no task is placed on it. */
+  isEmpty: boolean;
+  /** Its free resources are reserved for a gang that does not fit yet. */
+  isReserved: boolean;
+  /** Its free resources are reserved for the next gang: most arrays may not use them. */
   excludesArrays: boolean;
 }
 
-/** A placed task that may be stopped for another one. */
-export type Victim = [Slot, Chunk];
-
 /** Looks up a job's description and the time of day of its acceptance; null: it is over. */
 export type JobLookup = (id: string) => { spec: JobSpec; at: number } | null;
 
-/** The healthy machines of a part in their fixed order, with the room that their tasks leave. */
+/** The healthy machines of a shard in their fixed order, with what their tasks leave free. */
 export function listCandidates(machines: Machines, tasks: Tasks): Candidate[] {
   const candidates: Candidate[] = [];
   for (const machine of machines.inOrder()) {
@@ -34,15 +32,17 @@
     if (machines.health(machine) !== 'ok') continue;
     const free = machines.capacity(machine.type);
     const placed = tasks.on(machine.name);
-    for (const [slot, assignment] of placed) if (!slot.halting) allocate(free, assignment.record);
-    const empty = placed.size === 0;
-    candidates.push({ machine, free, empty, reserved: false, excludesArrays: false });
+    for (const [slot, assignment] of placed) {
+      if (!slot.halting) allocate(free, assignment.record);
+    }
+    const isEmpty = placed.size === 0;
+    candidates.push({ machine, free, isEmpty, isReserved: false, excludesArrays: false });
   }
   return candidates;
 }
 
-/** Whether tasks of a chunk may run on a machine: in its zone, and as its job's user allows. */
-export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Chunk): boolean {
+/** Whether tasks of an assignment may run on a machine: in its zone, and as its job allows. */
+export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Assignment): boolean {
   return machine.zone === assignment.record.zone && isEligible(spec, machine);
 }
 
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,4 +1,4 @@
-/** Consolidation of services: little-used machines are emptied, so that they can be returned. */
+/** Consolidation of services: little-used machines are drained, so that they can be returned. */
 
 import {
   CONSOLIDATION_PERIOD_MS,
@@ -8,10 +8,11 @@
 } from '../../constants/scheduling.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
-import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
-import type { Machines } from '../shard-state/machines.js';
 import { fits, allocate } from '../capacity/resources.js';
-import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Slot } from '../shard-state/assignment.js';
+import type { Machines } from '../shard-state/machines.js';
+import type { Tasks } from '../shard-state/tasks.js';
+import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
 
 /** What consolidation reads and writes. */
 interface ConsolidationDependencies {
@@ -21,10 +22,10 @@
   log: Log;
 }
 
-/** Room for one task that is taken on another machine. */
+/** Resources taken on another machine for one task. */
 interface Reservation {
   candidate: Candidate;
-  assignment: Chunk;
+  assignment: Assignment;
 }
 
 /** Whether a task ran long enough for its start to have been worth it. */
@@ -32,9 +33,9 @@
   return slot.runningAt !== null && clock.now() - slot.runningAt > SETTLED_AFTER_MS;
 }
 
-/** Moves services away from the machines of a part that are little used. */
+/** Moves services away from the machines of a shard that are little used. */
 export class Consolidation {
-  private nextAt = 0;
+  private nextRunAt = 0;
 
   constructor(
     private readonly job: JobLookup,
@@ -42,60 +43,60 @@
   ) {}
 
   /**
-   * Moves the services of little-used machines to others that have room and their images, so that
-   * these machines become idle and are returned. A replica is away for well under a second; one that
-   * started a moment ago stays, and nothing moves while tasks wait. Returns the machines on which
-   * tasks must now be stopped.
+   * Moves the services of little-used machines to others that have their images and enough free, so
+   * that these machines become idle and are returned. A replica is away for well under a second; one
+   * that started a moment ago stays, and nothing moves while tasks wait. Returns the machines on
+   * which tasks must now be stopped.
    */
   run(): Set<string> {
     const { tasks, machines, clock } = this.dependencies;
     const now = clock.now();
-    const emptied = new Set<string>();
-    if (tasks.waiting.size > 0 || now < this.nextAt) return emptied;
-    this.nextAt = now + CONSOLIDATION_PERIOD_MS;
+    const drained = new Set<string>();
+    if (tasks.waiting.size > 0 || now < this.nextRunAt) return drained;
+    this.nextRunAt = now + CONSOLIDATION_PERIOD_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
-    const used = listCandidates(machines, tasks).filter(({ empty }) => !empty);
-    used.sort((a, b) => this.useOf(a) - this.useOf(b));
-    const most = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_SHARE));
-    for (const [at, candidate] of used.entries()) {
-      if (this.useOf(candidate) > CONSOLIDATION_MAX_CPU_USE || emptied.size >= most) return emptied;
-      if (this.empty(candidate, used.slice(at + 1))) emptied.add(candidate.machine.name);
+    const used = listCandidates(machines, tasks).filter(({ isEmpty }) => !isEmpty);
+    used.sort((a, b) => this.cpuUse(a) - this.cpuUse(b));
+    const limit = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_SHARE));
+    for (const [index, candidate] of used.entries()) {
+      if (this.cpuUse(candidate) > CONSOLIDATION_MAX_CPU_USE || drained.size >= limit) break;
+      if (this.moveAll(candidate, used.slice(index + 1))) drained.add(candidate.machine.name);
     }
-    return emptied;
+    return drained;
   }
 
-  /** Stops all tasks of a machine if they may move and the others have room; false: they stay. */
-  private empty({ machine }: Candidate, others: readonly Candidate[]): boolean {
+  /** Stops all tasks of a machine if they may move and fit on the others; false: they stay. */
+  private moveAll({ machine }: Candidate, others: readonly Candidate[]): boolean {
     const { tasks, log } = this.dependencies;
     const placed = [...tasks.on(machine.name)];
-    if (
-      !placed.every(([slot, assignment]) => this.mayMove(slot, assignment)) ||
-      placed.length === 0
-    ) {
-      return false;
-    }
+    const mayAllMove = placed.every(([slot, assignment]) => this.mayMove(slot, assignment));
+    if (!mayAllMove || placed.length === 0) return false;
     const targets = others.filter((other) => !other.machine.isConsolidating);
     const assignments = placed.map(([, assignment]) => assignment);
     if (!this.reserveCapacity(assignments, targets)) return false;
     machine.isConsolidating = true;
     for (const [slot] of placed) slot.halting = true;
-    log.info({ machine: machine.name, tasks: placed.length }, 'moving services away');
+    log.info({ machine: machine.name, tasks: placed.length }, 'services stopped for consolidation');
     return true;
   }
 
-  private mayMove(slot: Slot, assignment: Chunk): boolean {
+  private mayMove(slot: Slot, assignment: Assignment): boolean {
     const isService = this.job(assignment.job)?.spec.kind === 'service';
     return isService && isSettled(slot, this.dependencies.clock) && !slot.halting;
   }
 
-  /** Takes room for one task of each of these chunks on other machines; false: for none of them. */
-  private reserveCapacity(assignments: readonly Chunk[], targets: readonly Candidate[]): boolean {
+  /** Takes resources for one task of each assignment on other machines; false: not all fit. */
+  private reserveCapacity(
+    assignments: readonly Assignment[],
+    targets: readonly Candidate[],
+  ): boolean {
     const reservations: Reservation[] = [];
     for (const assignment of assignments) {
       const candidate = this.targetFor(assignment, targets);
       if (!candidate) {
-        for (const taken of reservations)
+        for (const taken of reservations) {
           allocate(taken.candidate.free, taken.assignment.record, -1);
+        }
         return false;
       }
       allocate(candidate.free, assignment.record);
@@ -104,8 +105,8 @@
     return true;
   }
 
-  /** The first machine with room for a task and with its image. */
-  private targetFor(assignment: Chunk, targets: readonly Candidate[]): Candidate | undefined {
+  /** The first machine on which a task fits and that has its image. */
+  private targetFor(assignment: Assignment, targets: readonly Candidate[]): Candidate | undefined {
     const spec = this.job(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
@@ -117,7 +118,7 @@
   }
 
   /** Share of a machine's CPUs in use. */
-  private useOf({ machine, free }: Candidate): number {
+  private cpuUse({ machine, free }: Candidate): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
     return cpus > 0 ? 1 - free.cpus / cpus : 1;
   }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,67 +1,76 @@
-/** Room that a part reserves on its machines: for a gang that does not fit yet, and for the next one. */
+/** Resources that a shard reserves: for a gang that does not fit yet, and for the next one. */
 
 import { GANG_KEEP_TIMES } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
-import type { Candidate, JobLookup } from './candidates.js';
 import { fitCount } from '../capacity/machine-capacity.js';
 import { allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk, Tasks } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
+import type { Tasks } from '../shard-state/tasks.js';
+import type { Candidate, JobLookup } from './candidates.js';
 
-/** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
+/** How many of a gang's tasks fit on a machine: now, and once the arrays there have ended. */
 interface CandidateFit {
   candidate: Candidate;
-  now: number;
-  later: number;
+  fitNow: number;
+  fitLater: number;
+}
+
+/** Machines chosen for a reservation. */
+interface Selection {
+  selected: Candidate[];
+  /** How many tasks will fit on them once the arrays there have ended. */
+  fitCount: number;
 }
 
-/** Marks the machines whose room is reserved for gangs in this round. */
+/** Marks the machines whose free resources are reserved for gangs in this cycle. */
 export class GangReservations {
   constructor(
     private readonly tasks: Tasks,
     private readonly job: JobLookup,
   ) {}
 
-  /** Reserves room against arrays for the next gang, if it is like this one. */
+  /** Reserves resources against arrays for the next gang, assuming that it is like this one. */
   excludeArrays(spec: JobSpec, candidates: readonly Candidate[]): void {
     const { selected } = this.select(spec, candidates, spec.tasks);
     for (const candidate of selected) candidate.excludesArrays = true;
   }
 
-  /** Reserves room where a gang will fit once arrays there have ended; false: nowhere. */
-  reserve(assignment: Chunk, candidates: readonly Candidate[]): boolean {
-    const tasks = assignment.waiting.size;
+  /** Reserves machines where a gang will fit once arrays there have ended; false: there are none. */
+  reserve(assignment: Assignment, candidates: readonly Candidate[]): boolean {
+    const taskCount = assignment.waiting.size;
     // More than it needs, since it waits for what ends first, not for all that runs there now.
-    const { selected, free } = this.select(assignment.record, candidates, tasks * GANG_KEEP_TIMES);
+    const reservedCount = taskCount * GANG_KEEP_TIMES;
+    const selection = this.select(assignment.record, candidates, reservedCount);
     // Where it will not fit in any case, it delays no other work.
-    if (free < tasks) return false;
-    for (const candidate of selected) candidate.reserved = true;
+    if (selection.fitCount < taskCount) return false;
+    for (const candidate of selection.selected) candidate.isReserved = true;
     return true;
   }
 
-  /** The machines with the most room for such tasks, up to so many tasks, and how many fit there. */
-  private select(
-    task: Resources,
-    candidates: readonly Candidate[],
-    tasks: number,
-  ): { selected: Candidate[]; free: number } {
+  /** The machines on which most such tasks fit, as many machines as so many tasks need. */
+  private select(task: Resources, candidates: readonly Candidate[], taskCount: number): Selection {
     const fits = candidates.map((candidate) => this.fitOn(candidate, task));
-    fits.sort((a, b) => b.now - a.now || b.later - a.later);
-    const selected: Candidate[] = [];
-    let free = 0;
-    for (const { candidate, later } of fits) {
-      if (free >= tasks) break;
-      if (later === 0) continue;
-      selected.push(candidate);
-      free += later;
+    fits.sort((a, b) => b.fitNow - a.fitNow || b.fitLater - a.fitLater);
+    const selection: Selection = { selected: [], fitCount: 0 };
+    for (const { candidate, fitLater } of fits) {
+      if (selection.fitCount >= taskCount) break;
+      if (fitLater === 0) continue;
+      selection.selected.push(candidate);
+      selection.fitCount += fitLater;
     }
-    return { selected, free };
+    return selection;
   }
 
   private fitOn(candidate: Candidate, task: Resources): CandidateFit {
-    const later = { ...candidate.free };
+    const freeLater = { ...candidate.free };
     for (const [, assignment] of this.tasks.on(candidate.machine.name)) {
-      if (this.job(assignment.job)?.spec.kind === 'array') allocate(later, assignment.record, -1);
+      const isArray = this.job(assignment.job)?.spec.kind === 'array';
+      if (isArray) allocate(freeLater, assignment.record, -1);
     }
-    return { candidate, now: fitCount(candidate.free, task), later: fitCount(later, task) };
+    return {
+      candidate,
+      fitNow: fitCount(candidate.free, task),
+      fitLater: fitCount(freeLater, task),
+    };
   }
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,13 +1,14 @@
-/** Preemption: which tasks are stopped to make room for work of higher priority, and at what cost. */
+/** Preemption: which tasks are stopped to free resources for other work, and at what cost. */
 
 import { IMAGE_FETCH_COST } from '../../constants/scheduling.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Candidate, JobLookup, Victim } from './candidates.js';
-import { isSettled } from './consolidation.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Slot } from '../shard-state/assignment.js';
+import type { Tasks } from '../shard-state/tasks.js';
+import type { Candidate, JobLookup } from './candidates.js';
+import { isSettled } from './consolidation.js';
 
 /** What decides whether a task may be stopped for other work. */
 export interface PreemptionRules {
@@ -15,7 +16,7 @@
   /** Whether a job waited long to begin and none of its tasks has ended yet. */
   beganLate: (id: string) => boolean;
   /** Whether a gang may be stopped for other work. */
-  mayStopGang: (assignment: Chunk) => boolean;
+  mayStopGang: (assignment: Assignment) => boolean;
 }
 
 /** What preemption reads and writes. */
@@ -25,15 +26,48 @@
   log: Log;
 }
 
-/** A machine and the tasks whose end makes enough room on it, with what their stop costs. */
-interface PreemptionPlan {
+/** What a job may preempt: work below its rank, and arrays of teams beyond their guarantee. */
+export interface PreemptionRights {
+  rank: number;
+  /** CPUs of arrays that may be stopped, by team. */
+  arrayCpus: ReadonlyMap<string, number>;
+}
+
+/** A placed task that may be stopped for other work. */
+export interface Victim {
+  slot: Slot;
+  assignment: Assignment;
+  /** How many tasks are stopped with it: of a gang all, wherever they run. */
+  cost: number;
+  /** Whether it ranks below the work for which it may be stopped. */
+  isOutranked: boolean;
+}
+
+/** Tasks that are to be stopped on one machine. */
+export interface MachineVictims {
   candidate: Candidate;
+  victims: readonly Victim[];
+}
+
+/** What is free on a machine, and which tasks may be stopped there, in the order of their stop. */
+export interface PreemptibleMachine {
+  candidate: Candidate;
+  free: Resources;
+  stoppable: readonly Victim[];
+}
+
+/** Tasks whose stop frees enough on a machine for one task, and what that costs. */
+export interface PreemptionOption<Machine extends PreemptibleMachine = PreemptibleMachine> {
+  machine: Machine;
   victims: Victim[];
+  /** In tasks that are stopped. */
   cost: number;
 }
 
-/** No team's arrays may be stopped for a claim. */
-const NO_TEAMS: ReadonlyMap<string, number> = new Map();
+/** Rounding errors of sums of decimals are smaller than this. */
+const ROUNDING_SLACK = 1e-9;
+
+const NO_ARRAYS: ReadonlyMap<string, number> = new Map();
 
 /** Finds tasks that may be stopped for other work, and stops them. */
 export class Preemption {
@@ -43,105 +77,123 @@
   ) {}
 
   /**
-   * Makes room for one task where that costs the least; returns that machine, or null if none has
-   * enough to stop. Adds machines on which tasks must now be stopped to `stopped`.
+   * Frees resources for one task where that costs the least; returns that machine, or null if none
+   * has enough to stop. Adds machines on which tasks must now be stopped to `machinesWithStops`.
    */
   preemptFor(
     spec: JobSpec,
     task: Resources,
     candidates: readonly Candidate[],
-    stopped: Set<string>,
+    machinesWithStops: Set<string>,
   ): Candidate | null {
-    let best: PreemptionPlan | null = null;
-    for (const candidate of candidates) {
-      const plan = this.plan(spec, task, candidate);
-      if (!plan || plan.cost >= (best?.cost ?? Infinity)) continue;
-      best = plan;
-      if (plan.cost <= 1) break;
-    }
-    if (best === null) return null;
-    this.stop(spec, best.candidate, best.victims, stopped);
-    return best.candidate;
+    const rights = { rank: rankOf(spec.priority), arrayCpus: NO_ARRAYS };
+    const cheapest = findCheapest(candidates, 1, (candidate) => {
+      const stoppable = this.victims(candidate, rights);
+      const option = selectVictims({ candidate, free: candidate.free, stoppable }, task, rights);
+      // The fetch of an image may take as long as an urgent start may; a stopped task only loses
+      // its work.
+      if (option && !candidate.machine.images.has(spec.image)) option.cost += IMAGE_FETCH_COST;
+      return option;
+    });
+    if (cheapest === null) return null;
+    const { candidate } = cheapest.machine;
+    this.stop(spec, { candidate, victims: cheapest.victims }, machinesWithStops);
+    return candidate;
   }
 
-  /** The first tasks on a machine whose end makes room for one task; null: that is not enough. */
-  private plan(spec: JobSpec, task: Resources, candidate: Candidate): PreemptionPlan | null {
-    const free = { ...candidate.free };
+  /** The tasks on a machine that may be stopped: the cheapest first, among those the newest. */
+  victims(candidate: Candidate, rights: PreemptionRights): Victim[] {
     const victims: Victim[] = [];
-    for (const victim of this.victims(candidate, rankOf(spec.priority))) {
-      if (fits(free, task)) break;
-      allocate(free, victim[1].record, -1);
-      victims.push(victim);
+    for (const [slot, assignment] of this.dependencies.tasks.on(candidate.machine.name)) {
+      const victim = this.victimFor(slot, assignment, rights);
+      if (victim) victims.push(victim);
     }
-    if (!fits(free, task)) return null;
-    // The fetch of an image can take as long as an urgent start may; stopped tasks only lose work.
-    const cost =
-      victims.reduce((sum, victim) => sum + this.costOf(victim), 0) +
-      (candidate.machine.images.has(spec.image) ? 0 : IMAGE_FETCH_COST);
-    return { candidate, victims, cost };
-  }
-
-  /**
-   * Tasks on a machine that a job of this rank may stop, and arrays of these teams. The order is that
-   * in which they are stopped: the cheapest first, among those the newest.
-   */
-  victims(
-    candidate: Candidate,
-    rank: number,
-    teams: ReadonlyMap<string, number> = NO_TEAMS,
-  ): Victim[] {
-    return [...this.dependencies.tasks.on(candidate.machine.name)]
-      .filter((victim) => this.mayStop(victim, rank, teams))
-      .sort(
-        (a, b) =>
-          this.costOf(a) - this.costOf(b) ||
-          (b[0].runningAt ?? Infinity) - (a[0].runningAt ?? Infinity),
-      );
+    return victims.sort(
+      (a, b) => a.cost - b.cost || (b.slot.runningAt ?? Infinity) - (a.slot.runningAt ?? Infinity),
+    );
   }
 
-  private mayStop(
-    [slot, assignment]: Victim,
-    rank: number,
-    teams: ReadonlyMap<string, number>,
-  ): boolean {
+  /** Null: the task may not be stopped for a job with these rights. */
+  private victimFor(
+    slot: Slot,
+    assignment: Assignment,
+    { rank, arrayCpus }: PreemptionRights,
+  ): Victim | null {
     const { job, beganLate, mayStopGang } = this.rules;
     const spec = slot.halting ? null : job(assignment.job)?.spec;
-    if (!spec) return false;
+    if (!spec) return null;
     // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
-    if (!isSettled(slot, this.dependencies.clock) && beganLate(assignment.job)) return false;
-    if (assignment.record.attempt !== undefined && !mayStopGang(assignment)) return false;
-    if (rankOf(spec.priority) < rank) return true;
-    return spec.kind === 'array' && teams.has(spec.team);
+    if (!isSettled(slot, this.dependencies.clock) && beganLate(assignment.job)) return null;
+    const isGang = assignment.record.attempt !== undefined;
+    if (isGang && !mayStopGang(assignment)) return null;
+    const isOutranked = rankOf(spec.priority) < rank;
+    if (!isOutranked && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
+    return { slot, assignment, cost: isGang ? spec.tasks + 1 : 1, isOutranked };
   }
 
-  /** How many tasks are stopped with a victim: of a gang all, wherever they run. */
-  costOf([, assignment]: Victim): number {
-    if (assignment.record.attempt === undefined) return 1;
-    return (this.rules.job(assignment.job)?.spec.tasks ?? assignment.slots.size) + 1;
-  }
-
-  /** Stops tasks on a machine for a job; adds the machine to `stopped`. */
+  /** Stops tasks on a machine for a job; adds the machine to `machinesWithStops`. */
   stop(
     spec: JobSpec,
-    candidate: Candidate,
-    victims: readonly Victim[],
-    stopped: Set<string>,
+    { candidate, victims }: MachineVictims,
+    machinesWithStops: Set<string>,
   ): void {
     const { tasks, log } = this.dependencies;
-    for (const [slot, assignment] of victims) {
+    for (const { slot, assignment } of victims) {
       allocate(candidate.free, assignment.record, -1);
-      // All of a gang is stopped together: see `GangShares.reconcile`, in the same round.
-      if (assignment.record.attempt !== undefined) assignment.broken = true;
+      const isGang = assignment.record.attempt !== undefined;
+      // All of a gang is stopped together: see `GangShares.reconcile`, in the same cycle.
+      if (isGang) assignment.broken = true;
       // What was never committed was never sent either.
       if (!tasks.committed(assignment, slot)) tasks.requeue(assignment, slot);
-      else if (assignment.record.attempt === undefined) slot.halting = true;
+      else if (!isGang) slot.halting = true;
     }
     if (victims.length === 0) return;
     const machine = candidate.machine.name;
-    stopped.add(machine);
-    log.info(
-      { job: spec.id, machine, victims: victims.length },
-      'stopping lower work to make room',
-    );
+    machinesWithStops.add(machine);
+    log.info({ job: spec.id, machine, victims: victims.length }, 'tasks preempted');
+  }
+}
+
+/** The first tasks on a machine whose stop frees enough for one task; null: none do. */
+export function selectVictims<Machine extends PreemptibleMachine>(
+  machine: Machine,
+  task: Resources,
+  { arrayCpus }: PreemptionRights,
+): PreemptionOption<Machine> | null {
+  const free = { ...machine.free };
+  const usedArrayCpus = new Map<string, number>();
+  const victims: Victim[] = [];
+  let cost = 0;
+  for (const victim of machine.stoppable) {
+    if (fits(free, task)) break;
+    const { record } = victim.assignment;
+    if (!victim.isOutranked) {
+      const cpus = (usedArrayCpus.get(record.team) ?? 0) + record.cpus;
+      if (cpus > (arrayCpus.get(record.team) ?? 0) + ROUNDING_SLACK) continue;
+      usedArrayCpus.set(record.team, cpus);
+    }
+    allocate(free, record, -1);
+    cost += victim.cost;
+    victims.push(victim);
+  }
+  return fits(free, task) ? { machine, victims, cost } : null;
+}
+
+/**
+ * The first of the cheapest options; null: there is none. The search ends at an option that costs no
+ * more than `sufficientCost`.
+ */
+export function findCheapest<Item, Option extends { cost: number }>(
+  items: readonly Item[],
+  sufficientCost: number,
+  optionFor: (item: Item) => Option | null,
+): Option | null {
+  let cheapest: Option | null = null;
+  for (const item of items) {
+    const option = optionFor(item);
+    if (!option || option.cost >= (cheapest?.cost ?? Infinity)) continue;
+    cheapest = option;
+    if (option.cost <= sufficientCost) break;
   }
+  return cheapest;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,40 +1,42 @@
-/** One part's rounds of placing: waiting tasks go to machines, in the order of their priorities. */
+/** The scheduler of one shard: assigns waiting tasks to machines, in the order of their priorities. */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import { FETCH_SLOWEST } from '../../constants/gangs.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
+import { allocate } from '../capacity/resources.js';
+import { TermNumbers } from '../election/term-numbers.js';
+import type { Slot } from '../shard-state/assignment.js';
+import type { Machines } from '../shard-state/machines.js';
+import type { Tasks } from '../shard-state/tasks.js';
 import type { Bandit } from './bandit.js';
-import { countTasksByType, listCandidates, mayRunOn, type Candidate } from './candidates.js';
-import { isEligible } from '../capacity/machine-capacity.js';
+import type { Candidate } from './candidates.js';
 import { Consolidation } from './consolidation.js';
-import { GangLayouts, type GangLayout } from './gang-layout.js';
+import type { GangLayout } from './gang-layout.js';
+import { GangPlacement } from './gang-placement.js';
+import { GangPreemption } from './gang-preemption.js';
 import { GangReservations } from './gang-reservations.js';
 import { MachineChoice, type MachineChoiceOptions } from './machine-choice.js';
-import type { Machines } from '../shard-state/machines.js';
 import { Preemption, type PreemptionRules } from './preemption.js';
-import { allocate } from '../capacity/resources.js';
-import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
-import { TermNumbers } from '../election/term-numbers.js';
-
-/** What placing needs of its part, beside tasks and machines. */
-export interface SchedulerOptions extends MachineChoiceOptions, PreemptionRules {
-  /** The part's number and the term of its owner; both are in the attempt numbers. */
+import {
+  SchedulingCycle,
+  waitingAssignments,
+  type SchedulingCycleRules,
+  type WaitingAssignment,
+} from './scheduling-cycle.js';
+
+/** What the scheduler needs of its shard, beside tasks and machines. */
+export interface SchedulerOptions
+  extends MachineChoiceOptions, PreemptionRules, SchedulingCycleRules {
+  /** The shard's number and the term of its owner; both are in the attempt numbers. */
   number: number;
   term: number;
-  /** Whether nothing of a job runs long after it came. */
-  waitsLong: (id: string) => boolean;
-  /** The gang for which this part reserves some room; null: it reserves none. */
-  nextGang: () => JobSpec | null;
-  /** Whether a job waits after failures. */
-  pauses: (id: string) => boolean;
   /** Seconds for which a gang's task waits for the others. */
   gangWaitS: number;
 }
 
-/** What placing reads and writes. */
-export interface SchedulerDependencies {
+/** What the scheduler reads and writes. */
+interface SchedulerDependencies {
   tasks: Tasks;
   machines: Machines;
   bandit: Bandit;
@@ -42,32 +44,12 @@
   log: Log;
 }
 
-/** A chunk with tasks that wait for a place, and its job's description. */
-interface WaitingAssignment {
-  assignment: Chunk;
-  spec: JobSpec;
-}
-
-/** The state of one round. */
-interface SchedulingCycle {
-  /** All machines that may take tasks; their room shrinks with each placement. */
-  candidates: readonly Candidate[];
-  /** The gang for which some room is reserved against arrays. */
-  nextGang: JobSpec | null;
-  /** Queued and running tasks by machine type. */
-  load: Map<string, number>;
-  /** The lowest rank of all work that is placed: what doesn't rank above it can't stop anything. */
-  lowestRank: number;
-  /** Machines on which tasks must now be stopped. */
-  stopped: Set<string>;
-}
-
-/** Decides where a part's waiting tasks go. */
+/** Decides on which machines a shard's waiting tasks run. */
 export class Scheduler {
   private readonly attempts: TermNumbers;
   private readonly choice: MachineChoice;
   private readonly preemption: Preemption;
-  private readonly layouts: GangLayouts;
+  private readonly gangPlacement: GangPlacement;
   private readonly reservations: GangReservations;
   private readonly consolidation: Consolidation;
 
@@ -80,12 +62,12 @@
     this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
     this.choice = new MachineChoice(options, machines, bandit);
     this.preemption = new Preemption(options, dependencies);
-    this.layouts = new GangLayouts(this.preemption, options.job, clock);
+    this.gangPlacement = new GangPlacement(new GangPreemption(this.preemption, clock));
     this.reservations = new GangReservations(tasks, options.job);
     this.consolidation = new Consolidation(options.job, dependencies);
   }
 
-  /** The part needs a new term before it has used all attempts of this one. */
+  /** The shard needs a new term before it has used all attempt numbers of this one. */
   get isRunningOut(): boolean {
     return this.attempts.isRunningOut;
   }
@@ -95,94 +77,40 @@
     return this.consolidation.run();
   }
 
-  /** Places what waits; returns the machines on which tasks must now be stopped. */
+  /** One scheduling cycle; returns the machines on which tasks must now be stopped. */
   place(): Set<string> {
-    const waiting = this.waitingAssignments();
+    const { machines, tasks } = this.dependencies;
+    const waiting = waitingAssignments(tasks, this.options);
     if (waiting.length === 0) return new Set();
-    const cycle = this.startCycle();
-    let short = false;
+    const cycle = new SchedulingCycle(this.options, {
+      machines,
+      tasks,
+      reservations: this.reservations,
+    });
+    let isCapacityShort = false;
     for (const entry of waiting) {
-      const open = this.openTo(entry, cycle);
       const isGang = entry.assignment.record.attempt !== undefined;
-      const placed = isGang
-        ? this.placeShare(entry, open, cycle)
-        : this.placeTasks(entry, open, cycle);
-      if (!placed) short = true;
+      const isPlaced = isGang ? this.placeGang(entry, cycle) : this.placeTasks(entry, cycle);
+      if (!isPlaced) isCapacityShort = true;
     }
-    // Room is short: a machine that was being emptied is needed after all.
-    if (short) {
-      for (const machine of this.dependencies.machines.all.values())
-        machine.isConsolidating = false;
+    // Machines that consolidation is emptying are needed after all.
+    if (isCapacityShort) {
+      for (const machine of machines.all.values()) machine.isConsolidating = false;
     }
-    return cycle.stopped;
+    return cycle.machinesWithStops;
   }
 
-  /**
-   * What waits, by priority, then in the leader's order, which is that of the chunks' numbers. By
-   * deadline, jobs that can't meet theirs would pass all others here, and one whose turn came late
-   * would be passed until it is given back.
-   */
-  private waitingAssignments(): WaitingAssignment[] {
-    const waiting: WaitingAssignment[] = [];
-    for (const assignment of this.dependencies.tasks.waiting) {
-      const job = this.options.job(assignment.job);
-      if (!job || this.options.pauses(assignment.job)) continue;
-      waiting.push({ assignment, spec: job.spec });
-    }
-    return waiting.sort(
-      (a, b) =>
-        rankOf(b.spec.priority) - rankOf(a.spec.priority) ||
-        a.assignment.number - b.assignment.number,
-    );
-  }
-
-  private startCycle(): SchedulingCycle {
-    const { machines, tasks } = this.dependencies;
-    const candidates = listCandidates(machines, tasks);
-    const nextGang = this.options.nextGang();
-    if (nextGang) {
-      this.reservations.excludeArrays(
-        nextGang,
-        candidates.filter(({ machine }) => !machine.spot && isEligible(nextGang, machine)),
-      );
-    }
-    const load = countTasksByType(machines, tasks);
-    return { candidates, nextGang, load, lowestRank: this.lowestRank(), stopped: new Set() };
-  }
-
-  private lowestRank(): number {
-    let lowest = Infinity;
-    for (const assignment of this.dependencies.tasks.assignments.values()) {
-      if (assignment.placed === 0) continue;
-      const spec = this.options.job(assignment.job)?.spec;
-      if (spec) lowest = Math.min(lowest, rankOf(spec.priority));
-    }
-    return lowest;
-  }
-
-  /** The machines that a chunk may use, less those whose room is reserved for gangs. */
-  private openTo({ assignment, spec }: WaitingAssignment, cycle: SchedulingCycle): Candidate[] {
-    const isExcluded =
-      cycle.nextGang !== null && spec.kind === 'array' && !this.options.waitsLong(assignment.job);
-    return cycle.candidates.filter(
-      ({ machine, reserved, excludesArrays }) =>
-        !reserved && !(excludesArrays && isExcluded) && mayRunOn(machine, spec, assignment),
-    );
-  }
-
-  /** Places tasks one by one; false: there is no room for some. */
-  private placeTasks(
-    entry: WaitingAssignment,
-    open: readonly Candidate[],
-    cycle: SchedulingCycle,
-  ): boolean {
+  /** Places tasks one by one; false: some fit nowhere. */
+  private placeTasks(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
+    const { record } = assignment;
+    const candidates = cycle.candidatesFor(entry);
     for (const slot of [...assignment.waiting]) {
-      let target = this.choice.choose(spec, assignment.record, open, cycle.load);
-      if (!target && rankOf(spec.priority) > cycle.lowestRank) {
-        target = this.preemption.preemptFor(spec, assignment.record, open, cycle.stopped);
+      let target = this.choice.choose(spec, record, candidates, cycle.taskCounts);
+      if (!target && cycle.mayPreempt(spec)) {
+        target = this.preemption.preemptFor(spec, record, candidates, cycle.machinesWithStops);
       }
-      // No room for one task of a chunk is none for the others: they are alike.
+      // The tasks of an assignment are alike: where one fits nowhere, the others don't either.
       if (!target) return false;
       this.assign(entry, slot, target, cycle);
     }
@@ -190,62 +118,59 @@
   }
 
   /**
-   * All tasks of a gang's share at once, under the attempt that the leader gave it; or none: then
-   * room is reserved for it. False: there was no room.
+   * Places all tasks of a gang's share at once, under the attempt that the leader gave it; or none:
+   * then machines are reserved for it. False: the share fits nowhere.
    */
-  private placeShare(
-    entry: WaitingAssignment,
-    open: readonly Candidate[],
-    cycle: SchedulingCycle,
-  ): boolean {
+  private placeGang(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
     if (assignment.broken || assignment.placed > 0) return true;
-    const layout = this.layOut(entry, open, cycle);
+    const candidates = cycle.candidatesFor(entry);
+    const layout = this.findGangLayout(entry, candidates, cycle);
     if (!layout) {
-      assignment.infeasible = !this.reservations.reserve(assignment, open);
+      assignment.infeasible = !this.reservations.reserve(assignment, candidates);
       return false;
     }
-    for (const [candidate, victims] of layout.victims) {
-      this.preemption.stop(spec, candidate, victims, cycle.stopped);
+    for (const machineVictims of layout.preemptions) {
+      this.preemption.stop(spec, machineVictims, cycle.machinesWithStops);
     }
-    for (const [at, slot] of [...assignment.waiting].entries()) {
-      const target = layout.places[at];
+    for (const [index, slot] of [...assignment.waiting].entries()) {
+      const target = layout.targets[index];
       if (!target) break;
       this.assign(entry, slot, target, cycle);
     }
     return true;
   }
 
-  private layOut(
+  private findGangLayout(
     { assignment, spec }: WaitingAssignment,
-    open: readonly Candidate[],
-    cycle: SchedulingCycle,
+    candidates: readonly Candidate[],
+    { taskCounts }: SchedulingCycle,
   ): GangLayout | null {
-    return this.layouts.find({
+    return this.gangPlacement.find({
       spec,
       assignment,
-      candidates: open,
-      types: this.choice.rankTypes(spec, open, cycle.load),
+      candidates,
+      types: this.choice.rankTypes(spec, candidates, taskCounts),
       fetches: {
-        inTime: (machine) => this.choice.fetchesInTime(machine, spec),
-        whileOthersWait: (machine) =>
+        isInTime: (machine) => this.choice.fetchesInTime(machine, spec),
+        isWithinGangWait: (machine) =>
           this.choice.fetchSeconds(machine, spec) * FETCH_SLOWEST <= this.options.gangWaitS,
       },
     });
   }
 
-  /** Places one task on a machine. */
+  /** Assigns one task to a machine. */
   private assign(
     { assignment, spec }: WaitingAssignment,
     slot: Slot,
     target: Candidate,
-    { load }: SchedulingCycle,
+    cycle: SchedulingCycle,
   ): void {
     allocate(target.free, assignment.record);
-    target.empty = false;
+    target.isEmpty = false;
     const { type, name } = target.machine;
-    load.set(type, (load.get(type) ?? 0) + 1);
-    const context = this.choice.context(spec, type, load);
+    cycle.countTask(type);
+    const context = this.choice.context(spec, type, cycle.taskCounts);
     const attempt = assignment.record.attempt ?? this.attempts.next();
     this.dependencies.tasks.place(assignment, slot, { machine: name, attempt, context });
   }
