--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,8 +1,10 @@
-/** The leader's periodic management of rented machines. */
+/** The autoscaler: the leader's control loop that rents and returns machines. */
+
 import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../../constants/autoscaling.js';
 import { CATALOG } from '../../storage/keys.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { Backoff } from '../../transport/backoff.js';
+import { SingleFlight } from '../../transport/concurrency.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 import { CatalogRefresh } from './catalog-refresh.js';
 import {
@@ -17,9 +19,7 @@
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 
-export type { AutoscalerOptions as FleetOptions } from './autoscaling-context.js';
-
-/** Rents, drains and returns machines in rounds; pauses while the cloud does not answer. */
+/** Drains, returns and rents machines, one pass at a time; pauses after a failed request. */
 export class Autoscaler {
   private readonly context: AutoscalingContext;
   private readonly backoff: Backoff;
@@ -29,7 +29,7 @@
   private readonly scaleIn: ScaleIn;
   private readonly scaleOut: ScaleOut;
   private pausedUntil = -Infinity;
-  private busy = false;
+  private readonly singleFlight = new SingleFlight();
 
   constructor(options: AutoscalerOptions) {
     const { clock, cloudRps, headroomCpus, random, replica } = options;
@@ -48,11 +48,14 @@
     this.scaleOut = new ScaleOut(this.context, records);
   }
 
-  /** One round over the machines; does nothing while another round runs or the cloud is paused. */
+  /** One pass over the fleet; skipped while another pass runs or the cloud is paused. */
   async reconcile(snapshot: FleetSnapshot): Promise<void> {
+    if (this.context.clock.now() < this.pausedUntil) return;
+    await this.singleFlight.run(() => this.runPass(snapshot));
+  }
+
+  private async runPass(snapshot: FleetSnapshot): Promise<void> {
     const { clock, headroom, rejectedChangeBackoff, log, replica } = this.context;
-    if (this.busy || clock.now() < this.pausedUntil) return;
-    this.busy = true;
     rejectedChangeBackoff.sweep();
     headroom.update();
     try {
@@ -64,10 +67,9 @@
       await this.machineList.refresh();
       this.backoff.reset();
     } catch (error) {
-      this.pausedUntil = clock.now() + this.backoff.next();
-      log.info({ error: String(error) }, 'cloud did not answer');
-    } finally {
-      this.busy = false;
+      const pauseMs = this.backoff.next();
+      this.pausedUntil = clock.now() + pauseMs;
+      log.info({ error: String(error), pauseMs }, 'autoscaler pass failed');
     }
   }
 }
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,4 +1,5 @@
-/** What the steps of a fleet round share: settings, services and the limits on requests. */
+/** What the steps of an autoscaler pass share: settings, services and the budget of requests. */
+
 import { CLOUD_REQUEST_SHARE } from '../../constants/autoscaling.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
@@ -12,11 +13,11 @@
 import type { Member } from '../election/rendezvous-hashing.js';
 import type { Headroom } from './headroom.js';
 
-/** Settings of the fleet, and the services that it uses. */
+/** Settings of the autoscaler, and the services that it uses. */
 export interface AutoscalerOptions {
-  /** Term of the leader's role; part of the identifier of each rent request. */
+  /** The leader's fencing token; part of the identifier of each rent request. */
   readonly term: number;
-  /** Commits transactions that are guarded by the leader's role. */
+  /** Commits transactions on the condition that this controller still leads. */
   readonly writer: GuardedWriter;
   /** Operations that one transaction may have. */
   readonly transactionOps: number;
@@ -26,17 +27,17 @@
   readonly cloudRps: number;
   /** Seconds by which the cloud's list of machines may be out of date. */
   readonly listLagS: number;
-  /** Seconds that a worker's tasks outlive its last answered report. */
+  /** Seconds that a worker's tasks outlive its last acknowledged heartbeat. */
   readonly leaseS: number;
   /** ms after which the machine type with the highest price per CPU is drained when idle. */
   readonly idleMs: number;
-  /** Free CPUs on ordinary machines that are held for urgent work while jobs are open. */
+  /** Free CPUs on ordinary machines that are kept for urgent work while jobs are open. */
   readonly headroomCpus: number;
   /** Whether spot machines may be rented. */
   readonly spot: boolean;
   /** Upper bound of the number of machines. */
   readonly maxMachines: number;
-  /** The controllers; machines report to those of their zone. */
+  /** The controllers; machines send their heartbeats to those of their zone. */
   readonly members: readonly Member[];
   readonly replica: StoreReplica;
   readonly cloud: CloudApi;
@@ -46,15 +47,15 @@
   readonly random: () => number;
 }
 
-/** The options together with the state that several steps of a round use. */
+/** The options together with the state that several steps of a pass use. */
 export interface AutoscalingContext extends AutoscalerOptions {
   readonly cloudRequests: CloudRequestBudget;
-  /** Machines, and keys, whose changes the state service called invalid. */
+  /** Machines, and keys, whose changes the key-value store rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly headroom: Headroom;
 }
 
-/** The leader's share of the cloud's limit of requests. */
+/** The autoscaler's share of the cloud's limit of requests. */
 export class CloudRequestBudget {
   private readonly budget: Budget;
 
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -1,4 +1,5 @@
-/** Stores the cloud's machine types in the state service and brings them up to date periodically. */
+/** Keeps the catalog of machine types in the key-value store up to date with the cloud's. */
+
 import { CATALOG_PERIOD_MS } from '../../constants/autoscaling.js';
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { writeCatalog } from '../../storage/catalog.js';
@@ -13,8 +14,8 @@
   constructor(private readonly context: AutoscalingContext) {}
 
   /**
-   * Refreshes the catalog if it is due and the cloud's limit allows a request. Commits the changes
-   * in order and stops at the first failure.
+   * Refreshes the catalog if that is due and the request budget allows it. Commits the changes in
+   * order and stops at the first failure.
    */
   async run(): Promise<void> {
     const { clock, cloud, cloudRequests, rejectedChangeBackoff, replica, valueBytes, writer } =
@@ -26,16 +27,16 @@
     this.refreshedAt = now;
     if (rejectedChangeBackoff.has(CATALOG)) return;
     const changes = writeCatalog(replica, types, valueBytes);
-    for (const group of this.transactions(changes)) {
-      const guards = group.map(({ key }) => ({ key, revision: replica.revisionOf(key) }));
-      const result = await writer.commit('leader', guards, group);
+    for (const transaction of this.transactions(changes)) {
+      const guards = transaction.map(({ key }) => ({ key, revision: replica.revisionOf(key) }));
+      const result = await writer.commit('leader', guards, transaction);
       if (result.kind === 'invalid') rejectedChangeBackoff.add(CATALOG);
       else rejectedChangeBackoff.clear(CATALOG);
       if (result.kind !== 'done') return;
     }
   }
 
-  /** Divides the changes, in their order, among transactions within the service's limits. */
+  /** Divides the changes, in their order, among transactions within the store's limits. */
   private transactions(changes: readonly Change[]): Change[][] {
     const { transactionOps, valueBytes } = this.context;
     const changesPerTransaction = Math.min(
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -1,4 +1,5 @@
-/** What is kept free for work to come: none once there has been no work for a while. */
+/** Capacity kept free for work to come: none once there has been no work for a while. */
+
 import { HEADROOM_RELEASE_AFTER_MS } from '../../constants/autoscaling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -17,18 +18,18 @@
     this.lastWorkAt = clock.now();
   }
 
-  /** Notes whether a job is open; called in each round. */
+  /** Notes whether a job is open; called in each pass. */
   update(): void {
-    const [first] = this.replica.openJobs();
-    if (first !== undefined) this.lastWorkAt = this.clock.now();
+    const [openJob] = this.replica.openJobs();
+    if (openJob !== undefined) this.lastWorkAt = this.clock.now();
   }
 
-  /** Free CPUs on ordinary machines that are held for urgent work. */
+  /** Free CPUs on ordinary machines that are kept for urgent work. */
   get cpus(): number {
     return this.isQuiet ? 0 : this.configuredCpus;
   }
 
-  /** The gangs for the like of which room is held. */
+  /** The gangs for whose like capacity is kept free. */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
     return this.isQuiet ? [] : snapshot.gangs;
   }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -1,4 +1,5 @@
-/** Decides which machines have been silent long enough to be returned. */
+/** Decides which machines are returned because their heartbeats have stopped. */
+
 import {
   SILENT_RETURN_MAX_MACHINES,
   SILENT_RETURN_PERIOD_MS,
@@ -9,17 +10,17 @@
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 
 /**
- * Silent machines are returned, which proves that their tasks ended before their lease runs out.
- * Only a few are returned at a time: many silent machines at once indicate that they are cut off
- * from their part. Of those, a limited number is returned once their lease is over, since their
- * tasks have ended by then in any case.
+ * Silent machines, those without heartbeats, are returned: that proves before their lease expires
+ * that their tasks have ended. Only a few are returned at a time: many silent machines at once
+ * indicate a network partition between them and their shard. Of those, a limited number is returned
+ * once their lease has expired, since their tasks have ended by then in any case.
  */
 export class HeartbeatTimeouts {
-  /** Since when each silent machine has been silent, as far as this leader has seen. */
+  /** When this leader first saw each machine silent that still is. */
   private readonly silentSince = new Map<string, number>();
-  /** Machines chosen to be returned within the last period, and when they were chosen. */
+  /** When the machines were chosen that were chosen to be returned within the last period. */
   private readonly recentReturns = new Map<string, number>();
-  private readonly dueNames = new Set<string>();
+  private readonly namesToReturn = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
@@ -27,31 +28,32 @@
   ) {}
 
   /** Whether the last update chose the machine to be returned. */
-  isDue(name: string): boolean {
-    return this.dueNames.has(name);
+  mustReturn(name: string): boolean {
+    return this.namesToReturn.has(name);
   }
 
   /** Chooses anew which machines are to be returned. */
   update(machines: readonly MachineCapacity[]): void {
     const now = this.clock.now();
     this.trackSilence(machines, now);
-    for (const [name, returnedAt] of this.recentReturns) {
-      if (now - returnedAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
+    for (const [name, chosenAt] of this.recentReturns) {
+      if (now - chosenAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
     }
     const affected = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
-    // Parts report on their machines one after the other: a cut shows only when all have done so.
+    // Shards publish their machines' health one after the other: a partition shows only when all
+    // have done so.
     const waitMs =
       affected.size <= SILENT_RETURN_MAX_MACHINES ? SILENT_CONFIRM_MS : this.leaseS * 1000;
     const shareOfFleet = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_SHARE);
     const limit = Math.max(SILENT_RETURN_MAX_MACHINES, shareOfFleet);
-    this.dueNames.clear();
+    this.namesToReturn.clear();
     for (const [name, since] of this.silentSince) {
       if (now - since < waitMs) continue;
       if (!this.recentReturns.has(name)) {
         if (this.recentReturns.size >= limit) continue;
         this.recentReturns.set(name, now);
       }
-      this.dueNames.add(name);
+      this.namesToReturn.add(name);
     }
   }
 
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -1,4 +1,5 @@
 /** Drains machines that are faulty, or idle and not needed. */
+
 import { IDLE_TIME_MAX_FACTOR } from '../../constants/autoscaling.js';
 import type { MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity } from '../capacity/machine-capacity.js';
@@ -6,8 +7,8 @@
 import { machineTypes, type AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** Lower bound of a price that is divided by. */
-const PRICE_EPSILON = 1e-9;
+/** Lower bound of prices in ratios, for types without a price. */
+const MIN_CPU_PRICE = 1e-9;
 
 /** Tracks how long machines have been idle, and drains them. */
 export class IdleMachines {
@@ -28,7 +29,7 @@
     );
     if (due.length === 0) return;
     if ((await this.records.recordState(due, 'drain')) === 'written') {
-      log.info({ machines: due.map((machine) => machine.name) }, 'machines taken out of use');
+      log.info({ machines: due.map((machine) => machine.name) }, 'machines draining');
     }
   }
 
@@ -41,27 +42,28 @@
       (highest, machine) => Math.max(highest, cpuPrice(machine, types)),
       0,
     );
-    const requiredHeadroom = this.requiredHeadroom(snapshot);
-    let headroom = freeOrdinaryCpus(snapshot);
+    const requiredCpus = this.requiredFreeCpus(snapshot);
+    let freeCpus = freeOrdinaryCpus(snapshot);
     let spareCpus = this.spareCpus(snapshot, types);
     const unneeded: MachineCapacity[] = [];
     for (const machine of this.idleMachines(snapshot, types)) {
       const since = this.idleSince.get(machine.name) ?? now;
       this.idleSince.set(machine.name, since);
       // Cheap capacity stays longer, since renting in its place would cost more.
-      const priceRatio = highestPrice / Math.max(PRICE_EPSILON, cpuPrice(machine, types));
-      if (now - since < idleMs * Math.min(IDLE_TIME_MAX_FACTOR, priceRatio)) continue;
-      const headroomLoss = machine.spot ? 0 : Math.max(0, machine.cpus);
-      if (headroom - headroomLoss < requiredHeadroom && headroomLoss > 0) continue;
+      const priceRatio = highestPrice / Math.max(MIN_CPU_PRICE, cpuPrice(machine, types));
+      const idleLimitMs = idleMs * Math.min(IDLE_TIME_MAX_FACTOR, priceRatio);
+      if (now - since < idleLimitMs) continue;
+      const lostFreeCpus = machine.spot ? 0 : Math.max(0, machine.cpus);
+      if (freeCpus - lostFreeCpus < requiredCpus && lostFreeCpus > 0) continue;
       if (spareCpus < machine.cpus) continue;
       spareCpus -= machine.cpus;
-      headroom -= headroomLoss;
+      freeCpus -= lostFreeCpus;
       unneeded.push(machine);
     }
     return unneeded;
   }
 
-  /** Idle machines by falling price per CPU; forgets since when the others had been idle. */
+  /** Idle machines, the highest price per CPU first; stops tracking those that no longer are. */
   private idleMachines(snapshot: FleetSnapshot, types: readonly MachineType[]): MachineCapacity[] {
     const present = new Set(snapshot.machines.map((machine) => machine.name));
     for (const name of this.idleSince.keys()) {
@@ -76,14 +78,14 @@
   }
 
   /** CPUs that remain free on ordinary machines, for urgent work or for gangs like recent ones. */
-  private requiredHeadroom(snapshot: FleetSnapshot): number {
+  private requiredFreeCpus(snapshot: FleetSnapshot): number {
     const { headroom } = this.context;
     const gangs = headroom.gangs(snapshot);
     const gangCpus = gangs.reduce((sum, gang) => sum + gang.tasks * gang.cpus, 0);
     return Math.max(headroom.cpus, gangCpus);
   }
 
-  /** CPUs of healthy machines, free or used by lower work, beyond what lower work needs. */
+  /** CPUs of healthy machines, free or used by preemptible work, beyond what such work needs. */
   private spareCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
     let spareCpus = -neededCpus(snapshot, types);
     for (const machine of snapshot.machines) {
@@ -93,7 +95,7 @@
   }
 }
 
-/** Free CPUs of healthy machines that are not spot. */
+/** Free CPUs of healthy ordinary machines. */
 function freeOrdinaryCpus(snapshot: FleetSnapshot): number {
   let cpus = 0;
   for (const machine of snapshot.machines) {
@@ -104,7 +106,7 @@
 
 /** Price of one CPU of the machine; 0: its type is not in the catalog. */
 function cpuPrice(machine: MachineCapacity, types: readonly MachineType[]): number {
-  const type = types.find((one) => one.name === machine.type);
+  const type = types.find(({ name }) => name === machine.type);
   if (!type) return 0;
   return (machine.spot ? type.spotPrice : type.price) / type.cpus;
 }
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -1,11 +1,12 @@
-/** Reads the cloud's list of machines: adopts unknown machines and notes failed ones. */
+/** Reads the cloud's list of machines: adopts machines without a record and notes failed ones. */
+
 import { machineKey } from '../../storage/keys.js';
 import type { ListedMachine } from '../../protocol/model.js';
 import type { AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** Least seconds between two readings of the list, however short the cloud's lag is. */
-const LIST_PERIOD_LEAST_S = 5;
+/** s; minimum time between two readings of the list, however short the cloud's lag is. */
+const MIN_LIST_PERIOD_S = 5;
 
 /** The cloud's list of machines, read periodically. */
 export class MachineList {
@@ -30,8 +31,8 @@
   }
 
   /**
-   * Continues the current reading, or begins one if it is due. Where the cloud's limit allows only
-   * one page a round, a list of several pages is read over several rounds.
+   * Continues the current reading, or begins one if it is due. Where the request budget allows only
+   * one page in a pass, a list of several pages is read over several passes.
    */
   async refresh(): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
@@ -51,7 +52,7 @@
     const unknown = this.unknownMachines(listed);
     if (unknown.length > 0) {
       const names = unknown.map((machine) => machine.name);
-      log.info({ machines: names }, 'machines adopted from the list');
+      log.info({ machines: names }, 'unrecorded machines adopted');
       await this.records.recordState(unknown, 'rented');
     }
     this.noteFailed(listed);
@@ -62,7 +63,7 @@
   private beginIfDue(): ListedMachine[] | null {
     const { clock, listLagS } = this.context;
     const now = clock.now();
-    if (now - this.startedAt < Math.max(LIST_PERIOD_LEAST_S, listLagS) * 1000) return null;
+    if (now - this.startedAt < Math.max(MIN_LIST_PERIOD_S, listLagS) * 1000) return null;
     this.startedAt = now;
     this.reading = [];
     return this.reading;
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -1,4 +1,5 @@
 /** Writes the stored records of machines: their state, and the removal of old records. */
+
 import { RETURNED_RECORD_RETENTION_MS } from '../../constants/autoscaling.js';
 import { MACHINES, machineKey } from '../../storage/keys.js';
 import type { MachineRecord, MachineState } from '../../storage/records.js';
@@ -20,18 +21,18 @@
 export class MachineRecords {
   constructor(private readonly context: AutoscalingContext) {}
 
-  /** Records `state` for the machines, except those whose changes were refused as invalid. */
+  /** Records `state` for the machines, except those whose changes were rejected as invalid. */
   async recordState(
     machines: readonly MachineIdentity[],
     state: MachineState,
   ): Promise<RecordOutcome> {
     const { rejectedChangeBackoff, transactionOps, writer } = this.context;
-    const due = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
-    const names = due.map((machine) => machine.name);
+    const writable = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
+    const names = writable.map((machine) => machine.name);
     let start = 0;
-    while (start < due.length) {
+    while (start < writable.length) {
       const size = rejectedChangeBackoff.together(names.slice(start), transactionOps);
-      const group = due.slice(start, start + size);
+      const group = writable.slice(start, start + size);
       start += group.length;
       const { guards, changes } = this.stateTransaction(group, state);
       const result = await writer.commit('leader', guards, changes);
@@ -41,7 +42,7 @@
       }
       if (result.kind !== 'done') return 'incomplete';
     }
-    return due.length === machines.length ? 'written' : 'incomplete';
+    return writable.length === machines.length ? 'written' : 'incomplete';
   }
 
   /** What one transaction guards and changes to record `state` for a group of machines. */
@@ -70,11 +71,11 @@
     const wall = clock.wall();
     const changes: Change[] = [];
     const guards: Guard[] = [];
-    for (const [key, held] of replica.below<MachineRecord>(MACHINES)) {
-      if (held.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
-      if (wall - held.value.at < RETURNED_RECORD_RETENTION_MS || changes.length >= transactionOps)
+    for (const [key, stored] of replica.below<MachineRecord>(MACHINES)) {
+      if (stored.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
+      if (wall - stored.value.at < RETURNED_RECORD_RETENTION_MS || changes.length >= transactionOps)
         continue;
-      guards.push({ key, revision: held.revision });
+      guards.push({ key, revision: stored.revision });
       changes.push({ key, remove: true });
     }
     if (changes.length === 0 || rejectedChangeBackoff.has(MACHINES)) return;
--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -1,4 +1,5 @@
 /** What the cloud offers for rent: machine types by zone, ordinary or spot. */
+
 import { NO_CAPACITY_PAUSE_MS } from '../../constants/autoscaling.js';
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
@@ -46,8 +47,8 @@
 
 /**
  * The offers in the order in which equally cheap ones are taken: first those of zones with the fewest
- * machines for each controller. Machines report to the controllers of their zone, and the busiest
- * controller is the first to fall behind.
+ * machines for each controller. Machines send their heartbeats to the controllers of their zone, and
+ * the busiest controller is the first to fall behind.
  */
 export function byControllerLoad(
   offers: readonly Offer[],
@@ -55,7 +56,7 @@
   members: readonly Member[],
 ): Offer[] {
   const countIn = (list: readonly { zone: string }[], zone: string): number =>
-    list.filter((one) => one.zone === zone).length;
+    list.filter((item) => item.zone === zone).length;
   const loads = new Map<string, number>();
   for (const { zone } of offers) {
     if (loads.has(zone)) continue;
@@ -66,29 +67,29 @@
   return [...offers].sort((a, b) => (loads.get(a.zone) ?? 0) - (loads.get(b.zone) ?? 0));
 }
 
-/** The offers of the catalog, except those for which the cloud had no capacity lately. */
+/** The offers of the catalog, except those for which the cloud lacked capacity lately. */
 export class Offers {
   private readonly pausedUntil = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly spotAllowed: boolean,
+    private readonly isSpotAllowed: boolean,
   ) {}
 
-  /** Offers that may be asked for now. */
+  /** Offers that may be requested now. */
   available(types: readonly MachineType[]): Offer[] {
     const now = this.clock.now();
     const offers: Offer[] = [];
     for (const type of types) {
       for (const zone of type.zones) {
         offers.push({ type, zone, spot: false, price: type.price });
-        if (this.spotAllowed) offers.push({ type, zone, spot: true, price: type.spotPrice });
+        if (this.isSpotAllowed) offers.push({ type, zone, spot: true, price: type.spotPrice });
       }
     }
     return offers.filter((offer) => (this.pausedUntil.get(offerKey(offer)) ?? 0) <= now);
   }
 
-  /** Leaves an offer out for a while: the cloud had less than was asked for. */
+  /** Leaves an offer out for a while: the cloud had less than was requested. */
   pause(offer: Offer): void {
     this.pausedUntil.set(offerKey(offer), this.clock.now() + NO_CAPACITY_PAUSE_MS);
   }
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,4 +1,5 @@
 /** Plans how many machines of which offers to rent for given tasks and for the headroom. */
+
 import { PREEMPTIBLE_CPU_SHARE } from '../../constants/autoscaling.js';
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -27,14 +28,14 @@
 /** What a plan begins with. */
 export interface ScaleOutPlanOptions {
   readonly offers: readonly Offer[];
-  /** Machines that are not up yet; the plan takes room from them. */
+  /** Machines that are not up yet; the plan takes its tasks' resources from them. */
   readonly booting: readonly MachineCapacity[];
   /** Number of machines that there are already. */
   readonly machineCount: number;
   readonly maxMachines: number;
 }
 
-/** Puts tasks into rooms and takes what they use; returns how many found none. */
+/** Takes the tasks' resources from the machines; returns how many tasks don't fit. */
 function fillMachines(capacities: readonly Amounts[], spec: JobSpec, count: number): number {
   let left = count;
   for (const capacity of capacities) {
@@ -95,7 +96,7 @@
     const missing = headroomCpus - this.ordinaryCpus(healthy);
     if (missing <= 0) return;
     const [offer] = this.options.offers
-      .filter((one) => !one.spot)
+      .filter(({ spot }) => !spot)
       .sort((a, b) => a.price / a.type.cpus - b.price / b.type.cpus);
     if (!offer) return;
     const rental = this.rentalOf(offer);
@@ -106,9 +107,9 @@
   private ordinaryCpus(healthy: readonly MachineCapacity[]): number {
     let cpus = 0;
     for (const machine of [...healthy, ...this.options.booting]) {
+      if (machine.spot) continue;
       // CPUs that urgent work may preempt count in part, since preemption loses work done.
-      if (!machine.spot)
-        cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_CPU_SHARE;
+      cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_CPU_SHARE;
     }
     for (const { offer, capacities } of this.planned.values()) {
       if (offer.spot) continue;
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -1,4 +1,5 @@
-/** Rents machines for work that the present machines can't finish in time, and for the headroom. */
+/** Scale-out: rents machines for work that the fleet can't finish in time, and for the headroom. */
+
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { RentResult } from '../../protocol/cloud-api.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
@@ -9,7 +10,7 @@
 import { Offers, byControllerLoad } from './offers.js';
 import { ScaleOutPlan, type Rental } from './scale-out-plan.js';
 
-/** Plans what to rent in each round and sends the rent requests. */
+/** Plans what to rent in each pass and sends the rent requests. */
 export class ScaleOut {
   private readonly offers: Offers;
   /** Rent requests made in this term; part of their identifiers. */
@@ -22,7 +23,7 @@
     this.offers = new Offers(context.clock, context.spot);
   }
 
-  /** Rents what is missing, as far as the cloud's limit of requests allows. */
+  /** Rents what is missing, as far as the request budget allows. */
   async run(snapshot: FleetSnapshot): Promise<void> {
     const { cloud, cloudRequests, term } = this.context;
     for (const rental of this.plan(snapshot)) {
@@ -40,20 +41,20 @@
     }
   }
 
-  /** Logs the result of a rent request; pauses an offer of which less was there than asked for. */
+  /** Logs the result of a rent request; pauses an offer of which there was less than requested. */
   private handleResult({ offer, count }: Rental, result: RentResult): void {
     const { type, zone, spot } = offer;
     const got = result.kind === 'rented' ? result.machines.length : 0;
     this.context.log.info(
       { type: type.name, zone, spot, count, got, result: result.kind },
-      'renting',
+      'scale-out requested',
     );
     if (result.kind === 'noCapacity' || (result.kind === 'rented' && got < count)) {
       this.offers.pause(offer);
     }
   }
 
-  /** What to rent: the cheapest offer for each kind of task that booting machines can't hold. */
+  /** What to rent: the cheapest offer for each kind of task that doesn't fit on booting machines. */
   private plan(snapshot: FleetSnapshot): Rental[] {
     const { clock, headroom, maxMachines, members, replica } = this.context;
     const types = machineTypes(replica);
@@ -69,7 +70,7 @@
     });
     const demand = demandBeyondFleet({ snapshot, booting, types, wall: clock.wall() });
     for (const tasks of demand) plan.addTasks(tasks);
-    // Waiting tasks take their room first; gangs like the recent ones should find some beside it.
+    // Waiting tasks are served first; gangs like the recent ones should find capacity beside them.
     const missingForGangs = missingGangCapacity(headroom.gangs(snapshot), [...healthy, ...booting]);
     for (const tasks of missingForGangs) plan.addTasks(tasks);
     plan.addHeadroom(headroom.cpus, healthy);
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,10 +1,10 @@
-/** Consolidation of services: little-used machines are drained, so that they can be returned. */
+/** Consolidation of services: little-used machines are emptied, so that they can be returned. */
 
 import {
+  CONSOLIDATION_MAX_CPU_USE,
+  CONSOLIDATION_MAX_MACHINE_SHARE,
   CONSOLIDATION_PERIOD_MS,
   SETTLED_AFTER_MS,
-  CONSOLIDATION_MAX_MACHINE_SHARE,
-  CONSOLIDATION_MAX_CPU_USE,
 } from '../../constants/scheduling.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -51,18 +51,18 @@
   run(): Set<string> {
     const { tasks, machines, clock } = this.dependencies;
     const now = clock.now();
-    const drained = new Set<string>();
-    if (tasks.waiting.size > 0 || now < this.nextRunAt) return drained;
+    const emptied = new Set<string>();
+    if (tasks.waiting.size > 0 || now < this.nextRunAt) return emptied;
     this.nextRunAt = now + CONSOLIDATION_PERIOD_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ isEmpty }) => !isEmpty);
     used.sort((a, b) => this.cpuUse(a) - this.cpuUse(b));
     const limit = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_SHARE));
     for (const [index, candidate] of used.entries()) {
-      if (this.cpuUse(candidate) > CONSOLIDATION_MAX_CPU_USE || drained.size >= limit) break;
-      if (this.moveAll(candidate, used.slice(index + 1))) drained.add(candidate.machine.name);
+      if (this.cpuUse(candidate) > CONSOLIDATION_MAX_CPU_USE || emptied.size >= limit) break;
+      if (this.moveAll(candidate, used.slice(index + 1))) emptied.add(candidate.machine.name);
     }
-    return drained;
+    return emptied;
   }
 
   /** Stops all tasks of a machine if they may move and fit on the others; false: they stay. */
