--- a/src/coordination/scheduling/arm-records.ts
+++ b/src/coordination/scheduling/arm-records.ts
@@ -3,10 +3,10 @@
 import { bytesOf } from '../../storage/committer.js';
 
 /** Cells of a matrix that are not zero. */
-export type MatrixCells = [row: number, column: number, value: number][];
+type MatrixCells = [row: number, column: number, value: number][];
 
 /** Entries of a vector that are not zero. */
-export type VectorEntries = [row: number, value: number][];
+type VectorEntries = [row: number, value: number][];
 
 /**
  * An arm as it is kept in the key-value store: A's lower triangle without zeros, and b. What does
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -38,7 +38,7 @@
   private nextRunAt = 0;
 
   constructor(
-    private readonly job: JobLookup,
+    private readonly findJob: JobLookup,
     private readonly dependencies: ConsolidationDependencies,
   ) {}
 
@@ -81,7 +81,7 @@
   }
 
   private mayMove(slot: Slot, assignment: Assignment): boolean {
-    const isService = this.job(assignment.job)?.spec.kind === 'service';
+    const isService = this.findJob(assignment.job)?.spec.kind === 'service';
     return isService && isSettled(slot, this.dependencies.clock) && !slot.halting;
   }
 
@@ -107,7 +107,7 @@
 
   /** The first machine on which a task fits and that has its image. */
   private targetFor(assignment: Assignment, targets: readonly Candidate[]): Candidate | undefined {
-    const spec = this.job(assignment.job)?.spec;
+    const spec = this.findJob(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
       ({ machine, free }) =>
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -26,7 +26,7 @@
 export class GangReservations {
   constructor(
     private readonly tasks: Tasks,
-    private readonly job: JobLookup,
+    private readonly findJob: JobLookup,
   ) {}
 
   /** Reserves resources against arrays for the next gang, assuming that it is like this one. */
@@ -64,7 +64,7 @@
   private fitOn(candidate: Candidate, task: Resources): CandidateFit {
     const freeLater = { ...candidate.free };
     for (const [, assignment] of this.tasks.on(candidate.machine.name)) {
-      const isArray = this.job(assignment.job)?.spec.kind === 'array';
+      const isArray = this.findJob(assignment.job)?.spec.kind === 'array';
       if (isArray) allocate(freeLater, assignment.record, -1);
     }
     return {
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -108,11 +108,11 @@
 }
 
 /** The lowest rank of all placed tasks; Infinity: none is placed. */
-function lowestPlacedRank(tasks: Tasks, job: JobLookup): number {
+function lowestPlacedRank(tasks: Tasks, findJob: JobLookup): number {
   let lowest = Infinity;
   for (const assignment of tasks.assignments.values()) {
     if (assignment.placed === 0) continue;
-    const spec = job(assignment.job)?.spec;
+    const spec = findJob(assignment.job)?.spec;
     if (spec) lowest = Math.min(lowest, rankOf(spec.priority));
   }
   return lowest;
