--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -1,5 +1,6 @@
-/** What is kept free for work to come: none once there has been no work for a while. */
-import { HEADROOM_QUIET_MS } from '../../constants/autoscaling.js';
+/** Capacity kept free for work to come: none once there has been no work for a while. */
+
+import { HEADROOM_RELEASE_AFTER_MS } from '../../constants/autoscaling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
@@ -17,23 +18,23 @@
     this.lastWorkAt = clock.now();
   }
 
-  /** Notes whether a job is open; called in each round. */
+  /** Notes whether a job is open; called in each pass. */
   update(): void {
-    const [first] = this.replica.openJobs();
-    if (first !== undefined) this.lastWorkAt = this.clock.now();
+    const [openJob] = this.replica.openJobs();
+    if (openJob !== undefined) this.lastWorkAt = this.clock.now();
   }
 
-  /** Free CPUs on ordinary machines that are held for urgent work. */
+  /** Free CPUs on ordinary machines that are kept for urgent work. */
   get cpus(): number {
     return this.isQuiet ? 0 : this.configuredCpus;
   }
 
-  /** The gangs for the like of which room is held. */
+  /** The gangs for whose like capacity is kept free. */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
     return this.isQuiet ? [] : snapshot.gangs;
   }
 
   private get isQuiet(): boolean {
-    return this.clock.now() - this.lastWorkAt >= HEADROOM_QUIET_MS;
+    return this.clock.now() - this.lastWorkAt >= HEADROOM_RELEASE_AFTER_MS;
   }
 }
