--- a/src/constants/protocol.ts
+++ b/src/constants/protocol.ts
@@ -25,7 +25,7 @@
 export const TRANSACTION_BYTES = 56 * 1024;
 
 /** KiB; with smaller values a chunk of a few tasks, or a job, could not be stored. */
-export const VALUE_KB_LEAST = 0.5;
+export const MIN_VALUE_KB = 0.5;
 
 /** Bytes of a failure detector's message: eight rumours with the longest names; more is dropped. */
-export const DETECTOR_BYTES = 8 * 1024;
+export const MAX_DETECTOR_MESSAGE_BYTES = 8 * 1024;
--- a/src/constants/storage.ts
+++ b/src/constants/storage.ts
@@ -32,22 +32,22 @@
 export const VALUE_SHARE = 0.95;
 
 /** Final states kept in memory; older ones are read from the state service again. */
-export const FINAL_CACHE = 20_000;
+export const MAX_CACHED_FINALS = 20_000;
 
 /** Least part of its equal share of the state service's limits that a node keeps when refused. */
-export const STORE_LIMIT_FLOOR = 0.5;
+export const STORE_LIMIT_MIN_SHARE = 0.5;
 
 /** Share of these limits that one node may use at the most, where the others leave it. */
-export const STORE_LIMIT_SHARE = 0.8;
+export const STORE_LIMIT_MAX_SHARE = 0.8;
 
 /** Share of a limit by which a node's part of it grows in a second in which work waits. */
 export const STORE_LIMIT_GROWTH = 0.1;
 
 /** Share of its equal part of the writes above which a node lets changes wait for others to join. */
-export const STORE_SCARCE_SHARE = 0.5;
+export const WRITES_SCARCE_SHARE = 0.5;
 
 /** Share of it above which they wait longest. */
-export const STORE_SHORT_SHARE = 0.85;
+export const WRITES_SHORT_SHARE = 0.85;
 
 /** What is left of a node's part of a limit after a refusal. */
 export const STORE_LIMIT_AFTER_REFUSAL = 0.7;
@@ -56,7 +56,7 @@
 export const WATCH_SHARE = 0.15;
 
 /** Part of the usual spacing of watches that is kept where a peer says that there is news. */
-export const HURRY_SHARE = 0.25;
+export const HINTED_WATCH_SPACING_SHARE = 0.25;
 
 /** ms; failures only count as being cut off after this long without a success. */
-export const REACH_DOUBT_MS = 700;
+export const UNREACHABLE_AFTER_MS = 700;
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -64,7 +64,7 @@
       onCommitted([id], { tasks });
       return stateReply(id, 'cancelled');
     }
-    if (result.kind === 'givenUp' || result.kind === 'invalid') return notCommitted();
+    if (result.kind === 'abandoned' || result.kind === 'rejected') return notCommitted();
     const lookup = await checks.check(id, POLL_LIMIT_MS);
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
     if (lookup.kind === 'found' && lookup.job.final) return stateReply(id, lookup.job.state);
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -112,7 +112,7 @@
 
   private async runNext(): Promise<void> {
     const { clock, limiter } = this.options;
-    await limiter.pass('check', 0);
+    await limiter.acquire('check', 0);
     const group = this.takeGroup();
     this.checkedAt = clock.now();
     this.scheduled = false;
@@ -145,7 +145,7 @@
         void this.rereadAll(changed, failed);
         remaining = remaining.filter((check) => check.waiters.size > 0 && !isFailed(check));
         if (changed.length === 0) break;
-        if (remaining.length > 0) await this.options.limiter.pass('check', 0);
+        if (remaining.length > 0) await this.options.limiter.acquire('check', 0);
       }
       this.settleUnsure(remaining, 'a conflict names none of the keys');
     } catch (error) {
@@ -176,7 +176,7 @@
       this.settleUnsure(group, String(error));
       return;
     }
-    if (error instanceof StoreRejectedError) this.options.limiter.refused(0);
+    if (error instanceof StoreRejectedError) this.options.limiter.reportRefusal(0);
     for (const check of group) this.putBack(check);
     this.schedule();
   }
@@ -215,7 +215,7 @@
   private async reread(id: string, isOver: boolean): Promise<JobLookup> {
     const { limiter, keyValueStore, replica } = this.options;
     if (!isOver) {
-      await limiter.pass('check', 0);
+      await limiter.acquire('check', 0);
       const live = await keyValueStore.get(jobKey(id));
       if (live) {
         replica.applyOwnChanges([{ key: jobKey(id), value: live.value, revision: live.revision }]);
@@ -223,7 +223,7 @@
       }
     }
     // The job's record goes in the change that makes its final record, which stays.
-    await limiter.pass('check', 0);
+    await limiter.acquire('check', 0);
     const final = await keyValueStore.get(finalKey(id));
     // Neither record: two reads at two moments don't prove that there was none all the time.
     if (!final) return UNSURE;
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -139,13 +139,13 @@
     if (result.kind === 'done') {
       this.settleAll(group, 'accepted');
       this.options.onCommitted(group.map((one) => one.spec.id));
-    } else if (result.kind !== 'invalid') {
+    } else if (result.kind !== 'rejected') {
       this.settleAll(group, 'unsure');
     } else if (group.length > 1) {
       // One job must not take the others down: each is tried on its own, and then told.
       for (const one of group) await this.commitGroup([one]);
     } else {
-      this.settleAll(group, result.unsure ? 'unsure' : 'invalid');
+      this.settleAll(group, result.mayCommitLater ? 'unsure' : 'invalid');
     }
   }
 
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -29,7 +29,7 @@
     for (const group of this.transactions(changes)) {
       const guards = group.map(({ key }) => ({ key, revision: replica.revisionOf(key) }));
       const result = await writer.commit('leader', guards, group);
-      if (result.kind === 'invalid') rejectedChangeBackoff.add(CATALOG);
+      if (result.kind === 'rejected') rejectedChangeBackoff.add(CATALOG);
       else rejectedChangeBackoff.clear(CATALOG);
       if (result.kind !== 'done') return;
     }
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -36,7 +36,7 @@
       const { guards, changes } = this.stateTransaction(group, state);
       const result = await writer.commit('leader', guards, changes);
       for (const { name } of group) {
-        if (result.kind === 'invalid') rejectedChangeBackoff.add(name);
+        if (result.kind === 'rejected') rejectedChangeBackoff.add(name);
         else rejectedChangeBackoff.clear(name);
       }
       if (result.kind !== 'done') return 'incomplete';
@@ -78,7 +78,7 @@
     }
     if (changes.length === 0 || rejectedChangeBackoff.has(MACHINES)) return;
     const result = await writer.commit('leader', guards, changes);
-    if (result.kind === 'invalid') rejectedChangeBackoff.add(MACHINES);
+    if (result.kind === 'rejected') rejectedChangeBackoff.add(MACHINES);
     else rejectedChangeBackoff.clear(MACHINES);
   }
 }
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -3,7 +3,7 @@
 import { readCatalog } from '../../storage/catalog.js';
 import { MACHINES, STATUSES } from '../../storage/keys.js';
 import type { MachineType } from '../../protocol/model.js';
-import type { Held } from '../../storage/record-index.js';
+import type { VersionedValue } from '../../storage/record-index.js';
 import type { MachineRecord, StatusRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import {
@@ -40,7 +40,7 @@
    * What records were decoded to. A change of a key replaces its entry in the replica, so that a
    * round decodes what changed and not the whole fleet.
    */
-  private readonly decoded = new WeakMap<Held, readonly MachinePlace[]>();
+  private readonly decoded = new WeakMap<VersionedValue, readonly MachinePlace[]>();
 
   constructor(
     private readonly members: readonly Member[],
@@ -69,7 +69,7 @@
     return machines;
   }
 
-  private decode(held: Held, read: () => MachinePlace[]): readonly MachinePlace[] {
+  private decode(held: VersionedValue, read: () => MachinePlace[]): readonly MachinePlace[] {
     const known = this.decoded.get(held);
     if (known) return known;
     const places = read();
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -83,7 +83,7 @@
   const { environment, incarnation, log, settings } = options;
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
-  const state = reachability.watch(environment.keyValueStore);
+  const state = reachability.observe(environment.keyValueStore);
   const { storeRps: rps, storeWriteRps: writeRps, transactionOps } = settings;
   const limiter = new RateLimiter(
     clock,
--- a/src/coordination/controller/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -25,10 +25,10 @@
     const now = clock.now();
     if (now - this.loggedAt < USE_LOG_MS) return;
     this.loggedAt = now;
-    const { passed, refusals } = limiter;
+    const { acquiredCounts, refusals } = limiter;
     const submissions = Object.fromEntries(userRequests.answers);
     log.info(
-      { ...Object.fromEntries(passed), refusals, submissions },
+      { ...Object.fromEntries(acquiredCounts), refusals, submissions },
       'requests to the state service',
     );
   }
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -48,7 +48,7 @@
   get ready(): boolean {
     const { isAlone, reachability, relay, userRequests } = this.options;
     if (relay.answeringPeers().length > 0) return true;
-    return userRequests.ready && (isAlone || reachability.reachable);
+    return userRequests.ready && (isAlone || reachability.isReachable);
   }
 
   /**
@@ -83,7 +83,7 @@
   /** Serves a peer's request. What can't be decided now is told at once: the peer may ask another. */
   async serveRelayed(request: UserRequest): Promise<HttpReply> {
     const { reachability } = this.options;
-    if (request.ask !== 'poll' && !reachability.reachable) return outOfReach();
+    if (request.ask !== 'poll' && !reachability.isReachable) return outOfReach();
     return this.serveLocally(request);
   }
 
@@ -99,7 +99,7 @@
   /** A node that can't reach the state service asks its peers, since one of them may reach it. */
   private async findReply(request: UserRequest): Promise<HttpReply> {
     const { limiter, reachability, userRequests } = this.options;
-    if (!userRequests.ready || !reachability.reachable) {
+    if (!userRequests.ready || !reachability.isReachable) {
       const times = request.ask === 'poll' ? RELAYED_POLL_MS : RELAYED_CHANGE_MS;
       const reply = await this.relay(request, { ...times, accepts: (one) => !isTemporary(one) });
       if (reply) return reply;
--- a/src/coordination/election/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -34,7 +34,7 @@
     once = false,
   ): Promise<CommitResult> {
     for (;;) {
-      if (!this.alive()) return { kind: 'givenUp', unsure: false };
+      if (!this.alive()) return { kind: 'abandoned', mayCommitLater: false };
       const guarded = [this.guard(), ...guards];
       const result = once
         ? await this.committer.commitOnce({ purpose, guards: guarded, changes }, this.alive, () =>
@@ -43,7 +43,7 @@
         : await this.committer.commit(purpose, guarded, changes, this.alive);
       // Not carried out, and the role is still ours: its key was only written anew meanwhile.
       const again =
-        result.kind === 'settled' ||
+        result.kind === 'neverCommitted' ||
         (result.kind === 'conflict' && result.failed.length === 1 && result.failed[0] === this.key);
       if (!again || !this.alive()) return result;
     }
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -188,7 +188,7 @@
   /** Keeps the lease when that is due; false: it has ended. */
   private async renewLease(lease: number, now: number): Promise<boolean> {
     if (now - this.renewedAt < MEMBER_RENEW_MS) return true;
-    await this.options.limiter.pass('role', 0);
+    await this.options.limiter.acquire('role', 0);
     if (await this.options.keyValueStore.extend(lease)) {
       this.renewedAt = now;
       return true;
@@ -201,11 +201,11 @@
   private async register(now: number): Promise<void> {
     if (this.hasRegistration) this.options.policy.registrationLost();
     this.hasRegistration = false;
-    await this.options.limiter.pass('role', 0);
+    await this.options.limiter.acquire('role', 0);
     const lease = await this.options.keyValueStore.grant(MEMBER_TTL_MS);
     const { guards, changes } = this.registration(lease);
     const result = await this.options.committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'invalid') this.rejectedChangeBackoff.add(REGISTRATION);
+    if (result.kind === 'rejected') this.rejectedChangeBackoff.add(REGISTRATION);
     if (result.kind !== 'done') return;
     this.rejectedChangeBackoff.clear(REGISTRATION);
     this.lease = lease;
@@ -283,7 +283,7 @@
     const record = this.claimRecord(holder);
     const changes: Change[] = [{ key, value: record }];
     const result = await this.options.committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'invalid') this.rejectedChangeBackoff.add(role);
+    if (result.kind === 'rejected') this.rejectedChangeBackoff.add(role);
     else this.rejectedChangeBackoff.clear(role);
     this.options.log.info(
       { role, from: holder?.owner ?? null, term: record.term, result: result.kind },
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -58,7 +58,7 @@
       );
       log.debug({ jobs: [...jobs], result: result.kind }, 'tasks assigned');
       for (const job of jobs) {
-        if (result.kind === 'invalid') rejectedChangeBackoff.add(job);
+        if (result.kind === 'rejected') rejectedChangeBackoff.add(job);
         else rejectedChangeBackoff.clear(job);
       }
       if (result.kind !== 'done') break;
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -60,9 +60,9 @@
       const { guards, changes } = completionOf(group);
       const result = await writer.commit('leader', guards, changes);
       log.info({ jobs: group.map((job) => job.id), result: result.kind }, 'jobs done');
-      if (result.kind === 'givenUp') return;
+      if (result.kind === 'abandoned') return;
       for (const { id } of group) {
-        if (result.kind === 'invalid') rejectedChangeBackoff.add(id);
+        if (result.kind === 'rejected') rejectedChangeBackoff.add(id);
         else rejectedChangeBackoff.clear(id);
       }
     }
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -85,7 +85,7 @@
     const { log, tasks } = this.context;
     log.info({ result }, 'placements not committed');
     for (const { assignment } of written) {
-      if (result.kind === 'invalid') this.withheld.add(assignment.key);
+      if (result.kind === 'rejected') this.withheld.add(assignment.key);
       tasks.resync(assignment);
     }
   }
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -203,7 +203,7 @@
     const { alive } = this.options;
     const result = await this.services.committer.commit(purpose, guards, changes, alive);
     for (const { key } of changes) {
-      if (result.kind === 'invalid') this.rejectedChangeBackoff.add(key);
+      if (result.kind === 'rejected') this.rejectedChangeBackoff.add(key);
       else this.rejectedChangeBackoff.clear(key);
     }
     return result.kind === 'done';
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -2,7 +2,7 @@
 
 import type { DetectorBody, DetectorMessage, MemberUpdate } from '@mothbank/failure-detector';
 import protobuf from 'protobufjs/minimal.js';
-import { DETECTOR_BYTES } from '../constants/protocol.js';
+import { MAX_DETECTOR_MESSAGE_BYTES } from '../constants/protocol.js';
 import { delimited, varint, WIRE_TYPE_BITS, WIRE_TYPE_MASK } from './protobuf-tags.js';
 
 const { Reader, Writer } = protobuf;
@@ -151,7 +151,7 @@
 
 /** Null: it is too long, broken, or of a kind that this version does not know. */
 export function decodeDetector(bytes: Uint8Array): DetectorMessage | null {
-  if (bytes.length > DETECTOR_BYTES) return null;
+  if (bytes.length > MAX_DETECTOR_MESSAGE_BYTES) return null;
   try {
     return decode(bytes);
   } catch {
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -74,7 +74,7 @@
 }
 
 /** A put or removal as the watch reports it. */
-interface WireEvent {
+interface WireChange {
   put?: string;
   remove?: string;
   v?: unknown;
@@ -90,7 +90,7 @@
   return { put: change.key, v: change.value, ...lease };
 }
 
-function readEvent(event: WireEvent): WatchResult['events'][number] {
+function decodeChange(event: WireChange): WatchResult['events'][number] {
   return {
     key: event.put ?? event.remove ?? '',
     value: event.v,
@@ -100,14 +100,14 @@
 }
 
 /** A number that an answer must have: without it nothing follows from the answer. */
-function numberOf(body: Body, field: string): number {
+function requireNumber(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
   throw new OutcomeUnknownError(`state service's answer lacks ${field}`);
 }
 
 /** The same for a list. */
-function listOf<Item>(body: Body, field: string): Item[] {
+function requireList<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
   throw new OutcomeUnknownError(`state service's answer lacks ${field}`);
@@ -143,7 +143,7 @@
   async get(key: string): Promise<{ value: unknown; revision: number } | null> {
     const path = `/kv/${encodeURI(key)}`;
     const { status, body } = await this.call({ method: 'GET', path, expected: [200, 404] });
-    return status === 404 ? null : { value: body['v'], revision: numberOf(body, 'mark') };
+    return status === 404 ? null : { value: body['v'], revision: requireNumber(body, 'mark') };
   }
 
   async list(
@@ -153,11 +153,11 @@
     const since = after === null ? '' : `&since=${encodeURIComponent(after)}`;
     const path = `/kv?prefix=${encodeURIComponent(prefix)}${since}&page=${LIST_PAGE_KEYS}`;
     const { body } = await this.call({ method: 'GET', path, expected: [200] });
-    const items = listOf<{ path: string; v: unknown; mark: number }>(body, 'items');
+    const items = requireList<{ path: string; v: unknown; mark: number }>(body, 'items');
     return {
       entries: items.map((item) => ({ key: item.path, value: item.v, revision: item.mark })),
       more: body['more'] === true,
-      revision: numberOf(body, 'epoch'),
+      revision: requireNumber(body, 'epoch'),
     };
   }
 
@@ -172,7 +172,7 @@
       expected: [200, 409],
     });
     if (status === 409) return { ok: false, failed: (body['failed'] ?? []) as string[] };
-    return { ok: true, revision: numberOf(body, 'epoch') };
+    return { ok: true, revision: requireNumber(body, 'epoch') };
   }
 
   async grant(ttlMs: number): Promise<number> {
@@ -182,7 +182,7 @@
       body: { ttlMs },
       expected: [200],
     });
-    return numberOf(body, 'perch');
+    return requireNumber(body, 'perch');
   }
 
   async extend(lease: number): Promise<boolean> {
@@ -202,7 +202,7 @@
       this.timeoutMs + waitMs,
     );
     if (status === 410) return null;
-    const events = listOf<WireEvent>(body, 'log');
-    return { revision: numberOf(body, 'epoch'), events: events.map(readEvent) };
+    const events = requireList<WireChange>(body, 'log');
+    return { revision: requireNumber(body, 'epoch'), events: events.map(decodeChange) };
   }
 }
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -4,13 +4,13 @@
 import { MEMBER_TTL_MS } from '../constants/election.js';
 import { amount, checkFile, positive, readToml, SettingsError } from './settings-file.js';
 
-const placement = v.object({
+const placementSchema = v.object({
   alpha: v.optional(amount, 2),
   penalty: v.optional(positive, 2),
   snapshot_s: v.optional(positive, 30),
 });
 
-const fleet = v.object({
+const fleetSchema = v.object({
   idle_s: v.optional(amount, 12),
   headroom_cpus: v.optional(amount, 6),
   spot: v.optional(v.boolean(), true),
@@ -20,7 +20,7 @@
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
 
 /** Strict: a misspelt key would leave detection at a default that nobody chose. */
-const suspicion = v.strictObject({
+const suspicionSchema = v.strictObject({
   enabled: v.optional(v.boolean(), true),
   probe_interval_s: v.optional(positive, 1),
   probe_timeout_s: v.optional(positive, 0.5),
@@ -32,10 +32,10 @@
   history: v.optional(count, 512),
 });
 
-const operators = v.object({
-  placement: v.optional(placement, {}),
-  fleet: v.optional(fleet, {}),
-  suspicion: v.optional(suspicion),
+const operatorsSchema = v.object({
+  placement: v.optional(placementSchema, {}),
+  fleet: v.optional(fleetSchema, {}),
+  suspicion: v.optional(suspicionSchema),
 });
 
 /** How machine types are chosen. */
@@ -76,7 +76,7 @@
   suspicion: SuspicionSettings | null;
 }
 
-type SuspicionFile = v.InferOutput<typeof suspicion>;
+type SuspicionFile = v.InferOutput<typeof suspicionSchema>;
 
 /** What no schema says: relations between fields, and to the lease of a member. */
 function checkSuspicion(file: string, raw: SuspicionFile, memberCount: number): void {
@@ -123,7 +123,7 @@
   const sections: Sections = {};
   for (const file of files) {
     const raw = readToml(file) as Sections;
-    const own = checkFile(file, operators, raw);
+    const own = checkFile(file, operatorsSchema, raw);
     if (own.suspicion) checkSuspicion(file, own.suspicion, memberCount);
     for (const [name, section] of Object.entries(raw)) {
       if (name in sections) throw new SettingsError(file, `${name}: stands in another file too`);
@@ -138,7 +138,7 @@
   files: readonly string[],
   memberCount: number,
 ): OperatorSettings {
-  const own = checkFile('defaults', operators, mergeFiles(files, memberCount));
+  const own = checkFile('defaults', operatorsSchema, mergeFiles(files, memberCount));
   return {
     placement: {
       alpha: own.placement.alpha,
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -3,7 +3,7 @@
 import * as v from 'valibot';
 import { SHARDS_PER_TERM } from '../constants/election.js';
 import { GANG_PEER_S, GANG_WAIT_S } from '../constants/gangs.js';
-import { VALUE_KB_LEAST } from '../constants/protocol.js';
+import { MIN_VALUE_KB } from '../constants/protocol.js';
 import {
   readOperatorSettings,
   type FleetSettings,
@@ -18,14 +18,14 @@
 const address = v.pipe(v.string(), v.regex(/^[^:]+:\d{1,5}$/, 'must be ADDRESS:PORT'));
 
 /** The limits of the state service. Names in these schemas are those of the files. */
-const stateLimits = {
+const storeLimitsSchema = {
   rps: positive,
   write_rps: positive,
-  value_kb: v.pipe(v.number(), v.finite(), v.minValue(VALUE_KB_LEAST)),
+  value_kb: v.pipe(v.number(), v.finite(), v.minValue(MIN_VALUE_KB)),
   txn_ops: v.pipe(v.number(), v.integer(), v.minValue(2)),
 };
 
-const platform = v.object({
+const platformSchema = v.object({
   node_name: v.pipe(v.string(), v.minLength(1)),
   site: v.pipe(v.string(), v.minLength(1)),
   front: address,
@@ -68,8 +68,8 @@
       gang_peer_s: v.optional(positive),
     }),
     state: v.object({
-      ...stateLimits,
-      next: v.optional(v.partial(v.object(stateLimits)), {}),
+      ...storeLimitsSchema,
+      next: v.optional(v.partial(v.object(storeLimitsSchema)), {}),
     }),
     cloud: v.object({ rps: positive, list_lag_s: amount }),
     resources: v.object({ cores: positive, mem_mb: positive, fd_limit: positive }),
@@ -120,7 +120,7 @@
   suspicion: SuspicionSettings | null;
 }
 
-type PlatformFile = v.InferOutput<typeof platform>;
+type PlatformFile = v.InferOutput<typeof platformSchema>;
 type Params = PlatformFile['params'];
 
 /** What no schema says: relations between fields. */
@@ -159,10 +159,13 @@
   }));
 }
 
-type StateLimits = Pick<Settings, 'storeRps' | 'storeWriteRps' | 'valueBytes' | 'transactionOps'>;
+type StoreLimitSettings = Pick<
+  Settings,
+  'storeRps' | 'storeWriteRps' | 'valueBytes' | 'transactionOps'
+>;
 
 /** Announced limits come into force without notice, so they are kept from the start. */
-function readStateLimits(state: Params['state']): StateLimits {
+function readStoreLimits(state: Params['state']): StoreLimitSettings {
   const { next, ...present } = state;
   const stricter = (name: keyof typeof present): number =>
     Math.min(present[name], next[name] ?? Infinity);
@@ -191,7 +194,7 @@
 
 /** Reads all files; throws `SettingsError` at the first fault. */
 export function readSettings(platformFile: string, operatorFiles: readonly string[]): Settings {
-  const raw = checkFile(platformFile, platform, readToml(platformFile));
+  const raw = checkFile(platformFile, platformSchema, readToml(platformFile));
   checkRelations(platformFile, raw);
   const { params } = raw;
   const own = readOperatorSettings(operatorFiles, raw.members.length + 1);
@@ -212,7 +215,7 @@
     teams: readTeams(params.teams),
     startWithinS: readStartWithin(params.objectives),
     ...readWorkers(params.workers),
-    ...readStateLimits(params.state),
+    ...readStoreLimits(params.state),
     cloudRps: params.cloud.rps,
     listLagS: params.cloud.list_lag_s,
     sockets: params.resources.fd_limit,
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -5,15 +5,15 @@
 import type { JobSpec, JobState, Priority } from './model.js';
 
 /** Job ids have this form on the wire. */
-const ID = /^j-\d{1,18}$/;
+const JOB_ID = /^j-\d{1,18}$/;
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 const label = v.pipe(v.string(), v.minLength(1), v.maxLength(100));
 
 /** Only what may be null may be left out: a job that lacks a field is malformed. */
-const submission = v.object({
-  ref: v.pipe(v.string(), v.regex(ID, 'must look like j-000412')),
+const submissionSchema = v.object({
+  ref: v.pipe(v.string(), v.regex(JOB_ID, 'must look like j-000412')),
   lane: label,
   crew: label,
   shape: v.picklist(['sweep', 'standing', 'group']),
@@ -36,18 +36,18 @@
 });
 
 /** The wire's names of job kinds, priorities and states. */
-const KINDS: Record<'sweep' | 'standing' | 'group', JobSpec['kind']> = {
+const WIRE_KINDS: Record<'sweep' | 'standing' | 'group', JobSpec['kind']> = {
   sweep: 'array',
   standing: 'service',
   group: 'gang',
 };
-const RANKS: Record<string, Priority> = {
+const WIRE_PRIORITIES: Record<string, Priority> = {
   production: 'production',
   urgent: 'high',
   normal: 'normal',
   best_effort: 'low',
 };
-const STATES: Record<JobState, string> = {
+const WIRE_STATES: Record<JobState, string> = {
   queued: 'queued',
   running: 'running',
   done: 'done',
@@ -56,7 +56,7 @@
 
 /** Whether a text has the form of a job id. */
 export function isJobId(id: string): boolean {
-  return ID.test(id);
+  return JOB_ID.test(id);
 }
 
 /** A value that was read, or a one-line reason for the sender why it could not be. */
@@ -79,12 +79,12 @@
 
 /** The id alone: a known job is answered before anything else of the body is looked at. */
 export function submissionId(body: Record<string, unknown>): string | null {
-  return typeof body['ref'] === 'string' && ID.test(body['ref']) ? body['ref'] : null;
+  return typeof body['ref'] === 'string' && JOB_ID.test(body['ref']) ? body['ref'] : null;
 }
 
 /** The job that a submission describes. */
 export function parseSubmission(body: Record<string, unknown>): Parsed<JobSpec> {
-  const result = v.safeParse(submission, body);
+  const result = v.safeParse(submissionSchema, body);
   if (!result.success) {
     const issue = result.issues[0];
     return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
@@ -96,8 +96,8 @@
       id: wire.ref,
       class: wire.lane,
       team: wire.crew,
-      kind: KINDS[wire.shape],
-      priority: RANKS[wire.rank] ?? 'normal',
+      kind: WIRE_KINDS[wire.shape],
+      priority: WIRE_PRIORITIES[wire.rank] ?? 'normal',
       tasks: wire.larvae,
       cpus: wire.cores,
       gpus: wire.gpus,
@@ -119,10 +119,10 @@
 
 /** The answer to a submission or cancellation. */
 export function encodeJobState(id: string, state: JobState): unknown {
-  return { ref: id, stage: STATES[state] };
+  return { ref: id, stage: WIRE_STATES[state] };
 }
 
 /** The answer to a poll. */
 export function encodeJobView(id: string, state: JobState, done: number, running: number): unknown {
-  return { ref: id, stage: STATES[state], done, running };
+  return { ref: id, stage: WIRE_STATES[state], done, running };
 }
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -4,7 +4,7 @@
 import { HttpClient } from '../transport/http-client.js';
 import type { Clock } from '../transport/clock.js';
 import type { Command, Heartbeat } from './model.js';
-import { encodeDirect, parseHeartbeat } from './worker-codec.js';
+import { encodeDirectCommands, parseHeartbeat } from './worker-codec.js';
 
 /** What became of commands sent straight to a worker. */
 export interface DirectResult {
@@ -65,7 +65,7 @@
     commands: Command[],
   ): Promise<DirectResult> {
     this.calling.add(address);
-    const body = encodeDirect(fencingToken, agentEpoch, commands);
+    const body = encodeDirectCommands(fencingToken, agentEpoch, commands);
     const answer = await this.client(address)
       .call('POST', '/commands', body, this.timeoutMs)
       .finally(() => this.calling.delete(address));
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -14,7 +14,7 @@
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-const heartbeat = v.object({
+const heartbeatSchema = v.object({
   moth: v.pipe(v.string(), v.minLength(1), v.maxLength(100)),
   endpoint: v.nullish(v.string(), ''),
   breed: v.string(),
@@ -38,14 +38,14 @@
 });
 
 /** The wire's names of task states, causes and commands. */
-const STATES: Record<string, TaskState> = {
+const WIRE_TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   gathering: 'gathering',
   running: 'running',
   saving: 'saving',
   exited: 'exited',
 };
-const CAUSES: Record<string, ExitCause> = {
+const WIRE_EXIT_CAUSES: Record<string, ExitCause> = {
   done: 'done',
   stopped: 'stopped',
   error: 'error',
@@ -55,11 +55,11 @@
   mates_gone: 'peerLost',
   alone: 'timedOut',
 };
-const OPS: Record<Command['op'], string> = { start: 'launch', stop: 'halt', forget: 'reap' };
+const WIRE_VERBS: Record<Command['op'], string> = { start: 'launch', stop: 'halt', forget: 'reap' };
 
 /** The report that a body holds; workers also answer commands with one. */
 export function parseHeartbeat(body: Record<string, unknown>): Parsed<Heartbeat> {
-  const result = v.safeParse(heartbeat, body);
+  const result = v.safeParse(heartbeatSchema, body);
   if (!result.success) {
     const issue = result.issues[0];
     return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
@@ -68,9 +68,9 @@
   const tasks: TaskStatus[] = [];
   for (const entry of wire.larvae) {
     const task = parseTaskName(entry.larva);
-    const state = STATES[entry.stage];
+    const state = WIRE_TASK_STATES[entry.stage];
     if (!task || !state) return { ok: false, error: 'larvae: unreadable task' };
-    const cause = entry.cause === null ? null : (CAUSES[entry.cause] ?? 'error');
+    const cause = entry.cause === null ? null : (WIRE_EXIT_CAUSES[entry.cause] ?? 'error');
     tasks.push({ task, attempt: entry.try, state, cause });
   }
   return {
@@ -92,7 +92,7 @@
 
 function encodeCommands(commands: Command[]): unknown[] {
   return commands.map((command) => ({
-    verb: OPS[command.op],
+    verb: WIRE_VERBS[command.op],
     larva: taskName(command.task),
     try: command.attempt,
     ...(command.op === 'stop' ? { settleS: command.graceS ?? 0 } : {}),
@@ -105,7 +105,7 @@
 }
 
 /** Commands sent straight to a worker, for the session that the sender knows of. */
-export function encodeDirect(
+export function encodeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
   commands: Command[],
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -8,28 +8,28 @@
 import type { StoreReplica } from './store-replica.js';
 
 /** The last reading of each replica, so that what asks for each machine costs no new list. */
-const readings = new WeakMap<StoreReplica, { at: number; types: MachineType[] | null }>();
+const cachedCatalogs = new WeakMap<StoreReplica, { at: number; types: MachineType[] | null }>();
 
 /**
  * All machine types, or null while they are not known. They are written first-record-last and may
  * stand in two records for a moment: the first record's word counts.
  */
 export function readCatalog(replica: StoreReplica): MachineType[] | null {
-  const known = readings.get(replica);
-  if (known?.at === replica.catalogChanges) return known.types;
-  const reading = { at: replica.catalogChanges, types: readAnew(replica) };
-  readings.set(replica, reading);
+  const cached = cachedCatalogs.get(replica);
+  if (cached?.at === replica.catalogChanges) return cached.types;
+  const reading = { at: replica.catalogChanges, types: mergeRecords(replica) };
+  cachedCatalogs.set(replica, reading);
   return reading.types;
 }
 
-function readAnew(replica: StoreReplica): MachineType[] | null {
+function mergeRecords(replica: StoreReplica): MachineType[] | null {
   const first = replica.get<MachineType[]>(CATALOG);
   if (!first) return null;
-  const further = [...replica.below<MachineType[]>(CATALOG_MORE)].sort(([a], [b]) =>
+  const overflow = [...replica.below<MachineType[]>(CATALOG_MORE)].sort(([a], [b]) =>
     a < b ? -1 : 1,
   );
   const types = new Map<string, MachineType>();
-  for (const list of [first.value, ...further.map(([, held]) => held.value)]) {
+  for (const list of [first.value, ...overflow.map(([, held]) => held.value)]) {
     for (const type of list) if (!types.has(type.name)) types.set(type.name, type);
   }
   return [...types.values()];
@@ -52,16 +52,16 @@
     records[records.length - 1]?.push(type);
     bytes += size;
   }
-  const wanted = new Map(
+  const desired = new Map(
     records.map((record, at) => [at === 0 ? CATALOG : `${CATALOG_MORE}${at}`, record]),
   );
   const changes: Change[] = [];
-  for (const [key, value] of [...wanted].reverse()) {
+  for (const [key, value] of [...desired].reverse()) {
     if (JSON.stringify(replica.get(key)?.value) !== JSON.stringify(value))
       changes.push({ key, value });
   }
   for (const [key] of replica.below(CATALOG_MORE)) {
-    if (!wanted.has(key)) changes.push({ key, remove: true });
+    if (!desired.has(key)) changes.push({ key, remove: true });
   }
   return changes;
 }
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -20,12 +20,12 @@
   | { kind: 'done' }
   /** These keys are not as the guards said; the replica has been read anew for them. */
   | { kind: 'conflict'; failed: string[] }
-  /** Not carried out, and no longer tried; `unsure`: it may still be carried out. */
-  | { kind: 'givenUp'; unsure: boolean }
+  /** Not carried out, and no longer tried; `mayCommitLater`: it may still be carried out. */
+  | { kind: 'abandoned'; mayCommitLater: boolean }
   /** A try had no answer, and by now is known neither to have been carried out nor ever to be. */
-  | { kind: 'settled' }
-  /** The state service takes no such transaction, too large for one; `unsure`: as above. */
-  | { kind: 'invalid'; unsure: boolean };
+  | { kind: 'neverCommitted' }
+  /** The state service takes no such transaction, too large for one; `mayCommitLater`: as above. */
+  | { kind: 'rejected'; mayCommitLater: boolean };
 
 /** One transaction, and the purpose that it is counted under. */
 export interface Transaction {
@@ -45,7 +45,7 @@
 }
 
 /** How many keys that were read anew are remembered. */
-const READ_CACHE = 64;
+const MAX_REMEMBERED_READS = 64;
 
 /** Bytes that a value takes in the state service. */
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
@@ -63,7 +63,7 @@
   private readonly log: Log;
   private readonly random: () => number;
   /** Keys as they were last read anew; null: there was none. */
-  private readonly read = new Map<string, { value: unknown; revision: number } | null>();
+  private readonly lastReads = new Map<string, { value: unknown; revision: number } | null>();
 
   constructor(options: CommitterOptions) {
     this.keyValueStore = options.keyValueStore;
@@ -74,109 +74,117 @@
     this.random = options.random;
   }
 
-  /** `wanted` is asked before each try; when it says no, the transaction is given up. */
+  /** `isStillWanted` is asked before each try; when it says no, the transaction is given up. */
   commit(
     purpose: Purpose,
     guards: Guard[],
     changes: Change[],
-    wanted: () => boolean,
+    isStillWanted: () => boolean,
   ): Promise<CommitResult> {
-    return this.run({ purpose, guards, changes }, wanted);
+    return this.execute({ purpose, guards, changes }, isStillWanted);
   }
 
   /**
    * The same for what may be used up and removed before a late copy of the transaction comes: the
-   * guards would then let the copy pass. `settle` makes a try without an answer powerless unless it
+   * guards would then let the copy pass. `invalidateLateCopy` makes a try without an answer powerless unless it
    * was carried out; false: it could not.
    */
   commitOnce(
     transaction: Transaction,
-    wanted: () => boolean,
-    settle: () => Promise<boolean>,
+    isStillWanted: () => boolean,
+    invalidateLateCopy: () => Promise<boolean>,
   ): Promise<CommitResult> {
-    return this.run(transaction, wanted, settle);
+    return this.execute(transaction, isStillWanted, invalidateLateCopy);
   }
 
-  private async run(
+  private async execute(
     transaction: Transaction,
-    wanted: () => boolean,
-    settle?: () => Promise<boolean>,
+    isStillWanted: () => boolean,
+    invalidateLateCopy?: () => Promise<boolean>,
   ): Promise<CommitResult> {
     const { purpose, changes } = transaction;
-    let unsure = false;
+    let mayHaveCommitted = false;
     const backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_LAST_MS, this.random);
     for (;;) {
-      await this.limiter.pass(purpose, changes.length);
-      if (!wanted()) return { kind: 'givenUp', unsure };
+      await this.limiter.acquire(purpose, changes.length);
+      if (!isStillWanted()) return { kind: 'abandoned', mayCommitLater: mayHaveCommitted };
       try {
-        return await this.attempt(transaction, unsure);
+        return await this.tryOnce(transaction, mayHaveCommitted);
       } catch (error) {
         if (error instanceof StoreRejectedError) {
-          const result = this.resultOfRefusal(transaction, error, unsure);
+          const result = this.resultOfRejection(transaction, error, mayHaveCommitted);
           if (result) return result;
         } else {
-          unsure = true;
+          mayHaveCommitted = true;
         }
         this.log.debug({ error: String(error), purpose }, 'transaction failed, trying again');
-        if (unsure && settle) return this.end(transaction, wanted, settle);
+        if (mayHaveCommitted && invalidateLateCopy)
+          return this.resolveUnknownOutcome(transaction, isStillWanted, invalidateLateCopy);
         await sleep(this.clock, backoff.next());
       }
     }
   }
 
-  /** One try. `unsure`: an earlier one had no answer, so the changes may be there already. */
-  private async attempt(transaction: Transaction, unsure: boolean): Promise<CommitResult> {
+  /** One try. `mayHaveCommitted`: an earlier one had no answer, so the changes may be there already. */
+  private async tryOnce(
+    transaction: Transaction,
+    mayHaveCommitted: boolean,
+  ): Promise<CommitResult> {
     const { purpose, guards, changes } = transaction;
     const result = await this.keyValueStore.compareAndSwap(guards, changes);
     if (result.ok) {
-      this.adopt(changes, result.revision);
+      this.applyToReplica(changes, result.revision);
       return { kind: 'done' };
     }
     const keys = new Set(result.failed);
-    if (unsure) for (const change of changes) keys.add(change.key);
+    if (mayHaveCommitted) for (const change of changes) keys.add(change.key);
     for (const key of keys) await this.reread(purpose, key);
-    if (unsure && changes.length > 0 && changes.every((change) => this.reflects(change))) {
+    if (
+      mayHaveCommitted &&
+      changes.length > 0 &&
+      changes.every((change) => this.matchesLastRead(change))
+    ) {
       return { kind: 'done' };
     }
     return { kind: 'conflict', failed: result.failed };
   }
 
   /** Null: refused only for now. */
-  private resultOfRefusal(
+  private resultOfRejection(
     transaction: Transaction,
-    refusal: StoreRejectedError,
-    unsure: boolean,
+    rejection: StoreRejectedError,
+    mayHaveCommitted: boolean,
   ): CommitResult | null {
-    if (refusal.status === 400 && refusal.reason === NO_SUCH_LEASE) {
+    if (rejection.status === 400 && rejection.reason === NO_SUCH_LEASE) {
       return { kind: 'conflict', failed: [] };
     }
-    if (refusal.status === 400) {
-      this.logRejected(transaction, refusal.reason);
-      return { kind: 'invalid', unsure };
+    if (rejection.status === 400) {
+      this.logRejected(transaction, rejection.reason);
+      return { kind: 'rejected', mayCommitLater: mayHaveCommitted };
     }
-    if (refusal.status === 429) this.limiter.refused(transaction.changes.length);
+    if (rejection.status === 429) this.limiter.reportRefusal(transaction.changes.length);
     return null;
   }
 
   /** Brings a transaction whose try had no answer to its end without trying it again. */
-  private async end(
+  private async resolveUnknownOutcome(
     { purpose, changes }: Transaction,
-    wanted: () => boolean,
-    settle: () => Promise<boolean>,
+    isStillWanted: () => boolean,
+    invalidateLateCopy: () => Promise<boolean>,
   ): Promise<CommitResult> {
-    if (!(await settle())) return { kind: 'givenUp', unsure: true };
+    if (!(await invalidateLateCopy())) return { kind: 'abandoned', mayCommitLater: true };
     const backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_LAST_MS, this.random);
-    while (wanted()) {
+    while (isStillWanted()) {
       try {
         for (const change of changes) await this.reread(purpose, change.key);
-        const done = changes.every((change) => this.reflects(change));
-        return done ? { kind: 'done' } : { kind: 'settled' };
+        const done = changes.every((change) => this.matchesLastRead(change));
+        return done ? { kind: 'done' } : { kind: 'neverCommitted' };
       } catch (error) {
         this.log.debug({ error: String(error), purpose }, 'not read, trying again');
         await sleep(this.clock, backoff.next());
       }
     }
-    return { kind: 'givenUp', unsure: false };
+    return { kind: 'abandoned', mayCommitLater: false };
   }
 
   /** A fault of this program or a limit that it does not know: the operators must hear of it. */
@@ -195,7 +203,7 @@
     );
   }
 
-  private adopt(changes: Change[], revision: number): void {
+  private applyToReplica(changes: Change[], revision: number): void {
     this.replica.applyOwnChanges(
       changes.map((change) => ({
         key: change.key,
@@ -205,20 +213,23 @@
     );
   }
 
-  private reflects(change: Change): boolean {
-    const held = this.read.get(change.key);
-    if ('remove' in change) return held === null;
-    return held !== undefined && held !== null && isDeepStrictEqual(held.value, change.value);
+  private matchesLastRead(change: Change): boolean {
+    const current = this.lastReads.get(change.key);
+    if ('remove' in change) return current === null;
+    return (
+      current !== undefined && current !== null && isDeepStrictEqual(current.value, change.value)
+    );
   }
 
   private async reread(purpose: Purpose, key: string): Promise<void> {
-    await this.limiter.pass(purpose, 0);
-    const held = await this.keyValueStore.get(key);
-    this.read.set(key, held);
-    if (this.read.size > READ_CACHE) {
-      const oldest = this.read.keys().next();
-      if (!oldest.done) this.read.delete(oldest.value);
+    await this.limiter.acquire(purpose, 0);
+    const current = await this.keyValueStore.get(key);
+    this.lastReads.set(key, current);
+    if (this.lastReads.size > MAX_REMEMBERED_READS) {
+      const oldest = this.lastReads.keys().next();
+      if (!oldest.done) this.lastReads.delete(oldest.value);
     }
-    if (held) this.replica.applyOwnChanges([{ key, value: held.value, revision: held.revision }]);
+    if (current)
+      this.replica.applyOwnChanges([{ key, value: current.value, revision: current.revision }]);
   }
 }
--- a/src/storage/ranges.ts
+++ b/src/storage/ranges.ts
@@ -3,26 +3,26 @@
 /** The text for a set of numbers. */
 export function writeRanges(ids: Iterable<number>): string {
   const sorted = [...ids].sort((a, b) => a - b);
-  const parts: string[] = [];
-  for (let at = 0; at < sorted.length;) {
-    const first = sorted[at] ?? 0;
+  const ranges: string[] = [];
+  for (let position = 0; position < sorted.length;) {
+    const first = sorted[position] ?? 0;
     let last = first;
-    while (sorted[at + 1] === last + 1) {
+    while (sorted[position + 1] === last + 1) {
       last++;
-      at++;
+      position++;
     }
-    parts.push(first === last ? `${first}` : `${first}-${last}`);
-    at++;
+    ranges.push(first === last ? `${first}` : `${first}-${last}`);
+    position++;
   }
-  return parts.join(',');
+  return ranges.join(',');
 }
 
 /** The numbers that a text stands for, in its order. */
 export function readRanges(text: string): number[] {
   if (text === '') return [];
   const ids: number[] = [];
-  for (const part of text.split(',')) {
-    const [first, last] = part.split('-').map(Number);
+  for (const range of text.split(',')) {
+    const [first, last] = range.split('-').map(Number);
     for (let id = first ?? 0; id <= (last ?? first ?? 0); id++) ids.push(id);
   }
   return ids;
@@ -32,8 +32,8 @@
 export function countRanges(text: string): number {
   if (text === '') return 0;
   let count = 0;
-  for (const part of text.split(',')) {
-    const [first, last] = part.split('-').map(Number);
+  for (const range of text.split(',')) {
+    const [first, last] = range.split('-').map(Number);
     count += (last ?? first ?? 0) - (first ?? 0) + 1;
   }
   return count;
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -3,17 +3,17 @@
 import {
   CHECK_OVERDUE_MS,
   STORE_LIMIT_AFTER_REFUSAL,
-  STORE_LIMIT_FLOOR,
+  STORE_LIMIT_MIN_SHARE,
   STORE_LIMIT_GROWTH,
-  STORE_LIMIT_SHARE,
-  STORE_SCARCE_SHARE,
-  STORE_SHORT_SHARE,
+  STORE_LIMIT_MAX_SHARE,
+  WRITES_SCARCE_SHARE,
+  WRITES_SHORT_SHARE,
 } from '../constants/storage.js';
 import { Budget } from '../transport/budget.js';
 import type { Clock } from '../transport/clock.js';
 
 /** Kinds of work in the order in which they get the state service's limited requests. */
-const ORDER = [
+const PURPOSES_BY_PRECEDENCE = [
   'watch',
   'role',
   'urgent',
@@ -26,7 +26,7 @@
 ] as const;
 
 /** What a request is for. */
-export type Purpose = (typeof ORDER)[number];
+export type Purpose = (typeof PURPOSES_BY_PRECEDENCE)[number];
 
 /** How far writes reach: below half of an equal share, below most of it, or above. */
 export type Supply = 'plenty' | 'scarce' | 'short';
@@ -36,13 +36,13 @@
  * but what some leave unused should serve those that need it: each begins with its equal share,
  * takes more as long as nothing is refused, and steps back when something is.
  */
-class Share {
+class AdaptiveLimit {
   readonly budget: Budget;
-  private readonly fair: Budget;
-  private readonly equal: Budget;
+  private readonly scarceBudget: Budget;
+  private readonly shortBudget: Budget;
   private rate: number;
-  private readonly floor: number;
-  private grownAt: number;
+  private readonly minRate: number;
+  private rateChangedAt: number;
 
   constructor(
     private readonly clock: Clock,
@@ -51,50 +51,50 @@
     burst: number,
   ) {
     this.rate = limit / members;
-    this.floor = this.rate * STORE_LIMIT_FLOOR;
-    this.grownAt = clock.now();
+    this.minRate = this.rate * STORE_LIMIT_MIN_SHARE;
+    this.rateChangedAt = clock.now();
     this.budget = new Budget(clock, this.rate, Math.max(this.rate, burst));
-    this.fair = new Budget(clock, this.rate * STORE_SCARCE_SHARE, this.rate);
-    this.equal = new Budget(clock, this.rate * STORE_SHORT_SHARE, this.rate);
+    this.scarceBudget = new Budget(clock, this.rate * WRITES_SCARCE_SHARE, this.rate);
+    this.shortBudget = new Budget(clock, this.rate * WRITES_SHORT_SHARE, this.rate);
   }
 
   get supply(): Supply {
-    if (this.equal.left < 0) return 'short';
-    return this.fair.left < 0 ? 'scarce' : 'plenty';
+    if (this.shortBudget.left < 0) return 'short';
+    return this.scarceBudget.left < 0 ? 'scarce' : 'plenty';
   }
 
-  use(cost: number): void {
-    this.fair.force(cost);
-    this.equal.force(cost);
+  recordUse(writes: number): void {
+    this.scarceBudget.force(writes);
+    this.shortBudget.force(writes);
   }
 
   /** Work waits for this limit: time to try for more. */
   grow(): void {
     const now = this.clock.now();
-    const seconds = Math.min(1, (now - this.grownAt) / 1000);
-    this.grownAt = now;
-    this.set(
+    const seconds = Math.min(1, (now - this.rateChangedAt) / 1000);
+    this.rateChangedAt = now;
+    this.setRate(
       Math.min(
-        this.limit * STORE_LIMIT_SHARE,
+        this.limit * STORE_LIMIT_MAX_SHARE,
         this.rate + this.limit * STORE_LIMIT_GROWTH * seconds,
       ),
     );
   }
 
-  refused(): void {
-    this.grownAt = this.clock.now();
-    this.set(Math.max(this.floor, this.rate * STORE_LIMIT_AFTER_REFUSAL));
+  stepBack(): void {
+    this.rateChangedAt = this.clock.now();
+    this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_AFTER_REFUSAL));
     this.budget.drain();
   }
 
-  private set(rate: number): void {
+  private setRate(rate: number): void {
     this.rate = rate;
     this.budget.setRate(rate);
   }
 }
 
 /** The state service's limits for all members together. */
-export interface StateLimits {
+export interface StoreLimits {
   rps: number;
   writeRps: number;
   /** Writes of one transaction. */
@@ -103,102 +103,106 @@
 
 /** A request that waits for room. */
 interface WaitingRequest {
-  cost: number;
+  writes: number;
   /** Steady time at which it came. */
-  since: number;
-  go: () => void;
+  waitingSince: number;
+  proceed: () => void;
 }
 
 /** What waits for one purpose. Reads need no room for writes, so they are not kept behind them. */
-class Lane {
+class PurposeQueues {
   readonly reads: WaitingRequest[] = [];
   readonly writes: WaitingRequest[] = [];
 
   push(request: WaitingRequest): void {
-    (request.cost > 0 ? this.writes : this.reads).push(request);
+    (request.writes > 0 ? this.writes : this.reads).push(request);
   }
 }
 
 /** Keeps this node's requests to the state service within its share of the limits. */
 export class RateLimiter {
-  private readonly requests: Share;
-  private readonly writes: Share;
-  private readonly lanes = new Map<Purpose, Lane>(ORDER.map((purpose) => [purpose, new Lane()]));
-  private timer: (() => void) | null = null;
+  private readonly requestLimit: AdaptiveLimit;
+  private readonly writeLimit: AdaptiveLimit;
+  private readonly queues = new Map<Purpose, PurposeQueues>(
+    PURPOSES_BY_PRECEDENCE.map((purpose) => [purpose, new PurposeQueues()]),
+  );
+  private cancelTimer: (() => void) | null = null;
   /** Requests and writes passed, and refusals, for whoever watches the program. */
-  readonly passed = new Map<Purpose, { requests: number; writes: number }>();
+  readonly acquiredCounts = new Map<Purpose, { requests: number; writes: number }>();
   refusals = 0;
 
   constructor(
     private readonly clock: Clock,
-    limits: StateLimits,
+    limits: StoreLimits,
     members = 1,
   ) {
-    this.requests = new Share(clock, limits.rps, members, 0);
-    this.writes = new Share(clock, limits.writeRps, members, limits.transactionOps);
+    this.requestLimit = new AdaptiveLimit(clock, limits.rps, members, 0);
+    this.writeLimit = new AdaptiveLimit(clock, limits.writeRps, members, limits.transactionOps);
   }
 
   /** Waits for room for one request with so many writes. Watches and roles never wait. */
-  pass(purpose: Purpose, cost: number): Promise<void> {
+  acquire(purpose: Purpose, writes: number): Promise<void> {
     if (purpose === 'watch' || purpose === 'role') {
-      this.requests.budget.force(1);
-      if (cost > 0) this.writes.budget.force(cost);
-      this.count(purpose, cost);
+      this.requestLimit.budget.force(1);
+      if (writes > 0) this.writeLimit.budget.force(writes);
+      this.count(purpose, writes);
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      this.lanes.get(purpose)?.push({ cost, since: this.clock.now(), go: resolve });
+      this.queues.get(purpose)?.push({ writes, waitingSince: this.clock.now(), proceed: resolve });
       // The timer may be that of writes, which a read does not wait for.
-      this.timer?.();
-      this.pump();
+      this.cancelTimer?.();
+      this.dispatch();
     });
   }
 
   /** What this node wrote lately against its equal share: what can wait for others should. */
   get supply(): Supply {
-    return this.writes.supply;
+    return this.writeLimit.supply;
   }
 
   /** Whether so many writes would pass at once. */
-  hasCapacity(cost: number): boolean {
-    return this.writes.budget.waitFor(cost) === 0 && this.requests.budget.waitFor(1) === 0;
+  hasCapacity(writes: number): boolean {
+    return (
+      this.writeLimit.budget.waitFor(writes) === 0 && this.requestLimit.budget.waitFor(1) === 0
+    );
   }
 
   /** The state service answered 429 to a request with so many writes. */
-  refused(cost: number): void {
+  reportRefusal(writes: number): void {
     this.refusals++;
-    this.requests.refused();
-    if (cost > 0) this.writes.refused();
+    this.requestLimit.stepBack();
+    if (writes > 0) this.writeLimit.stepBack();
   }
 
-  private count(purpose: Purpose, cost: number): void {
-    this.writes.use(cost);
-    const counts = this.passed.get(purpose) ?? { requests: 0, writes: 0 };
+  private count(purpose: Purpose, writes: number): void {
+    this.writeLimit.recordUse(writes);
+    const counts = this.acquiredCounts.get(purpose) ?? { requests: 0, writes: 0 };
     counts.requests++;
-    counts.writes += cost;
-    this.passed.set(purpose, counts);
+    counts.writes += writes;
+    this.acquiredCounts.set(purpose, counts);
   }
 
   /** Lets pass what may pass, and comes back when the next one may. */
-  private pump(): void {
-    this.timer = null;
-    const waitMs = this.passAll();
-    if (waitMs > 0) this.timer = this.clock.after(waitMs, () => this.pump());
+  private dispatch(): void {
+    this.cancelTimer = null;
+    const waitMs = this.dispatchReady();
+    if (waitMs > 0) this.cancelTimer = this.clock.after(waitMs, () => this.dispatch());
   }
 
   /** Milliseconds until the next waiting request may pass; 0: none waits. */
-  private passAll(): number {
+  private dispatchReady(): number {
     let writesWaitMs = 0;
     for (const [purpose, queue] of this.queuesInOrder()) {
       for (let next = queue[0]; next; next = queue[0]) {
         const waitMs = this.requestWait();
         if (waitMs > 0) return waitMs;
         // Writes keep their order; what only reads goes on past them.
-        if (next.cost > 0 && writesWaitMs === 0) writesWaitMs = this.writeWait(next.cost);
-        if (next.cost > 0 && writesWaitMs > 0) break;
+        if (next.writes > 0 && writesWaitMs === 0) writesWaitMs = this.writeWait(next.writes);
+        if (next.writes > 0 && writesWaitMs > 0) break;
         queue.shift();
-        this.spend(purpose, next.cost);
-        next.go();
+        this.spend(purpose, next.writes);
+        next.proceed();
       }
     }
     return writesWaitMs;
@@ -210,33 +214,33 @@
    */
   private queuesInOrder(): [Purpose, WaitingRequest[]][] {
     const queues: [Purpose, WaitingRequest[]][] = [];
-    const checks = this.lanes.get('check')?.reads ?? [];
-    const overdue = checks[0] && this.clock.now() - checks[0].since > CHECK_OVERDUE_MS;
+    const checks = this.queues.get('check')?.reads ?? [];
+    const overdue = checks[0] && this.clock.now() - checks[0].waitingSince > CHECK_OVERDUE_MS;
     if (overdue) queues.push(['check', checks]);
-    for (const purpose of ORDER) {
-      const lane = this.lanes.get(purpose);
-      if (lane) queues.push([purpose, lane.reads], [purpose, lane.writes]);
+    for (const purpose of PURPOSES_BY_PRECEDENCE) {
+      const waiting = this.queues.get(purpose);
+      if (waiting) queues.push([purpose, waiting.reads], [purpose, waiting.writes]);
     }
     return queues;
   }
 
   /** ms until a request may pass; a limit that is short grows. */
   private requestWait(): number {
-    const waitMs = this.requests.budget.waitFor(1);
-    if (waitMs > 0) this.requests.grow();
+    const waitMs = this.requestLimit.budget.waitFor(1);
+    if (waitMs > 0) this.requestLimit.grow();
     return waitMs;
   }
 
   /** ms until so many writes may pass; a limit that is short grows. */
-  private writeWait(cost: number): number {
-    const waitMs = this.writes.budget.waitFor(cost);
-    if (waitMs > 0) this.writes.grow();
+  private writeWait(writes: number): number {
+    const waitMs = this.writeLimit.budget.waitFor(writes);
+    if (waitMs > 0) this.writeLimit.grow();
     return waitMs;
   }
 
-  private spend(purpose: Purpose, cost: number): void {
-    this.requests.budget.spend(1);
-    if (cost > 0) this.writes.budget.spend(cost);
-    this.count(purpose, cost);
+  private spend(purpose: Purpose, writes: number): void {
+    this.requestLimit.budget.spend(1);
+    if (writes > 0) this.writeLimit.budget.spend(writes);
+    this.count(purpose, writes);
   }
 }
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -1,6 +1,6 @@
 /** The records of a replica, with the indexes that make their frequent readings cheap. */
 
-import { FINAL_CACHE } from '../constants/storage.js';
+import { MAX_CACHED_FINALS } from '../constants/storage.js';
 import { CATALOG, ASSIGNMENTS, FINALS, JOBS, LIVE, MACHINES, readAssignmentKey } from './keys.js';
 import {
   summarize,
@@ -12,7 +12,7 @@
 } from './records.js';
 
 /** A key's value at the revision of its last change. */
-export interface Held<Value = unknown> {
+export interface VersionedValue<Value = unknown> {
   value: Value;
   revision: number;
 }
@@ -30,7 +30,7 @@
 
 /** A chunk whose summary is made when somebody asks for it: most nodes never do. */
 class LazySummary {
-  private made: AssignmentSummary | null = null;
+  private computed: AssignmentSummary | null = null;
 
   constructor(
     private readonly name: { shard: string; job: string; number: number },
@@ -38,32 +38,32 @@
   ) {}
 
   get summary(): AssignmentSummary {
-    this.made ??= summarize(this.name, this.record);
-    return this.made;
+    this.computed ??= summarize(this.name, this.record);
+    return this.computed;
   }
 }
 
 /** The live keys of the state service as far as they are known, and what was read of final ones. */
 export class RecordIndex {
-  private readonly cells = new Map<string, Held>();
+  private readonly valuesByKey = new Map<string, VersionedValue>();
   /** The same by their kind, so that nobody walks all keys for the few of one kind. */
-  private readonly held = new Map<string, Map<string, Held>>();
+  private readonly valuesByKind = new Map<string, Map<string, VersionedValue>>();
   /** Revisions of keys removed ahead of the watch, so that older events don't bring them back. */
-  private readonly removed = new Map<string, number>();
+  private readonly removalRevisions = new Map<string, number>();
   /** Jobs by id: they are asked for most often of all. */
   private readonly jobs = new Map<string, JobRecord>();
   private readonly machines = new Map<string, MachineRecord>();
-  private readonly finals = new Map<string, FinalRecord>();
-  private readonly summaries = new Map<string, LazySummary>();
-  private readonly byJob = new Map<string, Set<string>>();
+  private readonly finalRecords = new Map<string, FinalRecord>();
+  private readonly assignmentSummaries = new Map<string, LazySummary>();
+  private readonly assignmentKeysByJob = new Map<string, Set<string>>();
   /** All changes up to this revision are here. */
   revision = 0;
   /** How often the machine types changed: what was made of them holds until then. */
   catalogChanges = 0;
 
   /** A live key's value and revision; null: there is no such key. */
-  get<Value>(key: string): Held<Value> | null {
-    return (this.cells.get(key) as Held<Value> | undefined) ?? null;
+  get<Value>(key: string): VersionedValue<Value> | null {
+    return (this.valuesByKey.get(key) as VersionedValue<Value> | undefined) ?? null;
   }
 
   /** The revision of a live key's last change; 0: there is no such key. */
@@ -72,9 +72,9 @@
   }
 
   /** The keys below a prefix, in no order. */
-  *below<Value>(prefix: string): Generator<[string, Held<Value>]> {
-    for (const [key, held] of this.held.get(kindOf(prefix)) ?? []) {
-      if (key.startsWith(prefix)) yield [key, held as Held<Value>];
+  *below<Value>(prefix: string): Generator<[string, VersionedValue<Value>]> {
+    for (const [key, versioned] of this.valuesByKind.get(kindOf(prefix)) ?? []) {
+      if (key.startsWith(prefix)) yield [key, versioned as VersionedValue<Value>];
     }
   }
 
@@ -90,32 +90,32 @@
 
   /** How a job ended, where this node has heard of it; the oldest are forgotten. */
   final(id: string): FinalRecord | null {
-    return this.finals.get(id) ?? null;
+    return this.finalRecords.get(id) ?? null;
   }
 
   /** All chunks, in no order. */
   *assignments(): Generator<AssignmentSummary> {
-    for (const lazy of this.summaries.values()) yield lazy.summary;
+    for (const lazy of this.assignmentSummaries.values()) yield lazy.summary;
   }
 
   /** How many chunks there are. */
   get assignmentCount(): number {
-    return this.summaries.size;
+    return this.assignmentSummaries.size;
   }
 
   /** The keys of all chunks. */
   assignmentKeys(): Iterable<string> {
-    return this.summaries.keys();
+    return this.assignmentSummaries.keys();
   }
 
   /** The keys of a job's chunks. */
   assignmentKeysOf(job: string): Iterable<string> {
-    return this.byJob.get(job) ?? [];
+    return this.assignmentKeysByJob.get(job) ?? [];
   }
 
   /** The chunk under a key; null: there is none. */
   assignment(key: string): AssignmentSummary | null {
-    return this.summaries.get(key)?.summary ?? null;
+    return this.assignmentSummaries.get(key)?.summary ?? null;
   }
 
   /** All jobs that are neither done nor cancelled. */
@@ -126,8 +126,8 @@
   /** The chunks of a job. */
   assignmentsOf(job: string): AssignmentSummary[] {
     const found: AssignmentSummary[] = [];
-    for (const key of this.byJob.get(job) ?? []) {
-      const lazy = this.summaries.get(key);
+    for (const key of this.assignmentKeysByJob.get(job) ?? []) {
+      const lazy = this.assignmentSummaries.get(key);
       if (lazy) found.push(lazy.summary);
     }
     return found;
@@ -135,10 +135,10 @@
 
   /** Notes how a job ended. */
   keepFinal(id: string, record: FinalRecord): void {
-    this.finals.set(id, record);
-    if (this.finals.size > FINAL_CACHE) {
-      const oldest = this.finals.keys().next();
-      if (!oldest.done) this.finals.delete(oldest.value);
+    this.finalRecords.set(id, record);
+    if (this.finalRecords.size > MAX_CACHED_FINALS) {
+      const oldest = this.finalRecords.keys().next();
+      if (!oldest.done) this.finalRecords.delete(oldest.value);
     }
   }
 
@@ -149,27 +149,29 @@
       return true;
     }
     if (!key.startsWith(LIVE)) return false;
-    if (this.revisionOf(key) >= revision || (this.removed.get(key) ?? 0) >= revision) return false;
+    if (this.revisionOf(key) >= revision || (this.removalRevisions.get(key) ?? 0) >= revision)
+      return false;
     // The answer to an earlier read or write may come after the watch: the key was removed since.
-    if (value !== undefined && revision <= this.revision && !this.cells.has(key)) return false;
+    if (value !== undefined && revision <= this.revision && !this.valuesByKey.has(key))
+      return false;
     if (value === undefined) this.remove(key, revision);
-    else this.store(key, { value, revision });
+    else this.set(key, { value, revision });
     this.index(key, value);
     return true;
   }
 
-  private store(key: string, cell: Held): void {
+  private set(key: string, versioned: VersionedValue): void {
     const kind = kindOf(key);
-    const group = this.held.get(kind);
-    this.cells.set(key, cell);
-    if (group) group.set(key, cell);
-    else this.held.set(kind, new Map([[key, cell]]));
+    const group = this.valuesByKind.get(kind);
+    this.valuesByKey.set(key, versioned);
+    if (group) group.set(key, versioned);
+    else this.valuesByKind.set(kind, new Map([[key, versioned]]));
   }
 
   private remove(key: string, revision: number): void {
-    this.cells.delete(key);
-    this.held.get(kindOf(key))?.delete(key);
-    if (revision > this.revision) this.removed.set(key, revision);
+    this.valuesByKey.delete(key);
+    this.valuesByKind.get(kindOf(key))?.delete(key);
+    if (revision > this.revision) this.removalRevisions.set(key, revision);
   }
 
   /** Keeps the indexes of single kinds. */
@@ -187,28 +189,28 @@
 
   /** Removals that the revision has reached need no note: no older event can come any more. */
   protected forgetRemovals(): void {
-    for (const [key, removedAt] of this.removed) {
-      if (removedAt <= this.revision) this.removed.delete(key);
+    for (const [key, removedAt] of this.removalRevisions) {
+      if (removedAt <= this.revision) this.removalRevisions.delete(key);
     }
   }
 
   /** All live keys with the revisions of their last changes. */
-  protected *known(): Generator<{ key: string; revision: number }> {
-    for (const [key, { revision }] of this.cells) yield { key, revision };
+  protected *keyRevisions(): Generator<{ key: string; revision: number }> {
+    for (const [key, { revision }] of this.valuesByKey) yield { key, revision };
   }
 
   private applyAssignment(key: string, record: AssignmentRecord | undefined): void {
     const name = readAssignmentKey(key);
     if (!name) return;
-    const group = this.byJob.get(name.job);
+    const group = this.assignmentKeysByJob.get(name.job);
     if (record === undefined) {
-      this.summaries.delete(key);
+      this.assignmentSummaries.delete(key);
       group?.delete(key);
-      if (group?.size === 0) this.byJob.delete(name.job);
+      if (group?.size === 0) this.assignmentKeysByJob.delete(name.job);
       return;
     }
-    this.summaries.set(key, new LazySummary(name, record));
+    this.assignmentSummaries.set(key, new LazySummary(name, record));
     if (group) group.add(key);
-    else this.byJob.set(name.job, new Set([key]));
+    else this.assignmentKeysByJob.set(name.job, new Set([key]));
   }
 }
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -103,18 +103,18 @@
   key: { shard: string; job: string; number: number },
   record: AssignmentRecord,
 ): AssignmentSummary {
-  const on: string[] = [];
-  for (const index in record.live) on.push(record.live[index]?.[0] ?? '');
+  const machines: string[] = [];
+  for (const index in record.live) machines.push(record.live[index]?.[0] ?? '');
   const ids = readRanges(record.ids);
   const done = countRanges(record.done);
   return {
     ...key,
     ids,
     done,
-    machines: on,
-    placedCount: on.length,
+    machines,
+    placedCount: machines.length,
     unfinished: ids.length - done,
-    waiting: ids.length - done - on.length,
+    waiting: ids.length - done - machines.length,
     team: record.team,
     cpus: record.cpus,
     gpus: record.gpus,
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -8,47 +8,47 @@
  * again, so it is left alone for a while, longer each time, and what else there is goes on.
  */
 export class RejectedChangeBackoff {
-  private readonly held = new Map<string, { count: number; until: number }>();
+  private readonly pauses = new Map<string, { count: number; until: number }>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Told that a transaction about it was invalid. */
-  add(about: string): void {
-    const count = this.held.get(about)?.count ?? 0;
+  add(subject: string): void {
+    const count = this.pauses.get(subject)?.count ?? 0;
     const pause = Math.min(REJECTED_PAUSE_FIRST_MS * 2 ** count, REJECTED_PAUSE_LAST_MS);
-    this.held.set(about, { count: count + 1, until: this.clock.now() + pause });
+    this.pauses.set(subject, { count: count + 1, until: this.clock.now() + pause });
   }
 
   /** Leaves it alone for so long, without any blame. */
-  hold(about: string, ms: number): void {
-    this.held.set(about, { count: 0, until: this.clock.now() + ms });
+  hold(subject: string, ms: number): void {
+    this.pauses.set(subject, { count: 0, until: this.clock.now() + ms });
   }
 
   /** Told that it was carried out, or is no longer there. */
-  clear(about: string): void {
-    this.held.delete(about);
+  clear(subject: string): void {
+    this.pauses.delete(subject);
   }
 
   /** Whether it is to be left alone now. */
-  has(about: string): boolean {
-    return (this.held.get(about)?.until ?? -Infinity) > this.clock.now();
+  has(subject: string): boolean {
+    return (this.pauses.get(subject)?.until ?? -Infinity) > this.clock.now();
   }
 
   /**
    * How many of these may share the next transaction, at most so many. What was in an invalid one
    * goes alone, so that the one that is to blame shows and the others are rid of it.
    */
-  together(abouts: readonly string[], most: number): number {
-    const suspect = abouts.slice(0, most).findIndex((about) => this.held.has(about));
+  together(subjects: readonly string[], most: number): number {
+    const suspect = subjects.slice(0, most).findIndex((subject) => this.pauses.has(subject));
     if (suspect >= 0) return Math.max(1, suspect);
-    return Math.min(most, abouts.length);
+    return Math.min(most, subjects.length);
   }
 
   /** Forgets what was not tried again for long: it is no longer there. */
   sweep(): void {
     const now = this.clock.now();
-    for (const [about, { until }] of this.held) {
-      if (now - until > REJECTED_PAUSE_LAST_MS) this.held.delete(about);
+    for (const [subject, { until }] of this.pauses) {
+      if (now - until > REJECTED_PAUSE_LAST_MS) this.pauses.delete(subject);
     }
   }
 }
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -3,7 +3,7 @@
 import {
   BACKOFF_FIRST_MS,
   BACKOFF_LAST_MS,
-  HURRY_SHARE,
+  HINTED_WATCH_SPACING_SHARE,
   STORE_CHANGES_KEPT,
   WATCH_HOLD_MS,
   WATCH_SPACING_MS,
@@ -18,7 +18,7 @@
 import { LIVE, ROOT } from './keys.js';
 import type { RateLimiter } from './rate-limiter.js';
 import type { Log } from './log.js';
-import { RecordIndex, type Held } from './record-index.js';
+import { RecordIndex, type VersionedValue } from './record-index.js';
 
 /** What a replica works with. */
 export interface ReplicaOptions {
@@ -34,12 +34,12 @@
 }
 
 /** What was read of all keys so far. */
-interface Listing {
-  entries: Map<string, Held>;
+interface KeyListing {
+  entries: Map<string, VersionedValue>;
   /** The revision of the first page; null: not read yet. */
-  first: number | null;
+  firstRevision: number | null;
   /** The last key that was read; null: none. */
-  after: string | null;
+  lastKey: string | null;
 }
 
 /**
@@ -54,13 +54,13 @@
   private readonly log: Log;
   private readonly holdMs: number;
   private readonly spacingMs: number;
-  private readonly listeners: ((keys: string[]) => void)[] = [];
-  private readonly currentListeners: ((sentAt: number) => void)[] = [];
+  private readonly changeListeners: ((keys: string[]) => void)[] = [];
+  private readonly confirmedCurrentListeners: ((sentAt: number) => void)[] = [];
   private readonly backoff: Backoff;
   /** A reading of all keys under way; null: there is none. */
-  private listing: Listing | null = null;
-  private stopped = false;
-  private wake: (() => void) | null = null;
+  private pendingListing: KeyListing | null = null;
+  private isStopped = false;
+  private shortenPause: (() => void) | null = null;
   /** A revision that a peer told of. */
   private hintedRevision = 0;
   /** The newest revision that this node knows of, by its watch or by its own changes. */
@@ -93,61 +93,72 @@
 
   /** `listener` hears when each answered watch was sent: the replica is as new as that. */
   onConfirmedCurrent(listener: (sentAt: number) => void): void {
-    this.currentListeners.push(listener);
+    this.confirmedCurrentListeners.push(listener);
   }
 
   /** `listener` hears of the keys that changed; of none where only the revision did. */
   onChange(listener: (keys: string[]) => void): void {
-    this.listeners.push(listener);
+    this.changeListeners.push(listener);
   }
 
   /** Takes over changes made by this node itself, ahead of the watch. */
   applyOwnChanges(changes: { key: string; value: unknown; revision: number }[]): void {
-    for (const one of changes) this.newestRevision = Math.max(this.newestRevision, one.revision);
-    const changed = changes.filter((one) => this.apply(one.key, one.value, one.revision));
-    if (changed.length > 0) this.tell(changed.map((one) => one.key));
+    for (const change of changes)
+      this.newestRevision = Math.max(this.newestRevision, change.revision);
+    const changed = changes.filter((change) =>
+      this.apply(change.key, change.value, change.revision),
+    );
+    if (changed.length > 0) this.notifyChangeListeners(changed.map((change) => change.key));
   }
 
-  private tell(keys: string[]): void {
-    for (const listener of this.listeners) listener(keys);
+  private notifyChangeListeners(keys: string[]): void {
+    for (const listener of this.changeListeners) listener(keys);
   }
 
   /** Reads all live keys, or those left of a reading that failed; keys no longer there go. */
   async load(): Promise<void> {
-    const { entries, first } = await this.readAll();
+    const { entries, firstRevision } = await this.readAll();
     const keys: string[] = [];
-    for (const { key, revision } of this.known()) {
-      if (entries.has(key) || revision > first) continue;
-      this.apply(key, undefined, first);
+    for (const { key, revision } of this.keyRevisions()) {
+      if (entries.has(key) || revision > firstRevision) continue;
+      this.apply(key, undefined, firstRevision);
       keys.push(key);
     }
-    for (const [key, held] of entries) {
-      if (this.apply(key, held.value, held.revision)) keys.push(key);
+    for (const [key, versioned] of entries) {
+      if (this.apply(key, versioned.value, versioned.revision)) keys.push(key);
     }
-    this.revision = Math.max(this.revision, first);
+    this.revision = Math.max(this.revision, firstRevision);
     this.isLoaded = true;
-    this.tell(keys);
+    this.notifyChangeListeners(keys);
   }
 
   /**
    * All pages of the live keys. An error on one page ends the reading for now; the next one goes on
    * from there, since pages of different moments are brought together by the watch anyway.
    */
-  private async readAll(): Promise<{ entries: Map<string, Held>; first: number }> {
+  private async readAll(): Promise<{
+    entries: Map<string, VersionedValue>;
+    firstRevision: number;
+  }> {
     for (;;) {
-      const listing = (this.listing ??= { entries: new Map(), first: null, after: null });
-      await this.limiter.pass('watch', 0);
-      const page = await this.keyValueStore.list(LIVE, listing.after);
+      const listing = (this.pendingListing ??= {
+        entries: new Map(),
+        firstRevision: null,
+        lastKey: null,
+      });
+      await this.limiter.acquire('watch', 0);
+      const page = await this.keyValueStore.list(LIVE, listing.lastKey);
       this.backoff.reset();
-      listing.first ??= page.revision;
+      listing.firstRevision ??= page.revision;
       this.syncedFromRevision = Math.max(this.syncedFromRevision, page.revision);
       for (const { key, value, revision } of page.entries) {
         listing.entries.set(key, { value, revision });
-        listing.after = key;
+        listing.lastKey = key;
       }
-      const isTooOld = page.revision - listing.first >= STORE_CHANGES_KEPT;
-      if (isTooOld || !page.more) this.listing = null;
-      if (!isTooOld && !page.more) return { entries: listing.entries, first: listing.first };
+      const isTooOld = page.revision - listing.firstRevision >= STORE_CHANGES_KEPT;
+      if (isTooOld || !page.more) this.pendingListing = null;
+      if (!isTooOld && !page.more)
+        return { entries: listing.entries, firstRevision: listing.firstRevision };
     }
   }
 
@@ -155,41 +166,41 @@
   pollSoon(revision: number): void {
     if (revision <= this.revision) return;
     this.hintedRevision = Math.max(this.hintedRevision, revision);
-    this.wake?.();
+    this.shortenPause?.();
   }
 
   /**
    * The pause between two watches: what comes meanwhile shares the next answer. A hint cuts it
    * short, though not below its least part.
    */
-  private pause(): Promise<void> {
+  private pauseBeforeNextWatch(): Promise<void> {
     return new Promise((resolve) => {
-      const least = this.spacingMs * HURRY_SHARE;
-      const from = this.clock.now();
+      const minPauseMs = this.spacingMs * HINTED_WATCH_SPACING_SHARE;
+      const startedAt = this.clock.now();
       const end = (): void => {
-        this.wake = null;
+        this.shortenPause = null;
         resolve();
       };
       let cancel = this.clock.after(
-        this.hintedRevision > this.revision ? least : this.spacingMs,
+        this.hintedRevision > this.revision ? minPauseMs : this.spacingMs,
         end,
       );
-      this.wake = () => {
+      this.shortenPause = () => {
         cancel();
-        cancel = this.clock.after(Math.max(0, least - (this.clock.now() - from)), end);
+        cancel = this.clock.after(Math.max(0, minPauseMs - (this.clock.now() - startedAt)), end);
       };
     });
   }
 
   /** Follows the changes until stopped; failures are waited out. */
   async follow(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.isStopped) {
       try {
         if (!this.isLoaded) await this.load();
-        await this.limiter.pass('watch', 0);
+        await this.limiter.acquire('watch', 0);
         const sentAt = this.clock.now();
         const result = await this.keyValueStore.watch(ROOT, this.revision, this.holdMs);
-        if (this.stopped) return;
+        if (this.isStopped) return;
         if (result === null) {
           this.log.info({ since: this.revision }, 'changes no longer kept, reading all keys again');
           await this.load();
@@ -197,11 +208,12 @@
         }
         this.applyWatchResult(result);
         this.knownCurrentAt = Math.max(this.knownCurrentAt, sentAt);
-        for (const listener of this.currentListeners) listener(sentAt);
+        for (const listener of this.confirmedCurrentListeners) listener(sentAt);
         this.backoff.reset();
-        await this.pause();
+        await this.pauseBeforeNextWatch();
       } catch (error) {
-        if (error instanceof StoreRejectedError && error.status === 429) this.limiter.refused(0);
+        if (error instanceof StoreRejectedError && error.status === 429)
+          this.limiter.reportRefusal(0);
         this.log.debug({ error: String(error) }, 'watch failed');
         await sleep(this.clock, this.backoff.next());
       }
@@ -218,12 +230,12 @@
     this.newestRevision = Math.max(this.newestRevision, revision);
     this.forgetRemovals();
     // Told even without events: the replica's freshness is what owners wait for.
-    this.tell(keys);
+    this.notifyChangeListeners(keys);
   }
 
   /** Ends `follow`. */
   stop(): void {
-    this.stopped = true;
-    this.wake?.();
+    this.isStopped = true;
+    this.shortenPause?.();
   }
 }
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -7,13 +7,13 @@
   work: (item: Item) => Promise<void>,
 ): Promise<void> {
   const remaining = [...items];
-  const lane = async (): Promise<void> => {
+  const worker = async (): Promise<void> => {
     for (let item = remaining.shift(); item !== undefined; item = remaining.shift()) {
       await work(item);
     }
   };
-  const lanes = Math.min(limit, items.length);
-  await Promise.all(Array.from({ length: lanes }, lane));
+  const workers = Math.min(limit, items.length);
+  await Promise.all(Array.from({ length: workers }, worker));
 }
 
 /** Runs one piece of work at a time: a call while another one runs is skipped. */
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -124,7 +124,7 @@
   }
 
   /** Counts a connection until it closes. */
-  connected(socket: Socket): void {
+  onConnection(socket: Socket): void {
     this.openConnections++;
     socket.once('close', () => this.openConnections--);
   }
@@ -132,27 +132,27 @@
   /** Answers one request; what fails is answered too, unless its client is gone. */
   async handle(incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
     try {
-      const route = this.find(incoming);
+      const route = this.findRoute(incoming);
       if ('status' in route) {
         incoming.resume();
         send(outgoing, route, true);
         return;
       }
       const reply = await this.answer(route.found, route.id, incoming);
-      send(outgoing, reply, this.mayKeep(route.found));
+      send(outgoing, reply, this.mayKeepConnection(route.found));
     } catch (error) {
-      this.failed(error, incoming, outgoing);
+      this.answerFailure(error, incoming, outgoing);
     }
   }
 
   /** Whether the connection of a request to this route stays open after its answer. */
-  private mayKeep(route: Route): boolean {
+  private mayKeepConnection(route: Route): boolean {
     const { crowded, full } = this.limits;
     return this.openConnections <= (route.keepsConnection ? full : crowded);
   }
 
   /** The route of a request with the part of its path that stands for `:id`, or why there is none. */
-  private find(incoming: IncomingMessage): HttpReply | { found: Route; id: string } {
+  private findRoute(incoming: IncomingMessage): HttpReply | { found: Route; id: string } {
     const { method = '', url = '/' } = incoming;
     const [match] = this.router.match(method, pathOf(url))[0];
     if (!match) return { status: 404, body: { error: 'no such path' } };
@@ -171,7 +171,7 @@
     return route.handle({ id, text });
   }
 
-  private failed(error: unknown, incoming: IncomingMessage, outgoing: ServerResponse): void {
+  private answerFailure(error: unknown, incoming: IncomingMessage, outgoing: ServerResponse): void {
     // A client that ended its connection waits for no answer, and is no fault of ours.
     if (incoming.destroyed && !incoming.complete) return;
     this.onError(error);
@@ -199,7 +199,7 @@
       void dispatcher.handle(incoming, outgoing);
     });
     server.maxConnections = limits.connections;
-    server.on('connection', (socket: Socket) => dispatcher.connected(socket));
+    server.on('connection', (socket: Socket) => dispatcher.onConnection(socket));
     server.on('clientError', (_error, socket) => socket.destroy());
     server.on('error', reject);
     server.listen(port, host, () => resolve(server));
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -36,21 +36,21 @@
 
 /** Cuts a byte stream into frames, each led by its length as a varint (protobuf's delimiting). */
 export class FrameReader {
-  private held: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
 
   constructor(private readonly maxBytes: number) {}
 
   /** Throws where the stream can't be frames. */
   push(part: Buffer): Buffer[] {
-    this.held = this.held.length === 0 ? part : Buffer.concat([this.held, part]);
+    this.buffered = this.buffered.length === 0 ? part : Buffer.concat([this.buffered, part]);
     const frames: Buffer[] = [];
     for (;;) {
-      const prefix = readLength(this.held, this.maxBytes);
+      const prefix = readLength(this.buffered, this.maxBytes);
       if (!prefix) return frames;
       const end = prefix.bytes + prefix.length;
-      if (this.held.length < end) return frames;
-      frames.push(this.held.subarray(prefix.bytes, end));
-      this.held = this.held.subarray(end);
+      if (this.buffered.length < end) return frames;
+      frames.push(this.buffered.subarray(prefix.bytes, end));
+      this.buffered = this.buffered.subarray(end);
     }
   }
 }
@@ -83,8 +83,8 @@
 /** One outgoing connection to a peer, made again when it breaks. Frames are only ever hints. */
 export class PeerLink {
   private socket: net.Socket | null = null;
-  private open = false;
-  private closed = false;
+  private isOpen = false;
+  private isClosed = false;
 
   constructor(
     private readonly address: string,
@@ -95,29 +95,29 @@
 
   /** Whether a frame can be sent now. */
   get connected(): boolean {
-    return this.open;
+    return this.isOpen;
   }
 
   private connect(): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     const socket = net.connect(parseAddress(this.address));
     this.socket = socket;
     // A connection that hangs behind a cut is given up, so that a new one finds the peer again.
     socket.setTimeout(this.options.retryMs * SILENT_RETRIES, () => socket.destroy());
     socket.on('connect', () => {
-      this.open = true;
+      this.isOpen = true;
     });
     attach(socket, this.options);
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      this.open = false;
+      this.isOpen = false;
       this.options.clock.after(this.options.retryMs, () => this.connect());
     });
   }
 
   /** False: not sent, since there is no connection. */
   send(frame: Uint8Array): boolean {
-    if (!this.open || !this.socket) return false;
+    if (!this.isOpen || !this.socket) return false;
     if (this.socket.writableLength > this.options.maxFrameBytes) {
       this.socket.destroy();
       return false;
@@ -128,7 +128,7 @@
 
   /** Ends the connection for good. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.socket?.destroy();
   }
 }
--- a/test/packages/failure-detector-rules.test.ts
+++ b/test/packages/failure-detector-rules.test.ts
@@ -11,7 +11,7 @@
   type MemberUpdate,
   type VerdictInput,
 } from '@mothbank/failure-detector';
-import { DETECTOR_BYTES } from '../../src/constants/protocol.js';
+import { MAX_DETECTOR_MESSAGE_BYTES } from '../../src/constants/protocol.js';
 import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
 import { DetectorNetwork, TIMING } from '../world/detector-network.js';
 
@@ -158,7 +158,10 @@
       // Cut off at any place it is either refused or lacks what came last; it never throws.
       decodeDetector(bytes.subarray(0, length));
     }
-    assert.equal(decodeDetector(Buffer.concat([bytes, Buffer.alloc(DETECTOR_BYTES)])), null);
+    assert.equal(
+      decodeDetector(Buffer.concat([bytes, Buffer.alloc(MAX_DETECTOR_MESSAGE_BYTES)])),
+      null,
+    );
   }
   for (const noise of ['ff', 'ffffffff', '0affffffff0f', '5a05ffffffffff']) {
     assert.equal(decodeDetector(Buffer.from(noise, 'hex')), null, noise);
--- a/test/storage/rate-limiter.test.ts
+++ b/test/storage/rate-limiter.test.ts
@@ -22,13 +22,13 @@
     for (const limiter of gates.slice(0, requesting)) {
       const request = async (): Promise<void> => {
         for (;;) {
-          await limiter.pass('part', 0);
+          await limiter.acquire('part', 0);
           level = Math.min(100, level + ((clock.now() - at) / 1000) * 100) - 1;
           at = clock.now();
           if (level >= 0) passed++;
           else {
             level = 0;
-            limiter.refused(0);
+            limiter.reportRefusal(0);
           }
         }
       };
@@ -53,7 +53,7 @@
     const clock = new SimClock();
     const limiter = new RateLimiter(clock, { rps: 1000, writeRps: 50, transactionOps: 8 }, 5);
     for (let turn = 0; turn < rate * 20; turn++) {
-      void limiter.pass('part', 1);
+      void limiter.acquire('part', 1);
       await clock.run(clock.now() + 1000 / rate);
     }
     assert.equal(limiter.supply, supply, `${rate} a second`);
@@ -73,7 +73,7 @@
     const limiter = new RateLimiter(clock, { rps: 80, writeRps: 25, transactionOps: 8 }, 3);
     for (const purpose of ['part', 'leader'] as const) {
       const ask = (): void => {
-        void limiter.pass(purpose, cost);
+        void limiter.acquire(purpose, cost);
         clock.after(1000 / rate, ask);
       };
       ask();
@@ -82,7 +82,7 @@
     const waits: number[] = [];
     const check = (): void => {
       const from = clock.now();
-      void limiter.pass('check', 0).then(() => waits.push(clock.now() - from));
+      void limiter.acquire('check', 0).then(() => waits.push(clock.now() - from));
       clock.after(2000, check);
     };
     check();
@@ -97,7 +97,7 @@
   const limiter = new RateLimiter(clock, { rps: 80, writeRps: 10, transactionOps: 8 }, 1);
   const order: string[] = [];
   const pass = (name: string, purpose: Purpose, cost: number): void => {
-    void limiter.pass(purpose, cost).then(() => order.push(name));
+    void limiter.acquire(purpose, cost).then(() => order.push(name));
   };
   pass('first', 'submit', 10);
   await clock.run(10);
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -28,12 +28,12 @@
   const many = <T>(count: number, make: (at: number) => T): T[] =>
     Array.from({ length: count }, (_, at) => make(at));
   const guard = (at: number): Guard => ({ key: `mb/live/g${at}`, revision: 0 });
-  const cases: [string, Guard[], Change[], 'done' | 'invalid' | 'conflict'][] = [
+  const cases: [string, Guard[], Change[], 'done' | 'rejected' | 'conflict'][] = [
     ['small', [guard(0)], [put('mb/live/a')], 'done'],
-    ['a value too large', [], [put('mb/live/b', 9000)], 'invalid'],
-    ['too many changes', [], many(9, (at) => put(`mb/live/c${at}`)), 'invalid'],
-    ['too many guards', many(33, guard), [put('mb/live/d')], 'invalid'],
-    ['too much at once', [], many(8, (at) => put(`mb/live/e${at}`, 8190)), 'invalid'],
+    ['a value too large', [], [put('mb/live/b', 9000)], 'rejected'],
+    ['too many changes', [], many(9, (at) => put(`mb/live/c${at}`)), 'rejected'],
+    ['too many guards', many(33, guard), [put('mb/live/d')], 'rejected'],
+    ['too much at once', [], many(8, (at) => put(`mb/live/e${at}`, 8190)), 'rejected'],
     ['an ended lease', [], [{ key: 'mb/live/f', value: 1, lease: 99 }], 'conflict'],
   ];
   for (const [name, guards, changes, expected] of cases) {
@@ -44,8 +44,8 @@
     const result = await commit;
     assert.equal(result.kind, expected, name);
     assert.equal(tries, 1, name);
-    assert.equal(errors.length, expected === 'invalid' ? 1 : 0, name);
-    if (expected !== 'invalid') continue;
+    assert.equal(errors.length, expected === 'rejected' ? 1 : 0, name);
+    if (expected !== 'rejected') continue;
     assert.deepEqual(state.invalid.length, 1, name);
     assert.equal(errors[0]?.['purpose'], 'part', name);
     assert.deepEqual(
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -4,7 +4,7 @@
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
 import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
 import type { DirectResult } from '../../src/protocol/worker-api.js';
-import { encodeDirect, parseHeartbeat } from '../../src/protocol/worker-codec.js';
+import { encodeDirectCommands, parseHeartbeat } from '../../src/protocol/worker-codec.js';
 import type { Clock } from '../../src/transport/clock.js';
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { World } from './world.js';
@@ -99,7 +99,9 @@
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
     const cut = !worker || worker.deaf || world.cut(node, worker.machine.name);
     const held = Math.max(worker?.holdDirectMs ?? 0, worker?.hungMs ?? 0);
-    const { calls } = encodeDirect(fencingToken, agentEpoch, commands) as { calls: never[] };
+    const { calls } = encodeDirectCommands(fencingToken, agentEpoch, commands) as {
+      calls: never[];
+    };
     world.clock.after(DIRECT_LIMIT_MS, () => reject(new OutcomeUnknownError('timed out')));
     if (cut) return;
     world.clock.after(world.linkMs + held, () => {
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -8,7 +8,7 @@
 import { HttpKeyValueStore } from '../../src/protocol/key-value-store.js';
 import { encodeJobState, encodeJobView } from '../../src/protocol/user-codec.js';
 import {
-  encodeDirect,
+  encodeDirectCommands,
   encodeRedirect,
   encodeHeartbeatAnswer,
 } from '../../src/protocol/worker-codec.js';
@@ -100,7 +100,7 @@
   const forms: Record<string, unknown> = {
     'worker: answer': encodeHeartbeatAnswer(41, commands),
     'worker: answer without commands': encodeHeartbeatAnswer(41, []),
-    'worker: direct commands': encodeDirect(41, 2, commands),
+    'worker: direct commands': encodeDirectCommands(41, 2, commands),
     'worker: redirect': encodeRedirect('moth-2'),
     'worker: redirect to nobody': encodeRedirect(null),
     'user: poll': encodeJobView('j-000412', 'running', 3, 13),
