--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,28 +1,29 @@
 /** Pauses of jobs whose tasks failed. */
+
 import { FAILURE_PAUSE_MAX_S, FAILURE_PAUSE_S } from '../../constants/shard.js';
+import { KeyedBackoff } from '../../transport/backoff.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** Lets a job wait after failures of its tasks, longer after each until one succeeds. */
+/** Pauses a job after failures of its tasks, longer after each until one succeeds. */
 export class JobFailureBackoff {
-  private readonly failures = new Map<string, { count: number; until: number }>();
+  private readonly backoff: KeyedBackoff;
 
-  constructor(private readonly clock: Clock) {}
+  constructor(clock: Clock) {
+    this.backoff = new KeyedBackoff(clock, FAILURE_PAUSE_S * 1000, FAILURE_PAUSE_MAX_S * 1000);
+  }
 
-  /** A task of the job failed now; returns for how many seconds the job waits. */
+  /** A task of the job failed now; returns for how many seconds the job is paused. */
   add(job: string): number {
-    const before = this.failures.get(job)?.count ?? 0;
-    const pauseS = Math.min(FAILURE_PAUSE_S * 2 ** before, FAILURE_PAUSE_MAX_S);
-    this.failures.set(job, { count: before + 1, until: this.clock.now() + pauseS * 1000 });
-    return pauseS;
+    return this.backoff.recordFailure(job) / 1000;
   }
 
-  /** A task of the job succeeded, or nothing of the job is left here. */
+  /** A task of the job succeeded, or the shard has no task of the job any more. */
   clear(job: string): void {
-    this.failures.delete(job);
+    this.backoff.clear(job);
   }
 
-  /** Whether the job waits after failures. */
+  /** Whether the job is paused after failures. */
   isPaused(job: string): boolean {
-    return (this.failures.get(job)?.until ?? 0) > this.clock.now();
+    return this.backoff.isPaused(job);
   }
 }
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -1,54 +1,55 @@
-/** Pauses for changes that the state service calls invalid. */
+/** Pauses for changes that the key-value store rejected as invalid. */
 
 import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS } from '../constants/storage.js';
+import { KeyedBackoff } from '../transport/backoff.js';
 import type { Clock } from '../transport/clock.js';
 
 /**
- * What a transaction was about that the state service calls invalid. Sent again it would be refused
- * again, so it is left alone for a while, longer each time, and what else there is goes on.
+ * The subjects (jobs, machines, keys) of transactions that the key-value store rejected as invalid.
+ * Sent again they would be rejected again, so a subject is paused, longer each time, while the other
+ * work goes on.
  */
 export class RejectedChangeBackoff {
-  private readonly pauses = new Map<string, { count: number; until: number }>();
+  private readonly backoff: KeyedBackoff;
 
-  constructor(private readonly clock: Clock) {}
+  constructor(clock: Clock) {
+    this.backoff = new KeyedBackoff(clock, REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS);
+  }
 
-  /** Told that a transaction about it was invalid. */
+  /** A transaction about the subject was rejected. */
   add(subject: string): void {
-    const count = this.pauses.get(subject)?.count ?? 0;
-    const pause = Math.min(REJECTED_PAUSE_FIRST_MS * 2 ** count, REJECTED_PAUSE_LAST_MS);
-    this.pauses.set(subject, { count: count + 1, until: this.clock.now() + pause });
+    this.backoff.recordFailure(subject);
   }
 
-  /** Leaves it alone for so long, without any blame. */
-  hold(subject: string, ms: number): void {
-    this.pauses.set(subject, { count: 0, until: this.clock.now() + ms });
+  /** Pauses the subject for so long without counting a rejection. */
+  hold(subject: string, pauseMs: number): void {
+    this.backoff.pause(subject, pauseMs);
   }
 
-  /** Told that it was carried out, or is no longer there. */
+  /** The change was committed, or its subject is no longer there. */
   clear(subject: string): void {
-    this.pauses.delete(subject);
+    this.backoff.clear(subject);
   }
 
-  /** Whether it is to be left alone now. */
+  /** Whether the subject is paused now. */
   has(subject: string): boolean {
-    return (this.pauses.get(subject)?.until ?? -Infinity) > this.clock.now();
+    return this.backoff.isPaused(subject);
   }
 
   /**
-   * How many of these may share the next transaction, at most so many. What was in an invalid one
-   * goes alone, so that the one that is to blame shows and the others are rid of it.
+   * How many of these subjects may share the next transaction, at most `limit`. A subject of a
+   * rejected transaction goes alone: this shows which one is at fault, and the others are committed.
    */
-  together(subjects: readonly string[], most: number): number {
-    const suspect = subjects.slice(0, most).findIndex((subject) => this.pauses.has(subject));
-    if (suspect >= 0) return Math.max(1, suspect);
-    return Math.min(most, subjects.length);
+  together(subjects: readonly string[], limit: number): number {
+    const firstRejected = subjects
+      .slice(0, limit)
+      .findIndex((subject) => this.backoff.isTracked(subject));
+    if (firstRejected >= 0) return Math.max(1, firstRejected);
+    return Math.min(limit, subjects.length);
   }
 
-  /** Forgets what was not tried again for long: it is no longer there. */
+  /** Forgets subjects that were not tried again for long: they are no longer there. */
   sweep(): void {
-    const now = this.clock.now();
-    for (const [subject, { until }] of this.pauses) {
-      if (now - until > REJECTED_PAUSE_LAST_MS) this.pauses.delete(subject);
-    }
+    this.backoff.forgetExpired();
   }
 }
