--- a/src/constants/protocol.ts
+++ b/src/constants/protocol.ts
@@ -1,4 +1,4 @@
-/** Constants, each with unit and reason. Bounds that the protocol and the settings give. */
+/** Constants, each with unit and reason. Bounds given by the protocol and the settings. */
 
 /** Bytes; the protocol's limit for a request body. */
 export const MAX_BODY_BYTES = 64 * 1024;
@@ -18,14 +18,14 @@
 /** Machines; the protocol's limit for one page of the machine list. */
 export const LIST_PAGE = 500;
 
-/** Guards for each put that the state service allows in one transaction. */
+/** Guards per operation that the key-value store allows in one transaction. */
 export const GUARDS_PER_OP = 4;
 
-/** Bytes; a transaction may hold 64 KiB; the rest is room for names and punctuation. */
+/** Bytes; a transaction may hold 64 KiB; the remainder is for names and punctuation. */
 export const TRANSACTION_BYTES = 56 * 1024;
 
-/** KiB; with smaller values a chunk of a few tasks, or a job, could not be stored. */
+/** KiB; with smaller values an assignment of a few tasks, or a job, could not be stored. */
 export const MIN_VALUE_KB = 0.5;
 
-/** Bytes of a failure detector's message: eight rumours with the longest names; more is dropped. */
+/** Bytes; a failure detector's message with eight updates and the longest names; larger are dropped. */
 export const MAX_DETECTOR_MESSAGE_BYTES = 8 * 1024;
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -1,4 +1,4 @@
-/** The machine types in the state service: read from and written to as many records as they take. */
+/** The machine types in the key-value store, spread over as many records as they need. */
 
 import { VALUE_SHARE } from '../constants/storage.js';
 import type { Change } from '../protocol/key-value-store.js';
@@ -7,17 +7,20 @@
 import { CATALOG, CATALOG_MORE } from './keys.js';
 import type { StoreReplica } from './store-replica.js';
 
-/** The last reading of each replica, so that what asks for each machine costs no new list. */
-const cachedCatalogs = new WeakMap<StoreReplica, { at: number; types: MachineType[] | null }>();
+/** The last result for each replica, so that a lookup for each machine builds no new list. */
+const cachedCatalogs = new WeakMap<
+  StoreReplica,
+  { version: number; types: MachineType[] | null }
+>();
 
 /**
- * All machine types, or null while they are not known. They are written first-record-last and may
- * stand in two records for a moment: the first record's word counts.
+ * All machine types, or null while they are not known. The first record is written last, so a type
+ * may be in two records for a moment: that in the first record is valid.
  */
 export function readCatalog(replica: StoreReplica): MachineType[] | null {
   const cached = cachedCatalogs.get(replica);
-  if (cached?.at === replica.catalogChanges) return cached.types;
-  const reading = { at: replica.catalogChanges, types: mergeRecords(replica) };
+  if (cached?.version === replica.catalogChanges) return cached.types;
+  const reading = { version: replica.catalogChanges, types: mergeRecords(replica) };
   cachedCatalogs.set(replica, reading);
   return reading.types;
 }
@@ -35,7 +38,7 @@
   return [...types.values()];
 }
 
-/** What is to be changed so that these types are held, in records of so many bytes. */
+/** The changes after which the store holds these types, in records of at most so many bytes. */
 export function writeCatalog(
   replica: StoreReplica,
   types: MachineType[],
@@ -53,7 +56,7 @@
     bytes += size;
   }
   const desired = new Map(
-    records.map((record, at) => [at === 0 ? CATALOG : `${CATALOG_MORE}${at}`, record]),
+    records.map((record, page) => [page === 0 ? CATALOG : `${CATALOG_MORE}${page}`, record]),
   );
   const changes: Change[] = [];
   for (const [key, value] of [...desired].reverse()) {
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -1,4 +1,4 @@
-/** Commits transactions to the state service and finds out what became of them. */
+/** Commits transactions to the key-value store and resolves unknown outcomes. */
 
 import { isDeepStrictEqual } from 'node:util';
 import { BACKOFF_FIRST_MS, BACKOFF_LAST_MS } from '../constants/storage.js';
@@ -15,26 +15,26 @@
 import type { Log } from './log.js';
 import type { StoreReplica } from './store-replica.js';
 
-/** What became of a transaction. */
+/** The outcome of a transaction. */
 export type CommitResult =
   | { kind: 'done' }
-  /** These keys are not as the guards said; the replica has been read anew for them. */
+  /** The guards of these keys failed; the replica has been refreshed for them. */
   | { kind: 'conflict'; failed: string[] }
-  /** Not carried out, and no longer tried; `mayCommitLater`: it may still be carried out. */
+  /** Not committed, and no longer wanted; `mayCommitLater`: a late copy may still commit. */
   | { kind: 'abandoned'; mayCommitLater: boolean }
-  /** A try had no answer, and by now is known neither to have been carried out nor ever to be. */
+  /** An attempt got no response; by now it is known not to have committed, and never to commit. */
   | { kind: 'neverCommitted' }
-  /** The state service takes no such transaction, too large for one; `mayCommitLater`: as above. */
+  /** Invalid for the store, too large for one; `mayCommitLater`: an earlier attempt may commit. */
   | { kind: 'rejected'; mayCommitLater: boolean };
 
-/** One transaction, and the purpose that it is counted under. */
+/** One transaction, and the purpose under which it is rate limited. */
 export interface Transaction {
   purpose: Purpose;
   guards: Guard[];
   changes: Change[];
 }
 
-/** What a committer works with. */
+/** What a committer depends on. */
 export interface CommitterOptions {
   keyValueStore: KeyValueStore;
   limiter: RateLimiter;
@@ -44,16 +44,16 @@
   random: () => number;
 }
 
-/** How many keys that were read anew are remembered. */
+/** Keys whose last read is remembered. */
 const MAX_REMEMBERED_READS = 64;
 
-/** Bytes that a value takes in the state service. */
+/** Bytes that a value takes in the key-value store. */
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
 
 /**
- * Carries transactions out to a known end. A transaction without an answer may be applied late, so
- * it is sent again with the same guards: one of the two then fails, and the keys tell whether the
- * other was carried out.
+ * Commits transactions to a known outcome. A transaction without a response may be applied late, so
+ * it is sent again with the same guards: one of the two copies then fails, and the keys show whether
+ * the other was applied.
  */
 export class Committer {
   private readonly keyValueStore: KeyValueStore;
@@ -62,7 +62,7 @@
   private readonly clock: Clock;
   private readonly log: Log;
   private readonly random: () => number;
-  /** Keys as they were last read anew; null: there was none. */
+  /** Values as they were last read after a failure; null: there was no such key. */
   private readonly lastReads = new Map<string, { value: unknown; revision: number } | null>();
 
   constructor(options: CommitterOptions) {
@@ -74,7 +74,7 @@
     this.random = options.random;
   }
 
-  /** `isStillWanted` is asked before each try; when it says no, the transaction is given up. */
+  /** `isStillWanted` is asked before each attempt; once false, the transaction is abandoned. */
   commit(
     purpose: Purpose,
     guards: Guard[],
@@ -85,9 +85,9 @@
   }
 
   /**
-   * The same for what may be used up and removed before a late copy of the transaction comes: the
-   * guards would then let the copy pass. `invalidateLateCopy` makes a try without an answer powerless unless it
-   * was carried out; false: it could not.
+   * The same for a transaction whose keys may be used up and removed before a late copy of it comes:
+   * the guards would then let the copy pass. `invalidateLateCopy` makes an attempt without a response
+   * fail for good unless it was applied; false: it could not.
    */
   commitOnce(
     transaction: Transaction,
@@ -117,7 +117,7 @@
         } else {
           mayHaveCommitted = true;
         }
-        this.log.debug({ error: String(error), purpose }, 'transaction failed, trying again');
+        this.log.debug({ error: String(error), purpose }, 'transaction failed, retrying');
         if (mayHaveCommitted && invalidateLateCopy)
           return this.resolveUnknownOutcome(transaction, isStillWanted, invalidateLateCopy);
         await sleep(this.clock, backoff.next());
@@ -125,7 +125,7 @@
     }
   }
 
-  /** One try. `mayHaveCommitted`: an earlier one had no answer, so the changes may be there already. */
+  /** One attempt. `mayHaveCommitted`: an earlier one got no response, so it may have been applied. */
   private async tryOnce(
     transaction: Transaction,
     mayHaveCommitted: boolean,
@@ -149,7 +149,7 @@
     return { kind: 'conflict', failed: result.failed };
   }
 
-  /** Null: refused only for now. */
+  /** Null: rejected only for now, to be retried. */
   private resultOfRejection(
     transaction: Transaction,
     rejection: StoreRejectedError,
@@ -166,7 +166,7 @@
     return null;
   }
 
-  /** Brings a transaction whose try had no answer to its end without trying it again. */
+  /** Resolves a transaction that got no response without sending it again. */
   private async resolveUnknownOutcome(
     { purpose, changes }: Transaction,
     isStillWanted: () => boolean,
@@ -180,14 +180,17 @@
         const done = changes.every((change) => this.matchesLastRead(change));
         return done ? { kind: 'done' } : { kind: 'neverCommitted' };
       } catch (error) {
-        this.log.debug({ error: String(error), purpose }, 'not read, trying again');
+        this.log.debug(
+          { error: String(error), purpose },
+          'read after unknown outcome failed, retrying',
+        );
         await sleep(this.clock, backoff.next());
       }
     }
     return { kind: 'abandoned', mayCommitLater: false };
   }
 
-  /** A fault of this program or a limit that it does not know: the operators must hear of it. */
+  /** A bug, or a limit that this program does not know: operators must be told. */
   private logRejected({ purpose, guards, changes }: Transaction, reason: string | null): void {
     const sizes = changes.map((change) => ('remove' in change ? 0 : bytesOf(change.value)));
     this.log.error(
@@ -199,7 +202,7 @@
         largestValueBytes: Math.max(0, ...sizes),
         transactionBytes: bytesOf({ guards, changes }),
       },
-      'state service calls a transaction invalid',
+      'key-value store rejected a transaction as invalid',
     );
   }
 
--- a/src/storage/log.ts
+++ b/src/storage/log.ts
@@ -1,6 +1,6 @@
-/** The program's view of a logger. */
+/** The logger's interface. */
 
-/** The part of a logger that the program uses; tests put a silent one in its place. */
+/** The subset of a logger that the program uses; tests pass a silent one. */
 export interface Log {
   debug(fields: object, message: string): void;
   info(fields: object, message: string): void;
--- a/src/storage/ranges.ts
+++ b/src/storage/ranges.ts
@@ -1,6 +1,6 @@
 /** Sets of task numbers as short text: "0-15,17". */
 
-/** The text for a set of numbers. */
+/** A set of numbers as text. */
 export function writeRanges(ids: Iterable<number>): string {
   const sorted = [...ids].sort((a, b) => a - b);
   const ranges: string[] = [];
@@ -17,7 +17,7 @@
   return ranges.join(',');
 }
 
-/** The numbers that a text stands for, in its order. */
+/** The numbers of a text, in its order. */
 export function readRanges(text: string): number[] {
   if (text === '') return [];
   const ids: number[] = [];
@@ -28,7 +28,7 @@
   return ids;
 }
 
-/** How many numbers a text stands for, without listing them. */
+/** How many numbers a text has, without listing them. */
 export function countRanges(text: string): number {
   if (text === '') return 0;
   let count = 0;
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -1,14 +1,14 @@
-/** The records of a replica, with the indexes that make their frequent readings cheap. */
+/** The records of a replica, with indexes for the lookups that are made often. */
 
 import { MAX_CACHED_FINALS } from '../constants/storage.js';
-import { CATALOG, ASSIGNMENTS, FINALS, JOBS, LIVE, MACHINES, readAssignmentKey } from './keys.js';
-import {
-  summarize,
-  type AssignmentRecord,
-  type AssignmentSummary,
-  type FinalRecord,
-  type JobRecord,
-  type MachineRecord,
+import { AssignmentIndex } from './assignment-index.js';
+import { ASSIGNMENTS, CATALOG, FINALS, JOBS, LIVE, MACHINES } from './keys.js';
+import type {
+  AssignmentRecord,
+  AssignmentSummary,
+  FinalRecord,
+  JobRecord,
+  MachineRecord,
 } from './records.js';
 
 /** A key's value at the revision of its last change. */
@@ -17,7 +17,7 @@
   revision: number;
 }
 
-/** What a key is about: the word after the common prefix. */
+/** A key's kind: the word after the common prefix. */
 function kindOf(key: string): string {
   const end = key.indexOf('/', LIVE.length);
   return end < 0 ? key.slice(LIVE.length) : key.slice(LIVE.length, end);
@@ -28,37 +28,21 @@
   else map.set(key, value);
 }
 
-/** A chunk whose summary is made when somebody asks for it: most nodes never do. */
-class LazySummary {
-  private computed: AssignmentSummary | null = null;
-
-  constructor(
-    private readonly name: { shard: string; job: string; number: number },
-    private readonly record: AssignmentRecord,
-  ) {}
-
-  get summary(): AssignmentSummary {
-    this.computed ??= summarize(this.name, this.record);
-    return this.computed;
-  }
-}
-
-/** The live keys of the state service as far as they are known, and what was read of final ones. */
+/** The live keys of the key-value store as far as they are known, and final records that were read. */
 export class RecordIndex {
   private readonly valuesByKey = new Map<string, VersionedValue>();
-  /** The same by their kind, so that nobody walks all keys for the few of one kind. */
+  /** The same by kind, so that a scan for the few keys of one kind does not visit all. */
   private readonly valuesByKind = new Map<string, Map<string, VersionedValue>>();
-  /** Revisions of keys removed ahead of the watch, so that older events don't bring them back. */
+  /** Revisions of keys that were removed ahead of the watch: older events must not restore them. */
   private readonly removalRevisions = new Map<string, number>();
-  /** Jobs by id: they are asked for most often of all. */
+  /** Jobs by id, the most frequent lookup. */
   private readonly jobs = new Map<string, JobRecord>();
   private readonly machines = new Map<string, MachineRecord>();
   private readonly finalRecords = new Map<string, FinalRecord>();
-  private readonly assignmentSummaries = new Map<string, LazySummary>();
-  private readonly assignmentKeysByJob = new Map<string, Set<string>>();
-  /** All changes up to this revision are here. */
+  private readonly assignmentIndex = new AssignmentIndex();
+  /** All changes up to this revision have been applied. */
   revision = 0;
-  /** How often the machine types changed: what was made of them holds until then. */
+  /** Counts changes of the machine types; what was derived from them is valid until the next one. */
   catalogChanges = 0;
 
   /** A live key's value and revision; null: there is no such key. */
@@ -71,7 +55,7 @@
     return this.get(key)?.revision ?? 0;
   }
 
-  /** The keys below a prefix, in no order. */
+  /** The keys with a prefix, in no order. */
   *below<Value>(prefix: string): Generator<[string, VersionedValue<Value>]> {
     for (const [key, versioned] of this.valuesByKind.get(kindOf(prefix)) ?? []) {
       if (key.startsWith(prefix)) yield [key, versioned as VersionedValue<Value>];
@@ -88,34 +72,33 @@
     return this.machines.get(name) ?? null;
   }
 
-  /** How a job ended, where this node has heard of it; the oldest are forgotten. */
+  /** How a job ended, where this controller knows; the oldest are evicted. */
   final(id: string): FinalRecord | null {
     return this.finalRecords.get(id) ?? null;
   }
 
-  /** All chunks, in no order. */
-  *assignments(): Generator<AssignmentSummary> {
-    for (const lazy of this.assignmentSummaries.values()) yield lazy.summary;
+  /** All assignments, in no order. */
+  assignments(): Iterable<AssignmentSummary> {
+    return this.assignmentIndex.all();
   }
 
-  /** How many chunks there are. */
   get assignmentCount(): number {
-    return this.assignmentSummaries.size;
+    return this.assignmentIndex.count;
   }
 
-  /** The keys of all chunks. */
+  /** The keys of all assignments. */
   assignmentKeys(): Iterable<string> {
-    return this.assignmentSummaries.keys();
+    return this.assignmentIndex.keys();
   }
 
-  /** The keys of a job's chunks. */
+  /** The keys of a job's assignments. */
   assignmentKeysOf(job: string): Iterable<string> {
-    return this.assignmentKeysByJob.get(job) ?? [];
+    return this.assignmentIndex.keysOf(job);
   }
 
-  /** The chunk under a key; null: there is none. */
+  /** The assignment under a key; null: there is none. */
   assignment(key: string): AssignmentSummary | null {
-    return this.assignmentSummaries.get(key)?.summary ?? null;
+    return this.assignmentIndex.get(key);
   }
 
   /** All jobs that are neither done nor cancelled. */
@@ -123,17 +106,12 @@
     return this.jobs.values();
   }
 
-  /** The chunks of a job. */
+  /** The assignments of a job. */
   assignmentsOf(job: string): AssignmentSummary[] {
-    const found: AssignmentSummary[] = [];
-    for (const key of this.assignmentKeysByJob.get(job) ?? []) {
-      const lazy = this.assignmentSummaries.get(key);
-      if (lazy) found.push(lazy.summary);
-    }
-    return found;
+    return this.assignmentIndex.ofJob(job);
   }
 
-  /** Notes how a job ended. */
+  /** Caches how a job ended. */
   keepFinal(id: string, record: FinalRecord): void {
     this.finalRecords.set(id, record);
     if (this.finalRecords.size > MAX_CACHED_FINALS) {
@@ -142,7 +120,7 @@
     }
   }
 
-  /** Takes over what is known of one key, unless something newer is; `undefined` is a removal. */
+  /** Applies one key's value unless a newer one is known; `undefined` is a removal. */
   apply(key: string, value: unknown, revision: number): boolean {
     if (key.startsWith(FINALS)) {
       if (value !== undefined) this.keepFinal(key.slice(FINALS.length), value as FinalRecord);
@@ -151,7 +129,7 @@
     if (!key.startsWith(LIVE)) return false;
     if (this.revisionOf(key) >= revision || (this.removalRevisions.get(key) ?? 0) >= revision)
       return false;
-    // The answer to an earlier read or write may come after the watch: the key was removed since.
+    // The response to an earlier read or write may come after the watch: the key was removed since.
     if (value !== undefined && revision <= this.revision && !this.valuesByKey.has(key))
       return false;
     if (value === undefined) this.remove(key, revision);
@@ -174,7 +152,7 @@
     if (revision > this.revision) this.removalRevisions.set(key, revision);
   }
 
-  /** Keeps the indexes of single kinds. */
+  /** Updates the indexes of single kinds. */
   private index(key: string, value: unknown): void {
     if (key.startsWith(JOBS)) {
       setOrDelete(this.jobs, key.slice(JOBS.length), value as JobRecord | undefined);
@@ -184,10 +162,10 @@
     }
     if (key.startsWith(CATALOG)) this.catalogChanges++;
     if (key.startsWith(ASSIGNMENTS))
-      this.applyAssignment(key, value as AssignmentRecord | undefined);
+      this.assignmentIndex.apply(key, value as AssignmentRecord | undefined);
   }
 
-  /** Removals that the revision has reached need no note: no older event can come any more. */
+  /** Removals up to the revision need no entry: no older event can come any more. */
   protected forgetRemovals(): void {
     for (const [key, removedAt] of this.removalRevisions) {
       if (removedAt <= this.revision) this.removalRevisions.delete(key);
@@ -198,19 +176,4 @@
   protected *keyRevisions(): Generator<{ key: string; revision: number }> {
     for (const [key, { revision }] of this.valuesByKey) yield { key, revision };
   }
-
-  private applyAssignment(key: string, record: AssignmentRecord | undefined): void {
-    const name = readAssignmentKey(key);
-    if (!name) return;
-    const group = this.assignmentKeysByJob.get(name.job);
-    if (record === undefined) {
-      this.assignmentSummaries.delete(key);
-      group?.delete(key);
-      if (group?.size === 0) this.assignmentKeysByJob.delete(name.job);
-      return;
-    }
-    this.assignmentSummaries.set(key, new LazySummary(name, record));
-    if (group) group.add(key);
-    else this.assignmentKeysByJob.set(name.job, new Set([key]));
-  }
 }
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,27 +1,28 @@
-/** The records in the state service. Their field names never change: older versions read them. */
+/** The records in the key-value store. Their field names never change: older versions read them. */
 
 import type { JobSpec, JobState } from '../protocol/model.js';
+import type { AssignmentName } from './keys.js';
 import { countRanges, readRanges } from './ranges.js';
 
 /** A job that is neither done nor cancelled. */
 export interface JobRecord {
   spec: JobSpec;
-  /** Time of day of its acceptance in ms. */
+  /** Wall-clock time of its acceptance in ms. */
   at: number;
 }
 
-/** What is left of a job: its final state never changes. */
+/** What remains of a job that is over: its final state never changes. */
 export interface FinalRecord {
   state: Extract<JobState, 'done' | 'cancelled'>;
   tasks: number;
 }
 
 /**
- * Some tasks of a job in the hands of one part. The leader makes it, only the part changes it; it
- * holds what team limits need, so that it still counts when its job's record is gone.
+ * Tasks of one job assigned to one shard. The leader creates it, only the shard changes it. It holds
+ * what quotas need, so that it still counts when its job's record is gone.
  */
 export interface AssignmentRecord {
-  /** Task numbers, as ranges. */
+  /** Numbers of its tasks, as ranges; so is `done`, those that are done. */
   ids: string;
   done: string;
   /** Placed tasks: machine and attempt by task number. */
@@ -30,17 +31,17 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** The zone its tasks run in; the leader settled it. */
+  /** The zone in which its tasks run, chosen by the leader. */
   zone: string;
-  /** Of a gang: the attempt under which all of its tasks start, in every part that has some. */
+  /** Of a gang: the attempt under which all of its tasks start, in every shard that has some. */
   attempt?: number;
-  /** Of a gang within its team's guarantee: CPUs of arrays that it may stop of teams beyond theirs. */
+  /** Of a gang within its fair share: CPUs of arrays it may preempt, by team above its share. */
   reclaim?: Record<string, number>;
-  /** Of a gang: its attempt ends, so the other parts stop their shares of it as well. */
+  /** Of a gang: its attempt ends, so the other shards stop their tasks of it as well. */
   stopping?: true;
 }
 
-/** `drain`: nothing more is placed on it; `gone`: given back. */
+/** `drain`: it is drained, nothing more is placed on it; `gone`: returned to the cloud. */
 export type MachineState = 'rented' | 'drain' | 'gone';
 
 /** The leader's record of a machine. Without one, a machine may be used. */
@@ -49,43 +50,40 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** Time of day of the state's beginning in ms. */
+  /** Wall-clock time in ms since which it is in this state. */
   at: number;
 }
 
-/** A machine's health as its part judges it from the worker's reports. */
+/** A machine's health as its shard derives it from heartbeats. */
 export type MachineHealth = 'ok' | 'leaving' | 'silent' | 'faulty';
 
-/** A part's machines as the leader needs them: type, zone, spot, health. */
+/** A shard's machines as the leader needs them: type, zone, spot, health. */
 export interface StatusRecord {
   machines: Record<string, [type: string, zone: string, spot: 0 | 1, health: MachineHealth]>;
 }
 
-/** A member's registration; it goes when the member's lease ends. */
+/** A member's registration; it is removed when the member's lease expires. */
 export interface NodeRecord {
   incarnation: string;
 }
 
-/** Who holds a role, and the term, which grows with each claim. */
+/** A role's holder, and the term, which grows with each election. */
 export interface RoleRecord {
   owner: string;
   incarnation: string;
   term: number;
-  /** Time of day at which the role last went from one node to another, in ms; 0: never. */
+  /** Wall-clock time of the last failover to another controller, in ms; 0: never. */
   movedAt: number;
 }
 
-/** A chunk as it counts for everyone but its own part. */
-export interface AssignmentSummary {
-  shard: string;
-  job: string;
-  number: number;
+/** An assignment as all but its own shard need it. */
+export interface AssignmentSummary extends AssignmentName {
   ids: number[];
   done: number;
   /** The machine of each placed task. */
   machines: string[];
   placedCount: number;
-  /** Tasks that are not done, and those of them that wait for a place. */
+  /** Tasks that are not done, and those of them that wait to be placed. */
   unfinished: number;
   waiting: number;
   team: string;
@@ -98,17 +96,14 @@
   stopping: boolean;
 }
 
-/** The summary of a chunk's record. */
-export function summarize(
-  key: { shard: string; job: string; number: number },
-  record: AssignmentRecord,
-): AssignmentSummary {
+/** The summary of an assignment's record. */
+export function summarize(name: AssignmentName, record: AssignmentRecord): AssignmentSummary {
   const machines: string[] = [];
   for (const index in record.live) machines.push(record.live[index]?.[0] ?? '');
   const ids = readRanges(record.ids);
   const done = countRanges(record.done);
   return {
-    ...key,
+    ...name,
     ids,
     done,
     machines,
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -1,17 +1,17 @@
-/** Whether this node reaches the state service. */
+/** Whether this controller reaches the key-value store. */
 
 import { UNREACHABLE_AFTER_MS } from '../constants/storage.js';
 import { StoreRejectedError, type KeyValueStore } from '../protocol/key-value-store.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Notes, from the requests that are made anyway, whether this node reaches the state service. */
+/** Observes, by the requests that are made anyway, whether this controller reaches the store. */
 export class StoreReachability {
   private lastSuccessAt = -Infinity;
   private lastFailureAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** False once requests have only failed for a while; one node alone may be refused. */
+  /** False once requests have only failed for a while; the store may refuse one controller alone. */
   get isReachable(): boolean {
     return (
       this.lastSuccessAt >= this.lastFailureAt ||
@@ -19,7 +19,7 @@
     );
   }
 
-  /** The same service, with the outcome of every request noted. */
+  /** The same store, with the outcome of each request recorded. */
   observe(keyValueStore: KeyValueStore): KeyValueStore {
     const recordOutcome = async <T>(call: Promise<T>): Promise<T> => {
       try {
