--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -30,7 +30,7 @@
     for (const transaction of this.transactions(changes)) {
       const guards = transaction.map(({ key }) => ({ key, revision: replica.revisionOf(key) }));
       const result = await writer.commit('leader', guards, transaction);
-      if (result.kind === 'invalid') rejectedChangeBackoff.add(CATALOG);
+      if (result.kind === 'rejected') rejectedChangeBackoff.add(CATALOG);
       else rejectedChangeBackoff.clear(CATALOG);
       if (result.kind !== 'done') return;
     }
