--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -36,10 +36,10 @@
 export function neededCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
   let workCpuS = 0;
   for (const machine of snapshot.machines) workCpuS += machine.preemptibleCpus * RUNNING_LEFT_S;
-  for (const { spec, count } of snapshot.unmet) {
+  for (const { spec, count } of snapshot.unmetDemand) {
     if (spec.kind !== 'service') workCpuS += count * spec.cpus * Math.max(1, spec.estimateS);
   }
-  return workCpuS / (quickestBootS(types) * LATE_BOOTS) + snapshot.comingCpus * COMING_SHARE;
+  return workCpuS / (quickestBootS(types) * LATE_BOOTS) + snapshot.expectedCpus * COMING_SHARE;
 }
 
 /**
@@ -56,7 +56,7 @@
   // CPU seconds ahead of a job: what runs is half done on average.
   let aheadCpuS = 0;
   for (const machine of snapshot.machines) aheadCpuS += machine.preemptibleCpus * RUNNING_LEFT_S;
-  for (const unmet of byUrgency(snapshot.unmet)) {
+  for (const unmet of byUrgency(snapshot.unmetDemand)) {
     const { spec, count } = unmet;
     if (spec.kind === 'service' || spec.deadlineS === null || spec.cpus <= 0) {
       demand.push({ spec, count });
@@ -86,12 +86,12 @@
   presentCpus: number,
   demand: readonly TaskDemand[],
 ): TaskDemand | null {
-  const { coming } = snapshot;
-  if (!coming) return null;
+  const { lastArray } = snapshot;
+  if (!lastArray) return null;
   const cpus = demand.reduce((sum, { spec, count }) => sum + count * spec.cpus, presentCpus);
   const missing = neededCpus(snapshot, types) - cpus;
   if (missing <= 0) return null;
-  return { spec: coming, count: Math.ceil(missing / coming.cpus) };
+  return { spec: lastArray, count: Math.ceil(missing / lastArray.cpus) };
 }
 
 /** CPUs of healthy machines, free or used by lower work, and of booting machines. */
@@ -105,8 +105,8 @@
 }
 
 /** Time of day in ms by which a job is due; -Infinity: it has no deadline and is due at once. */
-function dueAt({ spec, at }: UnmetDemand): number {
-  return spec.deadlineS === null ? -Infinity : at + spec.deadlineS * 1000;
+function dueAt({ spec, acceptedAt }: UnmetDemand): number {
+  return spec.deadlineS === null ? -Infinity : acceptedAt + spec.deadlineS * 1000;
 }
 
 /** Higher priorities first, earlier deadlines first within a priority. */
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -30,7 +30,7 @@
 
   /** The gangs for the like of which room is held. */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
-    return this.isQuiet ? [] : snapshot.gangs;
+    return this.isQuiet ? [] : snapshot.recentGangs;
   }
 
   private get isQuiet(): boolean {
--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -2,7 +2,7 @@
 import { NO_CAPACITY_PAUSE_MS } from '../../constants/autoscaling.js';
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { fitCount, isEligible } from '../capacity/machine-capacity.js';
+import { countFittingTasks, isEligible } from '../capacity/machine-capacity.js';
 import type { Member } from '../election/rendezvous-hashing.js';
 
 /** A machine type in a zone, ordinary or spot, with its price. */
@@ -33,7 +33,7 @@
   let lowestPrice = Infinity;
   for (const offer of offers) {
     if (!isOfferEligible(spec, offer)) continue;
-    const tasks = Math.min(count, fitCount(offer.type, spec));
+    const tasks = Math.min(count, countFittingTasks(offer.type, spec));
     if (tasks === 0) continue;
     const pricePerTask = offer.price / tasks;
     if (pricePerTask < lowestPrice) {
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -3,7 +3,7 @@
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  fitCount,
+  countFittingTasks,
   isEligible,
   type Amounts,
   type MachineCapacity,
@@ -38,7 +38,7 @@
 function fillMachines(capacities: readonly Amounts[], spec: JobSpec, count: number): number {
   let left = count;
   for (const capacity of capacities) {
-    const placed = Math.min(left, fitCount(capacity, spec));
+    const placed = Math.min(left, countFittingTasks(capacity, spec));
     capacity.cpus -= placed * spec.cpus;
     capacity.gpus -= placed * spec.gpus;
     capacity.memoryGb -= placed * spec.memoryGb;
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -6,7 +6,7 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import type { MachineAmounts } from './machine-capacity.js';
+import type { MachineResources } from './machine-capacity.js';
 import { URGENT, shardZoneKey } from './priorities.js';
 
 /** What a team uses. */
@@ -16,7 +16,7 @@
 }
 
 /** What is placed on a machine. */
-export type MachineUsage = MachineAmounts;
+export type MachineUsage = MachineResources;
 
 /** The sums of a machine on which nothing is placed. */
 export function emptyMachineUsage(): MachineUsage {
@@ -40,7 +40,7 @@
 }
 
 /** How many tasks of a job must be done for it to be over: of a gang, which ends as a whole, one. */
-export function endsAt(spec: JobSpec): number {
+export function doneTasksToComplete(spec: JobSpec): number {
   if (spec.kind === 'service') return Infinity;
   return spec.kind === 'gang' ? 1 : spec.tasks;
 }
@@ -51,7 +51,7 @@
   isLowPriority: boolean;
   isArray: boolean;
   /** CPUs that end in a second. */
-  ending: number;
+  endingCpusPerS: number;
 }
 
 /**
@@ -72,7 +72,7 @@
   /** Chunks of open jobs with tasks that wait for a place. */
   readonly waiting = new Map<string, AssignmentSummary>();
   /** Arrays that seem to be done. */
-  readonly possiblyDone = new Set<string>();
+  readonly completionCandidates = new Set<string>();
   private builtAt = -Infinity;
 
   constructor(
@@ -89,7 +89,7 @@
     for (const sums of [this.machines, this.teams, this.jobs, this.endingCpusPerS, this.waiting]) {
       sums.clear();
     }
-    this.possiblyDone.clear();
+    this.completionCandidates.clear();
     for (const key of this.replica.assignmentKeys()) this.add(key);
   }
 
@@ -107,7 +107,7 @@
     if (entry) {
       this.entries.delete(key);
       this.waiting.delete(key);
-      this.count(entry, -1);
+      this.applyEntry(entry, -1);
     }
     this.add(key);
   }
@@ -116,40 +116,45 @@
     const assignment = this.replica.assignment(key);
     if (!assignment) return;
     const spec: JobSpec | null = this.replica.job(assignment.job)?.spec ?? null;
-    const ends = spec !== null && spec.kind !== 'service';
+    const hasEnd = spec !== null && spec.kind !== 'service';
     const entry: Entry = {
       assignment,
       isLowPriority: spec === null || rankOf(spec.priority) < URGENT,
       isArray: spec?.kind === 'array',
-      ending: ends ? (assignment.placedCount * assignment.cpus) / Math.max(1, spec.estimateS) : 0,
+      endingCpusPerS: hasEnd
+        ? (assignment.placedCount * assignment.cpus) / Math.max(1, spec.estimateS)
+        : 0,
     };
     this.entries.set(key, entry);
-    this.count(entry, 1);
+    this.applyEntry(entry, 1);
     if (spec && assignment.waiting > 0) this.waiting.set(key, assignment);
     const done = this.jobs.get(assignment.job)?.done ?? 0;
-    if (spec && done >= endsAt(spec)) this.possiblyDone.add(assignment.job);
+    if (spec && done >= doneTasksToComplete(spec)) this.completionCandidates.add(assignment.job);
   }
 
   /** Adds what a chunk counts for, or subtracts it. */
-  private count(entry: Entry, sign: 1 | -1): void {
-    const { assignment, ending } = entry;
-    this.countTeam(assignment, sign);
-    this.countJob(assignment, sign);
-    if (ending > 0) {
-      const place = shardZoneKey(assignment.shard, assignment.zone);
-      this.endingCpusPerS.set(place, (this.endingCpusPerS.get(place) ?? 0) + sign * ending);
+  private applyEntry(entry: Entry, sign: 1 | -1): void {
+    const { assignment, endingCpusPerS } = entry;
+    this.applyToTeam(assignment, sign);
+    this.applyToJob(assignment, sign);
+    if (endingCpusPerS > 0) {
+      const shardZone = shardZoneKey(assignment.shard, assignment.zone);
+      this.endingCpusPerS.set(
+        shardZone,
+        (this.endingCpusPerS.get(shardZone) ?? 0) + sign * endingCpusPerS,
+      );
     }
-    for (const name of assignment.machines) this.countTask(name, entry, sign);
+    for (const name of assignment.machines) this.applyToMachine(name, entry, sign);
   }
 
-  private countTeam(assignment: AssignmentSummary, sign: 1 | -1): void {
-    const use = this.teams.get(assignment.team) ?? { cpus: 0, gpus: 0 };
-    this.teams.set(assignment.team, use);
-    use.cpus += sign * assignment.unfinished * assignment.cpus;
-    use.gpus += sign * assignment.unfinished * assignment.gpus;
+  private applyToTeam(assignment: AssignmentSummary, sign: 1 | -1): void {
+    const usage = this.teams.get(assignment.team) ?? { cpus: 0, gpus: 0 };
+    this.teams.set(assignment.team, usage);
+    usage.cpus += sign * assignment.unfinished * assignment.cpus;
+    usage.gpus += sign * assignment.unfinished * assignment.gpus;
   }
 
-  private countJob(assignment: AssignmentSummary, sign: 1 | -1): void {
+  private applyToJob(assignment: AssignmentSummary, sign: 1 | -1): void {
     const progress = this.jobs.get(assignment.job) ?? { assigned: 0, done: 0, placed: 0 };
     this.jobs.set(assignment.job, progress);
     progress.assigned += sign * assignment.ids.length;
@@ -158,9 +163,9 @@
     if (progress.assigned === 0) this.jobs.delete(assignment.job);
   }
 
-  private countTask(
+  private applyToMachine(
     machine: string,
-    { assignment, isLowPriority: low, isArray: array }: Entry,
+    { assignment, isLowPriority, isArray }: Entry,
     sign: 1 | -1,
   ): void {
     const placed = this.machines.get(machine) ?? emptyMachineUsage();
@@ -169,11 +174,11 @@
     placed.gpus += sign * assignment.gpus;
     placed.memoryGb += sign * assignment.memoryGb;
     placed.tasks += sign;
-    if (low) {
+    if (isLowPriority) {
       placed.preemptibleCpus += sign * assignment.cpus;
       placed.preemptibleMemoryGb += sign * assignment.memoryGb;
     }
-    if (array) {
+    if (isArray) {
       placed.arrayCpus += sign * assignment.cpus;
       placed.arrayMemoryGb += sign * assignment.memoryGb;
     }
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -1,9 +1,9 @@
 /** Capacity for gangs that have not come yet: which machines are reserved, and what the fleet lacks. */
 
-import { GANG_ENDING_SHARE } from '../../constants/gangs.js';
+import { GANG_RECLAIMABLE_SHARE } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  fitCount,
+  countFittingTasks,
   isEligible,
   allocateReclaimable,
   reclaimableCapacity,
@@ -21,8 +21,8 @@
 /** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
 interface MachineFit {
   name: string;
-  now: number;
-  later: number;
+  free: number;
+  afterArraysEnd: number;
 }
 
 /**
@@ -48,9 +48,13 @@
   const zones = new Map<string, number>();
   for (const machine of machines) {
     if (!isEligible(spec, machine)) continue;
-    const now = fitCount(machine, spec);
-    const later = fitCount(reclaimableCapacity(machine, reclaimModeFor(spec)), spec) - now;
-    zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + now + later * GANG_ENDING_SHARE);
+    const free = countFittingTasks(machine, spec);
+    const reclaimable =
+      countFittingTasks(reclaimableCapacity(machine, reclaimModeFor(spec)), spec) - free;
+    zones.set(
+      machine.zone,
+      (zones.get(machine.zone) ?? 0) + free + reclaimable * GANG_RECLAIMABLE_SHARE,
+    );
   }
   const [best] = [...zones].sort((a, b) => b[1] - a[1]);
   return best?.[0] ?? spec.zone;
@@ -58,71 +62,78 @@
 
 /** Takes room for a gang in a zone, free room first; returns how many tasks found none. */
 function allocateInZone(spec: JobSpec, zone: string | null, machines: MachineCapacity[]): number {
-  let left = spec.tasks;
-  for (const reclaims of [false, true]) {
+  let remaining = spec.tasks;
+  for (const mayReclaim of [false, true]) {
     for (const machine of machines) {
-      if (left <= 0 || machine.zone !== zone || !isEligible(spec, machine)) continue;
-      const free = reclaims ? reclaimableCapacity(machine, reclaimModeFor(spec)) : machine;
-      const fitting = fitCount(free, spec);
-      const count = Math.min(left, reclaims ? Math.floor(fitting * GANG_ENDING_SHARE) : fitting);
+      if (remaining <= 0 || machine.zone !== zone || !isEligible(spec, machine)) continue;
+      const free = mayReclaim ? reclaimableCapacity(machine, reclaimModeFor(spec)) : machine;
+      const fitting = countFittingTasks(free, spec);
+      const count = Math.min(
+        remaining,
+        mayReclaim ? Math.floor(fitting * GANG_RECLAIMABLE_SHARE) : fitting,
+      );
       allocateReclaimable(machine, spec, count);
-      left -= count;
+      remaining -= count;
     }
   }
-  return left;
+  return remaining;
 }
 
 /**
  * The one place that reserves room for such a gang: where most ordinary machines are that it may
  * use. Leader and parts compute it alike, and if they differ for a moment, arrays wait a little.
  */
-export function reservingPlace(
+export function reservingShardZone(
   spec: JobSpec,
   machines: Iterable<{ shard: string; type: string; zone: string; spot: boolean }>,
 ): string | null {
   const counts = new Map<string, number>();
   for (const machine of machines) {
     if (machine.spot || !isEligible(spec, machine)) continue;
-    const place = shardZoneKey(machine.shard, machine.zone);
-    counts.set(place, (counts.get(place) ?? 0) + 1);
+    const shardZone = shardZoneKey(machine.shard, machine.zone);
+    counts.set(shardZone, (counts.get(shardZone) ?? 0) + 1);
   }
   let best: string | null = null;
-  let most = 0;
-  for (const [place, count] of counts) {
-    if (count < most || (count === most && best !== null && place > best)) continue;
-    best = place;
-    most = count;
+  let largestCount = 0;
+  for (const [shardZone, count] of counts) {
+    if (count < largestCount || (count === largestCount && best !== null && shardZone > best))
+      continue;
+    best = shardZone;
+    largestCount = count;
   }
   return best;
 }
 
 /** Names of the machines that are reserved for a gang like this one: arrays may not use them. */
 export function reservedMachines(spec: JobSpec, machines: readonly MachineCapacity[]): Set<string> {
-  const place = reservingPlace(spec, machines);
+  const shardZone = reservingShardZone(spec, machines);
   const fits = machines
     .filter(
       (machine) =>
         !machine.spot &&
-        shardZoneKey(machine.shard, machine.zone) === place &&
+        shardZoneKey(machine.shard, machine.zone) === shardZone &&
         isEligible(spec, machine),
     )
-    .map((machine) => fitOn(spec, machine))
-    .sort((a, b) => b.now - a.now || b.later - a.later || (a.name < b.name ? -1 : 1));
+    .map((machine) => machineFit(spec, machine))
+    .sort(
+      (a, b) =>
+        b.free - a.free || b.afterArraysEnd - a.afterArraysEnd || (a.name < b.name ? -1 : 1),
+    );
   const reserved = new Set<string>();
   let count = 0;
-  for (const { name, later } of fits) {
+  for (const { name, afterArraysEnd } of fits) {
     if (count >= spec.tasks) break;
-    if (later === 0) continue;
+    if (afterArraysEnd === 0) continue;
     reserved.add(name);
-    count += later;
+    count += afterArraysEnd;
   }
   return reserved;
 }
 
-function fitOn(spec: JobSpec, machine: MachineCapacity): MachineFit {
+function machineFit(spec: JobSpec, machine: MachineCapacity): MachineFit {
   return {
     name: machine.name,
-    now: fitCount(machine, spec),
-    later: fitCount(reclaimableCapacity(machine, 'ending'), spec),
+    free: countFittingTasks(machine, spec),
+    afterArraysEnd: countFittingTasks(reclaimableCapacity(machine, 'awaitCompletion'), spec),
   };
 }
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -11,7 +11,7 @@
 }
 
 /** Amounts on a machine, with what other work there could leave to more. */
-export interface MachineAmounts extends Amounts {
+export interface MachineResources extends Amounts {
   /** Tasks placed on it. */
   tasks: number;
   /** CPUs and memory of tasks that rank below `high`: what urgent work could take. */
@@ -23,7 +23,7 @@
 }
 
 /** A machine as the leader counts it: the amounts are those that are free. */
-export interface MachineCapacity extends MachineAmounts {
+export interface MachineCapacity extends MachineResources {
   name: string;
   shard: string;
   type: string;
@@ -37,38 +37,38 @@
   spec: JobSpec;
   count: number;
   /** Time of day of its acceptance in ms. */
-  at: number;
+  acceptedAt: number;
 }
 
 /** The fleet as the leader's last round left it, with the demand that it does not meet. */
 export interface FleetSnapshot {
   machines: MachineCapacity[];
-  unmet: UnmetDemand[];
+  unmetDemand: UnmetDemand[];
   /** CPUs that lower work will take if it goes on arriving as it did lately. */
-  comingCpus: number;
+  expectedCpus: number;
   /** The array of lower work that arrived last. */
-  coming: JobSpec | null;
+  lastArray: JobSpec | null;
   /** The largest gang of each class that arrived lately. */
-  gangs: JobSpec[];
+  recentGangs: JobSpec[];
 }
 
 /** What so many tasks take. */
-export const need = (task: Amounts, count: number): Amounts => ({
+export const resourcesOf = (task: Amounts, count: number): Amounts => ({
   cpus: task.cpus * count,
   gpus: task.gpus * count,
   memoryGb: task.memoryGb * count,
 });
 
 /** Sums of decimals may miss a whole task by this share of it. */
-const SLACK = 1e-9;
+const ROUNDING_SLACK = 1e-9;
 
 /** How many tasks of a kind fit into a room. */
-export function fitCount(free: Amounts, task: Amounts): number {
+export function countFittingTasks(free: Amounts, task: Amounts): number {
   let count = Infinity;
-  if (task.cpus > 0) count = Math.min(count, Math.floor(free.cpus / task.cpus + SLACK));
-  if (task.gpus > 0) count = Math.min(count, Math.floor(free.gpus / task.gpus + SLACK));
+  if (task.cpus > 0) count = Math.min(count, Math.floor(free.cpus / task.cpus + ROUNDING_SLACK));
+  if (task.gpus > 0) count = Math.min(count, Math.floor(free.gpus / task.gpus + ROUNDING_SLACK));
   if (task.memoryGb > 0) {
-    count = Math.min(count, Math.floor(free.memoryGb / task.memoryGb + SLACK));
+    count = Math.min(count, Math.floor(free.memoryGb / task.memoryGb + ROUNDING_SLACK));
   }
   return Math.max(0, count);
 }
@@ -86,21 +86,21 @@
 }
 
 /** What makes room on a machine: urgent work stops lower work, other work waits for arrays to end. */
-export type ReclaimMode = 'stoppingArrays' | 'stopping' | 'ending';
+export type ReclaimMode = 'preemptArrays' | 'preempt' | 'awaitCompletion';
 
 /** How the leader counts on room being made for a job. */
 export const reclaimModeFor = (spec: JobSpec): ReclaimMode =>
-  rankOf(spec.priority) >= URGENT ? 'stopping' : 'ending';
+  rankOf(spec.priority) >= URGENT ? 'preempt' : 'awaitCompletion';
 
 /**
  * The ways to make room for a job, the least costly first: a task of an array that is stopped loses
  * its own work, one of a gang that of the whole gang.
  */
 export const reclaimModesFor = (spec: JobSpec): readonly ReclaimMode[] =>
-  reclaimModeFor(spec) === 'stopping' ? ['stoppingArrays', 'stopping'] : ['ending'];
+  reclaimModeFor(spec) === 'preempt' ? ['preemptArrays', 'preempt'] : ['awaitCompletion'];
 
 /** What other work leaves on a machine when it makes room. */
-function reclaimed(
+function reclaimableAmounts(
   machine: MachineCapacity,
   mode: ReclaimMode,
 ): { cpus: number; memoryGb: number } {
@@ -111,11 +111,11 @@
     arrayMemoryGb: endingMemoryGb,
   } = machine;
   switch (mode) {
-    case 'stopping':
+    case 'preempt':
       return { cpus: preemptibleCpus, memoryGb: preemptibleMemoryGb };
-    case 'ending':
+    case 'awaitCompletion':
       return { cpus: endingCpus, memoryGb: endingMemoryGb };
-    case 'stoppingArrays':
+    case 'preemptArrays':
       // Arrays may be urgent themselves.
       return {
         cpus: Math.min(preemptibleCpus, endingCpus),
@@ -126,7 +126,7 @@
 
 /** The room that a machine has once other work has made some. */
 export function reclaimableCapacity(machine: MachineCapacity, mode: ReclaimMode): Amounts {
-  const { cpus, memoryGb } = reclaimed(machine, mode);
+  const { cpus, memoryGb } = reclaimableAmounts(machine, mode);
   return {
     cpus: machine.cpus + cpus,
     gpus: machine.gpus,
@@ -136,9 +136,9 @@
 
 /** Takes the room of so many tasks from a machine: what is free, and the rest from other work. */
 export function allocateReclaimable(machine: MachineCapacity, spec: JobSpec, count: number): void {
-  const taken = need(spec, count);
-  const cpus = Math.max(0, taken.cpus - Math.max(0, machine.cpus));
-  const memoryGb = Math.max(0, taken.memoryGb - Math.max(0, machine.memoryGb));
+  const allocated = resourcesOf(spec, count);
+  const cpus = Math.max(0, allocated.cpus - Math.max(0, machine.cpus));
+  const memoryGb = Math.max(0, allocated.memoryGb - Math.max(0, machine.memoryGb));
   allocateTasks(machine, spec, count);
   machine.cpus += cpus;
   machine.memoryGb += memoryGb;
@@ -150,9 +150,9 @@
 
 /** Takes the room of so many tasks of a job from a machine. */
 export function allocateTasks(machine: MachineCapacity, spec: JobSpec, count: number): void {
-  const taken = need(spec, count);
-  machine.cpus -= taken.cpus;
-  machine.gpus -= taken.gpus;
-  machine.memoryGb -= taken.memoryGb;
+  const allocated = resourcesOf(spec, count);
+  machine.cpus -= allocated.cpus;
+  machine.gpus -= allocated.gpus;
+  machine.memoryGb -= allocated.memoryGb;
   machine.tasks += count;
 }
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -18,7 +18,7 @@
 const EMPTY_MACHINE_USAGE: Readonly<MachineUsage> = emptyMachineUsage();
 
 /** The machines that the parts call good. */
-export function* machinesOf(
+export function* healthyMachines(
   replica: StoreReplica,
 ): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
   for (const [key, held] of replica.below<StatusRecord>(STATUSES)) {
@@ -30,7 +30,7 @@
 }
 
 /** Which machine it is, and where. */
-type MachinePlace = Readonly<
+type MachineIdentity = Readonly<
   Pick<MachineCapacity, 'name' | 'shard' | 'type' | 'zone' | 'spot' | 'health'>
 >;
 
@@ -40,7 +40,7 @@
    * What records were decoded to. A change of a key replaces its entry in the replica, so that a
    * round decodes what changed and not the whole fleet.
    */
-  private readonly decoded = new WeakMap<Held, readonly MachinePlace[]>();
+  private readonly decoded = new WeakMap<Held, readonly MachineIdentity[]>();
 
   constructor(
     private readonly members: readonly Member[],
@@ -52,48 +52,49 @@
   machines(): Map<string, MachineCapacity> {
     const types = new Map((readCatalog(this.replica) ?? []).map((type) => [type.name, type]));
     const machines = new Map<string, MachineCapacity>();
-    const add = (place: MachinePlace): void => {
-      const type = types.get(place.type);
-      if (type) machines.set(place.name, this.capacityOf(place, type));
+    const add = (identity: MachineIdentity): void => {
+      const type = types.get(identity.type);
+      if (type) machines.set(identity.name, this.capacityOf(identity, type));
     };
     for (const [key, held] of this.replica.below<MachineRecord>(MACHINES)) {
       if (held.value.state !== 'rented') continue;
-      for (const place of this.decode(held, () => this.rentedPlaces(key, held.value))) add(place);
+      for (const identity of this.decode(held, () => this.rentedMachine(key, held.value)))
+        add(identity);
     }
     for (const [key, held] of this.replica.below<StatusRecord>(STATUSES)) {
-      for (const place of this.decode(held, () => reportedPlaces(key, held.value))) {
-        const state = this.replica.machine(place.name)?.state;
-        if (state !== 'drain' && state !== 'gone') add(place);
+      for (const identity of this.decode(held, () => reportedMachines(key, held.value))) {
+        const state = this.replica.machine(identity.name)?.state;
+        if (state !== 'drain' && state !== 'gone') add(identity);
       }
     }
     return machines;
   }
 
-  private decode(held: Held, read: () => MachinePlace[]): readonly MachinePlace[] {
-    const known = this.decoded.get(held);
-    if (known) return known;
-    const places = read();
-    this.decoded.set(held, places);
-    return places;
+  private decode(held: Held, read: () => MachineIdentity[]): readonly MachineIdentity[] {
+    const decodedBefore = this.decoded.get(held);
+    if (decodedBefore) return decodedBefore;
+    const identities = read();
+    this.decoded.set(held, identities);
+    return identities;
   }
 
   /** A machine that was rented; it boots until its part says otherwise. */
-  private rentedPlaces(key: string, { type, zone, spot }: MachineRecord): MachinePlace[] {
+  private rentedMachine(key: string, { type, zone, spot }: MachineRecord): MachineIdentity[] {
     const name = key.slice(MACHINES.length);
     const shard = shardOf(name, zone, this.members);
     return [{ name, shard, type, zone, spot, health: 'booting' }];
   }
 
   /** Field by field: copying the place would make objects that the engine handles slowly. */
-  private capacityOf(place: MachinePlace, type: MachineType): MachineCapacity {
-    const placed = this.accounting.machines.get(place.name) ?? EMPTY_MACHINE_USAGE;
+  private capacityOf(identity: MachineIdentity, type: MachineType): MachineCapacity {
+    const placed = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
     return {
-      name: place.name,
-      shard: place.shard,
-      type: place.type,
-      zone: place.zone,
-      spot: place.spot,
-      health: place.health,
+      name: identity.name,
+      shard: identity.shard,
+      type: identity.type,
+      zone: identity.zone,
+      spot: identity.spot,
+      health: identity.health,
       cpus: type.cpus - placed.cpus,
       gpus: type.gpus - placed.gpus,
       memoryGb: type.memoryGb - placed.memoryGb,
@@ -107,7 +108,7 @@
 }
 
 /** The machines that a part tells of in one of its records. */
-function reportedPlaces(key: string, { machines }: StatusRecord): MachinePlace[] {
+function reportedMachines(key: string, { machines }: StatusRecord): MachineIdentity[] {
   const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
   return Object.entries(machines).map(([name, [type, zone, spot, health]]) => {
     return { name, shard, type, zone, spot: spot === 1, health };
--- a/src/coordination/capacity/resources.ts
+++ b/src/coordination/capacity/resources.ts
@@ -11,17 +11,17 @@
 const ROUNDING_SLACK = 1e-9;
 
 /** Whether there is room for a need; sums of decimals may be off by a little. */
-export function fits(free: Resources, need: Resources): boolean {
+export function fits(free: Resources, required: Resources): boolean {
   return (
-    free.cpus + ROUNDING_SLACK >= need.cpus &&
-    free.gpus + ROUNDING_SLACK >= need.gpus &&
-    free.memoryGb + ROUNDING_SLACK >= need.memoryGb
+    free.cpus + ROUNDING_SLACK >= required.cpus &&
+    free.gpus + ROUNDING_SLACK >= required.gpus &&
+    free.memoryGb + ROUNDING_SLACK >= required.memoryGb
   );
 }
 
 /** Takes a need, so many times, out of a room; a negative number gives it back. */
-export function allocate(free: Resources, need: Resources, times = 1): void {
-  free.cpus -= need.cpus * times;
-  free.gpus -= need.gpus * times;
-  free.memoryGb -= need.memoryGb * times;
+export function allocate(free: Resources, required: Resources, times = 1): void {
+  free.cpus -= required.cpus * times;
+  free.gpus -= required.gpus * times;
+  free.memoryGb -= required.memoryGb * times;
 }
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -44,15 +44,15 @@
   /** Records that assign these tasks to a place, each small enough for one value. */
   create(
     spec: JobSpec,
-    place: ShardZone,
+    shardZone: ShardZone,
     ids: readonly number[],
-    gang: GangFields = {},
+    gangFields: GangFields = {},
   ): NewAssignment[] {
     const assignments: NewAssignment[] = [];
     for (let start = 0; start < ids.length; start += this.tasksPerAssignment) {
       const number = this.numbers.next();
       assignments.push({
-        key: assignmentKey(place.shard, spec.id, number),
+        key: assignmentKey(shardZone.shard, spec.id, number),
         value: {
           ids: writeRanges(ids.slice(start, start + this.tasksPerAssignment)),
           done: '',
@@ -61,8 +61,8 @@
           cpus: spec.cpus,
           gpus: spec.gpus,
           memoryGb: spec.memoryGb,
-          zone: place.zone,
-          ...gang,
+          zone: shardZone.zone,
+          ...gangFields,
         },
       });
     }
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -1,5 +1,5 @@
 /** Plans an assigning round: which tasks of which jobs go to which parts. */
-import { ASSIGN_PACE_MS, LATE_CAPACITY_SHARE } from '../../constants/leader.js';
+import { ASSIGN_INTERVAL_MS, DEADLINE_CAPACITY_SHARE } from '../../constants/leader.js';
 import type { Team } from '../../protocol/settings.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
@@ -12,7 +12,7 @@
 import { FairShareReclaim } from './fair-share-reclaim.js';
 import { MachineInventory } from '../capacity/machine-inventory.js';
 import type { CapacityAccounting } from '../capacity/capacity-accounting.js';
-import { queuesByPlace } from './shard-queues.js';
+import { queuesByShardZone } from './shard-queues.js';
 import type { RecentArrivals } from './recent-arrivals.js';
 import type { Member } from '../election/rendezvous-hashing.js';
 import { schedulingOrder, type OpenJob } from './scheduling-order.js';
@@ -48,7 +48,7 @@
 }
 
 /** CPUs of these machines that lower work uses or may use. */
-function cpusForLowerWork(machines: readonly MachineCapacity[]): number {
+function cpusForNonUrgentWork(machines: readonly MachineCapacity[]): number {
   return machines.reduce(
     (sum, { cpus, preemptibleCpus }) => sum + (Math.max(0, cpus) + preemptibleCpus),
     0,
@@ -59,8 +59,8 @@
 export class AssignmentPlanner {
   private readonly teams: ReadonlyMap<string, Team>;
   private readonly inventory: MachineInventory;
-  private readonly limits: TeamQuota;
-  private readonly gangs: GangHistory;
+  private readonly teamQuota: TeamQuota;
+  private readonly gangHistory: GangHistory;
   private readonly assignmentFactory: AssignmentFactory;
   private readonly history = new AssignmentHistory();
   private readonly shardAssignment: ShardAssignment;
@@ -70,42 +70,42 @@
     const { clock, accounting, log, replica, startWithinS, term } = options;
     const { history } = this;
     const teams = new Map(options.teams.map((team) => [team.name, team]));
-    const limits = new TeamQuota({ teams, replica, accounting, log });
-    const gangs = new GangHistory(term);
-    const claims = new FairShareReclaim(teams, replica, clock);
+    const teamQuota = new TeamQuota({ teams, replica, accounting, log });
+    const gangHistory = new GangHistory(term);
+    const fairShareReclaim = new FairShareReclaim(teams, replica, clock);
     const assignmentFactory = new AssignmentFactory(term, options.valueBytes);
     const distribution = new TaskDistribution(replica, assignmentFactory);
     const gangOptions = {
-      gangs,
-      claims,
-      limits,
+      gangHistory,
+      fairShareReclaim,
+      teamQuota,
       assignmentFactory,
       replica,
       log,
       startWithinS,
     };
     this.teams = teams;
-    this.limits = limits;
-    this.gangs = gangs;
+    this.teamQuota = teamQuota;
+    this.gangHistory = gangHistory;
     this.assignmentFactory = assignmentFactory;
     this.inventory = new MachineInventory(options.members, replica, accounting);
-    this.shardAssignment = new ShardAssignment({ limits, history, distribution, clock });
+    this.shardAssignment = new ShardAssignment({ teamQuota, history, distribution, clock });
     this.gangAssignment = new GangAssignment(gangOptions);
   }
 
   /** The leader needs a new term before it has used all numbers of this one. */
   get isRunningOut(): boolean {
-    return this.assignmentFactory.isRunningOut || this.gangs.isRunningOut;
+    return this.assignmentFactory.isRunningOut || this.gangHistory.isRunningOut;
   }
 
   /** Plans a round by the room and the team limits that are left now. */
   plan(): SchedulingCycle {
     const { clock, supply } = this.options;
     const startedAt = clock.now();
-    this.history.expire(startedAt, ASSIGN_PACE_MS[supply()]);
+    this.history.expire(startedAt, ASSIGN_INTERVAL_MS[supply()]);
     const cycle = this.createCycle(startedAt);
-    this.limits.beginCycle();
-    for (const job of this.orderedJobs(cycle)) this.assignJob(job, cycle);
+    this.teamQuota.beginCycle();
+    for (const job of this.jobsInSchedulingOrder(cycle)) this.assignJob(job, cycle);
     this.forgetClosedJobs();
     return cycle;
   }
@@ -116,30 +116,30 @@
     const machines = fleet.filter(
       ({ health, shard }) => health === 'ok' && this.options.acceptsNewWork(shard),
     );
-    const gang = arrivals.gangs.largestNotUrgent;
+    const gang = arrivals.recentGangs.largestNonUrgent;
     const reserved = gang ? reservedMachines(gang, machines) : new Set<string>();
     return {
       startedAt,
       fleet,
       machines,
       unreservedMachines: machines.filter(({ name }) => !reserved.has(name)),
-      reserved,
-      queues: queuesByPlace(machines, accounting.endingCpusPerS),
-      unmet: [],
+      reservedMachineNames: reserved,
+      queues: queuesByShardZone(machines, accounting.endingCpusPerS),
+      unmetDemand: [],
       assignments: [],
       urgentKeys: new Set(),
     };
   }
 
   /** Jobs in the order of their turn, once tasks that wait in parts have occupied their room. */
-  private orderedJobs(cycle: SchedulingCycle): OpenJob[] {
+  private jobsInSchedulingOrder(cycle: SchedulingCycle): OpenJob[] {
     const { clock, accounting, replica } = this.options;
-    const cpus = cpusForLowerWork(cycle.machines) * LATE_CAPACITY_SHARE;
+    const cpus = cpusForNonUrgentWork(cycle.machines) * DEADLINE_CAPACITY_SHARE;
     allocateForWaitingTasks(cycle, accounting, replica);
     return schedulingOrder(replica.openJobs(), {
       progress: accounting.jobs,
       teams: this.teams,
-      usage: this.limits.usage,
+      usage: this.teamQuota.usage,
       cpus,
       wall: clock.wall(),
     });
@@ -153,8 +153,8 @@
 
   private forgetClosedJobs(): void {
     const isOpen = (job: string): boolean => this.options.replica.job(job) !== null;
-    this.gangs.forget(isOpen);
+    this.gangHistory.forgetClosed(isOpen);
     this.history.forgetClosed(isOpen);
-    this.limits.forgetClosed(isOpen);
+    this.teamQuota.forgetClosed(isOpen);
   }
 }
--- a/src/coordination/leader/assignment-round.ts
+++ b/src/coordination/leader/assignment-round.ts
@@ -14,11 +14,11 @@
   /** The healthy machines without those whose room is reserved for the next gang. */
   readonly unreservedMachines: readonly MachineCapacity[];
   /** Names of the machines whose room is reserved for the next gang. */
-  readonly reserved: ReadonlySet<string>;
+  readonly reservedMachineNames: ReadonlySet<string>;
   /** The queues of the parts, by place. */
   readonly queues: ReadonlyMap<string, Queue>;
   /** Tasks for which no room was found. */
-  readonly unmet: UnmetDemand[];
+  readonly unmetDemand: UnmetDemand[];
   /** Chunks that assign tasks to parts, in the order of the jobs' turns. */
   readonly assignments: NewAssignment[];
   /** Keys of the chunks that hold urgent work. */
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -1,7 +1,7 @@
 /** Occupies room on the machines of the leader's round, so that later jobs do not count on it. */
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  fitCount,
+  countFittingTasks,
   isEligible,
   allocateTasks,
   allocateReclaimable,
@@ -16,18 +16,18 @@
  * returns how many tasks found none.
  */
 function allocateFree(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): number {
-  let left = count;
-  for (const busy of [true, false]) {
+  let remaining = count;
+  for (const isInUse of [true, false]) {
     for (const machine of machines) {
-      if (left === 0) return 0;
-      if (machine.tasks > 0 !== busy || machine.cpus < spec.cpus) continue;
+      if (remaining === 0) return 0;
+      if (machine.tasks > 0 !== isInUse || machine.cpus < spec.cpus) continue;
       if (!isEligible(spec, machine)) continue;
-      const fitting = Math.min(left, fitCount(machine, spec));
-      allocateTasks(machine, spec, fitting);
-      left -= fitting;
+      const count = Math.min(remaining, countFittingTasks(machine, spec));
+      allocateTasks(machine, spec, count);
+      remaining -= count;
     }
   }
-  return left;
+  return remaining;
 }
 
 /** Occupies room for tasks that other work has to free first. */
@@ -37,28 +37,28 @@
   machines: readonly MachineCapacity[],
 ): void {
   const mode = reclaimModeFor(spec);
-  let left = count;
+  let remaining = count;
   for (const machine of machines) {
-    if (left === 0) return;
+    if (remaining === 0) return;
     if (!isEligible(spec, machine)) continue;
-    const fitting = Math.min(left, fitCount(reclaimableCapacity(machine, mode), spec));
-    allocateReclaimable(machine, spec, fitting);
-    left -= fitting;
+    const count = Math.min(remaining, countFittingTasks(reclaimableCapacity(machine, mode), spec));
+    allocateReclaimable(machine, spec, count);
+    remaining -= count;
   }
 }
 
 /** Occupies room for tasks that are assigned to a place: free room, then what other work frees. */
 export function allocateInShardZone(
   spec: JobSpec,
-  place: ShardZone,
+  shardZone: ShardZone,
   count: number,
   machines: readonly MachineCapacity[],
 ): void {
-  const inPlace = machines.filter(
-    ({ shard, zone }) => shard === place.shard && zone === place.zone,
+  const machinesInShardZone = machines.filter(
+    ({ shard, zone }) => shard === shardZone.shard && zone === shardZone.zone,
   );
-  const left = allocateFree(spec, count, inPlace);
-  allocateReclaimed(spec, left, inPlace);
+  const remaining = allocateFree(spec, count, machinesInShardZone);
+  allocateReclaimed(spec, remaining, machinesInShardZone);
 }
 
 /** Occupies the free room of a zone for a gang that waits for more of it. */
@@ -67,12 +67,12 @@
   zone: string,
   machines: readonly MachineCapacity[],
 ): void {
-  let left = spec.tasks;
+  let remaining = spec.tasks;
   for (const machine of machines) {
-    if (left === 0) return;
+    if (remaining === 0) return;
     if (machine.zone !== zone || !isEligible(spec, machine)) continue;
-    const fitting = Math.min(left, fitCount(machine, spec));
-    allocateTasks(machine, spec, fitting);
-    left -= fitting;
+    const count = Math.min(remaining, countFittingTasks(machine, spec));
+    allocateTasks(machine, spec, count);
+    remaining -= count;
   }
 }
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -1,7 +1,7 @@
 /** Finds the places whose machines have room for tasks of a job. */
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import {
-  fitCount,
+  countFittingTasks,
   isEligible,
   reclaimModesFor,
   reclaimableCapacity,
@@ -23,7 +23,7 @@
     return this.sums.size === 0;
   }
 
-  get free(): ShardZoneCapacity[] {
+  get capacities(): ShardZoneCapacity[] {
     return [...this.sums.values()];
   }
 
@@ -46,15 +46,15 @@
   wanted: number,
   machines: readonly MachineCapacity[],
 ): void {
-  let besideOthers = 0;
-  for (const busy of [true, false]) {
-    if (!busy && besideOthers >= wanted) break;
+  let fittingOnUsedMachines = 0;
+  for (const isInUse of [true, false]) {
+    if (!isInUse && fittingOnUsedMachines >= wanted) break;
     for (const machine of machines) {
-      if (machine.cpus < spec.cpus || machine.tasks > 0 !== busy) continue;
+      if (machine.cpus < spec.cpus || machine.tasks > 0 !== isInUse) continue;
       if (!isEligible(spec, machine)) continue;
-      const count = fitCount(machine, spec);
+      const count = countFittingTasks(machine, spec);
       sums.add(machine, count);
-      if (busy) besideOthers += count;
+      if (isInUse) fittingOnUsedMachines += count;
     }
   }
 }
@@ -69,7 +69,7 @@
     if (!sums.isEmpty) break;
     for (const machine of machines) {
       if (machine.preemptibleCpus <= 0 || !isEligible(spec, machine)) continue;
-      sums.add(machine, fitCount(reclaimableCapacity(machine, mode), spec));
+      sums.add(machine, countFittingTasks(reclaimableCapacity(machine, mode), spec));
     }
   }
 }
@@ -83,5 +83,5 @@
   const sums = new CapacitySums();
   addFreeCapacity(sums, spec, wanted, machines);
   if (rankOf(spec.priority) >= URGENT) addReclaimableCapacity(sums, spec, machines);
-  return sums.free;
+  return sums.capacities;
 }
--- a/src/coordination/leader/deadline-selection.ts
+++ b/src/coordination/leader/deadline-selection.ts
@@ -3,7 +3,7 @@
 /** What a job still needs of the fleet until its deadline; times in seconds from now. */
 export interface DeadlineDemand {
   /** CPU seconds. */
-  work: number;
+  workCpuS: number;
   /** Run time of one task. */
   runS: number;
   dueS: number;
@@ -11,13 +11,13 @@
 
 /** Inserts a demand behind those with as much work or less: a burst brings hundreds of demands. */
 function insertByWork(demands: DeadlineDemand[], demand: DeadlineDemand): void {
-  let low = 0;
-  for (let high = demands.length; low < high;) {
-    const middle = (low + high) >> 1;
-    if ((demands[middle]?.work ?? 0) <= demand.work) low = middle + 1;
-    else high = middle;
+  let start = 0;
+  for (let end = demands.length; start < end;) {
+    const middle = (start + end) >> 1;
+    if ((demands[middle]?.workCpuS ?? 0) <= demand.workCpuS) start = middle + 1;
+    else end = middle;
   }
-  demands.splice(low, 0, demand);
+  demands.splice(start, 0, demand);
 }
 
 /**
@@ -31,19 +31,19 @@
 ): Set<DeadlineDemand> {
   const late = new Set<DeadlineDemand>();
   /** Demands that are in time, the one with the most work last. */
-  const inTime: DeadlineDemand[] = [];
-  let work = 0;
+  const onTime: DeadlineDemand[] = [];
+  let workCpuS = 0;
   for (const demand of [...demands].sort((a, b) => a.dueS - b.dueS)) {
     if (demand.runS > demand.dueS) {
       late.add(demand);
       continue;
     }
-    insertByWork(inTime, demand);
-    work += demand.work;
-    while (work / Math.max(1, cpus) > demand.dueS) {
-      const largest = inTime.pop();
+    insertByWork(onTime, demand);
+    workCpuS += demand.workCpuS;
+    while (workCpuS / Math.max(1, cpus) > demand.dueS) {
+      const largest = onTime.pop();
       if (!largest) break;
-      work -= largest.work;
+      workCpuS -= largest.workCpuS;
       late.add(largest);
     }
   }
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -2,30 +2,30 @@
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import {
-  GANG_IMAGES,
-  GANG_KEEP_FOR_MS,
-  GANG_KEEP_FROM_MS,
-  GANG_RETRY_MOST_MS,
-  GANG_RETRY_MS,
+  GANG_IMAGE_HISTORY_SIZE,
+  GANG_RESERVATION_MS,
+  GANG_RESERVATION_DELAY_MS,
+  GANG_RETRY_MAX_MS,
+  GANG_RETRY_MIN_MS,
 } from '../../constants/gangs.js';
-import type { Share } from './gang-plan.js';
+import type { GangShare } from './gang-plan.js';
 import { shardZoneKey } from '../capacity/priorities.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
 /** How often a gang was handed out, and when last. */
-interface Tries {
+interface AssignmentTries {
   count: number;
-  at: number;
+  lastTriedAt: number;
 }
 
 /** The leader's memory of gangs in one term; times are of the steady clock, in ms. */
 export class GangHistory {
   private readonly attempts: TermNumbers;
-  private readonly tries = new Map<string, Tries>();
+  private readonly triesByJob = new Map<string, AssignmentTries>();
   /** Since when a gang waits, by job. */
   private readonly waitingSince = new Map<string, number>();
   /** Where a gang with an image was last, in the order of use. */
-  private readonly placeByImage = new Map<string, string>();
+  private readonly shardZoneByImage = new Map<string, string>();
 
   constructor(term: number) {
     const range = term * SHARDS_PER_TERM + SHARDS_PER_TERM - 1;
@@ -38,31 +38,34 @@
   }
 
   /** A new attempt for all tasks of a gang: numbers of no part, and never used again. */
-  attempt(job: string, now: number): number {
-    this.tries.set(job, { count: (this.tries.get(job)?.count ?? 0) + 1, at: now });
+  nextAttempt(job: string, now: number): number {
+    this.triesByJob.set(job, {
+      count: (this.triesByJob.get(job)?.count ?? 0) + 1,
+      lastTriedAt: now,
+    });
     this.waitingSince.delete(job);
     return this.attempts.next();
   }
 
   /** The place that had a gang with an image last; null: none is remembered. */
-  placeOf(image: string): string | null {
-    return this.placeByImage.get(image) ?? null;
+  lastShardZoneOf(image: string): string | null {
+    return this.shardZoneByImage.get(image) ?? null;
   }
 
   /** Remembers the place of a gang with this image; the image that was unused longest is dropped. */
-  placed(image: string, share: Share): void {
-    this.placeByImage.delete(image);
-    this.placeByImage.set(image, shardZoneKey(share.shard, share.zone));
-    const oldest = this.placeByImage.keys().next();
-    if (this.placeByImage.size > GANG_IMAGES && !oldest.done) {
-      this.placeByImage.delete(oldest.value);
+  recordPlacement(image: string, share: GangShare): void {
+    this.shardZoneByImage.delete(image);
+    this.shardZoneByImage.set(image, shardZoneKey(share.shard, share.zone));
+    const oldest = this.shardZoneByImage.keys().next();
+    if (this.shardZoneByImage.size > GANG_IMAGE_HISTORY_SIZE && !oldest.done) {
+      this.shardZoneByImage.delete(oldest.value);
     }
   }
 
   /** Whether a gang may be handed out: one that came back again and again waits longer each time. */
-  mayTry(job: string, now: number): boolean {
-    const { count, at } = this.tries.get(job) ?? { count: 0, at: -Infinity };
-    return now - at >= Math.min(GANG_RETRY_MOST_MS, GANG_RETRY_MS * 2 ** count);
+  isRetryDue(job: string, now: number): boolean {
+    const { count, lastTriedAt } = this.triesByJob.get(job) ?? { count: 0, lastTriedAt: -Infinity };
+    return now - lastTriedAt >= Math.min(GANG_RETRY_MAX_MS, GANG_RETRY_MIN_MS * 2 ** count);
   }
 
   /**
@@ -70,15 +73,15 @@
    * long not, so that what can't start soon doesn't block other work for ever.
    */
   reservesCapacity(job: string, now: number): boolean {
-    const since = this.waitingSince.get(job) ?? now;
-    this.waitingSince.set(job, since);
-    const waited = now - since - GANG_KEEP_FROM_MS;
-    return waited >= 0 && waited % (2 * GANG_KEEP_FOR_MS) < GANG_KEEP_FOR_MS;
+    const waitingSinceMs = this.waitingSince.get(job) ?? now;
+    this.waitingSince.set(job, waitingSinceMs);
+    const waited = now - waitingSinceMs - GANG_RESERVATION_DELAY_MS;
+    return waited >= 0 && waited % (2 * GANG_RESERVATION_MS) < GANG_RESERVATION_MS;
   }
 
   /** Forgets the gangs whose jobs are over. */
-  forget(isOpen: (job: string) => boolean): void {
-    for (const entries of [this.tries, this.waitingSince]) {
+  forgetClosed(isOpen: (job: string) => boolean): void {
+    for (const entries of [this.triesByJob, this.waitingSince]) {
       for (const job of entries.keys()) if (!isOpen(job)) entries.delete(job);
     }
   }
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -2,7 +2,7 @@
 
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  fitCount,
+  countFittingTasks,
   isEligible,
   reclaimableCapacity,
   reclaimModesFor,
@@ -12,17 +12,17 @@
 import { shardZoneKey } from '../capacity/priorities.js';
 
 /** Tasks of a gang for one part. */
-export interface Share {
+export interface GangShare {
   shard: string;
   zone: string;
   count: number;
 }
 
 /**
- * When there is room for all of a gang. `now`: it is free. `soon`: it will be, once work that may be
+ * When there is room for all of a gang. `immediate`: it is free. `afterReclaim`: it will be, once work that may be
  * stopped, or ends by itself, has left.
  */
-export type Availability = 'now' | 'soon';
+export type Availability = 'immediate' | 'afterReclaim';
 
 /**
  * Where a gang goes as a whole, and when there is room for it. No shares: there is no room; `zone` is
@@ -30,25 +30,26 @@
  * there.
  */
 export type GangPlan =
-  { shares: Share[]; when: Availability } | { shares: null; zone: string | null; missing: number };
+  | { shares: GangShare[]; availability: Availability }
+  | { shares: null; zone: string | null; missingTasks: number };
 
 /** What the leader recorded about a gang's image. */
 export interface ImageHints {
   /** The place that had a gang with this image last; null: none. */
-  lastPlace: string | null;
+  lastShardZone: string | null;
   /** Machine types that fetch the image soon enough for the start aim of the gang's class. */
-  fetchesInTime: (type: string) => boolean;
+  isFetchInTime: (type: string) => boolean;
 }
 
 /** The machines of one part in one zone, and how many of the gang's tasks fit there. */
-interface PlaceCapacity {
+interface ShardZoneGangCapacity {
   shard: string;
   zone: string;
-  now: number;
-  soon: number;
+  immediate: number;
+  afterReclaim: number;
 }
 
-const NO_HINTS: ImageHints = { lastPlace: null, fetchesInTime: () => true };
+const NO_HINTS: ImageHints = { lastShardZone: null, isFetchInTime: () => true };
 
 /** Decides where a gang goes: where it costs the least to make room, if there is none. */
 export function planGang(
@@ -58,156 +59,166 @@
 ): GangPlan {
   const modes = reclaimModesFor(spec);
   for (const mode of modes.slice(0, -1)) {
-    const plan = planInTime(spec, machines, hints, mode);
+    const plan = planPreferringFastFetch(spec, machines, hints, mode);
     if (plan.shares) return plan;
   }
-  return planInTime(spec, machines, hints, modes.at(-1) ?? 'ending');
+  return planPreferringFastFetch(spec, machines, hints, modes.at(-1) ?? 'awaitCompletion');
 }
 
 /**
  * Machines that fetch a gang's image in time come before others, since it starts with its last
  * fetch; only where they have no room do the others count.
  */
-function planInTime(
+function planPreferringFastFetch(
   spec: JobSpec,
   machines: readonly MachineCapacity[],
   hints: ImageHints,
   mode: ReclaimMode,
 ): GangPlan {
-  const quick = machines.filter(({ type }) => hints.fetchesInTime(type));
-  const plan = planAmong(spec, machines, hints.lastPlace, mode);
-  if (quick.length === machines.length || !plan.shares) return plan;
-  const inTime = planAmong(spec, quick, hints.lastPlace, mode);
-  if (!inTime.shares) return plan;
+  const fastFetching = machines.filter(({ type }) => hints.isFetchInTime(type));
+  const plan = planOnMachines(spec, machines, hints.lastShardZone, mode);
+  if (fastFetching.length === machines.length || !plan.shares) return plan;
+  const fastPlan = planOnMachines(spec, fastFetching, hints.lastShardZone, mode);
+  if (!fastPlan.shares) return plan;
   // Stopping other work takes less time than a slow fetch, waiting for its end takes more.
-  const soonEnough = inTime.when === 'now' || mode !== 'ending';
-  return soonEnough || plan.when === 'soon' ? inTime : plan;
+  const isSoonEnough = fastPlan.availability === 'immediate' || mode !== 'awaitCompletion';
+  return isSoonEnough || plan.availability === 'afterReclaim' ? fastPlan : plan;
 }
 
 /**
  * One part that has the room is best: it commits all placements at once. Several parts reserve
  * theirs, and start when all have. By real fit on each machine, not by totals.
  */
-function planAmong(
+function planOnMachines(
   spec: JobSpec,
   machines: readonly MachineCapacity[],
-  lastPlace: string | null,
+  lastShardZone: string | null,
   mode: ReclaimMode,
 ): GangPlan {
-  const places = capacityByPlace(spec, machines, mode);
-  const all = [...places.values()];
-  const zones = groupByZone(all);
-  const groups = spec.oneZone ? [...zones.values()] : [all];
-  const preferred = lastPlace === null ? undefined : places.get(lastPlace);
-  for (const when of ['now', 'soon'] as const) {
-    const shares = shareOfOneShard(spec, all, preferred, when) ?? shareOut(spec, groups, when);
-    if (shares) return { shares, when };
+  const shardZones = capacityByShardZone(spec, machines, mode);
+  const allShardZones = [...shardZones.values()];
+  const zones = groupByZone(allShardZones);
+  const groups = spec.oneZone ? [...zones.values()] : [allShardZones];
+  const preferred = lastShardZone === null ? undefined : shardZones.get(lastShardZone);
+  for (const availability of ['immediate', 'afterReclaim'] as const) {
+    const shares =
+      singleShardShare(spec, allShardZones, preferred, availability) ??
+      distributeOverGroups(spec, groups, availability);
+    if (shares) return { shares, availability };
   }
   return spec.oneZone
-    ? lackInBestZone(spec, zones)
-    : { shares: null, zone: spec.zone, missing: missingTasks(spec, all) };
+    ? shortfallInBestZone(spec, zones)
+    : { shares: null, zone: spec.zone, missingTasks: countMissingTasks(spec, allShardZones) };
 }
 
 /** How many of a gang's tasks fit in each place, by its key. */
-function capacityByPlace(
+function capacityByShardZone(
   spec: JobSpec,
   machines: readonly MachineCapacity[],
   mode: ReclaimMode,
-): Map<string, PlaceCapacity> {
-  const places = new Map<string, PlaceCapacity>();
+): Map<string, ShardZoneGangCapacity> {
+  const shardZones = new Map<string, ShardZoneGangCapacity>();
   for (const machine of machines) {
     if (!isEligible(spec, machine)) continue;
     const { shard, zone } = machine;
     const key = shardZoneKey(shard, zone);
-    const place = places.get(key) ?? { shard, zone, now: 0, soon: 0 };
-    places.set(key, place);
-    place.now += fitCount(machine, spec);
-    place.soon += fitCount(reclaimableCapacity(machine, mode), spec);
+    const shardZone = shardZones.get(key) ?? { shard, zone, immediate: 0, afterReclaim: 0 };
+    shardZones.set(key, shardZone);
+    shardZone.immediate += countFittingTasks(machine, spec);
+    shardZone.afterReclaim += countFittingTasks(reclaimableCapacity(machine, mode), spec);
   }
-  return places;
+  return shardZones;
 }
 
-function groupByZone(places: readonly PlaceCapacity[]): Map<string, PlaceCapacity[]> {
-  const zones = new Map<string, PlaceCapacity[]>();
-  for (const place of places) {
-    const group = zones.get(place.zone);
-    if (group) group.push(place);
-    else zones.set(place.zone, [place]);
+function groupByZone(
+  shardZones: readonly ShardZoneGangCapacity[],
+): Map<string, ShardZoneGangCapacity[]> {
+  const zones = new Map<string, ShardZoneGangCapacity[]>();
+  for (const shardZone of shardZones) {
+    const group = zones.get(shardZone.zone);
+    if (group) group.push(shardZone);
+    else zones.set(shardZone.zone, [shardZone]);
   }
   return zones;
 }
 
-function totalCapacity(places: readonly PlaceCapacity[], when: Availability): number {
-  return places.reduce((total, place) => total + place[when], 0);
+function totalCapacity(
+  shardZones: readonly ShardZoneGangCapacity[],
+  availability: Availability,
+): number {
+  return shardZones.reduce((total, shardZone) => total + shardZone[availability], 0);
 }
 
 /** All tasks of a gang in one place, as its only share; null: it may not, or no place has the room. */
-function shareOfOneShard(
+function singleShardShare(
   spec: JobSpec,
-  places: readonly PlaceCapacity[],
-  preferred: PlaceCapacity | undefined,
-  when: Availability,
-): Share[] | null {
+  shardZones: readonly ShardZoneGangCapacity[],
+  preferred: ShardZoneGangCapacity | undefined,
+  availability: Availability,
+): GangShare[] | null {
   if (spec.spread && spec.tasks !== 1) return null;
-  const largest = places.reduce<PlaceCapacity | null>(
-    (found, place) => (found === null || place[when] > found[when] ? place : found),
+  const largest = shardZones.reduce<ShardZoneGangCapacity | null>(
+    (found, shardZone) =>
+      found === null || shardZone[availability] > found[availability] ? shardZone : found,
     null,
   );
   // A gang starts with its last fetch: machines that hold the image spare it the whole wait.
-  const best = preferred && preferred[when] >= spec.tasks ? preferred : largest;
-  if (!best || best[when] < spec.tasks) return null;
+  const best = preferred && preferred[availability] >= spec.tasks ? preferred : largest;
+  if (!best || best[availability] < spec.tasks) return null;
   return [{ shard: best.shard, zone: best.zone, count: spec.tasks }];
 }
 
 /** Shares for several places of one group, of the group with the most room first. */
-function shareOut(
+function distributeOverGroups(
   spec: JobSpec,
-  groups: readonly PlaceCapacity[][],
-  when: Availability,
-): Share[] | null {
-  const bySize = [...groups].sort((a, b) => totalCapacity(b, when) - totalCapacity(a, when));
-  for (const group of bySize) {
-    const shares = fillPlaces(spec, group, when);
+  groups: readonly ShardZoneGangCapacity[][],
+  availability: Availability,
+): GangShare[] | null {
+  const byCapacity = [...groups].sort(
+    (a, b) => totalCapacity(b, availability) - totalCapacity(a, availability),
+  );
+  for (const group of byCapacity) {
+    const shares = fillShardZones(spec, group, availability);
     if (shares) return shares;
   }
   return null;
 }
 
 /** Fills the places with the most room first; of a spread gang at most half goes to each zone. */
-function fillPlaces(
+function fillShardZones(
   spec: JobSpec,
-  places: readonly PlaceCapacity[],
-  when: Availability,
-): Share[] | null {
-  const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+  shardZones: readonly ShardZoneGangCapacity[],
+  availability: Availability,
+): GangShare[] | null {
+  const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
   const countByZone = new Map<string, number>();
-  const shares: Share[] = [];
-  let left = spec.tasks;
-  for (const place of [...places].sort((a, b) => b[when] - a[when])) {
-    const inZone = countByZone.get(place.zone) ?? 0;
-    const count = Math.min(left, place[when], perZone - inZone);
+  const shares: GangShare[] = [];
+  let remaining = spec.tasks;
+  for (const shardZone of [...shardZones].sort((a, b) => b[availability] - a[availability])) {
+    const assignedInZone = countByZone.get(shardZone.zone) ?? 0;
+    const count = Math.min(remaining, shardZone[availability], maxPerZone - assignedInZone);
     if (count <= 0) continue;
-    countByZone.set(place.zone, inZone + count);
-    shares.push({ shard: place.shard, zone: place.zone, count });
-    left -= count;
-    if (left === 0) return shares;
+    countByZone.set(shardZone.zone, assignedInZone + count);
+    shares.push({ shard: shardZone.shard, zone: shardZone.zone, count });
+    remaining -= count;
+    if (remaining === 0) return shares;
   }
   return null;
 }
 
 /** What a gang that needs one zone lacks in the zone that will have the most room for it. */
-function lackInBestZone(
+function shortfallInBestZone(
   spec: JobSpec,
-  zones: ReadonlyMap<string, readonly PlaceCapacity[]>,
+  zones: ReadonlyMap<string, readonly ShardZoneGangCapacity[]>,
 ): GangPlan {
-  const bySize = [...zones].sort(
-    ([, a], [, b]) => totalCapacity(b, 'soon') - totalCapacity(a, 'soon'),
+  const byCapacity = [...zones].sort(
+    ([, a], [, b]) => totalCapacity(b, 'afterReclaim') - totalCapacity(a, 'afterReclaim'),
   );
-  const [zone, places] = bySize[0] ?? [spec.zone, []];
-  return { shares: null, zone, missing: missingTasks(spec, places) };
+  const [zone, shardZones] = byCapacity[0] ?? [spec.zone, []];
+  return { shares: null, zone, missingTasks: countMissingTasks(spec, shardZones) };
 }
 
 /** How many of a gang's tasks have no free room in these places; at least one. */
-function missingTasks(spec: JobSpec, places: readonly PlaceCapacity[]): number {
-  return Math.max(1, spec.tasks - totalCapacity(places, 'now'));
+function countMissingTasks(spec: JobSpec, shardZones: readonly ShardZoneGangCapacity[]): number {
+  return Math.max(1, spec.tasks - totalCapacity(shardZones, 'immediate'));
 }
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -6,7 +6,7 @@
 import type { FinalRecord, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { GuardedWriter } from '../election/guarded-writer.js';
-import { endsAt, type CapacityAccounting } from '../capacity/capacity-accounting.js';
+import { doneTasksToComplete, type CapacityAccounting } from '../capacity/capacity-accounting.js';
 
 /** What the completion of jobs works with. */
 export interface JobCompletionOptions {
@@ -72,14 +72,14 @@
   private completedJobs(): CompletedJob[] {
     const { rejectedChangeBackoff, accounting, replica } = this.options;
     const completed: CompletedJob[] = [];
-    for (const id of accounting.possiblyDone) {
+    for (const id of accounting.completionCandidates) {
       if (rejectedChangeBackoff.has(id)) continue;
       const held = replica.get<JobRecord>(jobKey(id));
       const done = accounting.jobs.get(id)?.done ?? 0;
-      if (held && done >= endsAt(held.value.spec)) {
+      if (held && done >= doneTasksToComplete(held.value.spec)) {
         completed.push({ id, revision: held.revision, tasks: held.value.spec.tasks });
       } else {
-        accounting.possiblyDone.delete(id);
+        accounting.completionCandidates.delete(id);
       }
     }
     return completed;
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -39,7 +39,13 @@
   /** ms that the last round took, its waiting for the state service aside. */
   lastCycleCpuMs = 0;
   /** The fleet, and the demand that it does not meet, as the last round found them. */
-  snapshot: FleetSnapshot = { machines: [], unmet: [], comingCpus: 0, coming: null, gangs: [] };
+  snapshot: FleetSnapshot = {
+    machines: [],
+    unmetDemand: [],
+    expectedCpus: 0,
+    lastArray: null,
+    recentGangs: [],
+  };
 
   constructor(
     options: LeaderOptions,
@@ -96,13 +102,13 @@
     }
   }
 
-  private snapshotOf({ fleet, unmet }: SchedulingCycle): FleetSnapshot {
+  private snapshotOf({ fleet, unmetDemand }: SchedulingCycle): FleetSnapshot {
     return {
       machines: fleet,
-      unmet,
-      comingCpus: this.arrivals.cpus,
-      coming: this.arrivals.last,
-      gangs: this.arrivals.gangs.largest,
+      unmetDemand,
+      expectedCpus: this.arrivals.expectedCpus,
+      lastArray: this.arrivals.lastArray,
+      recentGangs: this.arrivals.recentGangs.largestByClass,
     };
   }
 }
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,5 +1,5 @@
 /** The work that arrived lately: what the fleet should expect. */
-import { ARRIVALS_MS } from '../../constants/leader.js';
+import { RECENT_ARRIVALS_MS } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
@@ -7,60 +7,61 @@
 import { URGENT } from '../capacity/priorities.js';
 
 /** ms; for a shorter time than this no figure is given: too little was observed. */
-const LEAST_SPAN_MS = ARRIVALS_MS / 3;
+const MIN_OBSERVED_MS = RECENT_ARRIVALS_MS / 3;
 
 /** The work of an array that arrived. */
 interface ArrayArrival {
-  readonly at: number;
+  readonly arrivedAt: number;
   /** CPU seconds. */
-  readonly work: number;
+  readonly workCpuS: number;
 }
 
 /** Arrays and gangs that arrived in the last minutes: the fleet should be ready for as much again. */
 export class RecentArrivals {
-  private readonly known = new Set<string>();
-  private readonly recent: ArrayArrival[] = [];
+  private readonly knownJobs = new Set<string>();
+  private readonly recentArrays: ArrayArrival[] = [];
   /** The gangs among them. */
-  readonly gangs: RecentGangs;
+  readonly recentGangs: RecentGangs;
   private readonly startedAt: number;
   /** The array of lower work that arrived last; null: there was none. */
-  last: JobSpec | null = null;
+  lastArray: JobSpec | null = null;
 
   constructor(
     private readonly replica: StoreReplica,
     private readonly clock: Clock,
   ) {
     this.startedAt = clock.now();
-    this.gangs = new RecentGangs(clock);
+    this.recentGangs = new RecentGangs(clock);
     // Jobs that are already there arrived some time ago: they are known, but not counted.
-    for (const { spec } of replica.openJobs()) this.known.add(spec.id);
+    for (const { spec } of replica.openJobs()) this.knownJobs.add(spec.id);
   }
 
   /** A job is new or has changed, or its record is gone. */
   changed(job: string): void {
     const spec = this.replica.job(job)?.spec;
     if (!spec) {
-      this.known.delete(job);
+      this.knownJobs.delete(job);
       return;
     }
-    if (this.known.has(job)) return;
-    this.known.add(job);
-    if (spec.kind === 'gang') this.gangs.add(spec);
+    if (this.knownJobs.has(job)) return;
+    this.knownJobs.add(job);
+    if (spec.kind === 'gang') this.recentGangs.add(spec);
     if (spec.kind === 'array' && rankOf(spec.priority) < URGENT) this.addArray(spec);
   }
 
   /** CPUs that arrays of lower work need all the time if they go on arriving like this. */
-  get cpus(): number {
+  get expectedCpus(): number {
     const now = this.clock.now();
-    while (this.recent[0] && now - this.recent[0].at > ARRIVALS_MS) this.recent.shift();
-    const span = Math.min(ARRIVALS_MS, now - this.startedAt);
-    if (span < LEAST_SPAN_MS) return 0;
-    return this.recent.reduce((sum, { work }) => sum + work, 0) / (span / 1000);
+    while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > RECENT_ARRIVALS_MS)
+      this.recentArrays.shift();
+    const observedMs = Math.min(RECENT_ARRIVALS_MS, now - this.startedAt);
+    if (observedMs < MIN_OBSERVED_MS) return 0;
+    return this.recentArrays.reduce((sum, { workCpuS }) => sum + workCpuS, 0) / (observedMs / 1000);
   }
 
   private addArray(spec: JobSpec): void {
-    this.last = spec;
-    const work = spec.tasks * spec.cpus * Math.max(1, spec.estimateS);
-    this.recent.push({ at: this.clock.now(), work });
+    this.lastArray = spec;
+    const workCpuS = spec.tasks * spec.cpus * Math.max(1, spec.estimateS);
+    this.recentArrays.push({ arrivedAt: this.clock.now(), workCpuS });
   }
 }
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -1,9 +1,13 @@
 /** Assigns tasks of arrays and services to parts, within the limits of their teams. */
-import { KEPT_FROM_MS } from '../../constants/gangs.js';
-import { BEGIN_SHARE, STARVED_SHARE } from '../../constants/leader.js';
+import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
+import { OVERDUE_TASK_SHARE, STARVED_TASK_SHARE } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { fitCount, need, type MachineCapacity } from '../capacity/machine-capacity.js';
+import {
+  countFittingTasks,
+  resourcesOf,
+  type MachineCapacity,
+} from '../capacity/machine-capacity.js';
 import { URGENT } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { AssignmentHistory } from './assignment-history.js';
@@ -13,7 +17,7 @@
 
 /** What the assignment of arrays and services works with. */
 export interface ShardAssignmentOptions {
-  readonly limits: TeamQuota;
+  readonly teamQuota: TeamQuota;
   readonly history: AssignmentHistory;
   readonly distribution: TaskDistribution;
   readonly clock: Clock;
@@ -29,60 +33,66 @@
 
   /** Assigns tasks of a job, and records how many of them find no room. */
   assign(job: OpenJob, cycle: SchedulingCycle): void {
-    const { history, limits } = this.options;
+    const { history, teamQuota } = this.options;
     const allowed = this.allowedTasks(job, cycle.startedAt);
     if (allowed <= 0) {
-      limits.noteWaiting(job);
+      teamQuota.recordWaiting(job);
       return;
     }
     // Tasks that end one by one would each bring a chunk of their own: those that follow them wait
     // until some have come together.
     const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
-    const short = recent
-      ? Math.min(allowed, recent.short)
+    const tasksWithoutCapacity = recent
+      ? Math.min(allowed, recent.tasksWithoutCapacity)
       : this.assignAllowed(job, allowed, cycle);
-    if (short > 0) cycle.unmet.push({ spec: job.spec, count: short, at: job.at });
+    if (tasksWithoutCapacity > 0)
+      cycle.unmetDemand.push({
+        spec: job.spec,
+        count: tasksWithoutCapacity,
+        acceptedAt: job.acceptedAt,
+      });
   }
 
   /** Assigns up to `allowed` tasks of a job; returns how many of them have no free room. */
   private assignAllowed(job: OpenJob, allowed: number, cycle: SchedulingCycle): number {
-    const { distribution, history, limits } = this.options;
+    const { distribution, history, teamQuota } = this.options;
     const { assignments, assigned, queued } = distribution.distribute(job, allowed, {
       machines: this.usableMachines(job, cycle),
       queues: cycle.queues,
     });
     cycle.assignments.push(...assignments);
     if (isUrgent(job.spec)) for (const { key } of assignments) cycle.urgentKeys.add(key);
-    limits.use(job.spec, assigned);
+    teamQuota.recordUse(job.spec, assigned);
     const unassigned = allowed - assigned;
-    if (assigned > 0) history.assigned(job.id, cycle.startedAt, unassigned);
+    if (assigned > 0) history.recordAssignment(job.id, cycle.startedAt, unassigned);
     return unassigned + queued;
   }
 
   /** How many tasks of a job may be assigned now, by its team's limit. */
   private allowedTasks(job: OpenJob, now: number): number {
-    const { history, limits } = this.options;
+    const { history, teamQuota } = this.options;
     const { spec } = job;
-    const free = { ...limits.remaining(spec.team), memoryGb: 0 };
-    let wanted = job.overdue ? Math.ceil(spec.tasks * BEGIN_SHARE) : job.unassigned;
+    const free = { ...teamQuota.remaining(spec.team), memoryGb: 0 };
+    let wanted = job.isStartOverdue ? Math.ceil(spec.tasks * OVERDUE_TASK_SHARE) : job.unassigned;
     // Lower work leaves some of its team's limit to urgent work, for which nothing else makes room
     // there. Where services fill all but this reserve, lower work would wait for ever in front of
     // free machines: after a while some of it may use the reserve.
-    const task = { ...need(spec, 1), memoryGb: 0 };
+    const task = { ...resourcesOf(spec, 1), memoryGb: 0 };
     if (!isUrgent(spec)) {
-      const cpus = free.cpus - limits.urgentReserve(spec.team);
-      const blocked = fitCount({ ...free, cpus }, task) === 0;
+      const cpus = free.cpus - teamQuota.urgentReserve(spec.team);
+      const blocked = countFittingTasks({ ...free, cpus }, task) === 0;
       // Where the reserve is not what blocks a starved job, it has room like all others.
       if (history.isStarved(job, now) && blocked) {
-        wanted = Math.min(wanted, Math.ceil(spec.tasks * STARVED_SHARE));
+        wanted = Math.min(wanted, Math.ceil(spec.tasks * STARVED_TASK_SHARE));
       } else free.cpus = cpus;
     }
-    return Math.min(wanted, fitCount(free, task));
+    return Math.min(wanted, countFittingTasks(free, task));
   }
 
   /** Machines that a job may use: an array those reserved for a gang only after a while. */
   private usableMachines(job: OpenJob, cycle: SchedulingCycle): readonly MachineCapacity[] {
-    const waitsLong = job.live === 0 && this.options.clock.wall() - job.at > KEPT_FROM_MS;
+    const waitsLong =
+      job.placed === 0 && this.options.clock.wall() - job.acceptedAt > ARRAY_USES_RESERVED_AFTER_MS;
     return job.spec.kind === 'array' && !waitsLong ? cycle.unreservedMachines : cycle.machines;
   }
 }
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -1,6 +1,6 @@
 /** Queues of the parts: work that is assigned to a part ahead of its free room. */
 
-import { QUEUE_REFILL, QUEUE_S } from '../../constants/leader.js';
+import { QUEUE_REFILL_RATIO, QUEUE_AHEAD_S } from '../../constants/leader.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { shardZoneKey } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
@@ -15,7 +15,7 @@
 }
 
 /** Empty queues of all places that have machines; `endingCpus`: CPUs that end there in a second. */
-export function queuesByPlace(
+export function queuesByShardZone(
   machines: readonly MachineCapacity[],
   endingCpus: ReadonlyMap<string, number>,
 ): Map<string, Queue> {
@@ -33,16 +33,16 @@
  * seconds. A job that is overdue does not wait for the queue: the part takes the earliest first.
  */
 export function queueCapacity(job: OpenJob, queue: Queue): number {
-  const waitingCpus = job.overdue ? 0 : queue.waitingCpus;
-  return Math.floor((queue.endingCpus * QUEUE_S - waitingCpus) / job.spec.cpus);
+  const waitingCpus = job.isStartOverdue ? 0 : queue.waitingCpus;
+  return Math.floor((queue.endingCpus * QUEUE_AHEAD_S - waitingCpus) / job.spec.cpus);
 }
 
 function mayRefill(job: OpenJob, queue: Queue): boolean {
   const { spec } = job;
   if (spec.zone !== null && spec.zone !== queue.zone) return false;
-  const free = queueCapacity(job, queue);
-  if (free <= 0) return false;
-  return job.overdue || queue.waitingCpus <= free * spec.cpus * QUEUE_REFILL;
+  const capacity = queueCapacity(job, queue);
+  if (capacity <= 0) return false;
+  return job.isStartOverdue || queue.waitingCpus <= capacity * spec.cpus * QUEUE_REFILL_RATIO;
 }
 
 /** Queues short enough to be refilled with a job, the shortest first: seldom, but with many tasks. */
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -49,19 +49,19 @@
 
   constructor(
     /** Tasks that may still be assigned. */
-    public left: number,
+    public remaining: number,
     private readonly ids: number[],
     private readonly zones: ZoneLimits,
-    private readonly createAssignments: (place: ShardZone, ids: number[]) => NewAssignment[],
+    private readonly createAssignments: (shardZone: ShardZone, ids: number[]) => NewAssignment[],
   ) {}
 
   /** Assigns up to `most` tasks to a place, as its zone allows; returns how many. */
-  assign(place: ShardZone, most: number): number {
-    const count = Math.min(this.left, most, this.zones.remaining(place.zone));
+  assign(shardZone: ShardZone, limit: number): number {
+    const count = Math.min(this.remaining, limit, this.zones.remaining(shardZone.zone));
     if (count <= 0) return 0;
-    this.zones.use(place.zone, count);
-    this.left -= count;
-    this.assignments.push(...this.createAssignments(place, this.ids.splice(0, count)));
+    this.zones.use(shardZone.zone, count);
+    this.remaining -= count;
+    this.assignments.push(...this.createAssignments(shardZone, this.ids.splice(0, count)));
     return count;
   }
 }
@@ -89,21 +89,21 @@
       allowed,
       unassignedIds(job, this.replica),
       new ZoneLimits(job, allowed, [...capacities, ...queueCapacities], this.replica),
-      (place, ids) => this.assignmentFactory.create(spec, place, ids),
+      (shardZone, ids) => this.assignmentFactory.create(spec, shardZone, ids),
     );
     for (const capacity of capacities.sort((a, b) => b.count - a.count)) {
       const count = allotment.assign(capacity, capacity.count);
       if (count > 0) allocateInShardZone(spec, capacity, count, target.machines);
     }
-    const leftForQueues = allotment.left;
+    const remainingForQueues = allotment.remaining;
     for (const queue of queues) {
       const count = allotment.assign(queue, queueCapacity(job, queue));
       queue.waitingCpus += count * spec.cpus;
     }
     return {
       assignments: allotment.assignments,
-      assigned: allowed - allotment.left,
-      queued: leftForQueues - allotment.left,
+      assigned: allowed - allotment.remaining,
+      queued: remainingForQueues - allotment.remaining,
     };
   }
 }
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -1,10 +1,10 @@
 /** What each team uses of its limits while the leader assigns tasks, and what it may still use. */
-import { RESERVE_SHARE, URGENT_RESERVE } from '../../constants/leader.js';
+import { URGENT_RESERVE_QUOTA_SHARE, URGENT_RESERVE_JOBS } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { need, type Amounts } from '../capacity/machine-capacity.js';
+import { resourcesOf, type Amounts } from '../capacity/machine-capacity.js';
 import type { CapacityAccounting, Usage } from '../capacity/capacity-accounting.js';
 import { URGENT } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
@@ -22,7 +22,7 @@
 
 /** The limits of all teams, and what is used of them. */
 export class TeamQuota {
-  private readonly used = new Map<string, Usage>();
+  private readonly usageByTeam = new Map<string, Usage>();
   /** CPUs of each team's limit that its urgent work may want at any moment. */
   private urgentReserves: ReadonlyMap<string, number> = new Map();
   /** Jobs that came to wait for their team's limit: logged once each. */
@@ -32,13 +32,14 @@
 
   /** What each team uses, with what this round assigned. */
   get usage(): ReadonlyMap<string, Usage> {
-    return this.used;
+    return this.usageByTeam;
   }
 
   /** Starts a round: counts what the teams use and what their urgent work may want. */
   beginCycle(): void {
-    this.used.clear();
-    for (const [team, usage] of this.options.accounting.teams) this.used.set(team, { ...usage });
+    this.usageByTeam.clear();
+    for (const [team, usage] of this.options.accounting.teams)
+      this.usageByTeam.set(team, { ...usage });
     this.urgentReserves = this.countUrgentReserves();
   }
 
@@ -75,15 +76,15 @@
   }
 
   /** Counts so many tasks of a job as used by its team. */
-  use(spec: JobSpec, count: number): void {
+  recordUse(spec: JobSpec, count: number): void {
     const usage = this.usageOf(spec.team);
-    const taken = need(spec, count);
-    usage.cpus += taken.cpus;
-    usage.gpus += taken.gpus;
+    const allocated = resourcesOf(spec, count);
+    usage.cpus += allocated.cpus;
+    usage.gpus += allocated.gpus;
   }
 
   /** Notes that a job waits for its team's limit. */
-  noteWaiting({ id, spec }: OpenJob): void {
+  recordWaiting({ id, spec }: OpenJob): void {
     if (this.waitingJobs.has(id)) return;
     this.waitingJobs.add(id);
     const use = this.usageOf(spec.team);
@@ -91,8 +92,8 @@
   }
 
   private usageOf(team: string): Usage {
-    const usage = this.used.get(team) ?? { cpus: 0, gpus: 0 };
-    this.used.set(team, usage);
+    const usage = this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0 };
+    this.usageByTeam.set(team, usage);
     return usage;
   }
 
@@ -101,9 +102,10 @@
     for (const { spec } of this.options.replica.openJobs()) {
       if (rankOf(spec.priority) < URGENT) continue;
       const tasks = spec.kind === 'array' ? 1 : spec.tasks;
-      const cpus = spec.cpus * tasks * URGENT_RESERVE;
-      const most = (this.options.teams.get(spec.team)?.cpusMax ?? 0) * RESERVE_SHARE;
-      const reserve = Math.min(cpus, most);
+      const cpus = spec.cpus * tasks * URGENT_RESERVE_JOBS;
+      const maxReserve =
+        (this.options.teams.get(spec.team)?.cpusMax ?? 0) * URGENT_RESERVE_QUOTA_SHARE;
+      const reserve = Math.min(cpus, maxReserve);
       reserves.set(spec.team, Math.max(reserves.get(spec.team) ?? 0, reserve));
     }
     return reserves;
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -3,7 +3,7 @@
 import type { AssignmentSummary, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import {
-  fitCount,
+  countFittingTasks,
   isEligible,
   allocateTasks,
   type MachineCapacity,
@@ -20,16 +20,16 @@
 type FreeMachines = Map<string, readonly MachineCapacity[]>;
 
 /** Most machines of a busy fleet are full: those are not looked at again for each chunk. */
-function freeMachinesByPlace(machines: readonly MachineCapacity[]): FreeMachines {
-  const places = new Map<string, MachineCapacity[]>();
+function freeMachinesByShardZone(machines: readonly MachineCapacity[]): FreeMachines {
+  const machinesByShardZone = new Map<string, MachineCapacity[]>();
   for (const machine of machines) {
     if (machine.cpus <= 0) continue;
     const key = shardZoneKey(machine.shard, machine.zone);
-    const place = places.get(key);
-    if (place) place.push(machine);
-    else places.set(key, [machine]);
+    const known = machinesByShardZone.get(key);
+    if (known) known.push(machine);
+    else machinesByShardZone.set(key, [machine]);
   }
-  return places;
+  return machinesByShardZone;
 }
 
 /** Occupies free room as the part's first fit will; returns how many tasks found none. */
@@ -41,29 +41,29 @@
 ): number {
   const key = shardZoneKey(assignment.shard, assignment.zone);
   const machines = free.get(key) ?? [];
-  let left = assignment.waiting;
-  let full = 0;
+  let remaining = assignment.waiting;
+  let fullMachines = 0;
   for (const machine of machines) {
-    if (left === 0) break;
+    if (remaining === 0) break;
     if (machine.cpus < spec.cpus || !isEligible(spec, machine)) continue;
     if (spec.kind === 'array' && reserved.has(machine.name)) continue;
-    const count = Math.min(left, fitCount(machine, spec));
+    const count = Math.min(remaining, countFittingTasks(machine, spec));
     allocateTasks(machine, spec, count);
-    left -= count;
-    if (machine.cpus <= 0) full++;
+    remaining -= count;
+    if (machine.cpus <= 0) fullMachines++;
   }
-  if (full > machines.length * FULL_SHARE) {
+  if (fullMachines > machines.length * FULL_SHARE) {
     free.set(
       key,
       machines.filter((machine) => machine.cpus > 0),
     );
   }
-  return left;
+  return remaining;
 }
 
 /** Occupies room to come for waiting tasks of a chunk, and records them as unmet demand. */
-function addUnmet(
-  { spec, at }: JobRecord,
+function addUnmetDemand(
+  { spec, at: acceptedAt }: JobRecord,
   assignment: AssignmentSummary,
   count: number,
   cycle: SchedulingCycle,
@@ -75,7 +75,7 @@
   if (queue) queue.waitingCpus += count * spec.cpus;
   // A gang's machines must be where the rest of it has its room.
   const demand = isGang && spec.oneZone ? { ...spec, zone: assignment.zone } : spec;
-  cycle.unmet.push({ spec: demand, count, at });
+  cycle.unmetDemand.push({ spec: demand, count, acceptedAt });
 }
 
 /** Occupies room for all waiting tasks of open jobs; those without free room join the queues. */
@@ -84,11 +84,11 @@
   accounting: CapacityAccounting,
   replica: StoreReplica,
 ): void {
-  const free = freeMachinesByPlace(cycle.machines);
+  const free = freeMachinesByShardZone(cycle.machines);
   for (const assignment of accounting.waiting.values()) {
     const job = replica.job(assignment.job);
     if (!job) continue;
-    const left = allocateFirstFit(job.spec, assignment, free, cycle.reserved);
-    if (left > 0) addUnmet(job, assignment, left, cycle);
+    const remaining = allocateFirstFit(job.spec, assignment, free, cycle.reservedMachineNames);
+    if (remaining > 0) addUnmetDemand(job, assignment, remaining, cycle);
   }
 }
--- a/src/coordination/leader/zone-limits.ts
+++ b/src/coordination/leader/zone-limits.ts
@@ -19,9 +19,9 @@
 }
 
 function capacityByZone(free: readonly ZoneCapacity[]): Map<string, number> {
-  const sums = new Map<string, number>();
-  for (const { zone, count } of free) sums.set(zone, (sums.get(zone) ?? 0) + count);
-  return sums;
+  const freeByZone = new Map<string, number>();
+  for (const { zone, count } of free) freeByZone.set(zone, (freeByZone.get(zone) ?? 0) + count);
+  return freeByZone;
 }
 
 /** The zone of a job that must have one: where tasks of it are, or where it has the most room. */
@@ -29,8 +29,8 @@
   active: ReadonlyMap<string, number>,
   free: ReadonlyMap<string, number>,
 ): string | undefined {
-  const settled = active.keys().next();
-  if (!settled.done) return settled.value;
+  const occupiedZone = active.keys().next();
+  if (!occupiedZone.done) return occupiedZone.value;
   const [best] = [...free].sort(([, a], [, b]) => b - a);
   return best?.[0];
 }
@@ -42,15 +42,15 @@
   constructor(job: OpenJob, allowed: number, free: readonly ZoneCapacity[], replica: StoreReplica) {
     const { spec } = job;
     const active = activeTasks(job.id, replica);
-    const sums = capacityByZone(free);
-    const most = Math.ceil(spec.tasks / 2);
-    for (const zone of sums.keys()) {
-      this.limits.set(zone, spec.spread ? most - (active.get(zone) ?? 0) : allowed);
+    const freeByZone = capacityByZone(free);
+    const maxPerZone = Math.ceil(spec.tasks / 2);
+    for (const zone of freeByZone.keys()) {
+      this.limits.set(zone, spec.spread ? maxPerZone - (active.get(zone) ?? 0) : allowed);
     }
     if (!spec.oneZone) return;
-    const only = onlyZone(active, sums);
+    const onlyAllowedZone = onlyZone(active, freeByZone);
     for (const zone of this.limits.keys()) {
-      if (zone !== only) this.limits.set(zone, 0);
+      if (zone !== onlyAllowedZone) this.limits.set(zone, 0);
     }
   }
 
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -1,10 +1,10 @@
 /** Chooses the machines for a part's share of a gang: for all of its tasks at once, or for none. */
 
-import { CLAIM_VALID_MS } from '../../constants/gangs.js';
+import { RECLAIM_VALID_MS } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Candidate, JobLookup, Victim } from './candidates.js';
-import { fitCount } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/machine-capacity.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Preemption } from './preemption.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
@@ -196,7 +196,7 @@
   /** CPUs of other teams' arrays that a gang may stop: only for a moment after it was handed out. */
   private reclaimOf(assignment: Chunk): Record<string, number> {
     const [first] = assignment.waiting;
-    const recent = first !== undefined && this.clock.now() - first.pendingSince < CLAIM_VALID_MS;
+    const recent = first !== undefined && this.clock.now() - first.pendingSince < RECLAIM_VALID_MS;
     return recent ? (assignment.record.reclaim ?? {}) : {};
   }
 }
@@ -227,7 +227,7 @@
 ): Candidate[] | null {
   const places: Candidate[] = [];
   for (const candidate of candidates) {
-    const count = Math.min(tasks - places.length, fitCount(candidate.free, task));
+    const count = Math.min(tasks - places.length, countFittingTasks(candidate.free, task));
     for (let at = 0; at < count; at++) places.push(candidate);
     if (places.length === tasks) return places;
   }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,9 +1,9 @@
 /** Room that a part reserves on its machines: for a gang that does not fit yet, and for the next one. */
 
-import { GANG_KEEP_TIMES } from '../../constants/gangs.js';
+import { GANG_RESERVATION_FACTOR } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Candidate, JobLookup } from './candidates.js';
-import { fitCount } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/machine-capacity.js';
 import { allocate, type Resources } from '../capacity/resources.js';
 import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
@@ -31,7 +31,11 @@
   reserve(assignment: Chunk, candidates: readonly Candidate[]): boolean {
     const tasks = assignment.waiting.size;
     // More than it needs, since it waits for what ends first, not for all that runs there now.
-    const { selected, free } = this.select(assignment.record, candidates, tasks * GANG_KEEP_TIMES);
+    const { selected, free } = this.select(
+      assignment.record,
+      candidates,
+      tasks * GANG_RESERVATION_FACTOR,
+    );
     // Where it will not fit in any case, it delays no other work.
     if (free < tasks) return false;
     for (const candidate of selected) candidate.reserved = true;
@@ -62,6 +66,10 @@
     for (const [, assignment] of this.tasks.on(candidate.machine.name)) {
       if (this.job(assignment.job)?.spec.kind === 'array') allocate(later, assignment.record, -1);
     }
-    return { candidate, now: fitCount(candidate.free, task), later: fitCount(later, task) };
+    return {
+      candidate,
+      now: countFittingTasks(candidate.free, task),
+      later: countFittingTasks(later, task),
+    };
   }
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,7 +1,7 @@
 /** One part's rounds of placing: waiting tasks go to machines, in the order of their priorities. */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
-import { FETCH_SLOWEST } from '../../constants/gangs.js';
+import { FETCH_TIME_MAX_RATIO } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -229,7 +229,7 @@
       fetches: {
         inTime: (machine) => this.choice.fetchesInTime(machine, spec),
         whileOthersWait: (machine) =>
-          this.choice.fetchSeconds(machine, spec) * FETCH_SLOWEST <= this.options.gangWaitS,
+          this.choice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <= this.options.gangWaitS,
       },
     });
   }
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -1,10 +1,10 @@
 /** Decides when a part's shares of gangs start, when they are stopped, and when they are given back. */
 
 import {
-  GANG_HOLD_MS,
-  GANG_LOSS_S,
-  GANG_RESERVE_MS,
-  SHARED_STOP_MS,
+  GANG_RESERVATION_TIMEOUT_MS,
+  GANG_MAX_LOST_PROGRESS_S,
+  GANG_PLACED_TIMEOUT_MS,
+  GANG_STOP_PROPAGATION_MS,
 } from '../../constants/gangs.js';
 import { RELEASE_MS } from '../../constants/shard.js';
 import type { Log } from '../../storage/log.js';
@@ -88,7 +88,8 @@
     const { log } = this.dependencies;
     const allPlaced = assignment.waiting.size === 0;
     assignment.placedAt = allPlaced ? (assignment.placedAt ?? now) : null;
-    const late = assignment.placedAt !== null && now - assignment.placedAt >= GANG_RESERVE_MS;
+    const late =
+      assignment.placedAt !== null && now - assignment.placedAt >= GANG_PLACED_TIMEOUT_MS;
     if (!assignment.broken && late && !this.isFullyPlaced(assignment)) {
       assignment.broken = true;
       log.info({ job: assignment.job }, 'gang not reserved in time');
@@ -138,14 +139,15 @@
     const spec = this.spec(assignment);
     if (spec === null) return true;
     return (
-      this.isReachable(assignment, spec) || this.progressAtRiskS(assignment, spec) <= GANG_LOSS_S
+      this.isReachable(assignment, spec) ||
+      this.progressAtRiskS(assignment, spec) <= GANG_MAX_LOST_PROGRESS_S
     );
   }
 
   /** Whether a stop reaches all tasks of the gang in time. */
   private isReachable(assignment: Chunk, spec: JobSpec): boolean {
     const shared = assignment.slots.size < spec.tasks;
-    if (shared && this.options.gangPeerS * 1000 < SHARED_STOP_MS) return false;
+    if (shared && this.options.gangPeerS * 1000 < GANG_STOP_PROPAGATION_MS) return false;
     return [...this.machinesOf(assignment.job)].every((name) => {
       const machine = this.dependencies.machines.all.get(name);
       return (
@@ -195,7 +197,7 @@
   /** Gives a share back that has waited for room for its time; infeasible ones wait less. */
   private giveBackLate(assignment: Chunk, spec: JobSpec, now: number): void {
     const urgent = rankOf(spec.priority) >= URGENT;
-    const patience = urgent || assignment.infeasible ? RELEASE_MS : GANG_HOLD_MS;
+    const patience = urgent || assignment.infeasible ? RELEASE_MS : GANG_RESERVATION_TIMEOUT_MS;
     const [first] = assignment.waiting;
     if (first && now - first.pendingSince >= patience) this.returnMachines(assignment);
   }
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -1,8 +1,8 @@
 /** Decides for which gang the part keeps some room free. */
-import { GANG_RESERVING_PLACE_MS } from '../../constants/gangs.js';
+import { RESERVING_SHARD_CHECK_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
-import { reservingPlace } from '../capacity/gang-capacity.js';
-import { machinesOf } from '../capacity/machine-inventory.js';
+import { reservingShardZone } from '../capacity/gang-capacity.js';
+import { healthyMachines } from '../capacity/machine-inventory.js';
 import { shardZoneKey } from '../capacity/priorities.js';
 import type { ShardContext } from './shard-context.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
@@ -26,17 +26,19 @@
   next(): JobSpec | null {
     const now = this.context.clock.now();
     if (now < this.checkAgainAt) return this.reserved;
-    this.checkAgainAt = now + GANG_RESERVING_PLACE_MS;
+    this.checkAgainAt = now + RESERVING_SHARD_CHECK_MS;
     this.reserved = this.findReserved();
     return this.reserved;
   }
 
   private findReserved(): JobSpec | null {
     const { machines, options, replica } = this.context;
-    const next = this.recentGangs.largestNotUrgent;
+    const next = this.recentGangs.largestNonUrgent;
     if (!next) return null;
-    const place = reservingPlace(next, machinesOf(replica));
-    const ours = machines.inOrder().some(({ zone }) => shardZoneKey(options.shard, zone) === place);
+    const shardZone = reservingShardZone(next, healthyMachines(replica));
+    const ours = machines
+      .inOrder()
+      .some(({ zone }) => shardZoneKey(options.shard, zone) === shardZone);
     return ours ? next : null;
   }
 }
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -1,6 +1,6 @@
 /** Creates the placing of a part with what its bandit has learned. */
-import { KEPT_FROM_MS } from '../../constants/gangs.js';
-import { BEGIN_WITHIN_S } from '../../constants/leader.js';
+import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
+import { START_OVERDUE_S } from '../../constants/leader.js';
 import { ARMS } from '../../storage/keys.js';
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
 import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.js';
@@ -64,14 +64,14 @@
   /** Whether a job waited long to begin and none of its tasks has ended yet. */
   private beganLate(job: string): boolean {
     const { replica } = this.context;
-    if (!this.isOlderThan(job, BEGIN_WITHIN_S * 1000)) return false;
+    if (!this.isOlderThan(job, START_OVERDUE_S * 1000)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.done === 0);
   }
 
   /** Whether nothing of a job runs long after it came. */
   private waitsLong(job: string): boolean {
     const { replica } = this.context;
-    if (!this.isOlderThan(job, KEPT_FROM_MS)) return false;
+    if (!this.isOlderThan(job, ARRAY_USES_RESERVED_AFTER_MS)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.placedCount === 0);
   }
 
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -75,7 +75,13 @@
     random: () => 0.5,
   });
   for (let turn = 0; turn < 20; turn++) {
-    void fleet.reconcile({ machines: [], unmet: [], comingCpus: 0, coming: null, gangs: [] });
+    void fleet.reconcile({
+      machines: [],
+      unmetDemand: [],
+      expectedCpus: 0,
+      lastArray: null,
+      recentGangs: [],
+    });
     await clock.run(clock.now() + 500);
   }
   assert.deepEqual(
--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import {
   missingGangCapacity,
-  reservingPlace,
+  reservingShardZone,
 } from '../../src/coordination/capacity/gang-capacity.js';
 import { planGang } from '../../src/coordination/leader/gang-plan.js';
 import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
@@ -41,12 +41,12 @@
 
 test('where a gang goes: one part before several, free room before room to come, else nowhere', () => {
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
-    ['one part has the room', {}, [machine('p'), machine('q', { cpus: 2 })], 'now p:2'],
+    ['one part has the room', {}, [machine('p'), machine('q', { cpus: 2 })], 'immediate p:2'],
     [
       'two parts have it together',
       {},
       [machine('p', { cpus: 2 }), machine('q', { cpus: 2 })],
-      'now p:1 q:1',
+      'immediate p:1 q:1',
     ],
     [
       'in one zone only',
@@ -58,32 +58,32 @@
       'over both zones',
       { oneZone: false },
       [machine('p', { cpus: 2 }), machine('q', { cpus: 2, zone: 'b' })],
-      'now p:1 q:1',
+      'immediate p:1 q:1',
     ],
     [
       'at most half in a zone',
       { oneZone: false, spread: true },
       [machine('p'), machine('q', { zone: 'b' })],
-      'now p:1 q:1',
+      'immediate p:1 q:1',
     ],
     // CPUs alone counted as room to come, and gangs waited in front of arrays for ever.
-    ['arrays that end, memory too', {}, [machine('p', FULL)], 'soon p:2'],
+    ['arrays that end, memory too', {}, [machine('p', FULL)], 'afterReclaim p:2'],
     ['CPUs end, memory does not', {}, [machine('p', { ...FULL, arrayMemoryGb: 0 })], 'missing 2'],
-    ['an urgent one may stop them', { priority: 'high' }, [machine('p', FULL)], 'soon p:2'],
+    ['an urgent one may stop them', { priority: 'high' }, [machine('p', FULL)], 'afterReclaim p:2'],
     ['no spot machine', {}, [machine('p', { spot: true })], 'missing 2'],
   ];
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines);
     const got = plan.shares
-      ? `${plan.when} ${plan.shares.map((one) => `${one.shard}:${one.count}`).join(' ')}`
-      : `missing ${plan.missing}`;
+      ? `${plan.availability} ${plan.shares.map((one) => `${one.shard}:${one.count}`).join(' ')}`
+      : `missing ${plan.missingTasks}`;
     assert.equal(got, want, name);
   }
 });
 
 test('the part with most ordinary machines keeps room, and what lacks is told by zone', () => {
   const fleet = [machine('p'), machine('q'), machine('q'), machine('r', { spot: true })];
-  assert.equal(reservingPlace(GANG, fleet), 'q\na');
+  assert.equal(reservingShardZone(GANG, fleet), 'q\na');
   assert.deepEqual(missingGangCapacity([GANG], [machine('p')]), []);
   const [missing] = missingGangCapacity(
     [{ ...GANG, tasks: 5 }],
@@ -102,21 +102,21 @@
       'a quick type, though another has more room',
       {},
       [machine('p', { ...slow, cpus: 16, memoryGb: 64 }), machine('q')],
-      'now q',
+      'immediate q',
     ],
     [
       'a slow one, where no other has room',
       {},
       [machine('p', slow), machine('q', { cpus: 0 })],
-      'now p',
+      'immediate p',
     ],
     // A slow fetch takes less time than arrays do to end, and more than they do to be stopped.
-    ['a slow one before arrays end', {}, [machine('p', slow), machine('q', FULL)], 'now p'],
+    ['a slow one before arrays end', {}, [machine('p', slow), machine('q', FULL)], 'immediate p'],
     [
       'arrays are stopped before a slow fetch',
       urgent,
       [machine('p', slow), machine('q', FULL)],
-      'soon q',
+      'afterReclaim q',
     ],
     // Urgent gangs stopped normal ones that had just begun, where there was more of them.
     [
@@ -126,15 +126,20 @@
         machine('p', { ...gangs, preemptibleCpus: 16, preemptibleMemoryGb: 64 }),
         machine('q', FULL),
       ],
-      'soon q',
+      'afterReclaim q',
+    ],
+    [
+      'gangs are stopped where there are no arrays',
+      urgent,
+      [machine('p', gangs)],
+      'afterReclaim p',
     ],
-    ['gangs are stopped where there are no arrays', urgent, [machine('p', gangs)], 'soon p'],
   ];
-  const hints = { lastPlace: null, fetchesInTime: (type: string) => type !== 'slow' };
+  const hints = { lastShardZone: null, isFetchInTime: (type: string) => type !== 'slow' };
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines, hints);
     const got = plan.shares
-      ? `${plan.when} ${plan.shares.map(({ shard }) => shard).join()}`
+      ? `${plan.availability} ${plan.shares.map(({ shard }) => shard).join()}`
       : 'none';
     assert.equal(got, want, name);
   }
--- a/test/leader/team-quota-reserve.test.ts
+++ b/test/leader/team-quota-reserve.test.ts
@@ -1,7 +1,7 @@
 /** How much of its team's limit lower work may use, beside what is reserved for urgent work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { STARVED_MS } from '../../src/constants/leader.js';
+import { STARVATION_MS } from '../../src/constants/leader.js';
 import { AssignmentHistory } from '../../src/coordination/leader/assignment-history.js';
 import { ShardAssignment } from '../../src/coordination/leader/shard-assignment.js';
 import type { OpenJob } from '../../src/coordination/leader/scheduling-order.js';
@@ -13,13 +13,13 @@
 const OPEN: OpenJob = {
   id: SPEC.id,
   spec: { ...SPEC, tasks: TASKS },
-  at: 0,
+  acceptedAt: 0,
   unassigned: TASKS,
   done: 0,
-  live: 0,
-  guaranteed: false,
-  tier: 0,
-  overdue: false,
+  placed: 0,
+  isWithinGuarantee: false,
+  deadlineTier: 0,
+  isStartOverdue: false,
 };
 
 /** How many tasks are allowed with so many CPUs left of the limit, after so long without any. */
@@ -28,11 +28,11 @@
   const history = new AssignmentHistory();
   history.isStarved(OPEN, 0);
   const assignment = new ShardAssignment({
-    limits: {
+    teamQuota: {
       remaining: () => ({ cpus: remaining, gpus: 0 }),
       urgentReserve: () => RESERVE,
-      use: () => undefined,
-      noteWaiting: () => undefined,
+      recordUse: () => undefined,
+      recordWaiting: () => undefined,
     } as never,
     history,
     distribution: {
@@ -43,7 +43,7 @@
     } as never,
     clock: new SimClock(),
   });
-  const round = { startedAt: starvedMs, assignments: [], unmet: [], machines: [] };
+  const round = { startedAt: starvedMs, assignments: [], unmetDemand: [], machines: [] };
   assignment.assign(OPEN, round as never);
   return allowed;
 }
@@ -53,9 +53,9 @@
     ['the reserve is left alone', 10, 0, 6],
     ['nothing but the reserve is left', 3, 0, 0],
     // A quarter of its tasks was all that a starved job got, however much room there was.
-    ['starved, though there is room beside the reserve', 10, STARVED_MS + 1, 6],
-    ['starved because of the reserve', 3, STARVED_MS + 1, 2],
-    ['starved, and little is left at all', 1, STARVED_MS + 1, 1],
+    ['starved, though there is room beside the reserve', 10, STARVATION_MS + 1, 6],
+    ['starved because of the reserve', 3, STARVATION_MS + 1, 2],
+    ['starved, and little is left at all', 1, STARVATION_MS + 1, 1],
   ];
   for (const [name, remaining, starvedMs, want] of cases) {
     assert.equal(allowedTasks(remaining, starvedMs), want, name);
--- a/test/scheduling/scheduling-sums.test.ts
+++ b/test/scheduling/scheduling-sums.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Bandit } from '../../src/coordination/scheduling/bandit.js';
-import { fitCount } from '../../src/coordination/capacity/machine-capacity.js';
+import { countFittingTasks } from '../../src/coordination/capacity/machine-capacity.js';
 import { shardOf } from '../../src/coordination/election/rendezvous-hashing.js';
 import { selectLateDemands } from '../../src/coordination/leader/deadline-selection.js';
 
@@ -44,7 +44,7 @@
 });
 
 test('overload: as many claims as possible stay in time', () => {
-  const claim = (work: number, dueS: number, runS = 1) => ({ work, runS, dueS });
+  const claim = (work: number, dueS: number, runS = 1) => ({ workCpuS: work, runS, dueS });
   const cases: [ReturnType<typeof claim>[], number, number[]][] = [
     [[claim(10, 10), claim(10, 20)], 1, []],
     [[claim(15, 10), claim(5, 12), claim(5, 13)], 1, [0]],
@@ -58,7 +58,10 @@
       late,
     );
   }
-  assert.equal(fitCount({ cpus: 4, gpus: 0, memoryGb: 16 }, { cpus: 1, gpus: 0, memoryGb: 5 }), 3);
+  assert.equal(
+    countFittingTasks({ cpus: 4, gpus: 0, memoryGb: 16 }, { cpus: 1, gpus: 0, memoryGb: 5 }),
+    3,
+  );
 });
 
 test('a machine belongs to a part of its own zone, and always to the same one', () => {
