--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -2,7 +2,8 @@
 import { NO_CAPACITY_PAUSE_MS } from '../../constants/autoscaling.js';
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { countFittingTasks, isEligible } from '../capacity/machine-capacity.js';
+import { isEligible } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/resources.js';
 import type { Member } from '../election/rendezvous-hashing.js';
 
 /** A machine type in a zone, ordinary or spot, with its price. */
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -2,12 +2,8 @@
 import { PREEMPTIBLE_SHARE } from '../../constants/autoscaling.js';
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
-import {
-  countFittingTasks,
-  isEligible,
-  type Amounts,
-  type MachineCapacity,
-} from '../capacity/machine-capacity.js';
+import { isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
+import { countFittingTasks, type Resources } from '../capacity/resources.js';
 import type { TaskDemand } from './capacity-demand.js';
 import { cheapestOffer, isOfferEligible, offerKey, type Offer } from './offers.js';
 
@@ -21,7 +17,7 @@
 interface PlannedRental {
   readonly offer: Offer;
   count: number;
-  readonly capacities: Amounts[];
+  readonly capacities: Resources[];
 }
 
 /** What a plan begins with. */
@@ -35,7 +31,7 @@
 }
 
 /** Puts tasks into rooms and takes what they use; returns how many found none. */
-function fillMachines(capacities: readonly Amounts[], spec: JobSpec, count: number): number {
+function fillMachines(capacities: readonly Resources[], spec: JobSpec, count: number): number {
   let left = count;
   for (const capacity of capacities) {
     const placed = Math.min(left, countFittingTasks(capacity, spec));
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -4,10 +4,11 @@
 import { ASSIGNMENTS, JOBS } from '../../storage/keys.js';
 import type { AssignmentSummary } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import type { MachineResources } from './machine-capacity.js';
-import { URGENT, shardZoneKey } from './priorities.js';
+import { isUrgent } from './priorities.js';
+import { shardZoneKey } from './shard-zone.js';
 
 /** What a team uses. */
 export interface Usage {
@@ -119,7 +120,7 @@
     const hasEnd = spec !== null && spec.kind !== 'service';
     const entry: Entry = {
       assignment,
-      isLowPriority: spec === null || rankOf(spec.priority) < URGENT,
+      isLowPriority: spec === null || !isUrgent(spec),
       isArray: spec?.kind === 'array',
       endingCpusPerS: hasEnd
         ? (assignment.placedCount * assignment.cpus) / Math.max(1, spec.estimateS)
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -3,14 +3,14 @@
 import { GANG_RECLAIMABLE_SHARE } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  countFittingTasks,
   isEligible,
   allocateReclaimable,
   reclaimableCapacity,
   reclaimModeFor,
   type MachineCapacity,
 } from './machine-capacity.js';
-import { shardZoneKey } from './priorities.js';
+import { countFittingTasks } from './resources.js';
+import { shardZoneKey } from './shard-zone.js';
 
 /** Tasks of a gang for which capacity is missing; the description names the zone. */
 export interface MissingCapacity {
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -1,17 +1,11 @@
 /** Room on machines: what tasks take, what is left, and what other work could free. */
 import type { MachineHealth } from '../../storage/records.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
-import { URGENT } from './priorities.js';
-
-/** What a task takes, or a machine has left. */
-export interface Amounts {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
+import type { JobSpec } from '../../protocol/model.js';
+import { isUrgent } from './priorities.js';
+import { resourcesOf, type Resources } from './resources.js';
 
 /** Amounts on a machine, with what other work there could leave to more. */
-export interface MachineResources extends Amounts {
+export interface MachineResources extends Resources {
   /** Tasks placed on it. */
   tasks: number;
   /** CPUs and memory of tasks that rank below `high`: what urgent work could take. */
@@ -52,27 +46,6 @@
   recentGangs: JobSpec[];
 }
 
-/** What so many tasks take. */
-export const resourcesOf = (task: Amounts, count: number): Amounts => ({
-  cpus: task.cpus * count,
-  gpus: task.gpus * count,
-  memoryGb: task.memoryGb * count,
-});
-
-/** Sums of decimals may miss a whole task by this share of it. */
-const ROUNDING_SLACK = 1e-9;
-
-/** How many tasks of a kind fit into a room. */
-export function countFittingTasks(free: Amounts, task: Amounts): number {
-  let count = Infinity;
-  if (task.cpus > 0) count = Math.min(count, Math.floor(free.cpus / task.cpus + ROUNDING_SLACK));
-  if (task.gpus > 0) count = Math.min(count, Math.floor(free.gpus / task.gpus + ROUNDING_SLACK));
-  if (task.memoryGb > 0) {
-    count = Math.min(count, Math.floor(free.memoryGb / task.memoryGb + ROUNDING_SLACK));
-  }
-  return Math.max(0, count);
-}
-
 /** Whether a job's tasks may run on a machine, by its type, its zone and whether it is spot. */
 export function isEligible(
   spec: JobSpec,
@@ -90,7 +63,7 @@
 
 /** How the leader counts on room being made for a job. */
 export const reclaimModeFor = (spec: JobSpec): ReclaimMode =>
-  rankOf(spec.priority) >= URGENT ? 'preempt' : 'awaitCompletion';
+  isUrgent(spec) ? 'preempt' : 'awaitCompletion';
 
 /**
  * The ways to make room for a job, the least costly first: a task of an array that is stopped loses
@@ -125,7 +98,7 @@
 }
 
 /** The room that a machine has once other work has made some. */
-export function reclaimableCapacity(machine: MachineCapacity, mode: ReclaimMode): Amounts {
+export function reclaimableCapacity(machine: MachineCapacity, mode: ReclaimMode): Resources {
   const { cpus, memoryGb } = reclaimableAmounts(machine, mode);
   return {
     cpus: machine.cpus + cpus,
--- a/src/coordination/capacity/priorities.ts
+++ b/src/coordination/capacity/priorities.ts
@@ -1,9 +1,10 @@
-/** The bound of urgent work, and the name of a place. */
+/** Which work is urgent. */
 
-import { rankOf } from '../../protocol/model.js';
+import { rankOf, type JobSpec } from '../../protocol/model.js';
 
-/** From this rank on work is urgent: it takes room from what ranks below it. */
+/** Work of this rank or above is urgent: it preempts what ranks below. */
 export const URGENT = rankOf('high');
 
-/** Names the machines of a part in one zone. */
-export const shardZoneKey = (shard: string, zone: string): string => `${shard}\n${zone}`;
+/** Whether a job may preempt work of lower rank. */
+export const isUrgent = ({ priority }: Pick<JobSpec, 'priority'>): boolean =>
+  rankOf(priority) >= URGENT;
--- a/src/coordination/capacity/recent-gangs.ts
+++ b/src/coordination/capacity/recent-gangs.ts
@@ -1,9 +1,9 @@
 /** The gangs that were submitted lately: the next ones may be like them. */
 
 import { RECENT_GANGS_MS } from '../../constants/gangs.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { URGENT } from './priorities.js';
+import { isUrgent } from './priorities.js';
 
 /** CPUs of all tasks of a gang. */
 const totalCpus = (spec: JobSpec): number => spec.tasks * spec.cpus;
@@ -33,7 +33,7 @@
   /** The largest that can't stop other work: room is reserved for one like it; null: none. */
   get largestNonUrgent(): JobSpec | null {
     return this.largestByClass
-      .filter((spec) => rankOf(spec.priority) < URGENT)
+      .filter((spec) => !isUrgent(spec))
       .reduce<JobSpec | null>(
         (best, spec) => (best && totalCpus(best) >= totalCpus(spec) ? best : spec),
         null,
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -5,14 +5,9 @@
 import { assignmentKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
+import type { ShardZone } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** The machines of one part in one zone. */
-export interface ShardZone {
-  readonly shard: string;
-  readonly zone: string;
-}
-
 /** A chunk record that is not committed yet. */
 export interface NewAssignment {
   readonly key: string;
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -17,7 +17,7 @@
 import type { Member } from '../election/rendezvous-hashing.js';
 import { schedulingOrder, type OpenJob } from './scheduling-order.js';
 import { AssignmentHistory } from './assignment-history.js';
-import type { SchedulingCycle } from './assignment-round.js';
+import type { SchedulingCycle } from './scheduling-cycle.js';
 import { AssignmentFactory } from './assignment-factory.js';
 import { GangAssignment } from './gang-assignment.js';
 import { ShardAssignment } from './shard-assignment.js';
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -1,7 +1,6 @@
-/** Occupies room on the machines of the leader's round, so that later jobs do not count on it. */
+/** Allocates capacity on the machines of a scheduling cycle: later jobs must not count on it. */
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  countFittingTasks,
   isEligible,
   allocateTasks,
   allocateReclaimable,
@@ -9,28 +8,45 @@
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
-import type { ShardZone } from './assignment-factory.js';
+import { countFittingTasks } from '../capacity/resources.js';
+import type { ShardZone } from '../capacity/shard-zone.js';
+
+/** Allocates free capacity machine by machine; returns how many tasks found none. */
+function allocateFirstFit(
+  spec: JobSpec,
+  count: number,
+  machines: readonly MachineCapacity[],
+  mayUse: (machine: MachineCapacity) => boolean,
+): number {
+  let remaining = count;
+  for (const machine of machines) {
+    if (remaining === 0) break;
+    if (!mayUse(machine) || !isEligible(spec, machine)) continue;
+    const fitting = Math.min(remaining, countFittingTasks(machine, spec));
+    allocateTasks(machine, spec, fitting);
+    remaining -= fitting;
+  }
+  return remaining;
+}
 
 /**
- * Occupies free room for tasks in a place, first beside other tasks and then on empty machines;
- * returns how many tasks found none.
+ * Allocates free capacity, first beside other tasks and then on idle machines; returns how many
+ * tasks found none.
  */
 function allocateFree(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): number {
   let remaining = count;
   for (const isInUse of [true, false]) {
-    for (const machine of machines) {
-      if (remaining === 0) return 0;
-      if (machine.tasks > 0 !== isInUse || machine.cpus < spec.cpus) continue;
-      if (!isEligible(spec, machine)) continue;
-      const count = Math.min(remaining, countFittingTasks(machine, spec));
-      allocateTasks(machine, spec, count);
-      remaining -= count;
-    }
+    remaining = allocateFirstFit(
+      spec,
+      remaining,
+      machines,
+      (machine) => machine.tasks > 0 === isInUse && machine.cpus >= spec.cpus,
+    );
   }
   return remaining;
 }
 
-/** Occupies room for tasks that other work has to free first. */
+/** Allocates capacity that other work has to free first. */
 function allocateReclaimed(
   spec: JobSpec,
   count: number,
@@ -41,13 +57,16 @@
   for (const machine of machines) {
     if (remaining === 0) return;
     if (!isEligible(spec, machine)) continue;
-    const count = Math.min(remaining, countFittingTasks(reclaimableCapacity(machine, mode), spec));
-    allocateReclaimable(machine, spec, count);
-    remaining -= count;
+    const fitting = Math.min(
+      remaining,
+      countFittingTasks(reclaimableCapacity(machine, mode), spec),
+    );
+    allocateReclaimable(machine, spec, fitting);
+    remaining -= fitting;
   }
 }
 
-/** Occupies room for tasks that are assigned to a place: free room, then what other work frees. */
+/** Allocates capacity for tasks assigned to a shard zone: what is free, then what is reclaimed. */
 export function allocateInShardZone(
   spec: JobSpec,
   shardZone: ShardZone,
@@ -61,18 +80,11 @@
   allocateReclaimed(spec, remaining, machinesInShardZone);
 }
 
-/** Occupies the free room of a zone for a gang that waits for more of it. */
+/** Allocates the free capacity of a zone for a gang that waits for more of it. */
 export function allocateInZone(
   spec: JobSpec,
   zone: string,
   machines: readonly MachineCapacity[],
 ): void {
-  let remaining = spec.tasks;
-  for (const machine of machines) {
-    if (remaining === 0) return;
-    if (machine.zone !== zone || !isEligible(spec, machine)) continue;
-    const count = Math.min(remaining, countFittingTasks(machine, spec));
-    allocateTasks(machine, spec, count);
-    remaining -= count;
-  }
+  allocateFirstFit(spec, spec.tasks, machines, (machine) => machine.zone === zone);
 }
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -1,14 +1,14 @@
 /** Finds the places whose machines have room for tasks of a job. */
-import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import {
-  countFittingTasks,
   isEligible,
   reclaimModesFor,
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
-import { URGENT, shardZoneKey } from '../capacity/priorities.js';
-import type { ShardZone } from './assignment-factory.js';
+import { isUrgent } from '../capacity/priorities.js';
+import { countFittingTasks } from '../capacity/resources.js';
+import { entryOfShardZone, type ShardZone } from '../capacity/shard-zone.js';
 
 /** How many tasks of a job a place has room for. */
 export interface ShardZoneCapacity extends ShardZone {
@@ -27,12 +27,14 @@
     return [...this.sums.values()];
   }
 
-  add({ shard, zone }: ShardZone, count: number): void {
+  add(machine: ShardZone, count: number): void {
     if (count <= 0) return;
-    const key = shardZoneKey(shard, zone);
-    const sum = this.sums.get(key);
-    if (sum) sum.count += count;
-    else this.sums.set(key, { shard, zone, count });
+    const sum = entryOfShardZone(this.sums, machine, ({ shard, zone }) => ({
+      shard,
+      zone,
+      count: 0,
+    }));
+    sum.count += count;
   }
 }
 
@@ -82,6 +84,6 @@
 ): ShardZoneCapacity[] {
   const sums = new CapacitySums();
   addFreeCapacity(sums, spec, wanted, machines);
-  if (rankOf(spec.priority) >= URGENT) addReclaimableCapacity(sums, spec, machines);
+  if (isUrgent(spec)) addReclaimableCapacity(sums, spec, machines);
   return sums.capacities;
 }
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -1,48 +1,50 @@
 /**
- * Room that a gang may claim for its team's guarantee: other teams' arrays, as far as these teams
- * run beyond their own guarantees. This is the one case in which work stops work of equal priority.
+ * Capacity that a gang may reclaim for its team's guarantee: arrays of other teams, as far as these
+ * teams run beyond their own guarantees. Only here does work preempt work of equal priority.
  */
 import { RECLAIM_RECOUNT_MS } from '../../constants/gangs.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Clock } from '../../transport/clock.js';
-import {
-  countFittingTasks,
-  isEligible,
-  type MachineCapacity,
-} from '../capacity/machine-capacity.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
+import type { Resources } from '../capacity/resources.js';
 import type { GangShare } from './gang-plan.js';
-import { shardZoneKey } from '../capacity/priorities.js';
+import { gangCapacityByShardZone, type GangCapacity } from './gang-shard-zones.js';
 
-/** Where a gang finds room by a claim, and how many CPUs it may stop of each team for it. */
+/** Where a gang fits by reclaiming capacity, and how many CPUs of each team it may preempt. */
 export interface ReclaimPlan {
-  share: GangShare;
-  reclaim: Record<string, number>;
+  readonly share: GangShare;
+  readonly reclaim: Record<string, number>;
 }
 
-/** What stopping some arrays would free on one machine. */
+/** CPUs that a team runs beyond its guarantee. */
+interface TeamExcess {
+  readonly team: string;
+  readonly cpus: number;
+}
+
+/** What preempting a team's arrays would free on one machine. */
 interface Reclaimable {
   cpus: number;
   memoryGb: number;
 }
 
-/** A place where a gang may go. */
-interface ReclaimCandidate {
-  shard: string;
-  zone: string;
-  /** Tasks of the gang that have free room. */
-  freeTasks: number;
-  /** Tasks that have room once other teams' arrays are stopped, those with free room included. */
-  reclaimableTasks: number;
+function totalCpus(excesses: readonly TeamExcess[]): number {
+  return excesses.reduce((sum, { cpus }) => sum + cpus, 0);
 }
 
-/** Finds such room; its counts are valid for a moment, less what was claimed since. */
+/** CPUs that a gang lacks in a shard zone. */
+function missingCpus(spec: JobSpec, { immediate }: GangCapacity): number {
+  return Math.max(0, spec.tasks - immediate) * spec.cpus;
+}
+
+/** Finds such capacity. Its counts are valid for a moment, less what was reclaimed since. */
 export class FairShareReclaim {
   private countedAt = -Infinity;
   /** CPUs that each team runs beyond its guarantee. */
   private readonly excessCpus = new Map<string, number>();
-  /** What stopping arrays of each team would free, by machine. */
+  /** What preempting the arrays of each team would free, by machine and team. */
   private readonly reclaimableByMachine = new Map<string, Map<string, Reclaimable>>();
 
   constructor(
@@ -51,65 +53,56 @@
     private readonly clock: Clock,
   ) {}
 
-  /** A place where all of the gang fits once such arrays are stopped; null: there is none. */
+  /** A shard zone in which all of the gang fits once such arrays are preempted; null: none. */
   find(spec: JobSpec, machines: readonly MachineCapacity[]): ReclaimPlan | null {
     this.refresh();
-    const excessCpus = [...this.excessCpus].filter(([team]) => team !== spec.team);
-    const reclaimableCpus = excessCpus.reduce((sum, [, cpus]) => sum + cpus, 0);
+    const excesses = this.excessesOfOtherTeams(spec.team);
+    const reclaimableCpus = totalCpus(excesses);
     if (reclaimableCpus < spec.cpus) return null;
-    const teams = new Set(excessCpus.map(([team]) => team));
-    let best: ReclaimCandidate | null = null;
-    for (const candidate of this.candidates(spec, machines, teams)) {
-      const missing = Math.max(0, spec.tasks - candidate.freeTasks);
-      if (candidate.reclaimableTasks < spec.tasks || missing * spec.cpus > reclaimableCpus)
-        continue;
-      if (best === null || candidate.freeTasks > best.freeTasks) best = candidate;
+    const teams = new Set(excesses.map(({ team }) => team));
+    const capacities = gangCapacityByShardZone(spec, machines, (machine) =>
+      this.withoutArraysOf(teams, machine),
+    );
+    let best: GangCapacity | null = null;
+    for (const candidate of capacities.values()) {
+      if (candidate.afterReclaim < spec.tasks) continue;
+      if (missingCpus(spec, candidate) > reclaimableCpus) continue;
+      if (best === null || candidate.immediate > best.immediate) best = candidate;
     }
     if (best === null) return null;
     const { shard, zone } = best;
-    const reclaim = this.reserveExcess(
-      excessCpus,
-      Math.max(0, spec.tasks - best.freeTasks) * spec.cpus,
-    );
+    const reclaim = this.deductExcess(excesses, missingCpus(spec, best));
     return { share: { shard, zone, count: spec.tasks }, reclaim };
   }
 
-  private candidates(
-    spec: JobSpec,
-    machines: readonly MachineCapacity[],
-    teams: ReadonlySet<string>,
-  ): Iterable<ReclaimCandidate> {
-    const candidates = new Map<string, ReclaimCandidate>();
-    for (const machine of machines) {
-      if (!isEligible(spec, machine)) continue;
-      const { shard, zone } = machine;
-      const key = shardZoneKey(shard, zone);
-      const candidate = candidates.get(key) ?? { shard, zone, freeTasks: 0, reclaimableTasks: 0 };
-      candidates.set(key, candidate);
-      const free = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
-      candidate.freeTasks += countFittingTasks(free, spec);
-      for (const [team, { cpus, memoryGb }] of this.reclaimableByMachine.get(machine.name) ?? []) {
-        if (!teams.has(team)) continue;
-        free.cpus += cpus;
-        free.memoryGb += memoryGb;
-      }
-      candidate.reclaimableTasks += countFittingTasks(free, spec);
+  private excessesOfOtherTeams(ownTeam: string): TeamExcess[] {
+    const excesses = [...this.excessCpus].map(([team, cpus]) => ({ team, cpus }));
+    return excesses.filter(({ team }) => team !== ownTeam);
+  }
+
+  /** What is free on a machine once the arrays of these teams are preempted there. */
+  private withoutArraysOf(teams: ReadonlySet<string>, machine: MachineCapacity): Resources {
+    const free = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
+    for (const [team, { cpus, memoryGb }] of this.reclaimableByMachine.get(machine.name) ?? []) {
+      if (!teams.has(team)) continue;
+      free.cpus += cpus;
+      free.memoryGb += memoryGb;
     }
-    return candidates.values();
+    return free;
   }
 
-  /** Claims CPUs of what the teams run beyond their guarantees, the largest excess first. */
-  private reserveExcess(excessCpus: [string, number][], cpus: number): Record<string, number> {
-    const reserved: Record<string, number> = {};
+  /** Deducts CPUs from what the teams run beyond their guarantees, the largest excess first. */
+  private deductExcess(excesses: readonly TeamExcess[], cpus: number): Record<string, number> {
+    const deducted: Record<string, number> = {};
     let remaining = cpus;
-    for (const [team, teamExcess] of excessCpus.sort(([, a], [, b]) => b - a)) {
-      const count = Math.min(remaining, teamExcess);
+    for (const excess of [...excesses].sort((a, b) => b.cpus - a.cpus)) {
+      const count = Math.min(remaining, excess.cpus);
       if (count <= 0) break;
-      reserved[team] = count;
-      this.excessCpus.set(team, teamExcess - count);
+      deducted[excess.team] = count;
+      this.excessCpus.set(excess.team, excess.cpus - count);
       remaining -= count;
     }
-    return reserved;
+    return deducted;
   }
 
   /** Counts anew when the counts are no longer valid. */
@@ -127,8 +120,8 @@
       this.excessCpus.set(team, (this.excessCpus.get(team) ?? 0) + placedCount * cpus);
     }
     for (const [team, cpus] of this.excessCpus) {
-      const beyond = cpus - (this.teams.get(team)?.cpus ?? 0);
-      if (beyond > 0) this.excessCpus.set(team, beyond);
+      const excess = cpus - (this.teams.get(team)?.cpus ?? 0);
+      if (excess > 0) this.excessCpus.set(team, excess);
       else this.excessCpus.delete(team);
     }
   }
@@ -139,12 +132,12 @@
       if (!this.excessCpus.has(assignment.team)) continue;
       if (this.replica.job(assignment.job)?.spec.kind !== 'array') continue;
       for (const name of assignment.machines) {
-        const teams = this.reclaimableByMachine.get(name) ?? new Map<string, Reclaimable>();
-        this.reclaimableByMachine.set(name, teams);
-        const reclaimable = teams.get(assignment.team) ?? { cpus: 0, memoryGb: 0 };
+        const byTeam = this.reclaimableByMachine.get(name) ?? new Map<string, Reclaimable>();
+        this.reclaimableByMachine.set(name, byTeam);
+        const reclaimable = byTeam.get(assignment.team) ?? { cpus: 0, memoryGb: 0 };
         reclaimable.cpus += assignment.cpus;
         reclaimable.memoryGb += assignment.memoryGb;
-        teams.set(assignment.team, reclaimable);
+        byTeam.set(assignment.team, reclaimable);
       }
     }
   }
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -9,7 +9,7 @@
   GANG_RETRY_MIN_MS,
 } from '../../constants/gangs.js';
 import type { GangShare } from './gang-plan.js';
-import { shardZoneKey } from '../capacity/priorities.js';
+import { shardZoneKey } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
 /** How often a gang was handed out, and when last. */
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -2,28 +2,23 @@
 
 import type { JobSpec } from '../../protocol/model.js';
 import {
-  countFittingTasks,
-  isEligible,
   reclaimableCapacity,
   reclaimModesFor,
   type MachineCapacity,
   type ReclaimMode,
 } from '../capacity/machine-capacity.js';
-import { shardZoneKey } from '../capacity/priorities.js';
+import type { ShardZone } from '../capacity/shard-zone.js';
+import {
+  gangCapacityByShardZone,
+  type Availability,
+  type GangCapacity,
+} from './gang-shard-zones.js';
 
 /** Tasks of a gang for one part. */
-export interface GangShare {
-  shard: string;
-  zone: string;
-  count: number;
+export interface GangShare extends ShardZone {
+  readonly count: number;
 }
 
-/**
- * When there is room for all of a gang. `immediate`: it is free. `afterReclaim`: it will be, once work that may be
- * stopped, or ends by itself, has left.
- */
-export type Availability = 'immediate' | 'afterReclaim';
-
 /**
  * Where a gang goes as a whole, and when there is room for it. No shares: there is no room; `zone` is
  * then where it lacks the least (null: anywhere), and `missing` how many of its tasks have no room
@@ -41,14 +36,6 @@
   isFetchInTime: (type: string) => boolean;
 }
 
-/** The machines of one part in one zone, and how many of the gang's tasks fit there. */
-interface ShardZoneGangCapacity {
-  shard: string;
-  zone: string;
-  immediate: number;
-  afterReclaim: number;
-}
-
 const NO_HINTS: ImageHints = { lastShardZone: null, isFetchInTime: () => true };
 
 /** Decides where a gang goes: where it costs the least to make room, if there is none. */
@@ -95,7 +82,9 @@
   lastShardZone: string | null,
   mode: ReclaimMode,
 ): GangPlan {
-  const shardZones = capacityByShardZone(spec, machines, mode);
+  const shardZones = gangCapacityByShardZone(spec, machines, (machine) =>
+    reclaimableCapacity(machine, mode),
+  );
   const allShardZones = [...shardZones.values()];
   const zones = groupByZone(allShardZones);
   const groups = spec.oneZone ? [...zones.values()] : [allShardZones];
@@ -111,29 +100,8 @@
     : { shares: null, zone: spec.zone, missingTasks: countMissingTasks(spec, allShardZones) };
 }
 
-/** How many of a gang's tasks fit in each place, by its key. */
-function capacityByShardZone(
-  spec: JobSpec,
-  machines: readonly MachineCapacity[],
-  mode: ReclaimMode,
-): Map<string, ShardZoneGangCapacity> {
-  const shardZones = new Map<string, ShardZoneGangCapacity>();
-  for (const machine of machines) {
-    if (!isEligible(spec, machine)) continue;
-    const { shard, zone } = machine;
-    const key = shardZoneKey(shard, zone);
-    const shardZone = shardZones.get(key) ?? { shard, zone, immediate: 0, afterReclaim: 0 };
-    shardZones.set(key, shardZone);
-    shardZone.immediate += countFittingTasks(machine, spec);
-    shardZone.afterReclaim += countFittingTasks(reclaimableCapacity(machine, mode), spec);
-  }
-  return shardZones;
-}
-
-function groupByZone(
-  shardZones: readonly ShardZoneGangCapacity[],
-): Map<string, ShardZoneGangCapacity[]> {
-  const zones = new Map<string, ShardZoneGangCapacity[]>();
+function groupByZone(shardZones: readonly GangCapacity[]): Map<string, GangCapacity[]> {
+  const zones = new Map<string, GangCapacity[]>();
   for (const shardZone of shardZones) {
     const group = zones.get(shardZone.zone);
     if (group) group.push(shardZone);
@@ -142,22 +110,19 @@
   return zones;
 }
 
-function totalCapacity(
-  shardZones: readonly ShardZoneGangCapacity[],
-  availability: Availability,
-): number {
+function totalCapacity(shardZones: readonly GangCapacity[], availability: Availability): number {
   return shardZones.reduce((total, shardZone) => total + shardZone[availability], 0);
 }
 
 /** All tasks of a gang in one place, as its only share; null: it may not, or no place has the room. */
 function singleShardShare(
   spec: JobSpec,
-  shardZones: readonly ShardZoneGangCapacity[],
-  preferred: ShardZoneGangCapacity | undefined,
+  shardZones: readonly GangCapacity[],
+  preferred: GangCapacity | undefined,
   availability: Availability,
 ): GangShare[] | null {
   if (spec.spread && spec.tasks !== 1) return null;
-  const largest = shardZones.reduce<ShardZoneGangCapacity | null>(
+  const largest = shardZones.reduce<GangCapacity | null>(
     (found, shardZone) =>
       found === null || shardZone[availability] > found[availability] ? shardZone : found,
     null,
@@ -171,7 +136,7 @@
 /** Shares for several places of one group, of the group with the most room first. */
 function distributeOverGroups(
   spec: JobSpec,
-  groups: readonly ShardZoneGangCapacity[][],
+  groups: readonly GangCapacity[][],
   availability: Availability,
 ): GangShare[] | null {
   const byCapacity = [...groups].sort(
@@ -187,7 +152,7 @@
 /** Fills the places with the most room first; of a spread gang at most half goes to each zone. */
 function fillShardZones(
   spec: JobSpec,
-  shardZones: readonly ShardZoneGangCapacity[],
+  shardZones: readonly GangCapacity[],
   availability: Availability,
 ): GangShare[] | null {
   const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
@@ -209,7 +174,7 @@
 /** What a gang that needs one zone lacks in the zone that will have the most room for it. */
 function shortfallInBestZone(
   spec: JobSpec,
-  zones: ReadonlyMap<string, readonly ShardZoneGangCapacity[]>,
+  zones: ReadonlyMap<string, readonly GangCapacity[]>,
 ): GangPlan {
   const byCapacity = [...zones].sort(
     ([, a], [, b]) => totalCapacity(b, 'afterReclaim') - totalCapacity(a, 'afterReclaim'),
@@ -219,6 +184,6 @@
 }
 
 /** How many of a gang's tasks have no free room in these places; at least one. */
-function countMissingTasks(spec: JobSpec, shardZones: readonly ShardZoneGangCapacity[]): number {
+function countMissingTasks(spec: JobSpec, shardZones: readonly GangCapacity[]): number {
   return Math.max(1, spec.tasks - totalCapacity(shardZones, 'immediate'));
 }
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -4,10 +4,11 @@
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
+import { SingleFlight } from '../../transport/concurrency.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 import type { GuardedWriter } from '../election/guarded-writer.js';
 import { AssignmentPlanner, type AssignmentPlannerOptions } from './assignment-planner.js';
-import type { SchedulingCycle } from './assignment-round.js';
+import type { SchedulingCycle } from './scheduling-cycle.js';
 import { AssignmentCommit } from './assignment-commit.js';
 import { JobCompletion } from './job-completion.js';
 import { CapacityAccounting } from '../capacity/capacity-accounting.js';
@@ -35,7 +36,7 @@
   private readonly planner: AssignmentPlanner;
   private readonly jobCompletion: JobCompletion;
   private readonly assignmentCommit: AssignmentCommit;
-  private busy = false;
+  private readonly reconciling = new SingleFlight();
   /** ms that the last round took, its waiting for the state service aside. */
   lastCycleCpuMs = 0;
   /** The fleet, and the demand that it does not meet, as the last round found them. */
@@ -84,22 +85,20 @@
     if (key.startsWith(JOBS)) this.arrivals.changed(key.slice(JOBS.length));
   }
 
-  /** One round; returns the parts for which something urgent was written. */
+  /** Runs a scheduling cycle; returns the shards for which urgent work was written. */
   async reconcile(): Promise<Set<string>> {
-    if (this.busy) return new Set();
-    this.busy = true;
-    try {
-      this.accounting.refresh();
-      this.rejectedChangeBackoff.sweep();
-      await this.jobCompletion.run();
-      if (!this.replica.isSynced) return new Set();
-      const reconcile = this.planner.plan();
-      this.snapshot = this.snapshotOf(reconcile);
-      this.lastCycleCpuMs = this.clock.now() - reconcile.startedAt;
-      return await this.assignmentCommit.run(reconcile.assignments, reconcile.urgentKeys);
-    } finally {
-      this.busy = false;
-    }
+    return (await this.reconciling.run(() => this.runCycle())) ?? new Set();
+  }
+
+  private async runCycle(): Promise<Set<string>> {
+    this.accounting.refresh();
+    this.rejectedChangeBackoff.sweep();
+    await this.jobCompletion.run();
+    if (!this.replica.isSynced) return new Set();
+    const cycle = this.planner.plan();
+    this.snapshot = this.snapshotOf(cycle);
+    this.lastCycleCpuMs = this.clock.now() - cycle.startedAt;
+    return await this.assignmentCommit.run(cycle.assignments, cycle.urgentKeys);
   }
 
   private snapshotOf({ fleet, unmetDemand }: SchedulingCycle): FleetSnapshot {
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,10 +1,10 @@
 /** The work that arrived lately: what the fleet should expect. */
 import { RECENT_ARRIVALS_MS } from '../../constants/leader.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
-import { URGENT } from '../capacity/priorities.js';
+import { isUrgent } from '../capacity/priorities.js';
 
 /** ms; for a shorter time than this no figure is given: too little was observed. */
 const MIN_OBSERVED_MS = RECENT_ARRIVALS_MS / 3;
@@ -46,7 +46,7 @@
     if (this.knownJobs.has(job)) return;
     this.knownJobs.add(job);
     if (spec.kind === 'gang') this.recentGangs.add(spec);
-    if (spec.kind === 'array' && rankOf(spec.priority) < URGENT) this.addArray(spec);
+    if (spec.kind === 'array' && !isUrgent(spec)) this.addArray(spec);
   }
 
   /** CPUs that arrays of lower work need all the time if they go on arriving like this. */
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -1,17 +1,13 @@
 /** Assigns tasks of arrays and services to parts, within the limits of their teams. */
 import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
 import { OVERDUE_TASK_SHARE, STARVED_TASK_SHARE } from '../../constants/leader.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import {
-  countFittingTasks,
-  resourcesOf,
-  type MachineCapacity,
-} from '../capacity/machine-capacity.js';
-import { URGENT } from '../capacity/priorities.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
+import { isUrgent } from '../capacity/priorities.js';
+import { countFittingTasks, resourcesOf } from '../capacity/resources.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { AssignmentHistory } from './assignment-history.js';
-import type { SchedulingCycle } from './assignment-round.js';
+import type { SchedulingCycle } from './scheduling-cycle.js';
 import type { TaskDistribution } from './task-distribution.js';
 import type { TeamQuota } from './team-quota.js';
 
@@ -23,10 +19,6 @@
   readonly clock: Clock;
 }
 
-function isUrgent(spec: JobSpec): boolean {
-  return rankOf(spec.priority) >= URGENT;
-}
-
 /** Assigns tasks of arrays and services whose turn it is. */
 export class ShardAssignment {
   constructor(private readonly options: ShardAssignmentOptions) {}
@@ -68,25 +60,22 @@
     return unassigned + queued;
   }
 
-  /** How many tasks of a job may be assigned now, by its team's limit. */
+  /** How many tasks of a job its team's quota allows to assign now. */
   private allowedTasks(job: OpenJob, now: number): number {
     const { history, teamQuota } = this.options;
     const { spec } = job;
-    const free = { ...teamQuota.remaining(spec.team), memoryGb: 0 };
-    let wanted = job.isStartOverdue ? Math.ceil(spec.tasks * OVERDUE_TASK_SHARE) : job.unassigned;
-    // Lower work leaves some of its team's limit to urgent work, for which nothing else makes room
-    // there. Where services fill all but this reserve, lower work would wait for ever in front of
-    // free machines: after a while some of it may use the reserve.
+    const remaining = { ...teamQuota.remaining(spec.team), memoryGb: 0 };
     const task = { ...resourcesOf(spec, 1), memoryGb: 0 };
-    if (!isUrgent(spec)) {
-      const cpus = free.cpus - teamQuota.urgentReserve(spec.team);
-      const blocked = countFittingTasks({ ...free, cpus }, task) === 0;
-      // Where the reserve is not what blocks a starved job, it has room like all others.
-      if (history.isStarved(job, now) && blocked) {
-        wanted = Math.min(wanted, Math.ceil(spec.tasks * STARVED_TASK_SHARE));
-      } else free.cpus = cpus;
-    }
-    return Math.min(wanted, countFittingTasks(free, task));
+    const wanted = job.isStartOverdue ? Math.ceil(spec.tasks * OVERDUE_TASK_SHARE) : job.unassigned;
+    if (isUrgent(spec)) return Math.min(wanted, countFittingTasks(remaining, task));
+    // Non-urgent work leaves a reserve of the quota to its team's urgent work, which can reclaim none.
+    const unreserved = { ...remaining, cpus: remaining.cpus - teamQuota.urgentReserve(spec.team) };
+    const fitting = countFittingTasks(unreserved, task);
+    // Where services fill the rest of the quota, non-urgent work would starve beside idle machines:
+    // after a while some of it may use the reserve, though only if it is the reserve that blocks it.
+    if (!history.isStarved(job, now) || fitting > 0) return Math.min(wanted, fitting);
+    const starvedLimit = Math.ceil(spec.tasks * STARVED_TASK_SHARE);
+    return Math.min(wanted, starvedLimit, countFittingTasks(remaining, task));
   }
 
   /** Machines that a job may use: an array those reserved for a gang only after a while. */
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -2,13 +2,11 @@
 
 import { QUEUE_REFILL_RATIO, QUEUE_AHEAD_S } from '../../constants/leader.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
-import { shardZoneKey } from '../capacity/priorities.js';
+import { shardZoneKey, type ShardZone } from '../capacity/shard-zone.js';
 import type { OpenJob } from './scheduling-order.js';
 
 /** What waits in a part beyond its free room, and what its machines finish meanwhile. */
-export interface Queue {
-  shard: string;
-  zone: string;
+export interface Queue extends ShardZone {
   waitingCpus: number;
   /** CPUs under lower work that end in a second, by the owners' estimates. */
   endingCpus: number;
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -1,11 +1,11 @@
 /** Distributes tasks of an array or a service over the places with room for them. */
-import { rankOf } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
-import { URGENT } from '../capacity/priorities.js';
+import { isUrgent } from '../capacity/priorities.js';
 import { queueCapacity, shortQueues, type Queue } from './shard-queues.js';
 import type { OpenJob } from './scheduling-order.js';
-import type { AssignmentFactory, NewAssignment, ShardZone } from './assignment-factory.js';
+import type { ShardZone } from '../capacity/shard-zone.js';
+import type { AssignmentFactory, NewAssignment } from './assignment-factory.js';
 import { allocateInShardZone } from './capacity-allocation.js';
 import { findCapacity } from './capacity-search.js';
 import { ZoneLimits } from './zone-limits.js';
@@ -39,8 +39,8 @@
 
 /** Queues of the parts that a job may join: an array that is not urgent waits for others to end. */
 function queuesFor(job: OpenJob, queues: ReadonlyMap<string, Queue>): Queue[] {
-  const { kind, priority } = job.spec;
-  return kind === 'array' && rankOf(priority) < URGENT ? shortQueues(job, queues) : [];
+  const { spec } = job;
+  return spec.kind === 'array' && !isUrgent(spec) ? shortQueues(job, queues) : [];
 }
 
 /** Tasks of one job that are being assigned: how many are left, and the chunks created so far. */
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -1,17 +1,14 @@
 /** What each team uses of its limits while the leader assigns tasks, and what it may still use. */
 import { URGENT_RESERVE_QUOTA_SHARE, URGENT_RESERVE_JOBS } from '../../constants/leader.js';
-import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { resourcesOf, type Amounts } from '../capacity/machine-capacity.js';
+import { resourcesOf, ROUNDING_SLACK, type Resources } from '../capacity/resources.js';
 import type { CapacityAccounting, Usage } from '../capacity/capacity-accounting.js';
-import { URGENT } from '../capacity/priorities.js';
+import { isUrgent } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** Sums of decimals may exceed a limit by this much. */
-const SLACK = 1e-9;
-
 /** What the team limits are calculated from. */
 export interface TeamQuotaOptions {
   readonly teams: ReadonlyMap<string, Team>;
@@ -66,12 +63,12 @@
   }
 
   /** Whether a team's limit does not allow so much more. */
-  wouldExceed(name: string, more: Amounts): boolean {
+  wouldExceed(name: string, more: Resources): boolean {
     const team = this.options.teams.get(name);
     const usage = this.usageOf(name);
     return (
-      usage.cpus + more.cpus > (team?.cpusMax ?? 0) + SLACK ||
-      usage.gpus + more.gpus > (team?.gpusMax ?? 0) + SLACK
+      usage.cpus + more.cpus > (team?.cpusMax ?? 0) + ROUNDING_SLACK ||
+      usage.gpus + more.gpus > (team?.gpusMax ?? 0) + ROUNDING_SLACK
     );
   }
 
@@ -100,7 +97,7 @@
   private countUrgentReserves(): Map<string, number> {
     const reserves = new Map<string, number>();
     for (const { spec } of this.options.replica.openJobs()) {
-      if (rankOf(spec.priority) < URGENT) continue;
+      if (!isUrgent(spec)) continue;
       const tasks = spec.kind === 'array' ? 1 : spec.tasks;
       const cpus = spec.cpus * tasks * URGENT_RESERVE_JOBS;
       const maxReserve =
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -2,15 +2,11 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { AssignmentSummary, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import {
-  countFittingTasks,
-  isEligible,
-  allocateTasks,
-  type MachineCapacity,
-} from '../capacity/machine-capacity.js';
+import { isEligible, allocateTasks, type MachineCapacity } from '../capacity/machine-capacity.js';
 import type { CapacityAccounting } from '../capacity/capacity-accounting.js';
-import { shardZoneKey } from '../capacity/priorities.js';
-import type { SchedulingCycle } from './assignment-round.js';
+import { countFittingTasks } from '../capacity/resources.js';
+import { shardZoneKey } from '../capacity/shard-zone.js';
+import type { SchedulingCycle } from './scheduling-cycle.js';
 import { allocateInShardZone } from './capacity-allocation.js';
 
 /** Share of a place's machines that must have become full for its list to be shortened. */
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -4,7 +4,7 @@
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Candidate, JobLookup, Victim } from './candidates.js';
-import { countFittingTasks } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/resources.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Preemption } from './preemption.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -3,7 +3,7 @@
 import { GANG_RESERVATION_FACTOR } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Candidate, JobLookup } from './candidates.js';
-import { countFittingTasks } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/resources.js';
 import { allocate, type Resources } from '../capacity/resources.js';
 import type { Chunk, Tasks } from '../shard-state/tasks.js';
 
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import { reservingShardZone } from '../capacity/gang-capacity.js';
 import { healthyMachines } from '../capacity/machine-inventory.js';
-import { shardZoneKey } from '../capacity/priorities.js';
+import { shardZoneKey } from '../capacity/shard-zone.js';
 import type { ShardContext } from './shard-context.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
 
--- a/test/scheduling/scheduling-sums.test.ts
+++ b/test/scheduling/scheduling-sums.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Bandit } from '../../src/coordination/scheduling/bandit.js';
-import { countFittingTasks } from '../../src/coordination/capacity/machine-capacity.js';
+import { countFittingTasks } from '../../src/coordination/capacity/resources.js';
 import { shardOf } from '../../src/coordination/election/rendezvous-hashing.js';
 import { selectLateDemands } from '../../src/coordination/leader/deadline-selection.js';
 
