--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -55,11 +55,11 @@
  */
 export function neededCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
   let workCpuS = remainingCpuS(snapshot);
-  for (const { spec, count } of snapshot.unmet) {
+  for (const { spec, count } of snapshot.unmetDemand) {
     if (spec.kind !== 'service') workCpuS += count * spec.cpus * Math.max(1, spec.estimateS);
   }
   const periodS = fastestBootS(types) * LATE_TASK_BOOT_TIMES;
-  return workCpuS / periodS + snapshot.comingCpus * EXPECTED_WORK_SHARE;
+  return workCpuS / periodS + snapshot.expectedCpus * EXPECTED_WORK_SHARE;
 }
 
 /**
@@ -74,7 +74,7 @@
   const bootS = fastestBootS(types);
   const demand: TaskDemand[] = [];
   let aheadCpuS = remainingCpuS(snapshot);
-  for (const unmet of byUrgency(snapshot.unmet)) {
+  for (const unmet of byUrgency(snapshot.unmetDemand)) {
     const { spec, count } = unmet;
     if (spec.kind === 'service' || spec.deadlineS === null || spec.cpus <= 0) {
       demand.push({ spec, count });
@@ -117,12 +117,12 @@
   fleetCpus: number,
   demand: readonly TaskDemand[],
 ): TaskDemand | null {
-  const { coming } = snapshot;
-  if (!coming) return null;
+  const { lastArray } = snapshot;
+  if (!lastArray) return null;
   const cpus = demand.reduce((sum, { spec, count }) => sum + count * spec.cpus, fleetCpus);
   const missingCpus = neededCpus(snapshot, types) - cpus;
   if (missingCpus <= 0) return null;
-  return { spec: coming, count: Math.ceil(missingCpus / coming.cpus) };
+  return { spec: lastArray, count: Math.ceil(missingCpus / lastArray.cpus) };
 }
 
 /** CPUs of healthy machines, free or used by preemptible work, and of booting machines. */
@@ -136,8 +136,8 @@
 }
 
 /** Time of day in ms by which a job is due; -Infinity: it has no deadline and is due at once. */
-function dueAt({ spec, at }: UnmetDemand): number {
-  return spec.deadlineS === null ? -Infinity : at + spec.deadlineS * 1000;
+function dueAt({ spec, acceptedAt }: UnmetDemand): number {
+  return spec.deadlineS === null ? -Infinity : acceptedAt + spec.deadlineS * 1000;
 }
 
 /** Higher priorities first, earlier deadlines first within a priority. */
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -31,7 +31,7 @@
 
   /** The gangs for whose like capacity is kept free. */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
-    return this.isQuiet ? [] : snapshot.gangs;
+    return this.isQuiet ? [] : snapshot.recentGangs;
   }
 
   private get isQuiet(): boolean {
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -3,12 +3,8 @@
 import { PREEMPTIBLE_CPU_SHARE } from '../../constants/autoscaling.js';
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
-import {
-  fitCount,
-  isEligible,
-  type Amounts,
-  type MachineCapacity,
-} from '../capacity/machine-capacity.js';
+import { isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
+import { countFittingTasks, type Resources } from '../capacity/resources.js';
 import type { TaskDemand } from './capacity-demand.js';
 import { cheapestOffer, isOfferEligible, offerKey, type Offer } from './offers.js';
 
@@ -22,7 +18,7 @@
 interface PlannedRental {
   readonly offer: Offer;
   count: number;
-  readonly capacities: Amounts[];
+  readonly capacities: Resources[];
 }
 
 /** What a plan begins with. */
@@ -36,10 +32,10 @@
 }
 
 /** Takes the tasks' resources from the machines; returns how many tasks don't fit. */
-function fillMachines(capacities: readonly Amounts[], spec: JobSpec, count: number): number {
+function fillMachines(capacities: readonly Resources[], spec: JobSpec, count: number): number {
   let left = count;
   for (const capacity of capacities) {
-    const placed = Math.min(left, fitCount(capacity, spec));
+    const placed = Math.min(left, countFittingTasks(capacity, spec));
     capacity.cpus -= placed * spec.cpus;
     capacity.gpus -= placed * spec.gpus;
     capacity.memoryGb -= placed * spec.memoryGb;
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -1,7 +1,7 @@
 /** A gang's layout: the machines of all tasks of a shard's share, and its search without preemption. */
 
 import type { JobSpec } from '../../protocol/model.js';
-import { fitCount } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/resources.js';
 import type { Resources } from '../capacity/resources.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Candidate } from './candidates.js';
@@ -40,7 +40,7 @@
 ): Candidate[] | null {
   const targets: Candidate[] = [];
   for (const candidate of candidates) {
-    const count = Math.min(taskCount - targets.length, fitCount(candidate.free, task));
+    const count = Math.min(taskCount - targets.length, countFittingTasks(candidate.free, task));
     for (let placed = 0; placed < count; placed++) targets.push(candidate);
     if (targets.length === taskCount) return targets;
   }
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -1,6 +1,6 @@
 /** Preemption for a gang: enough tasks are stopped for all of a shard's share, or none. */
 
-import { CLAIM_VALID_MS } from '../../constants/gangs.js';
+import { RECLAIM_VALID_MS } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { allocate, type Resources } from '../capacity/resources.js';
@@ -66,7 +66,8 @@
    */
   private reclaimableArrayCpus(assignment: Assignment): Record<string, number> {
     const [first] = assignment.waiting;
-    const isRecent = first !== undefined && this.clock.now() - first.pendingSince < CLAIM_VALID_MS;
+    const isRecent =
+      first !== undefined && this.clock.now() - first.pendingSince < RECLAIM_VALID_MS;
     return isRecent ? (assignment.record.reclaim ?? {}) : {};
   }
 }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,8 +1,8 @@
 /** Resources that a shard reserves: for a gang that does not fit yet, and for the next one. */
 
-import { GANG_KEEP_TIMES } from '../../constants/gangs.js';
+import { GANG_RESERVATION_FACTOR } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
-import { fitCount } from '../capacity/machine-capacity.js';
+import { countFittingTasks } from '../capacity/resources.js';
 import { allocate, type Resources } from '../capacity/resources.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
@@ -39,7 +39,7 @@
   reserve(assignment: Assignment, candidates: readonly Candidate[]): boolean {
     const taskCount = assignment.waiting.size;
     // More than it needs, since it waits for what ends first, not for all that runs there now.
-    const reservedCount = taskCount * GANG_KEEP_TIMES;
+    const reservedCount = taskCount * GANG_RESERVATION_FACTOR;
     const selection = this.select(assignment.record, candidates, reservedCount);
     // Where it will not fit in any case, it delays no other work.
     if (selection.fitCount < taskCount) return false;
@@ -69,8 +69,8 @@
     }
     return {
       candidate,
-      fitNow: fitCount(candidate.free, task),
-      fitLater: fitCount(freeLater, task),
+      fitNow: countFittingTasks(candidate.free, task),
+      fitLater: countFittingTasks(freeLater, task),
     };
   }
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,7 +1,7 @@
 /** The scheduler of one shard: assigns waiting tasks to machines, in the order of their priorities. */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
-import { FETCH_SLOWEST } from '../../constants/gangs.js';
+import { FETCH_TIME_MAX_RATIO } from '../../constants/gangs.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { allocate } from '../capacity/resources.js';
@@ -154,7 +154,7 @@
       fetches: {
         isInTime: (machine) => this.choice.fetchesInTime(machine, spec),
         isWithinGangWait: (machine) =>
-          this.choice.fetchSeconds(machine, spec) * FETCH_SLOWEST <= this.options.gangWaitS,
+          this.choice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <= this.options.gangWaitS,
       },
     });
   }
