--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -31,9 +31,9 @@
     if (machine.isConsolidating || !machines.isSchedulable(machine)) continue;
     if (machines.health(machine) !== 'ok') continue;
     const free = machines.capacity(machine.type);
-    const placed = tasks.on(machine.name);
-    for (const [slot, assignment] of placed) {
-      if (!slot.halting) allocate(free, assignment.record);
+    const placed = tasks.placedOn(machine.name);
+    for (const [task, assignment] of placed) {
+      if (!task.isStopping) allocate(free, assignment.record);
     }
     const isEmpty = placed.size === 0;
     candidates.push({ machine, free, isEmpty, isReserved: false, excludesArrays: false });
@@ -49,9 +49,9 @@
 /** Queued and running tasks by machine type. */
 export function countTasksByType(machines: Machines, tasks: Tasks): Map<string, number> {
   const counts = new Map<string, number>();
-  for (const name of tasks.machines()) {
+  for (const name of tasks.occupiedMachines()) {
     const type = machines.all.get(name)?.type;
-    if (type) counts.set(type, (counts.get(type) ?? 0) + tasks.on(name).size);
+    if (type) counts.set(type, (counts.get(type) ?? 0) + tasks.placedOn(name).size);
   }
   return counts;
 }
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -9,7 +9,7 @@
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { fits, allocate } from '../capacity/resources.js';
-import type { Assignment, Slot } from '../shard-state/assignment.js';
+import type { Assignment, Task } from '../shard-state/assignment.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
 import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
@@ -29,8 +29,8 @@
 }
 
 /** Whether a task ran long enough for its start to have been worth it. */
-export function isSettled(slot: Slot, clock: Clock): boolean {
-  return slot.runningAt !== null && clock.now() - slot.runningAt > SETTLED_AFTER_MS;
+export function isSettled(task: Task, clock: Clock): boolean {
+  return task.runningAt !== null && clock.now() - task.runningAt > SETTLED_AFTER_MS;
 }
 
 /** Moves services away from the machines of a shard that are little used. */
@@ -52,7 +52,7 @@
     const { tasks, machines, clock } = this.dependencies;
     const now = clock.now();
     const emptied = new Set<string>();
-    if (tasks.waiting.size > 0 || now < this.nextRunAt) return emptied;
+    if (tasks.waitingAssignments.size > 0 || now < this.nextRunAt) return emptied;
     this.nextRunAt = now + CONSOLIDATION_PERIOD_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ isEmpty }) => !isEmpty);
@@ -68,21 +68,21 @@
   /** Stops all tasks of a machine if they may move and fit on the others; false: they stay. */
   private moveAll({ machine }: Candidate, others: readonly Candidate[]): boolean {
     const { tasks, log } = this.dependencies;
-    const placed = [...tasks.on(machine.name)];
-    const mayAllMove = placed.every(([slot, assignment]) => this.mayMove(slot, assignment));
+    const placed = [...tasks.placedOn(machine.name)];
+    const mayAllMove = placed.every(([task, assignment]) => this.mayMove(task, assignment));
     if (!mayAllMove || placed.length === 0) return false;
     const targets = others.filter((other) => !other.machine.isConsolidating);
     const assignments = placed.map(([, assignment]) => assignment);
     if (!this.reserveCapacity(assignments, targets)) return false;
     machine.isConsolidating = true;
-    for (const [slot] of placed) slot.halting = true;
+    for (const [task] of placed) task.isStopping = true;
     log.info({ machine: machine.name, tasks: placed.length }, 'services stopped for consolidation');
     return true;
   }
 
-  private mayMove(slot: Slot, assignment: Assignment): boolean {
+  private mayMove(task: Task, assignment: Assignment): boolean {
     const isService = this.findJob(assignment.job)?.spec.kind === 'service';
-    return isService && isSettled(slot, this.dependencies.clock) && !slot.halting;
+    return isService && isSettled(task, this.dependencies.clock) && !task.isStopping;
   }
 
   /** Takes resources for one task of each assignment on other machines; false: not all fit. */
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -26,7 +26,7 @@
   const sorted = [...group].sort((a, b) => preference(b) - preference(a));
   // All wait for the last fetch, so images help most where every machine has it.
   for (const machines of [sorted.filter(hasImage), sorted]) {
-    const targets = fillInOrder(machines, assignment.record, assignment.waiting.size);
+    const targets = fillInOrder(machines, assignment.record, assignment.waitingTasks.size);
     if (targets) return { targets, preemptions: [] };
   }
   return null;
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -45,7 +45,7 @@
     const rights: GangPreemptionRights = { rank: rankOf(spec.priority), arrayCpus };
     const machines = candidates.map((candidate) => this.plannedMachine(candidate, rights));
     const targets: Candidate[] = [];
-    while (targets.length < assignment.waiting.size) {
+    while (targets.length < assignment.waitingTasks.size) {
       const option = cheapestOption(machines, assignment.record, rights);
       if (!option) return null;
       applyOption(option, rights);
@@ -65,9 +65,9 @@
    * after it was handed out.
    */
   private reclaimableArrayCpus(assignment: Assignment): Record<string, number> {
-    const [first] = assignment.waiting;
+    const [first] = assignment.waitingTasks;
     const isRecent =
-      first !== undefined && this.clock.now() - first.pendingSince < RECLAIM_VALID_MS;
+      first !== undefined && this.clock.now() - first.waitingSince < RECLAIM_VALID_MS;
     return isRecent ? (assignment.record.reclaim ?? {}) : {};
   }
 }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -37,7 +37,7 @@
 
   /** Reserves machines where a gang will fit once arrays there have ended; false: there are none. */
   reserve(assignment: Assignment, candidates: readonly Candidate[]): boolean {
-    const taskCount = assignment.waiting.size;
+    const taskCount = assignment.waitingTasks.size;
     // More than it needs, since it waits for what ends first, not for all that runs there now.
     const reservedCount = taskCount * GANG_RESERVATION_FACTOR;
     const selection = this.select(assignment.record, candidates, reservedCount);
@@ -63,7 +63,7 @@
 
   private fitOn(candidate: Candidate, task: Resources): CandidateFit {
     const freeLater = { ...candidate.free };
-    for (const [, assignment] of this.tasks.on(candidate.machine.name)) {
+    for (const [, assignment] of this.tasks.placedOn(candidate.machine.name)) {
       const isArray = this.findJob(assignment.job)?.spec.kind === 'array';
       if (isArray) allocate(freeLater, assignment.record, -1);
     }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -5,7 +5,7 @@
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
-import type { Assignment, Slot } from '../shard-state/assignment.js';
+import type { Assignment, Task } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
 import type { Candidate, JobLookup } from './candidates.js';
 import { isSettled } from './consolidation.js';
@@ -35,7 +35,7 @@
 
 /** A placed task that may be stopped for other work. */
 export interface Victim {
-  slot: Slot;
+  task: Task;
   assignment: Assignment;
   /** How many tasks are stopped with it: of a gang all, wherever they run. */
   cost: number;
@@ -104,31 +104,31 @@
   /** The tasks on a machine that may be stopped: the cheapest first, among those the newest. */
   victims(candidate: Candidate, rights: PreemptionRights): Victim[] {
     const victims: Victim[] = [];
-    for (const [slot, assignment] of this.dependencies.tasks.on(candidate.machine.name)) {
-      const victim = this.victimFor(slot, assignment, rights);
+    for (const [task, assignment] of this.dependencies.tasks.placedOn(candidate.machine.name)) {
+      const victim = this.victimFor(task, assignment, rights);
       if (victim) victims.push(victim);
     }
     return victims.sort(
-      (a, b) => a.cost - b.cost || (b.slot.runningAt ?? Infinity) - (a.slot.runningAt ?? Infinity),
+      (a, b) => a.cost - b.cost || (b.task.runningAt ?? Infinity) - (a.task.runningAt ?? Infinity),
     );
   }
 
   /** Null: the task may not be stopped for a job with these rights. */
   private victimFor(
-    slot: Slot,
+    task: Task,
     assignment: Assignment,
     { rank, arrayCpus }: PreemptionRights,
   ): Victim | null {
     const { job, beganLate, mayStopGang } = this.rules;
-    const spec = slot.halting ? null : job(assignment.job)?.spec;
+    const spec = task.isStopping ? null : job(assignment.job)?.spec;
     if (!spec) return null;
     // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
-    if (!isSettled(slot, this.dependencies.clock) && beganLate(assignment.job)) return null;
+    if (!isSettled(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
     const isGang = assignment.record.attempt !== undefined;
     if (isGang && !mayStopGang(assignment)) return null;
     const isOutranked = rankOf(spec.priority) < rank;
     if (!isOutranked && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
-    return { slot, assignment, cost: isGang ? spec.tasks + 1 : 1, isOutranked };
+    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, isOutranked };
   }
 
   /** Stops tasks on a machine for a job; adds the machine to `machinesWithStops`. */
@@ -138,14 +138,14 @@
     machinesWithStops: Set<string>,
   ): void {
     const { tasks, log } = this.dependencies;
-    for (const { slot, assignment } of victims) {
+    for (const { task, assignment } of victims) {
       allocate(candidate.free, assignment.record, -1);
       const isGang = assignment.record.attempt !== undefined;
       // All of a gang is stopped together: see `GangShares.reconcile`, in the same cycle.
-      if (isGang) assignment.broken = true;
+      if (isGang) assignment.hasFailed = true;
       // What was never committed was never sent either.
-      if (!tasks.committed(assignment, slot)) tasks.requeue(assignment, slot);
-      else if (!isGang) slot.halting = true;
+      if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
+      else if (!isGang) task.isStopping = true;
     }
     if (victims.length === 0) return;
     const machine = candidate.machine.name;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { allocate } from '../capacity/resources.js';
 import { TermNumbers } from '../election/term-numbers.js';
-import type { Slot } from '../shard-state/assignment.js';
+import type { Task } from '../shard-state/assignment.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
 import type { Bandit } from './bandit.js';
@@ -105,14 +105,14 @@
     const { assignment, spec } = entry;
     const { record } = assignment;
     const candidates = cycle.candidatesFor(entry);
-    for (const slot of [...assignment.waiting]) {
+    for (const task of [...assignment.waitingTasks]) {
       let target = this.choice.choose(spec, record, candidates, cycle.taskCounts);
       if (!target && cycle.mayPreempt(spec)) {
         target = this.preemption.preemptFor(spec, record, candidates, cycle.machinesWithStops);
       }
       // The tasks of an assignment are alike: where one fits nowhere, the others don't either.
       if (!target) return false;
-      this.assign(entry, slot, target, cycle);
+      this.assign(entry, task, target, cycle);
     }
     return true;
   }
@@ -123,20 +123,20 @@
    */
   private placeGang(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
-    if (assignment.broken || assignment.placed > 0) return true;
+    if (assignment.hasFailed || assignment.placedCount > 0) return true;
     const candidates = cycle.candidatesFor(entry);
     const layout = this.findGangLayout(entry, candidates, cycle);
     if (!layout) {
-      assignment.infeasible = !this.reservations.reserve(assignment, candidates);
+      assignment.isInfeasible = !this.reservations.reserve(assignment, candidates);
       return false;
     }
     for (const machineVictims of layout.preemptions) {
       this.preemption.stop(spec, machineVictims, cycle.machinesWithStops);
     }
-    for (const [index, slot] of [...assignment.waiting].entries()) {
+    for (const [index, task] of [...assignment.waitingTasks].entries()) {
       const target = layout.targets[index];
       if (!target) break;
-      this.assign(entry, slot, target, cycle);
+      this.assign(entry, task, target, cycle);
     }
     return true;
   }
@@ -162,7 +162,7 @@
   /** Assigns one task to a machine. */
   private assign(
     { assignment, spec }: WaitingAssignment,
-    slot: Slot,
+    task: Task,
     target: Candidate,
     cycle: SchedulingCycle,
   ): void {
@@ -172,6 +172,6 @@
     cycle.countTask(type);
     const context = this.choice.context(spec, type, cycle.taskCounts);
     const attempt = assignment.record.attempt ?? this.attempts.next();
-    this.dependencies.tasks.place(assignment, slot, { machine: name, attempt, context });
+    this.dependencies.tasks.place(assignment, task, { machine: name, attempt, banditContext: context });
   }
 }
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -45,7 +45,7 @@
  */
 export function waitingAssignments(tasks: Tasks, rules: SchedulingCycleRules): WaitingAssignment[] {
   const waiting: WaitingAssignment[] = [];
-  for (const assignment of tasks.waiting) {
+  for (const assignment of tasks.waitingAssignments) {
     const job = rules.job(assignment.job);
     if (!job || rules.pauses(assignment.job)) continue;
     waiting.push({ assignment, spec: job.spec });
@@ -111,7 +111,7 @@
 function lowestPlacedRank(tasks: Tasks, findJob: JobLookup): number {
   let lowest = Infinity;
   for (const assignment of tasks.assignments.values()) {
-    if (assignment.placed === 0) continue;
+    if (assignment.placedCount === 0) continue;
     const spec = findJob(assignment.job)?.spec;
     if (spec) lowest = Math.min(lowest, rankOf(spec.priority));
   }
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -34,7 +34,7 @@
   /** Adds a chunk's changes; `isOver`: it is removed. */
   add(assignment: Chunk, isOver: boolean): AddResult {
     const { options, tasks } = this.context;
-    this.estimatedBytes += ASSIGNMENT_BYTES + assignment.placed * ASSIGNMENT_TASK_BYTES;
+    this.estimatedBytes += ASSIGNMENT_BYTES + assignment.placedCount * ASSIGNMENT_TASK_BYTES;
     if (this.estimatedBytes > TRANSACTION_BYTES && this.changes.length > 0) return { kind: 'full' };
     const uncommitted = isOver ? new Set<string>() : uncommittedMachines(assignment);
     // A machine that the leader takes out of use meanwhile gets no new task: each is guarded, and a
@@ -45,14 +45,14 @@
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
     const newMachines = new Set([...uncommitted].slice(0, maxMachines));
     const maxBytes = options.valueBytes * VALUE_SHARE;
-    const pieces = isOver ? [] : tasks.pieces(assignment, newMachines, maxBytes);
+    const pieces = isOver ? [] : tasks.split(assignment, newMachines, maxBytes);
     // All in one transaction, or a task would be in two chunks or in none for a while.
     if (this.changes.length + Math.max(1, pieces.length) > options.transactionOps) {
       if (this.changes.length > 0) return { kind: 'full' };
       return { kind: 'tooLarge', pieces: pieces.length };
     }
     this.addChanges(assignment, pieces, newMachines);
-    if (newMachines.size === uncommitted.size) tasks.clean(assignment);
+    if (newMachines.size === uncommitted.size) tasks.clearChanged(assignment);
     return { kind: 'added' };
   }
 
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -49,14 +49,19 @@
       const { changes, written } = transaction;
       if (changes.length === 0) continue;
       const purpose = urgent ? 'urgent' : 'part';
-      const result = await committer.commit(purpose, transaction.guards(), changes, options.alive);
+      const result = await committer.commit(
+        purpose,
+        transaction.guards(),
+        changes,
+        options.isHolder,
+      );
       for (const { pieces } of written) this.context.tasks.plannedPieces.remove(pieces);
-      if (!options.alive()) return;
+      if (!options.isHolder()) return;
       if (result.kind !== 'done') {
-        this.giveUp(written, result);
+        this.reloadRejected(written, result);
         return;
       }
-      for (const one of written) this.takeOver(one);
+      for (const one of written) this.recordCommitted(one);
       this.callbacks.onCommitted(transaction.machines, urgent);
     }
   }
@@ -81,25 +86,25 @@
   }
 
   /** Nothing of this was written, or another's change is newer: what is stored counts again. */
-  private giveUp(written: readonly WrittenAssignment[], result: CommitResult): void {
+  private reloadRejected(written: readonly WrittenAssignment[], result: CommitResult): void {
     const { log, tasks } = this.context;
     log.info({ result }, 'placements not committed');
     for (const { assignment } of written) {
       if (result.kind === 'rejected') this.withheld.add(assignment.key);
-      tasks.resync(assignment);
+      tasks.reload(assignment);
     }
   }
 
   /** Takes a chunk as stored the way it was written. */
-  private takeOver({ assignment, pieces }: WrittenAssignment): void {
-    const { endedAssignments, jobFailureBackoff, tasks } = this.context;
+  private recordCommitted({ assignment, pieces }: WrittenAssignment): void {
+    const { assignmentsOfEndedJobs, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
     const [first] = pieces;
     if (first) {
-      assignment.stored = first.record;
+      assignment.committedRecord = first.record;
       return;
     }
-    endedAssignments.delete(assignment);
-    if (tasks.drop(assignment)) jobFailureBackoff.clear(assignment.job);
+    assignmentsOfEndedJobs.delete(assignment);
+    if (tasks.remove(assignment)) jobFailureBackoff.clear(assignment.job);
   }
 }
--- a/src/coordination/shard/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -7,13 +7,13 @@
  * its end.
  */
 export function withdrawIfEnded(context: ShardContext, assignment: Chunk): void {
-  const { dirtyMachines, endedAssignments, tasks } = context;
+  const { machinesToCommand, assignmentsOfEndedJobs, tasks } = context;
   if (jobSpec(context, assignment.job) !== null) return;
-  endedAssignments.add(assignment);
-  for (const slot of [...assignment.slots.values()]) {
-    if (slot.state !== 'live') continue;
+  assignmentsOfEndedJobs.add(assignment);
+  for (const task of [...assignment.tasks.values()]) {
+    if (task.state !== 'live') continue;
     // Not even committed: nobody can have sent it.
-    if (!tasks.committed(assignment, slot)) tasks.requeue(assignment, slot);
-    else dirtyMachines.add(slot.machine);
+    if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
+    else machinesToCommand.add(task.machine);
   }
 }
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -22,7 +22,7 @@
   transactionOps: number;
   valueBytes: number;
   snapshotMs: number;
-  alive: () => boolean;
+  isHolder: () => boolean;
   limiter: Pick<RateLimiter, 'supply'>;
 }
 
@@ -200,7 +200,7 @@
     const guards: Guard[] = [{ key: this.options.roleKey, revision: this.options.roleRevision }];
     for (const { key } of changes)
       guards.push({ key, revision: this.services.replica.revisionOf(key) });
-    const { alive } = this.options;
+    const { isHolder: alive } = this.options;
     const result = await this.services.committer.commit(purpose, guards, changes, alive);
     for (const { key } of changes) {
       if (result.kind === 'rejected') this.rejectedChangeBackoff.add(key);
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -7,15 +7,15 @@
 export function releaseWaitingTasks(context: ShardContext): void {
   const { clock, jobFailureBackoff, tasks } = context;
   const now = clock.now();
-  for (const assignment of [...tasks.waiting]) {
+  for (const assignment of [...tasks.waitingAssignments]) {
     const spec = jobSpec(context, assignment.job);
     if (assignment.record.attempt !== undefined) continue;
     if (spec === null || jobFailureBackoff.isPaused(assignment.job)) continue;
     // The leader queues lower work here ahead of the room for it; urgent work must not wait.
     const urgent = rankOf(spec.priority) >= rankOf('high');
     const patience = urgent ? RELEASE_MS : QUEUE_RELEASE_MS;
-    for (const slot of [...assignment.waiting]) {
-      if (now - slot.pendingSince >= patience) tasks.returnMachines(assignment, slot);
+    for (const task of [...assignment.waitingTasks]) {
+      if (now - task.waitingSince >= patience) tasks.returnToLeader(assignment, task);
     }
   }
 }
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -15,11 +15,12 @@
 
   /** The chunks that are due, urgent ones first. */
   dueAssignments(): Chunk[] {
-    const { clock, endedAssignments, tasks } = this.context;
+    const { clock, assignmentsOfEndedJobs, tasks } = this.context;
     const now = clock.now();
-    for (const assignment of endedAssignments) if (this.isOver(assignment)) tasks.touch(assignment);
+    for (const assignment of assignmentsOfEndedJobs)
+      if (this.isOver(assignment)) tasks.markChanged(assignment);
     const due: Chunk[] = [];
-    for (const assignment of tasks.dirty) {
+    for (const assignment of tasks.changedAssignments) {
       if (!this.withheld.has(assignment.key) && this.isDue(assignment, now)) due.push(assignment);
     }
     return due.sort((a, b) => Number(this.isUrgent(b)) - Number(this.isUrgent(a)));
@@ -29,14 +30,14 @@
   mayWriteOrdinary(due: readonly Chunk[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
-    const old = due.some((assignment) => now - (assignment.dirtySince ?? now) > YIELD_MS);
+    const old = due.some((assignment) => now - (assignment.changedSince ?? now) > YIELD_MS);
     return old || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
   }
 
   /** Removed once its job is over, or all of it was given back, and nothing of it is placed. */
   isOver(assignment: Chunk): boolean {
-    if (assignment.slots.size === 0) return true;
-    return assignment.placed === 0 && jobSpec(this.context, assignment.job) === null;
+    if (assignment.tasks.size === 0) return true;
+    return assignment.placedCount === 0 && jobSpec(this.context, assignment.job) === null;
   }
 
   /** Whether the chunk's job is a gang or has at least high priority. */
@@ -52,28 +53,28 @@
    */
   private isDue(assignment: Chunk, now: number): boolean {
     if (this.isOver(assignment)) return true;
-    const age = now - (assignment.dirtySince ?? now);
+    const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= DONE_GATHER_MS[supply]) return true;
     // Other parts with tasks of the gang stop theirs when they see this.
-    const shared = assignment.slots.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
-    if (assignment.broken && shared && !assignment.stored.stopping) return true;
+    const shared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
+    if (assignment.hasFailed && shared && !assignment.committedRecord.stopping) return true;
     if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
     return this.isUrgent(assignment) || age >= PLACE_GATHER_MS[supply];
   }
 
   /** Whether some of the chunk's placements are not committed yet. */
   private startsTasks(assignment: Chunk): boolean {
-    return [...assignment.slots.values()].some(
-      (slot) => slot.state === 'live' && !this.context.tasks.committed(assignment, slot),
+    return [...assignment.tasks.values()].some(
+      (task) => task.state === 'live' && !this.context.tasks.isCommitted(assignment, task),
     );
   }
 
   /** Whether tasks of the chunk wait for a place or are placed. */
   private isOpen(assignment: Chunk): boolean {
     return (
-      assignment.waiting.size > 0 ||
-      [...assignment.slots.values()].some(({ state }) => state === 'live')
+      assignment.waitingTasks.size > 0 ||
+      [...assignment.tasks.values()].some(({ state }) => state === 'live')
     );
   }
 }
