--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -118,10 +118,10 @@
       penalty: placement.penalty,
       startWithinS: settings.startWithinS,
       snapshotMs: placement.snapshotS * 1000,
-      alive: () => roles.heldRole(role)?.term === owned.term,
-      current: () => roles.isReplicaCurrent,
+      isHolder: () => roles.heldRole(role)?.term === owned.term,
+      isReplicaCurrent: () => roles.isReplicaCurrent,
       limiter,
-      written: () => holderNotifier.notify(LEADER),
+      onUrgentWrite: () => holderNotifier.notify(LEADER),
     };
   }
 
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -5,7 +5,7 @@
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
 import { allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Task, Tasks } from '../shard-state/tasks.js';
 
 /** A machine that may take tasks, and what is left of it in this round. */
 export interface Candidate {
@@ -21,7 +21,7 @@
 }
 
 /** A placed task that may be stopped for another one. */
-export type Victim = [Slot, Chunk];
+export type Victim = [Task, Assignment];
 
 /** Looks up a job's description and the time of day of its acceptance; null: it is over. */
 export type JobLookup = (id: string) => { spec: JobSpec; at: number } | null;
@@ -33,8 +33,9 @@
     if (machine.isConsolidating || !machines.isSchedulable(machine)) continue;
     if (machines.health(machine) !== 'ok') continue;
     const free = machines.capacity(machine.type);
-    const placed = tasks.on(machine.name);
-    for (const [slot, assignment] of placed) if (!slot.halting) allocate(free, assignment.record);
+    const placed = tasks.placedOn(machine.name);
+    for (const [task, assignment] of placed)
+      if (!task.isStopping) allocate(free, assignment.record);
     const empty = placed.size === 0;
     candidates.push({ machine, free, empty, reserved: false, excludesArrays: false });
   }
@@ -42,16 +43,16 @@
 }
 
 /** Whether tasks of a chunk may run on a machine: in its zone, and as its job's user allows. */
-export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Chunk): boolean {
+export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Assignment): boolean {
   return machine.zone === assignment.record.zone && isEligible(spec, machine);
 }
 
 /** Queued and running tasks by machine type. */
 export function countTasksByType(machines: Machines, tasks: Tasks): Map<string, number> {
   const counts = new Map<string, number>();
-  for (const name of tasks.machines()) {
+  for (const name of tasks.occupiedMachines()) {
     const type = machines.all.get(name)?.type;
-    if (type) counts.set(type, (counts.get(type) ?? 0) + tasks.on(name).size);
+    if (type) counts.set(type, (counts.get(type) ?? 0) + tasks.placedOn(name).size);
   }
   return counts;
 }
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -11,7 +11,7 @@
 import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
 import type { Machines } from '../shard-state/machines.js';
 import { fits, allocate } from '../capacity/resources.js';
-import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Task, Tasks } from '../shard-state/tasks.js';
 
 /** What consolidation reads and writes. */
 interface ConsolidationDependencies {
@@ -24,12 +24,12 @@
 /** Room for one task that is taken on another machine. */
 interface Reservation {
   candidate: Candidate;
-  assignment: Chunk;
+  assignment: Assignment;
 }
 
 /** Whether a task ran long enough for its start to have been worth it. */
-export function isSettled(slot: Slot, clock: Clock): boolean {
-  return slot.runningAt !== null && clock.now() - slot.runningAt > CONSOLIDATE_SETTLED_MS;
+export function isSettled(task: Task, clock: Clock): boolean {
+  return task.runningAt !== null && clock.now() - task.runningAt > CONSOLIDATE_SETTLED_MS;
 }
 
 /** Moves services away from the machines of a part that are little used. */
@@ -51,7 +51,7 @@
     const { tasks, machines, clock } = this.dependencies;
     const now = clock.now();
     const emptied = new Set<string>();
-    if (tasks.waiting.size > 0 || now < this.nextAt) return emptied;
+    if (tasks.waitingAssignments.size > 0 || now < this.nextAt) return emptied;
     this.nextAt = now + CONSOLIDATE_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ empty }) => !empty);
@@ -67,9 +67,9 @@
   /** Stops all tasks of a machine if they may move and the others have room; false: they stay. */
   private empty({ machine }: Candidate, others: readonly Candidate[]): boolean {
     const { tasks, log } = this.dependencies;
-    const placed = [...tasks.on(machine.name)];
+    const placed = [...tasks.placedOn(machine.name)];
     if (
-      !placed.every(([slot, assignment]) => this.mayMove(slot, assignment)) ||
+      !placed.every(([task, assignment]) => this.mayMove(task, assignment)) ||
       placed.length === 0
     ) {
       return false;
@@ -78,18 +78,21 @@
     const assignments = placed.map(([, assignment]) => assignment);
     if (!this.reserveCapacity(assignments, targets)) return false;
     machine.isConsolidating = true;
-    for (const [slot] of placed) slot.halting = true;
+    for (const [task] of placed) task.isStopping = true;
     log.info({ machine: machine.name, tasks: placed.length }, 'moving services away');
     return true;
   }
 
-  private mayMove(slot: Slot, assignment: Chunk): boolean {
+  private mayMove(task: Task, assignment: Assignment): boolean {
     const isService = this.job(assignment.job)?.spec.kind === 'service';
-    return isService && isSettled(slot, this.dependencies.clock) && !slot.halting;
+    return isService && isSettled(task, this.dependencies.clock) && !task.isStopping;
   }
 
   /** Takes room for one task of each of these chunks on other machines; false: for none of them. */
-  private reserveCapacity(assignments: readonly Chunk[], targets: readonly Candidate[]): boolean {
+  private reserveCapacity(
+    assignments: readonly Assignment[],
+    targets: readonly Candidate[],
+  ): boolean {
     const reservations: Reservation[] = [];
     for (const assignment of assignments) {
       const candidate = this.targetFor(assignment, targets);
@@ -105,7 +108,7 @@
   }
 
   /** The first machine with room for a task and with its image. */
-  private targetFor(assignment: Chunk, targets: readonly Candidate[]): Candidate | undefined {
+  private targetFor(assignment: Assignment, targets: readonly Candidate[]): Candidate | undefined {
     const spec = this.job(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -8,7 +8,7 @@
 import type { Machine } from '../shard-state/machine.js';
 import type { Preemption } from './preemption.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/tasks.js';
 
 /** When the machines have a gang's image. */
 export interface FetchTimes {
@@ -21,7 +21,7 @@
 /** A part's share of a gang and what it may use. */
 export interface GangRequest {
   spec: JobSpec;
-  assignment: Chunk;
+  assignment: Assignment;
   candidates: readonly Candidate[];
   /** The machine types among the candidates, the best first. */
   types: readonly string[];
@@ -113,7 +113,7 @@
   /** Free room, and room made by stopping as few other tasks as will do. */
   private byStopping(
     spec: JobSpec,
-    assignment: Chunk,
+    assignment: Assignment,
     group: readonly Candidate[],
   ): GangLayout | null {
     const allowance = new Map(Object.entries(this.reclaimOf(assignment)));
@@ -125,7 +125,7 @@
       victims: [],
     }));
     const places: Candidate[] = [];
-    while (places.length < assignment.waiting.size) {
+    while (places.length < assignment.waitingTasks.size) {
       const option = this.cheapestOption(states, assignment.record, rights);
       if (!option) return null;
       this.applyOption(option, rights);
@@ -194,9 +194,9 @@
   }
 
   /** CPUs of other teams' arrays that a gang may stop: only for a moment after it was handed out. */
-  private reclaimOf(assignment: Chunk): Record<string, number> {
-    const [first] = assignment.waiting;
-    const recent = first !== undefined && this.clock.now() - first.pendingSince < CLAIM_VALID_MS;
+  private reclaimOf(assignment: Assignment): Record<string, number> {
+    const [first] = assignment.waitingTasks;
+    const recent = first !== undefined && this.clock.now() - first.waitingSince < CLAIM_VALID_MS;
     return recent ? (assignment.record.reclaim ?? {}) : {};
   }
 }
@@ -204,7 +204,7 @@
 /** A layout that stops nothing; null: there is not enough free room. */
 function inFreeCapacity(
   spec: JobSpec,
-  assignment: Chunk,
+  assignment: Assignment,
   group: readonly Candidate[],
 ): GangLayout | null {
   const hasImage = ({ machine }: Candidate): boolean => machine.images.has(spec.image);
@@ -213,7 +213,7 @@
   const sorted = [...group].sort((a, b) => freshness(b) - freshness(a));
   // All wait for the last fetch, so images help most where every machine has it.
   for (const some of [sorted.filter(hasImage), sorted]) {
-    const places = fill(some, assignment.record, assignment.waiting.size);
+    const places = fill(some, assignment.record, assignment.waitingTasks.size);
     if (places) return { places, victims: new Map() };
   }
   return null;
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -5,7 +5,7 @@
 import type { Candidate, JobLookup } from './candidates.js';
 import { fitCount } from '../capacity/machine-capacity.js';
 import { allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Tasks } from '../shard-state/tasks.js';
 
 /** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
 interface CandidateFit {
@@ -28,8 +28,8 @@
   }
 
   /** Reserves room where a gang will fit once arrays there have ended; false: nowhere. */
-  reserve(assignment: Chunk, candidates: readonly Candidate[]): boolean {
-    const tasks = assignment.waiting.size;
+  reserve(assignment: Assignment, candidates: readonly Candidate[]): boolean {
+    const tasks = assignment.waitingTasks.size;
     // More than it needs, since it waits for what ends first, not for all that runs there now.
     const { selected, free } = this.select(assignment.record, candidates, tasks * GANG_KEEP_TIMES);
     // Where it will not fit in any case, it delays no other work.
@@ -59,7 +59,7 @@
 
   private fitOn(candidate: Candidate, task: Resources): CandidateFit {
     const later = { ...candidate.free };
-    for (const [, assignment] of this.tasks.on(candidate.machine.name)) {
+    for (const [, assignment] of this.tasks.placedOn(candidate.machine.name)) {
       if (this.job(assignment.job)?.spec.kind === 'array') allocate(later, assignment.record, -1);
     }
     return { candidate, now: fitCount(candidate.free, task), later: fitCount(later, task) };
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -78,7 +78,7 @@
   /** Seconds that a machine will take to fetch a job's image. */
   fetchSeconds(machine: Machine, spec: JobSpec): number {
     if (machine.images.has(spec.image)) return 0;
-    const rate = this.machines.type(machine.type)?.fetchGbPerS ?? 0;
+    const rate = this.machines.machineType(machine.type)?.fetchGbPerS ?? 0;
     return spec.imageGb / Math.max(LEAST_FETCH_RATE, rate);
   }
 
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -7,7 +7,7 @@
 import type { Candidate, JobLookup, Victim } from './candidates.js';
 import { isSettled } from './consolidation.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
-import type { Chunk, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Tasks } from '../shard-state/tasks.js';
 
 /** What decides whether a task may be stopped for other work. */
 export interface PreemptionRules {
@@ -15,7 +15,7 @@
   /** Whether a job waited long to begin and none of its tasks has ended yet. */
   beganLate: (id: string) => boolean;
   /** Whether a gang may be stopped for other work. */
-  mayStopGang: (assignment: Chunk) => boolean;
+  mayStopGang: (assignment: Assignment) => boolean;
 }
 
 /** What preemption reads and writes. */
@@ -90,7 +90,7 @@
     rank: number,
     teams: ReadonlyMap<string, number> = NO_TEAMS,
   ): Victim[] {
-    return [...this.dependencies.tasks.on(candidate.machine.name)]
+    return [...this.dependencies.tasks.placedOn(candidate.machine.name)]
       .filter((victim) => this.mayStop(victim, rank, teams))
       .sort(
         (a, b) =>
@@ -100,15 +100,15 @@
   }
 
   private mayStop(
-    [slot, assignment]: Victim,
+    [task, assignment]: Victim,
     rank: number,
     teams: ReadonlyMap<string, number>,
   ): boolean {
     const { job, beganLate, mayStopGang } = this.rules;
-    const spec = slot.halting ? null : job(assignment.job)?.spec;
+    const spec = task.isStopping ? null : job(assignment.job)?.spec;
     if (!spec) return false;
     // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
-    if (!isSettled(slot, this.dependencies.clock) && beganLate(assignment.job)) return false;
+    if (!isSettled(task, this.dependencies.clock) && beganLate(assignment.job)) return false;
     if (assignment.record.attempt !== undefined && !mayStopGang(assignment)) return false;
     if (rankOf(spec.priority) < rank) return true;
     return spec.kind === 'array' && teams.has(spec.team);
@@ -117,7 +117,7 @@
   /** How many tasks are stopped with a victim: of a gang all, wherever they run. */
   costOf([, assignment]: Victim): number {
     if (assignment.record.attempt === undefined) return 1;
-    return (this.rules.job(assignment.job)?.spec.tasks ?? assignment.slots.size) + 1;
+    return (this.rules.job(assignment.job)?.spec.tasks ?? assignment.tasks.size) + 1;
   }
 
   /** Stops tasks on a machine for a job; adds the machine to `stopped`. */
@@ -128,13 +128,13 @@
     stopped: Set<string>,
   ): void {
     const { tasks, log } = this.dependencies;
-    for (const [slot, assignment] of victims) {
+    for (const [task, assignment] of victims) {
       allocate(candidate.free, assignment.record, -1);
       // All of a gang is stopped together: see `GangShares.reconcile`, in the same round.
-      if (assignment.record.attempt !== undefined) assignment.broken = true;
+      if (assignment.record.attempt !== undefined) assignment.hasFailed = true;
       // What was never committed was never sent either.
-      if (!tasks.committed(assignment, slot)) tasks.requeue(assignment, slot);
-      else if (assignment.record.attempt === undefined) slot.halting = true;
+      if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
+      else if (assignment.record.attempt === undefined) task.isStopping = true;
     }
     if (victims.length === 0) return;
     const machine = candidate.machine.name;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -15,7 +15,7 @@
 import type { Machines } from '../shard-state/machines.js';
 import { Preemption, type PreemptionRules } from './preemption.js';
 import { allocate } from '../capacity/resources.js';
-import type { Chunk, Slot, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Task, Tasks } from '../shard-state/tasks.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
 /** What placing needs of its part, beside tasks and machines. */
@@ -44,7 +44,7 @@
 
 /** A chunk with tasks that wait for a place, and its job's description. */
 interface WaitingAssignment {
-  assignment: Chunk;
+  assignment: Assignment;
   spec: JobSpec;
 }
 
@@ -124,7 +124,7 @@
    */
   private waitingAssignments(): WaitingAssignment[] {
     const waiting: WaitingAssignment[] = [];
-    for (const assignment of this.dependencies.tasks.waiting) {
+    for (const assignment of this.dependencies.tasks.waitingAssignments) {
       const job = this.options.job(assignment.job);
       if (!job || this.options.pauses(assignment.job)) continue;
       waiting.push({ assignment, spec: job.spec });
@@ -153,7 +153,7 @@
   private lowestRank(): number {
     let lowest = Infinity;
     for (const assignment of this.dependencies.tasks.assignments.values()) {
-      if (assignment.placed === 0) continue;
+      if (assignment.placedCount === 0) continue;
       const spec = this.options.job(assignment.job)?.spec;
       if (spec) lowest = Math.min(lowest, rankOf(spec.priority));
     }
@@ -177,14 +177,14 @@
     cycle: SchedulingCycle,
   ): boolean {
     const { assignment, spec } = entry;
-    for (const slot of [...assignment.waiting]) {
+    for (const task of [...assignment.waitingTasks]) {
       let target = this.choice.choose(spec, assignment.record, open, cycle.load);
       if (!target && rankOf(spec.priority) > cycle.lowestRank) {
         target = this.preemption.preemptFor(spec, assignment.record, open, cycle.stopped);
       }
       // No room for one task of a chunk is none for the others: they are alike.
       if (!target) return false;
-      this.assign(entry, slot, target, cycle);
+      this.assign(entry, task, target, cycle);
     }
     return true;
   }
@@ -199,19 +199,19 @@
     cycle: SchedulingCycle,
   ): boolean {
     const { assignment, spec } = entry;
-    if (assignment.broken || assignment.placed > 0) return true;
+    if (assignment.hasFailed || assignment.placedCount > 0) return true;
     const layout = this.layOut(entry, open, cycle);
     if (!layout) {
-      assignment.infeasible = !this.reservations.reserve(assignment, open);
+      assignment.isInfeasible = !this.reservations.reserve(assignment, open);
       return false;
     }
     for (const [candidate, victims] of layout.victims) {
       this.preemption.stop(spec, candidate, victims, cycle.stopped);
     }
-    for (const [at, slot] of [...assignment.waiting].entries()) {
+    for (const [at, task] of [...assignment.waitingTasks].entries()) {
       const target = layout.places[at];
       if (!target) break;
-      this.assign(entry, slot, target, cycle);
+      this.assign(entry, task, target, cycle);
     }
     return true;
   }
@@ -237,7 +237,7 @@
   /** Places one task on a machine. */
   private assign(
     { assignment, spec }: WaitingAssignment,
-    slot: Slot,
+    task: Task,
     target: Candidate,
     { load }: SchedulingCycle,
   ): void {
@@ -247,6 +247,10 @@
     load.set(type, (load.get(type) ?? 0) + 1);
     const context = this.choice.context(spec, type, load);
     const attempt = assignment.record.attempt ?? this.attempts.next();
-    this.dependencies.tasks.place(assignment, slot, { machine: name, attempt, context });
+    this.dependencies.tasks.place(assignment, task, {
+      machine: name,
+      attempt,
+      banditContext: context,
+    });
   }
 }
--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -3,14 +3,14 @@
 import { splitKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
-import { isCommitted, type Assignment, type Slot } from './assignment.js';
+import { isCommitted, type Assignment, type Task } from './assignment.js';
 
 /** A part of a chunk as it is to be written; the first one keeps the chunk's key. */
 export interface Piece {
   key: string;
   record: AssignmentRecord;
   /** The slots that move to this piece; empty if the chunk is written as a whole. */
-  slots: Slot[];
+  tasks: Task[];
 }
 
 /** How a chunk may be divided into pieces. */
@@ -27,24 +27,24 @@
 function writeRecord(
   assignment: Assignment,
   newMachines: ReadonlySet<string>,
-  slots: Iterable<Slot>,
+  tasks: Iterable<Task>,
 ): AssignmentRecord {
   const ids: number[] = [];
   const live: AssignmentRecord['live'] = {};
   const done: number[] = [];
-  for (const slot of slots) {
-    ids.push(slot.index);
-    if (slot.state === 'live') {
-      if (!isCommitted(assignment, slot) && !newMachines.has(slot.machine)) continue;
-      live[String(slot.index)] = [slot.machine, slot.attempt];
-    } else if (slot.state === 'done') done.push(slot.index);
+  for (const task of tasks) {
+    ids.push(task.index);
+    if (task.state === 'placed') {
+      if (!isCommitted(assignment, task) && !newMachines.has(task.machine)) continue;
+      live[String(task.index)] = [task.machine, task.attempt];
+    } else if (task.state === 'done') done.push(task.index);
   }
   return {
-    ...assignment.stored,
+    ...assignment.committedRecord,
     ids: writeRanges(ids),
     done: writeRanges(done),
     live,
-    ...(assignment.broken ? { stopping: true as const } : {}),
+    ...(assignment.hasFailed ? { stopping: true as const } : {}),
   };
 }
 
@@ -69,23 +69,23 @@
  */
 export function splitAssignment(assignment: Assignment, limits: SplitLimits): Piece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
-  const record = writeRecord(assignment, newMachines, assignment.slots.values());
-  if (bytesOf(record) <= maxBytes) return [{ key: assignment.key, record, slots: [] }];
-  const slots = [...assignment.slots.values()].sort((a, b) => a.index - b.index);
+  const record = writeRecord(assignment, newMachines, assignment.tasks.values());
+  if (bytesOf(record) <= maxBytes) return [{ key: assignment.key, record, tasks: [] }];
+  const tasks = [...assignment.tasks.values()].sort((a, b) => a.index - b.index);
   const pieces: Piece[] = [];
   let count = 0;
   let from = 0;
-  while (from < slots.length) {
+  while (from < tasks.length) {
     const start = from;
     const end = lastFittingEnd(
       start,
-      slots.length,
-      (to) => bytesOf(writeRecord(assignment, newMachines, slots.slice(start, to))) <= maxBytes,
+      tasks.length,
+      (to) => bytesOf(writeRecord(assignment, newMachines, tasks.slice(start, to))) <= maxBytes,
     );
     let key = assignment.key;
     while (pieces.length > 0 && isKeyTaken(key)) key = splitKey(assignment.key, ++count);
-    const some = slots.slice(start, end);
-    pieces.push({ key, record: writeRecord(assignment, newMachines, some), slots: some });
+    const some = tasks.slice(start, end);
+    pieces.push({ key, record: writeRecord(assignment, newMachines, some), tasks: some });
     from = end;
   }
   return pieces;
--- a/src/coordination/shard-state/assignment.ts
+++ b/src/coordination/shard-state/assignment.ts
@@ -3,9 +3,9 @@
 import type { AssignmentRecord } from '../../storage/records.js';
 
 /** One task of a chunk: waiting, placed on a machine, or done. */
-export interface Slot {
+export interface Task {
   index: number;
-  state: 'pending' | 'live' | 'done';
+  state: 'waiting' | 'placed' | 'done';
   /** Name of the machine on which it is placed; empty: on none. */
   machine: string;
   attempt: number;
@@ -14,15 +14,15 @@
   /** Of a gang: steady time at which a report first showed it waiting for the others. */
   gatheringAt: number | null;
   /** Being stopped to make room. */
-  halting: boolean;
+  isStopping: boolean;
   /** Its start was sent, and no later report shows that it was lost. */
-  startSent: boolean;
+  isStartSent: boolean;
   /** Its stop was sent, and no later report shows that it was lost. */
-  stopSent: boolean;
+  isStopSent: boolean;
   /** Steady time since which it waits for a place. */
-  pendingSince: number;
+  waitingSince: number;
   /** What the bandit based the placement on; null: it was not placed by the bandit. */
-  context: number[] | null;
+  banditContext: number[] | null;
 }
 
 /** A chunk of a job's tasks that is assigned to the part. */
@@ -32,21 +32,21 @@
   /** Greater than those of all chunks that the leader made before. */
   number: number;
   record: AssignmentRecord;
-  slots: Map<number, Slot>;
+  tasks: Map<number, Task>;
   /** Its slots that wait for a place, in the order of their numbers. */
-  waiting: Set<Slot>;
+  waitingTasks: Set<Task>;
   /** How many of its slots are placed. */
-  placed: number;
+  placedCount: number;
   /** Of a gang: its attempt failed, so that all of it ends and goes back to the leader. */
-  broken: boolean;
+  hasFailed: boolean;
   /** Of a gang: there is no room to come here for it. */
-  infeasible: boolean;
+  isInfeasible: boolean;
   /** Of a gang: steady time since which all of its tasks here are placed; null: they are not. */
-  placedAt: number | null;
+  fullyPlacedAt: number | null;
   /** As last committed. */
-  stored: AssignmentRecord;
+  committedRecord: AssignmentRecord;
   /** Steady time of the oldest change that is not committed; null: none. */
-  dirtySince: number | null;
+  changedSince: number | null;
 }
 
 /** A chunk as it is stored, without its slots. */
@@ -57,59 +57,59 @@
   return {
     ...identity,
     record,
-    stored: record,
-    slots: new Map(),
-    waiting: new Set(),
-    placed: 0,
-    broken: false,
-    infeasible: false,
-    placedAt: null,
-    dirtySince: null,
+    committedRecord: record,
+    tasks: new Map(),
+    waitingTasks: new Set(),
+    placedCount: 0,
+    hasFailed: false,
+    isInfeasible: false,
+    fullyPlacedAt: null,
+    changedSince: null,
   };
 }
 
 /** The slots of a stored chunk, of whose tasks no report was seen yet. */
-export function readSlots(stored: AssignmentRecord, now: number): Slot[] {
+export function readTasks(stored: AssignmentRecord, now: number): Task[] {
   const done = new Set(readRanges(stored.done));
   return readRanges(stored.ids).map((index) => {
     const live = stored.live[String(index)];
     return {
       index,
-      state: done.has(index) ? 'done' : live ? 'live' : 'pending',
+      state: done.has(index) ? 'done' : live ? 'placed' : 'waiting',
       machine: live?.[0] ?? '',
       attempt: live?.[1] ?? 0,
       runningAt: null,
       gatheringAt: null,
-      halting: false,
-      startSent: false,
-      stopSent: false,
-      pendingSince: now,
-      context: null,
+      isStopping: false,
+      isStartSent: false,
+      isStopSent: false,
+      waitingSince: now,
+      banditContext: null,
     };
   });
 }
 
 /** Resets what belongs to a slot's placement. */
-export function clearPlacement(slot: Slot): void {
-  slot.machine = '';
-  slot.runningAt = null;
-  slot.gatheringAt = null;
-  slot.halting = false;
-  slot.startSent = false;
-  slot.stopSent = false;
-  slot.context = null;
+export function clearPlacement(task: Task): void {
+  task.machine = '';
+  task.runningAt = null;
+  task.gatheringAt = null;
+  task.isStopping = false;
+  task.isStartSent = false;
+  task.isStopSent = false;
+  task.banditContext = null;
 }
 
 /** Whether the state service holds this placement: only then may its start be sent. */
-export function isCommitted(assignment: Assignment, slot: Slot): boolean {
-  return assignment.stored.live[String(slot.index)]?.[1] === slot.attempt;
+export function isCommitted(assignment: Assignment, task: Task): boolean {
+  return assignment.committedRecord.live[String(task.index)]?.[1] === task.attempt;
 }
 
 /** Machines with placements of this chunk that are not committed yet. */
 export function uncommittedMachines(assignment: Assignment): Set<string> {
   const machines = new Set<string>();
-  for (const slot of assignment.slots.values()) {
-    if (slot.state === 'live' && !isCommitted(assignment, slot)) machines.add(slot.machine);
+  for (const task of assignment.tasks.values()) {
+    if (task.state === 'placed' && !isCommitted(assignment, task)) machines.add(task.machine);
   }
   return machines;
 }
--- a/src/coordination/shard-state/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -7,7 +7,7 @@
   agentEpoch: number;
   attempts: Set<number>;
   /** No answer came: a report with this token, or of a later session, shows that they are fenced. */
-  fence: number | null;
+  fencedBy: number | null;
 }
 
 /** A machine, its newest report, and what reports and answers have proven. */
@@ -46,10 +46,10 @@
   isLeaving: boolean;
   /** Its services are being moved away: nothing is placed here for a while. */
   isConsolidating: boolean;
-  tasks: TaskStatus[];
+  reportedTasks: TaskStatus[];
   images: Set<string>;
   /** Jobs that failed here since the last success. */
-  errors: Set<string>;
+  failedJobs: Set<string>;
 }
 
 /** An entry for a machine of which nothing was heard yet. `bump`: above all given out so far. */
@@ -82,8 +82,8 @@
     hasShownOurToken: false,
     isLeaving: false,
     isConsolidating: false,
-    tasks: [],
+    reportedTasks: [],
     images: new Set(),
-    errors: new Set(),
+    failedJobs: new Set(),
   };
 }
--- a/src/coordination/shard-state/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -2,7 +2,7 @@
 
 import { FENCING_TOKENS_PER_TERM, LEASE_MARGIN_MS } from '../../constants/election.js';
 import { CLOCK_DRIFT } from '../../constants/protocol.js';
-import { FAULTY_ERRORS, MISSED_HEARTBEATS } from '../../constants/shard.js';
+import { FAULTY_MACHINE_FAILURES, MAX_MISSED_HEARTBEATS } from '../../constants/shard.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { MachineHealth, MachineRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -26,10 +26,10 @@
 export type HeartbeatFreshness = 'older' | 'newer' | 'newSession';
 
 /** Commands sent straight to the worker have ended with their session, or are fenced by a token. */
-function settleDirectCalls(machine: Machine, heartbeat: Heartbeat): void {
+function confirmDirectCalls(machine: Machine, heartbeat: Heartbeat): void {
   const { directCalls: direct } = machine;
   if (!direct) return;
-  const fenced = direct.fence !== null && heartbeat.fencingToken >= direct.fence;
+  const fenced = direct.fencedBy !== null && heartbeat.fencingToken >= direct.fencedBy;
   if (heartbeat.agentEpoch > direct.agentEpoch || fenced) machine.directCalls = null;
 }
 
@@ -113,7 +113,11 @@
    * Orders a report among what is known of its machine. `askedAt`: steady time at which we sent
    * the call that this report answers, null for a report that came by itself.
    */
-  order(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
+  applyHeartbeat(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    askedAt: number | null,
+  ): HeartbeatFreshness {
     const order =
       heartbeat.agentEpoch - machine.agentEpoch || heartbeat.sequence - machine.sequence;
     const shows = heartbeat.fencingToken >= this.baseFencingToken + machine.requiredFencingOffset;
@@ -128,7 +132,7 @@
     const ended = machine.agentEpoch > 0 && heartbeat.agentEpoch > machine.agentEpoch;
     this.adopt(machine, heartbeat, shows);
     if (askedAt === null) machine.heartbeatAt = machine.observedAt;
-    settleDirectCalls(machine, heartbeat);
+    confirmDirectCalls(machine, heartbeat);
     // Its lease ran out although we answered: perhaps it does not hear us.
     if (ended) this.requireAcknowledgement(machine);
     return ended ? 'newSession' : 'newer';
@@ -161,7 +165,7 @@
   }
 
   /** Notes that a report is answered with 200, which may renew the worker's lease. */
-  answered(machine: Machine, freshness: HeartbeatFreshness): void {
+  noteAnswer(machine: Machine, freshness: HeartbeatFreshness): void {
     const now = this.clock.now();
     // An older report was sent before the newest one came: its answer renews to that at the most.
     const until = freshness === 'older' ? machine.observedAt : now;
@@ -199,15 +203,17 @@
   /** A machine's health as the other nodes are told. */
   health(machine: Machine): MachineHealth {
     if (machine.isLeaving) return 'leaving';
-    if (machine.errors.size >= FAULTY_ERRORS) return 'faulty';
+    if (machine.failedJobs.size >= FAULTY_MACHINE_FAILURES) return 'faulty';
     // Answers to calls renew no lease: a machine whose reports don't reach us loses its tasks, and
     // what is started there by calls as well.
     const silentMs = this.clock.now() - Math.min(machine.acknowledgedAt, machine.heartbeatAt);
-    return silentMs > this.options.heartbeatIntervalS * 1000 * MISSED_HEARTBEATS ? 'silent' : 'ok';
+    return silentMs > this.options.heartbeatIntervalS * 1000 * MAX_MISSED_HEARTBEATS
+      ? 'silent'
+      : 'ok';
   }
 
   /** The steady time from which nothing of ours can be on this machine any more. */
-  deadAt(name: string): number {
+  leaseExpiresAt(name: string): number {
     const machine = this.all.get(name);
     if (!machine) return this.options.fenceAt;
     const lease = this.options.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
@@ -219,13 +225,13 @@
   sweep(): void {
     const now = this.clock.now();
     for (const machine of this.all.values()) {
-      const kept = this.deadAt(machine.name) + this.options.leaseS * 1000;
+      const kept = this.leaseExpiresAt(machine.name) + this.options.leaseS * 1000;
       if (this.recordedState(machine.name) === 'gone' || now > kept) this.remove(machine);
     }
   }
 
   /** A machine type of the catalogue. */
-  type(name: string): MachineType | undefined {
+  machineType(name: string): MachineType | undefined {
     const value = readCatalog(this.replica) ?? NO_TYPES;
     if (this.catalog?.value !== value) {
       this.catalog = { value, byName: new Map(value.map((type) => [type.name, type])) };
@@ -235,7 +241,7 @@
 
   /** The room on an empty machine of a type; none for a type that is not known. */
   capacity(typeName: string): Resources {
-    const type = this.type(typeName);
+    const type = this.machineType(typeName);
     return { cpus: type?.cpus ?? 0, gpus: type?.gpus ?? 0, memoryGb: type?.memoryGb ?? 0 };
   }
 }
--- a/src/coordination/shard-state/task-index.ts
+++ b/src/coordination/shard-state/task-index.ts
@@ -1,12 +1,12 @@
 /** Indexes of a part's chunks by job, and of its placed tasks by machine. */
-import type { Assignment, Slot } from './assignment.js';
+import type { Assignment, Task } from './assignment.js';
 
-const NO_SLOTS: ReadonlyMap<Slot, Assignment> = new Map();
+const NO_SLOTS: ReadonlyMap<Task, Assignment> = new Map();
 
 /** Finds the chunks of a job and the tasks placed on a machine. */
 export class TaskIndex {
   private readonly byJob = new Map<string, Set<Assignment>>();
-  private readonly byMachine = new Map<string, Map<Slot, Assignment>>();
+  private readonly byMachine = new Map<string, Map<Task, Assignment>>();
 
   /** Adds a chunk to those of its job. */
   addAssignment(assignment: Assignment): void {
@@ -24,19 +24,19 @@
   }
 
   /** Counts a slot as placed on its machine. */
-  addPlacement(assignment: Assignment, slot: Slot): void {
-    assignment.placed++;
-    const group = this.byMachine.get(slot.machine);
-    if (group) group.set(slot, assignment);
-    else this.byMachine.set(slot.machine, new Map([[slot, assignment]]));
+  addPlacement(assignment: Assignment, task: Task): void {
+    assignment.placedCount++;
+    const group = this.byMachine.get(task.machine);
+    if (group) group.set(task, assignment);
+    else this.byMachine.set(task.machine, new Map([[task, assignment]]));
   }
 
   /** Counts a slot as no longer placed on its machine. */
-  removePlacement(assignment: Assignment, slot: Slot): void {
-    assignment.placed--;
-    const group = this.byMachine.get(slot.machine);
-    group?.delete(slot);
-    if (group?.size === 0) this.byMachine.delete(slot.machine);
+  removePlacement(assignment: Assignment, task: Task): void {
+    assignment.placedCount--;
+    const group = this.byMachine.get(task.machine);
+    group?.delete(task);
+    if (group?.size === 0) this.byMachine.delete(task.machine);
   }
 
   /** The chunks of a job. */
@@ -50,7 +50,7 @@
   }
 
   /** The tasks placed on a machine. */
-  onMachine(machine: string): ReadonlyMap<Slot, Assignment> {
+  onMachine(machine: string): ReadonlyMap<Task, Assignment> {
     return this.byMachine.get(machine) ?? NO_SLOTS;
   }
 }
--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -9,21 +9,21 @@
   clearPlacement,
   createAssignment,
   isCommitted,
-  readSlots,
+  readTasks,
   type Assignment,
-  type Slot,
+  type Task,
 } from './assignment.js';
 import { TaskIndex } from './task-index.js';
 
-export type { Assignment as Chunk, Slot } from './assignment.js';
+export type { Assignment, Task } from './assignment.js';
 
 /** Where a task is placed, under which attempt, and what the bandit based it on. */
-export type Placement = Pick<Slot, 'machine' | 'attempt' | 'context'>;
+export type Placement = Pick<Task, 'machine' | 'attempt' | 'banditContext'>;
 
 /** A task of the part together with its chunk. */
-export interface TaskSlot {
+export interface AssignedTask {
   assignment: Assignment;
-  slot: Slot;
+  task: Task;
 }
 
 /**
@@ -33,11 +33,11 @@
 export class Tasks {
   readonly assignments = new Map<string, Assignment>();
   /** Chunks with tasks that wait for a place. */
-  readonly waiting = new Set<Assignment>();
+  readonly waitingAssignments = new Set<Assignment>();
   /** Chunks that are not as the state service holds them. */
-  readonly dirty = new Set<Assignment>();
+  readonly changedAssignments = new Set<Assignment>();
   /** Chunks of gangs. */
-  readonly gangs = new Set<Assignment>();
+  readonly gangAssignments = new Set<Assignment>();
   /** Pieces of chunks that are being written. */
   readonly plannedPieces = new PlannedPieces();
   private readonly index = new TaskIndex();
@@ -47,18 +47,19 @@
     private readonly replica: StoreReplica,
     private readonly clock: Clock,
   ) {
-    for (const [key] of replica.below<AssignmentRecord>(assignmentPrefix(shard))) this.changed(key);
+    for (const [key] of replica.below<AssignmentRecord>(assignmentPrefix(shard)))
+      this.handleChange(key);
   }
 
   // --- What the state service holds ----------------------------------------------------------
 
   /** A key of the replica changed. Only new and gone chunks count: the part alone changes its own. */
-  changed(key: string): void {
+  handleChange(key: string): void {
     if (!key.startsWith(assignmentPrefix(this.shard))) return;
     const held = this.replica.get<AssignmentRecord>(key);
     const known = this.assignments.get(key);
     if (!held) {
-      if (known) this.drop(known);
+      if (known) this.remove(known);
       return;
     }
     if (known) return;
@@ -66,68 +67,68 @@
     if (!name) return;
     const plan = this.plannedPieces.get(key);
     // A piece that was given up and carried out late: its tasks must not stand in two chunks here.
-    if (!plan && !Number.isInteger(name.number)) this.resyncSharing(name.job, held.value);
+    if (!plan && !Number.isInteger(name.number)) this.reloadOverlapping(name.job, held.value);
     const assignment = createAssignment({ key, job: name.job, number: name.number }, held.value);
     this.assignments.set(key, assignment);
-    if (assignment.record.attempt !== undefined) this.gangs.add(assignment);
+    if (assignment.record.attempt !== undefined) this.gangAssignments.add(assignment);
     this.index.addAssignment(assignment);
-    if (plan) this.carryOver(plan.from, plan.pieces, assignment);
-    else this.fill(assignment);
+    if (plan) this.adoptPiece(plan.from, plan.pieces, assignment);
+    else this.loadTasks(assignment);
   }
 
   /** Resyncs the job's chunks that have tasks in common with the record. */
-  private resyncSharing(job: string, record: AssignmentRecord): void {
+  private reloadOverlapping(job: string, record: AssignmentRecord): void {
     const ids = readRanges(record.ids);
-    for (const other of [...this.of(job)]) {
-      if (ids.some((id) => other.slots.has(id))) this.resync(other);
+    for (const other of [...this.assignmentsOf(job)]) {
+      if (ids.some((id) => other.tasks.has(id))) this.reload(other);
     }
   }
 
   /** Goes back to what is stored; reports tell again what was heard meanwhile. */
-  resync(assignment: Assignment): void {
+  reload(assignment: Assignment): void {
     const held = this.replica.get<AssignmentRecord>(assignment.key);
     if (!held) {
-      this.drop(assignment);
+      this.remove(assignment);
       return;
     }
-    this.empty(assignment);
-    assignment.stored = held.value;
+    this.clearTasks(assignment);
+    assignment.committedRecord = held.value;
     assignment.record = held.value;
-    this.fill(assignment);
+    this.loadTasks(assignment);
   }
 
   /** Forgets a chunk; true: it was the last of its job. */
-  drop(assignment: Assignment): boolean {
-    this.empty(assignment);
-    this.gangs.delete(assignment);
+  remove(assignment: Assignment): boolean {
+    this.clearTasks(assignment);
+    this.gangAssignments.delete(assignment);
     this.assignments.delete(assignment.key);
     return this.index.removeAssignment(assignment);
   }
 
   /** Gives a chunk the slots that its stored record has. */
-  private fill(assignment: Assignment): void {
-    for (const slot of readSlots(assignment.stored, this.clock.now())) {
-      assignment.slots.set(slot.index, slot);
-      if (slot.state === 'live') this.index.addPlacement(assignment, slot);
-      else if (slot.state === 'pending') assignment.waiting.add(slot);
+  private loadTasks(assignment: Assignment): void {
+    for (const task of readTasks(assignment.committedRecord, this.clock.now())) {
+      assignment.tasks.set(task.index, task);
+      if (task.state === 'placed') this.index.addPlacement(assignment, task);
+      else if (task.state === 'waiting') assignment.waitingTasks.add(task);
     }
-    if (assignment.waiting.size > 0) this.waiting.add(assignment);
+    if (assignment.waitingTasks.size > 0) this.waitingAssignments.add(assignment);
     // Some of a gang's tasks were placed, and some no more: what is left of this attempt is no gang.
-    assignment.broken =
+    assignment.hasFailed =
       assignment.record.attempt !== undefined &&
-      assignment.placed > 0 &&
-      assignment.waiting.size > 0;
+      assignment.placedCount > 0 &&
+      assignment.waitingTasks.size > 0;
   }
 
   /** Removes a chunk's slots from the chunk and from all indexes. */
-  private empty(assignment: Assignment): void {
-    for (const slot of assignment.slots.values()) {
-      if (slot.state === 'live') this.index.removePlacement(assignment, slot);
+  private clearTasks(assignment: Assignment): void {
+    for (const task of assignment.tasks.values()) {
+      if (task.state === 'placed') this.index.removePlacement(assignment, task);
     }
-    assignment.slots.clear();
-    assignment.waiting.clear();
-    this.waiting.delete(assignment);
-    this.clean(assignment);
+    assignment.tasks.clear();
+    assignment.waitingTasks.clear();
+    this.waitingAssignments.delete(assignment);
+    this.clearChanged(assignment);
   }
 
   // --- Pieces --------------------------------------------------------------------------------
@@ -136,7 +137,7 @@
    * The chunk's record as it is now, in pieces of at most so many bytes; new placements only on the
    * machines that are named.
    */
-  pieces(assignment: Assignment, newMachines: ReadonlySet<string>, maxBytes: number): Piece[] {
+  split(assignment: Assignment, newMachines: ReadonlySet<string>, maxBytes: number): Piece[] {
     const isKeyTaken = (key: string): boolean =>
       this.assignments.has(key) || this.replica.get(key) !== null;
     return splitAssignment(assignment, { newMachines, maxBytes, isKeyTaken });
@@ -146,67 +147,67 @@
    * Moves what a piece holds from its chunk into the new one, as it is by now: what was sent stays
    * sent, and nothing starts again.
    */
-  private carryOver(from: Assignment, pieces: Piece[], assignment: Assignment): void {
-    from.stored = pieces[0]?.record ?? from.stored;
-    for (const slot of pieces.find((piece) => piece.key === assignment.key)?.slots ?? []) {
-      if (from.slots.get(slot.index) !== slot) continue;
-      from.slots.delete(slot.index);
-      assignment.slots.set(slot.index, slot);
-      if (slot.state === 'live') {
-        this.index.removePlacement(from, slot);
-        this.index.addPlacement(assignment, slot);
+  private adoptPiece(from: Assignment, pieces: Piece[], assignment: Assignment): void {
+    from.committedRecord = pieces[0]?.record ?? from.committedRecord;
+    for (const task of pieces.find((piece) => piece.key === assignment.key)?.tasks ?? []) {
+      if (from.tasks.get(task.index) !== task) continue;
+      from.tasks.delete(task.index);
+      assignment.tasks.set(task.index, task);
+      if (task.state === 'placed') {
+        this.index.removePlacement(from, task);
+        this.index.addPlacement(assignment, task);
       }
-      if (from.waiting.delete(slot)) assignment.waiting.add(slot);
+      if (from.waitingTasks.delete(task)) assignment.waitingTasks.add(task);
     }
-    if (from.waiting.size === 0) this.waiting.delete(from);
-    if (assignment.waiting.size > 0) this.waiting.add(assignment);
+    if (from.waitingTasks.size === 0) this.waitingAssignments.delete(from);
+    if (assignment.waitingTasks.size > 0) this.waitingAssignments.add(assignment);
     // Changed while it was written: which of the tasks did is not known.
-    if (this.dirty.has(from)) this.touch(assignment);
+    if (this.changedAssignments.has(from)) this.markChanged(assignment);
   }
 
   // --- What is to be written -----------------------------------------------------------------
 
   /** Marks a chunk as changed since it was committed. */
-  touch(assignment: Assignment): void {
-    assignment.dirtySince ??= this.clock.now();
-    this.dirty.add(assignment);
+  markChanged(assignment: Assignment): void {
+    assignment.changedSince ??= this.clock.now();
+    this.changedAssignments.add(assignment);
   }
 
   /** Marks a chunk as having no changes to be written. */
-  clean(assignment: Assignment): void {
-    assignment.dirtySince = null;
-    this.dirty.delete(assignment);
+  clearChanged(assignment: Assignment): void {
+    assignment.changedSince = null;
+    this.changedAssignments.delete(assignment);
   }
 
   // --- Look-ups ------------------------------------------------------------------------------
 
   /** The chunks of a job. */
-  of(job: string): Iterable<Assignment> {
+  assignmentsOf(job: string): Iterable<Assignment> {
     return this.index.ofJob(job);
   }
 
   /** A task of a job; null: it is not assigned to this part. */
-  find(job: string, index: number): TaskSlot | null {
-    for (const assignment of this.of(job)) {
-      const slot = assignment.slots.get(index);
-      if (slot) return { assignment, slot };
+  findTask(job: string, index: number): AssignedTask | null {
+    for (const assignment of this.assignmentsOf(job)) {
+      const task = assignment.tasks.get(index);
+      if (task) return { assignment, task };
     }
     return null;
   }
 
   /** Names of the machines on which tasks are placed. */
-  machines(): Iterable<string> {
+  occupiedMachines(): Iterable<string> {
     return this.index.machines();
   }
 
   /** The tasks placed on a machine. */
-  on(machine: string): ReadonlyMap<Slot, Assignment> {
+  placedOn(machine: string): ReadonlyMap<Task, Assignment> {
     return this.index.onMachine(machine);
   }
 
   /** Whether the state service holds this placement: only then may its start be sent. */
-  committed(assignment: Assignment, slot: Slot): boolean {
-    return isCommitted(assignment, slot);
+  isCommitted(assignment: Assignment, task: Task): boolean {
+    return isCommitted(assignment, task);
   }
 
   /** How many tasks are placed, and how many wait for a place. */
@@ -214,8 +215,8 @@
     let placed = 0;
     let waiting = 0;
     for (const assignment of this.assignments.values()) {
-      placed += assignment.placed;
-      waiting += assignment.waiting.size;
+      placed += assignment.placedCount;
+      waiting += assignment.waitingTasks.size;
     }
     return { placed, waiting };
   }
@@ -223,47 +224,51 @@
   // --- Changes of a task's state -------------------------------------------------------------
 
   /** Places a task on a machine. */
-  place(assignment: Assignment, slot: Slot, { machine, attempt, context }: Placement): void {
-    this.endPlacement(assignment, slot);
-    slot.state = 'live';
-    slot.machine = machine;
-    slot.attempt = attempt;
-    slot.context = context;
-    this.index.addPlacement(assignment, slot);
-    this.touch(assignment);
+  place(
+    assignment: Assignment,
+    task: Task,
+    { machine, attempt, banditContext: context }: Placement,
+  ): void {
+    this.endPlacement(assignment, task);
+    task.state = 'placed';
+    task.machine = machine;
+    task.attempt = attempt;
+    task.banditContext = context;
+    this.index.addPlacement(assignment, task);
+    this.markChanged(assignment);
   }
 
   /** Makes a task wait for a place again. */
-  requeue(assignment: Assignment, slot: Slot): void {
-    this.endPlacement(assignment, slot);
+  requeue(assignment: Assignment, task: Task): void {
+    this.endPlacement(assignment, task);
     // Its attempt is over for all: a gang's tasks can't be placed one by one.
-    assignment.broken = assignment.record.attempt !== undefined;
-    slot.state = 'pending';
-    slot.pendingSince = this.clock.now();
-    assignment.waiting.add(slot);
-    this.waiting.add(assignment);
-    this.touch(assignment);
+    assignment.hasFailed = assignment.record.attempt !== undefined;
+    task.state = 'waiting';
+    task.waitingSince = this.clock.now();
+    assignment.waitingTasks.add(task);
+    this.waitingAssignments.add(assignment);
+    this.markChanged(assignment);
   }
 
   /** Marks a task as done. */
-  finish(assignment: Assignment, slot: Slot): void {
-    this.endPlacement(assignment, slot);
-    slot.state = 'done';
-    this.touch(assignment);
+  markDone(assignment: Assignment, task: Task): void {
+    this.endPlacement(assignment, task);
+    task.state = 'done';
+    this.markChanged(assignment);
   }
 
   /** Gives a waiting task back to the leader. */
-  returnMachines(assignment: Assignment, slot: Slot): void {
-    this.endPlacement(assignment, slot);
-    assignment.slots.delete(slot.index);
-    this.touch(assignment);
+  returnToLeader(assignment: Assignment, task: Task): void {
+    this.endPlacement(assignment, task);
+    assignment.tasks.delete(task.index);
+    this.markChanged(assignment);
   }
 
   /** Takes a task off its machine and out of the waiting ones. */
-  private endPlacement(assignment: Assignment, slot: Slot): void {
-    if (slot.state === 'live') this.index.removePlacement(assignment, slot);
-    assignment.waiting.delete(slot);
-    if (assignment.waiting.size === 0) this.waiting.delete(assignment);
-    clearPlacement(slot);
+  private endPlacement(assignment: Assignment, task: Task): void {
+    if (task.state === 'placed') this.index.removePlacement(assignment, task);
+    assignment.waitingTasks.delete(task);
+    if (assignment.waitingTasks.size === 0) this.waitingAssignments.delete(assignment);
+    clearPlacement(task);
   }
 }
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -1,18 +1,18 @@
 /** Builds one transaction that writes chunks, within the limits of the state service. */
 import { ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
 import { GUARDS_PER_OP, TRANSACTION_BYTES } from '../../constants/protocol.js';
-import { ASSIGNMENT_BYTES } from '../../constants/shard.js';
+import { ASSIGNMENT_OVERHEAD_BYTES } from '../../constants/shard.js';
 import { VALUE_SHARE } from '../../constants/storage.js';
 import { jobKey, machineKey } from '../../storage/keys.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { ShardContext } from './shard-context.js';
 import type { Piece } from '../shard-state/assignment-pieces.js';
 import { uncommittedMachines } from '../shard-state/assignment.js';
-import type { Chunk } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/tasks.js';
 
 /** A chunk on its way to the state service; no pieces: it is removed. */
 export interface WrittenAssignment {
-  assignment: Chunk;
+  assignment: Assignment;
   pieces: Piece[];
 }
 
@@ -32,9 +32,10 @@
   constructor(private readonly context: ShardContext) {}
 
   /** Adds a chunk's changes; `isOver`: it is removed. */
-  add(assignment: Chunk, isOver: boolean): AddResult {
+  add(assignment: Assignment, isOver: boolean): AddResult {
     const { options, tasks } = this.context;
-    this.estimatedBytes += ASSIGNMENT_BYTES + assignment.placed * ASSIGNMENT_TASK_BYTES;
+    this.estimatedBytes +=
+      ASSIGNMENT_OVERHEAD_BYTES + assignment.placedCount * ASSIGNMENT_TASK_BYTES;
     if (this.estimatedBytes > TRANSACTION_BYTES && this.changes.length > 0) return { kind: 'full' };
     const uncommitted = isOver ? new Set<string>() : uncommittedMachines(assignment);
     // A machine that the leader takes out of use meanwhile gets no new task: each is guarded, and a
@@ -45,14 +46,14 @@
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
     const newMachines = new Set([...uncommitted].slice(0, maxMachines));
     const maxBytes = options.valueBytes * VALUE_SHARE;
-    const pieces = isOver ? [] : tasks.pieces(assignment, newMachines, maxBytes);
+    const pieces = isOver ? [] : tasks.split(assignment, newMachines, maxBytes);
     // All in one transaction, or a task would be in two chunks or in none for a while.
     if (this.changes.length + Math.max(1, pieces.length) > options.transactionOps) {
       if (this.changes.length > 0) return { kind: 'full' };
       return { kind: 'tooLarge', pieces: pieces.length };
     }
     this.addChanges(assignment, pieces, newMachines);
-    if (newMachines.size === uncommitted.size) tasks.clean(assignment);
+    if (newMachines.size === uncommitted.size) tasks.clearChanged(assignment);
     return { kind: 'added' };
   }
 
@@ -68,7 +69,11 @@
     return [role, ...keys.map((key) => ({ key, revision: replica.revisionOf(key) }))];
   }
 
-  private addChanges(assignment: Chunk, pieces: Piece[], newMachines: ReadonlySet<string>): void {
+  private addChanges(
+    assignment: Assignment,
+    pieces: Piece[],
+    newMachines: ReadonlySet<string>,
+  ): void {
     for (const machine of newMachines) this.machines.add(machine);
     // Nor is a job placed that was called off a moment ago, which this node has not heard yet.
     if (newMachines.size > 0) this.jobs.add(assignment.job);
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -1,11 +1,11 @@
 /** Writes a part's changed chunks to the state service. */
-import { ASSIGNMENT_HOLD_MS } from '../../constants/shard.js';
+import { OVERSIZED_ASSIGNMENT_RETRY_MS } from '../../constants/shard.js';
 import type { CommitResult } from '../../storage/committer.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { AssignmentTransaction, type WrittenAssignment } from './assignment-transaction.js';
 import { WriteSchedule } from './write-schedule.js';
 import type { ShardContext } from './shard-context.js';
-import type { Chunk } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/tasks.js';
 
 /** What the writer tells its part. */
 export interface AssignmentWriterCallbacks {
@@ -49,20 +49,25 @@
       const { changes, written } = transaction;
       if (changes.length === 0) continue;
       const purpose = urgent ? 'urgent' : 'part';
-      const result = await committer.commit(purpose, transaction.guards(), changes, options.alive);
+      const result = await committer.commit(
+        purpose,
+        transaction.guards(),
+        changes,
+        options.isHolder,
+      );
       for (const { pieces } of written) this.context.tasks.plannedPieces.remove(pieces);
-      if (!options.alive()) return;
+      if (!options.isHolder()) return;
       if (result.kind !== 'done') {
-        this.giveUp(written, result);
+        this.reloadRejected(written, result);
         return;
       }
-      for (const one of written) this.takeOver(one);
+      for (const one of written) this.recordCommitted(one);
       this.callbacks.onCommitted(transaction.machines, urgent);
     }
   }
 
   /** The next transaction, of the first of the due chunks that are as urgent as the first one. */
-  private build(due: readonly Chunk[], urgent: boolean): AssignmentTransaction {
+  private build(due: readonly Assignment[], urgent: boolean): AssignmentTransaction {
     const { log, options } = this.context;
     const transaction = new AssignmentTransaction(this.context);
     const keys = due.map((assignment) => assignment.key);
@@ -75,31 +80,31 @@
         { assignment: assignment.key, pieces: result.pieces },
         'chunk too large to write yet',
       );
-      this.withheld.hold(assignment.key, ASSIGNMENT_HOLD_MS);
+      this.withheld.hold(assignment.key, OVERSIZED_ASSIGNMENT_RETRY_MS);
     }
     return transaction;
   }
 
   /** Nothing of this was written, or another's change is newer: what is stored counts again. */
-  private giveUp(written: readonly WrittenAssignment[], result: CommitResult): void {
+  private reloadRejected(written: readonly WrittenAssignment[], result: CommitResult): void {
     const { log, tasks } = this.context;
     log.info({ result }, 'placements not committed');
     for (const { assignment } of written) {
       if (result.kind === 'invalid') this.withheld.add(assignment.key);
-      tasks.resync(assignment);
+      tasks.reload(assignment);
     }
   }
 
   /** Takes a chunk as stored the way it was written. */
-  private takeOver({ assignment, pieces }: WrittenAssignment): void {
-    const { endedAssignments, jobFailureBackoff, tasks } = this.context;
+  private recordCommitted({ assignment, pieces }: WrittenAssignment): void {
+    const { assignmentsOfEndedJobs, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
     const [first] = pieces;
     if (first) {
-      assignment.stored = first.record;
+      assignment.committedRecord = first.record;
       return;
     }
-    endedAssignments.delete(assignment);
-    if (tasks.drop(assignment)) jobFailureBackoff.clear(assignment.job);
+    assignmentsOfEndedJobs.delete(assignment);
+    if (tasks.remove(assignment)) jobFailureBackoff.clear(assignment.job);
   }
 }
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -4,7 +4,7 @@
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Resources } from '../capacity/resources.js';
-import type { TaskSlot } from '../shard-state/tasks.js';
+import type { AssignedTask } from '../shard-state/tasks.js';
 
 /** Passes the ends of tasks on to the bandit, once it is loaded. */
 export class CostLearning {
@@ -17,19 +17,19 @@
   ) {}
 
   /** A task ended well on the machine. */
-  finished(machine: Machine, { assignment, slot }: TaskSlot): void {
-    if (!slot.context || slot.runningAt === null || !this.bandit) return;
-    const ranS = (this.clock.now() - slot.runningAt) / 1000;
+  recordSuccess(machine: Machine, { assignment, task }: AssignedTask): void {
+    if (!task.banditContext || task.runningAt === null || !this.bandit) return;
+    const ranS = (this.clock.now() - task.runningAt) / 1000;
     this.bandit.finished(
       machine.type,
-      slot.context,
+      task.banditContext,
       ranS * this.pricePerS(machine, assignment.record),
     );
   }
 
   /** A task failed on the machine. */
-  failed(machine: Machine, { slot }: TaskSlot): void {
-    if (slot.context) this.bandit?.failed(machine.type, slot.context);
+  recordFailure(machine: Machine, { task }: AssignedTask): void {
+    if (task.banditContext) this.bandit?.failed(machine.type, task.banditContext);
   }
 
   /**
@@ -37,7 +37,7 @@
    * share a machine, so a task pays for the share that it keeps others from.
    */
   private pricePerS(machine: Machine, task: Resources): number {
-    const type = this.machines.type(machine.type);
+    const type = this.machines.machineType(machine.type);
     if (!type) return 0;
     const share = Math.max(
       task.cpus / type.cpus,
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -19,13 +19,13 @@
 
   /** Sends what is new for the machines that are marked dirty. */
   sendPending(): void {
-    const { dirtyMachines, machines, options, workers } = this.context;
-    if (!options.alive() || !options.current()) return;
-    for (const name of [...dirtyMachines]) {
+    const { machinesToCommand, machines, options, workers } = this.context;
+    if (!options.isHolder() || !options.isReplicaCurrent()) return;
+    for (const name of [...machinesToCommand]) {
       if (workers.full) return;
       const machine = machines.all.get(name);
       if (machine?.directCalls) continue;
-      dirtyMachines.delete(name);
+      machinesToCommand.delete(name);
       // The answer to the report that proves that it hears us carries all that is missing.
       if (!machine?.isAcknowledged || machine.address === '') continue;
       const commands = this.newCommandsFor(machine);
@@ -41,11 +41,11 @@
   }
 
   private async send(machine: Machine, commands: Command[]): Promise<void> {
-    const { clock, dirtyMachines, log, machines, wake, workers } = this.context;
+    const { clock, machinesToCommand, log, machines, wake, workers } = this.context;
     const direct: UnconfirmedCalls = {
       agentEpoch: machine.agentEpoch,
       attempts: new Set(commands.map((command) => command.attempt)),
-      fence: null,
+      fencedBy: null,
     };
     machine.directCalls = direct;
     if (commands.some(({ op }) => op === 'start')) machine.hasUnfencedStart = true;
@@ -60,11 +60,11 @@
       );
       if (machine.directCalls === direct) machine.directCalls = null;
       this.observer.observe(machine, result.heartbeat, askedAt);
-      if (dirtyMachines.size > 0) wake();
+      if (machinesToCommand.size > 0) wake();
     } catch (error) {
       if (machine.directCalls !== direct) return;
       machines.requireAcknowledgement(machine);
-      direct.fence = machines.fencingTokenOf(machine);
+      direct.fencedBy = machines.fencingTokenOf(machine);
       log.info({ machine: machine.name, error: String(error) }, 'direct commands unanswered');
     }
   }
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -6,14 +6,14 @@
   GANG_RESERVE_MS,
   SHARED_STOP_MS,
 } from '../../constants/gangs.js';
-import { RELEASE_MS } from '../../constants/shard.js';
+import { UNPLACED_RELEASE_MS } from '../../constants/shard.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { URGENT } from '../capacity/priorities.js';
 import type { Machines } from '../shard-state/machines.js';
-import type { Chunk, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Tasks } from '../shard-state/tasks.js';
 
 /** The workers' times for gangs. */
 export interface GangTimes {
@@ -43,18 +43,18 @@
     private readonly dependencies: GangShareDependencies,
   ) {}
 
-  private spec(assignment: Chunk): JobSpec | null {
+  private spec(assignment: Assignment): JobSpec | null {
     return this.dependencies.replica.job(assignment.job)?.spec ?? null;
   }
 
   /** Whether tasks of this chunk may start now. */
-  mayStart(assignment: Chunk): boolean {
+  mayStart(assignment: Assignment): boolean {
     if (assignment.record.attempt === undefined) return true;
-    return !assignment.broken && this.isFullyPlaced(assignment);
+    return !assignment.hasFailed && this.isFullyPlaced(assignment);
   }
 
   /** Whether all tasks of the gang have their machines, by what the state service holds. */
-  private isFullyPlaced(assignment: Chunk): boolean {
+  private isFullyPlaced(assignment: Assignment): boolean {
     let placed = 0;
     for (const share of this.dependencies.replica.assignmentsOf(assignment.job)) {
       if (share.attempt !== assignment.record.attempt || share.stopping) return false;
@@ -71,30 +71,31 @@
   reconcile(): Set<string> {
     const stopped = new Set<string>();
     const now = this.dependencies.clock.now();
-    for (const assignment of this.dependencies.tasks.gangs) {
+    for (const assignment of this.dependencies.tasks.gangAssignments) {
       const spec = this.spec(assignment);
       if (spec === null) continue;
       this.failOverdue(assignment, now);
       const isAnnounced = this.propagateFailure(assignment, spec);
-      if (assignment.broken && isAnnounced) this.end(assignment, stopped);
-      else if (!assignment.broken && assignment.placed === 0)
-        this.giveBackLate(assignment, spec, now);
+      if (assignment.hasFailed && isAnnounced) this.stopTasks(assignment, stopped);
+      else if (!assignment.hasFailed && assignment.placedCount === 0)
+        this.returnOverdue(assignment, spec, now);
     }
     return stopped;
   }
 
   /** Fails a share if the rest of its gang was not reserved, or did not start, in time. */
-  private failOverdue(assignment: Chunk, now: number): void {
+  private failOverdue(assignment: Assignment, now: number): void {
     const { log } = this.dependencies;
-    const allPlaced = assignment.waiting.size === 0;
-    assignment.placedAt = allPlaced ? (assignment.placedAt ?? now) : null;
-    const late = assignment.placedAt !== null && now - assignment.placedAt >= GANG_RESERVE_MS;
-    if (!assignment.broken && late && !this.isFullyPlaced(assignment)) {
-      assignment.broken = true;
+    const allPlaced = assignment.waitingTasks.size === 0;
+    assignment.fullyPlacedAt = allPlaced ? (assignment.fullyPlacedAt ?? now) : null;
+    const late =
+      assignment.fullyPlacedAt !== null && now - assignment.fullyPlacedAt >= GANG_RESERVE_MS;
+    if (!assignment.hasFailed && late && !this.isFullyPlaced(assignment)) {
+      assignment.hasFailed = true;
       log.info({ job: assignment.job }, 'gang not reserved in time');
     }
-    if (!assignment.broken && this.hasWaitedTooLong(assignment, now)) {
-      assignment.broken = true;
+    if (!assignment.hasFailed && this.hasWaitedTooLong(assignment, now)) {
+      assignment.hasFailed = true;
       log.info({ job: assignment.job }, 'gang withdrawn, it was not complete in time');
     }
   }
@@ -104,27 +105,27 @@
    * whether they can see the stop. No task is told before that: progress is saved only where all
    * are told at about the same time, which an outage of the state service would prevent.
    */
-  private propagateFailure(assignment: Chunk, spec: JobSpec): boolean {
+  private propagateFailure(assignment: Assignment, spec: JobSpec): boolean {
     const { replica, tasks } = this.dependencies;
-    if (assignment.slots.size === spec.tasks) return true;
+    if (assignment.tasks.size === spec.tasks) return true;
     // All parts must stop their shares within the time that tasks wait for lost peers.
     const isStored = replica.assignmentsOf(assignment.job).some((share) => share.stopping);
-    if (isStored) assignment.broken = true;
-    if (assignment.broken && !assignment.stored.stopping) tasks.touch(assignment);
-    return isStored || assignment.stored.stopping === true;
+    if (isStored) assignment.hasFailed = true;
+    if (assignment.hasFailed && !assignment.committedRecord.stopping) tasks.markChanged(assignment);
+    return isStored || assignment.committedRecord.stopping === true;
   }
 
   /**
    * Whether tasks here have waited for the others until just before they end by themselves, one by
    * one. Withdrawn together they free their machines sooner, and nothing is lost.
    */
-  private hasWaitedTooLong(assignment: Chunk, now: number): boolean {
+  private hasWaitedTooLong(assignment: Assignment, now: number): boolean {
     const { gangWaitS, heartbeatIntervalS } = this.options;
     const patienceMs = Math.max(gangWaitS / 2, gangWaitS - heartbeatIntervalS) * 1000;
     let since = Infinity;
-    for (const slot of assignment.slots.values()) {
-      if (slot.state === 'done' || slot.runningAt !== null) return false;
-      since = Math.min(since, slot.gatheringAt ?? Infinity);
+    for (const task of assignment.tasks.values()) {
+      if (task.state === 'done' || task.runningAt !== null) return false;
+      since = Math.min(since, task.gatheringAt ?? Infinity);
     }
     return now - since >= patienceMs;
   }
@@ -134,7 +135,7 @@
    * all of its tasks are told within `gang_peer_s`; else what it did since its last checkpoint is
    * lost, and it goes on unless that is little.
    */
-  mayStop(assignment: Chunk): boolean {
+  mayStop(assignment: Assignment): boolean {
     const spec = this.spec(assignment);
     if (spec === null) return true;
     return (
@@ -143,8 +144,8 @@
   }
 
   /** Whether a stop reaches all tasks of the gang in time. */
-  private isReachable(assignment: Chunk, spec: JobSpec): boolean {
-    const shared = assignment.slots.size < spec.tasks;
+  private isReachable(assignment: Assignment, spec: JobSpec): boolean {
+    const shared = assignment.tasks.size < spec.tasks;
     if (shared && this.options.gangPeerS * 1000 < SHARED_STOP_MS) return false;
     return [...this.machinesOf(assignment.job)].every((name) => {
       const machine = this.dependencies.machines.all.get(name);
@@ -157,26 +158,26 @@
   }
 
   /** Seconds that the gang ran since its last checkpoint, at the most; 0 where it never saves. */
-  private progressAtRiskS(assignment: Chunk, spec: JobSpec): number {
+  private progressAtRiskS(assignment: Assignment, spec: JobSpec): number {
     let since = Infinity;
-    for (const slot of assignment.slots.values())
-      since = Math.min(since, slot.runningAt ?? Infinity);
+    for (const task of assignment.tasks.values())
+      since = Math.min(since, task.runningAt ?? Infinity);
     if (since === Infinity) return 0;
     // Where its last attempt ended is not known here: its checkpoints may come at any moment.
     return Math.min(spec.checkpointS, (this.dependencies.clock.now() - since) / 1000);
   }
 
   /** Stops all tasks of a failed share; once none is left it goes back to the leader. */
-  private end(assignment: Chunk, stopped: Set<string>): void {
+  private stopTasks(assignment: Assignment, stopped: Set<string>): void {
     const machines: string[] = [];
-    for (const slot of [...assignment.slots.values()]) {
-      if (slot.state !== 'live' || slot.halting) continue;
+    for (const task of [...assignment.tasks.values()]) {
+      if (task.state !== 'placed' || task.isStopping) continue;
       // What was never committed was never sent either.
-      if (this.dependencies.tasks.committed(assignment, slot)) {
-        slot.halting = true;
-        machines.push(slot.machine);
-        stopped.add(slot.machine);
-      } else this.dependencies.tasks.requeue(assignment, slot);
+      if (this.dependencies.tasks.isCommitted(assignment, task)) {
+        task.isStopping = true;
+        machines.push(task.machine);
+        stopped.add(task.machine);
+      } else this.dependencies.tasks.requeue(assignment, task);
     }
     if (machines.length > 0) {
       this.dependencies.log.info(
@@ -184,34 +185,34 @@
         'gang stops',
       );
     }
-    if (assignment.placed > 0) return;
+    if (assignment.placedCount > 0) return;
     this.dependencies.log.info(
       { job: assignment.job, attempt: assignment.record.attempt },
       'gang goes back',
     );
-    this.returnMachines(assignment);
+    this.returnWaitingTasks(assignment);
   }
 
   /** Gives a share back that has waited for room for its time; infeasible ones wait less. */
-  private giveBackLate(assignment: Chunk, spec: JobSpec, now: number): void {
+  private returnOverdue(assignment: Assignment, spec: JobSpec, now: number): void {
     const urgent = rankOf(spec.priority) >= URGENT;
-    const patience = urgent || assignment.infeasible ? RELEASE_MS : GANG_HOLD_MS;
-    const [first] = assignment.waiting;
-    if (first && now - first.pendingSince >= patience) this.returnMachines(assignment);
+    const patience = urgent || assignment.isInfeasible ? UNPLACED_RELEASE_MS : GANG_HOLD_MS;
+    const [first] = assignment.waitingTasks;
+    if (first && now - first.waitingSince >= patience) this.returnWaitingTasks(assignment);
   }
 
-  private returnMachines(assignment: Chunk): void {
-    for (const slot of [...assignment.waiting])
-      this.dependencies.tasks.returnMachines(assignment, slot);
+  private returnWaitingTasks(assignment: Assignment): void {
+    for (const task of [...assignment.waitingTasks])
+      this.dependencies.tasks.returnToLeader(assignment, task);
   }
 
   /** Names of the machines on which this part has placed tasks of a job's gang. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
-    for (const assignment of this.dependencies.tasks.of(job)) {
+    for (const assignment of this.dependencies.tasks.assignmentsOf(job)) {
       if (assignment.record.attempt === undefined) continue;
-      for (const slot of assignment.slots.values()) {
-        if (slot.state === 'live') machines.add(slot.machine);
+      for (const task of assignment.tasks.values()) {
+        if (task.state === 'placed') machines.add(task.machine);
       }
     }
     return machines;
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -2,7 +2,7 @@
 import type { TaskStatus, Heartbeat } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { HeartbeatFreshness } from '../shard-state/machines.js';
-import type { Slot, TaskSlot } from '../shard-state/tasks.js';
+import type { Task, AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
@@ -16,10 +16,10 @@
    */
   observe(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
-    const wasProven = machine.isAcknowledged;
-    const freshness = machines.order(machine, heartbeat, askedAt);
+    const wasAcknowledged = machine.isAcknowledged;
+    const freshness = machines.applyHeartbeat(machine, heartbeat, askedAt);
     if (freshness === 'older') return freshness;
-    if (freshness === 'newSession' || machine.isAcknowledged !== wasProven) {
+    if (freshness === 'newSession' || machine.isAcknowledged !== wasAcknowledged) {
       log.debug(
         { machine: machine.name, agentEpoch: machine.agentEpoch, hears: machine.isAcknowledged },
         freshness === 'newSession' ? 'machine began a new session' : 'machine hears us or does not',
@@ -32,24 +32,24 @@
       machine.isLeaving = leaving;
       wake();
     }
-    machine.tasks = heartbeat.tasks;
+    machine.reportedTasks = heartbeat.tasks;
     this.requeueMissing(machine, this.observeTasks(machine));
     return freshness;
   }
 
   /** Takes over the states of the machine's tasks; returns the placements that it listed. */
-  private observeTasks(machine: Machine): Set<Slot> {
-    const listed = new Set<Slot>();
-    for (const heartbeat of machine.tasks) {
-      const task = findReported(this.context.tasks, machine, heartbeat);
-      if (!task) continue;
-      listed.add(task.slot);
-      if (heartbeat.state === 'exited') {
-        this.taskExited(machine, task, heartbeat);
+  private observeTasks(machine: Machine): Set<Task> {
+    const listed = new Set<Task>();
+    for (const status of machine.reportedTasks) {
+      const assigned = findReported(this.context.tasks, machine, status);
+      if (!assigned) continue;
+      listed.add(assigned.task);
+      if (status.state === 'exited') {
+        this.taskExited(machine, assigned, status);
         // Its room may be what a start on this machine waited for.
-        this.context.dirtyMachines.add(machine.name);
+        this.context.machinesToCommand.add(machine.name);
         this.context.wake();
-      } else if (heartbeat.state !== 'fetching') this.taskFetched(machine, task, heartbeat);
+      } else if (status.state !== 'fetching') this.taskFetched(machine, assigned, status);
     }
     return listed;
   }
@@ -57,50 +57,50 @@
   /** A task has its image, and runs or waits for the others of its gang. */
   private taskFetched(
     machine: Machine,
-    { assignment, slot }: TaskSlot,
-    heartbeat: TaskStatus,
+    { assignment, task }: AssignedTask,
+    status: TaskStatus,
   ): void {
     const now = this.context.clock.now();
-    if (heartbeat.state === 'gathering') slot.gatheringAt ??= now;
-    else slot.runningAt ??= now;
+    if (status.state === 'gathering') task.gatheringAt ??= now;
+    else task.runningAt ??= now;
     const spec = jobSpec(this.context, assignment.job);
     if (spec) machine.images.add(spec.image);
   }
 
-  private taskExited(machine: Machine, task: TaskSlot, { cause }: TaskStatus): void {
+  private taskExited(machine: Machine, assigned: AssignedTask, { cause }: TaskStatus): void {
     const { costLearning, jobFailureBackoff, log, tasks } = this.context;
-    const { assignment, slot } = task;
+    const { assignment, task } = assigned;
     if (cause === 'done') {
-      costLearning.finished(machine, task);
-      machine.errors.clear();
+      costLearning.recordSuccess(machine, assigned);
+      machine.failedJobs.clear();
       jobFailureBackoff.clear(assignment.job);
-      tasks.finish(assignment, slot);
+      tasks.markDone(assignment, task);
       return;
     }
     if (cause === 'error' || cause === 'unknown') {
-      costLearning.failed(machine, task);
-      if (cause === 'error') machine.errors.add(assignment.job);
+      costLearning.recordFailure(machine, assigned);
+      if (cause === 'error') machine.failedJobs.add(assignment.job);
       const pause = jobFailureBackoff.add(assignment.job);
       log.info(
-        { task: `${assignment.job}/${slot.index}`, machine: machine.name, cause, pause },
+        { task: `${assignment.job}/${task.index}`, machine: machine.name, cause, pause },
         'task failed',
       );
     }
-    tasks.requeue(assignment, slot);
+    tasks.requeue(assignment, task);
   }
 
   /** Notes that placements which the machine did not list are not on it, where that is proven. */
-  private requeueMissing(machine: Machine, listed: ReadonlySet<Slot>): void {
+  private requeueMissing(machine: Machine, listed: ReadonlySet<Task>): void {
     const { machines, tasks, wake } = this.context;
     const usable = machines.isSchedulable(machine);
-    for (const [slot, assignment] of [...tasks.on(machine.name)]) {
-      if (listed.has(slot)) continue;
+    for (const [task, assignment] of [...tasks.placedOn(machine.name)]) {
+      if (listed.has(task)) continue;
       // Not on the machine, which is proof only where the worker has heard nobody but us, and where
       // no command sent straight to it is still on its way.
-      if (!machine.hasShownOurToken || machine.directCalls?.attempts.has(slot.attempt)) continue;
-      slot.startSent = false;
-      if (jobSpec(this.context, assignment.job) === null || !usable || slot.halting) {
-        tasks.requeue(assignment, slot);
+      if (!machine.hasShownOurToken || machine.directCalls?.attempts.has(task.attempt)) continue;
+      task.isStartSent = false;
+      if (jobSpec(this.context, assignment.job) === null || !usable || task.isStopping) {
+        tasks.requeue(assignment, task);
         wake();
       }
     }
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,5 +1,5 @@
 /** Pauses of jobs whose tasks failed. */
-import { FAILURE_PAUSE_MAX_S, FAILURE_PAUSE_S } from '../../constants/shard.js';
+import { MAX_FAILURE_BACKOFF_S, FAILURE_BACKOFF_S } from '../../constants/shard.js';
 import type { Clock } from '../../transport/clock.js';
 
 /** Lets a job wait after failures of its tasks, longer after each until one succeeds. */
@@ -11,7 +11,7 @@
   /** A task of the job failed now; returns for how many seconds the job waits. */
   add(job: string): number {
     const before = this.failures.get(job)?.count ?? 0;
-    const pauseS = Math.min(FAILURE_PAUSE_S * 2 ** before, FAILURE_PAUSE_MAX_S);
+    const pauseS = Math.min(FAILURE_BACKOFF_S * 2 ** before, MAX_FAILURE_BACKOFF_S);
     this.failures.set(job, { count: before + 1, until: this.clock.now() + pauseS * 1000 });
     return pauseS;
   }
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -1,5 +1,5 @@
 /** Requeues the tasks of machines that are lost. */
-import { SWEEP_MS } from '../../constants/shard.js';
+import { LOST_MACHINE_SWEEP_MS } from '../../constants/shard.js';
 import type { ShardContext } from './shard-context.js';
 
 /** Looks periodically for machines that are gone or whose lease has surely run out. */
@@ -12,14 +12,14 @@
   sweep(): void {
     const { clock, log, machines, tasks } = this.context;
     const now = clock.now();
-    if (now - this.sweptAt < SWEEP_MS) return;
+    if (now - this.sweptAt < LOST_MACHINE_SWEEP_MS) return;
     this.sweptAt = now;
-    for (const name of [...tasks.machines()]) {
+    for (const name of [...tasks.occupiedMachines()]) {
       const gone = machines.recordedState(name) === 'gone';
-      if (!gone && now < machines.deadAt(name)) continue;
-      const lost = [...tasks.on(name)];
+      if (!gone && now < machines.leaseExpiresAt(name)) continue;
+      const lost = [...tasks.placedOn(name)];
       log.info({ machine: name, tasks: lost.length, gone }, 'machine lost, its tasks wait');
-      for (const [slot, assignment] of lost) tasks.requeue(assignment, slot);
+      for (const [task, assignment] of lost) tasks.requeue(assignment, task);
     }
     machines.sweep();
   }
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -1,9 +1,9 @@
 /** Makes the commands that bring a machine to what is wanted of it. */
-import { COMMANDS_MAX } from '../../constants/shard.js';
+import { MAX_COMMANDS_PER_ANSWER } from '../../constants/shard.js';
 import type { Command, TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
-import type { Slot, TaskSlot } from '../shard-state/tasks.js';
+import type { Task, AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
@@ -15,7 +15,7 @@
   /** Room on the machine beside the tasks that are counted so far. */
   readonly free: Resources;
   /** Placements that the machine's newest report lists. */
-  readonly listed: Set<Slot>;
+  readonly listed: Set<Task>;
   readonly commands: Command[];
 }
 
@@ -28,58 +28,58 @@
     const { machines } = this.context;
     const free = machines.capacity(machine.type);
     const batch: CommandBatch = { machine, resend, free, listed: new Set(), commands: [] };
-    for (const heartbeat of machine.tasks) this.addForReported(batch, heartbeat);
+    for (const status of machine.reportedTasks) this.addForReported(batch, status);
     // Once forgotten, a start that was sent straight to the worker and is delivered once more would
     // run again: what forgets it carries a token that makes all earlier direct calls powerless.
     if (machine.hasUnfencedStart && batch.commands.some(({ op }) => op === 'forget')) {
       machines.raiseFencingToken(machine);
     }
     if (machines.isSchedulable(machine)) this.addStarts(batch);
-    return batch.commands.slice(0, COMMANDS_MAX);
+    return batch.commands.slice(0, MAX_COMMANDS_PER_ANSWER);
   }
 
   /** Counts the room of a task on the machine, and stops it if it is not wanted there. */
-  private addForReported(batch: CommandBatch, heartbeat: TaskStatus): void {
+  private addForReported(batch: CommandBatch, status: TaskStatus): void {
     const { tasks } = this.context;
     const { machine, resend, free } = batch;
-    const assignment = tasks.find(heartbeat.task.job, heartbeat.task.index)?.assignment;
+    const assignment = tasks.findTask(status.task.job, status.task.index)?.assignment;
     // Of an unknown task the need is not known: it counts as if it took all of the machine.
-    if (heartbeat.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
-    const wanted = findReported(tasks, machine, heartbeat);
+    if (status.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
+    const wanted = findReported(tasks, machine, status);
     if (!wanted) {
-      if (resend) this.addRemoval(batch, heartbeat);
+      if (resend) this.addRemoval(batch, status);
       return;
     }
-    batch.listed.add(wanted.slot);
-    this.addStop(batch, heartbeat, wanted);
+    batch.listed.add(wanted.task);
+    this.addStop(batch, status, wanted);
   }
 
   /** Stops a placed task whose job is over, or which makes room for others. */
   private addStop(
     batch: CommandBatch,
-    heartbeat: TaskStatus,
-    { assignment, slot }: TaskSlot,
+    status: TaskStatus,
+    { assignment, task }: AssignedTask,
   ): void {
     const spec = jobSpec(this.context, assignment.job);
-    const stop = spec === null || (slot.halting && heartbeat.state !== 'saving');
-    if (!stop || (slot.stopSent && !batch.resend)) return;
-    slot.stopSent = true;
+    const stop = spec === null || (task.isStopping && status.state !== 'saving');
+    if (!stop || (task.isStopSent && !batch.resend)) return;
+    task.isStopSent = true;
     const graceS = spec !== null && spec.checkpointS > 0 ? spec.saveS : 0;
-    batch.commands.push({ op: 'stop', task: heartbeat.task, attempt: heartbeat.attempt, graceS });
+    batch.commands.push({ op: 'stop', task: status.task, attempt: status.attempt, graceS });
   }
 
   /** A task on the machine that is not wanted there: stopped, or forgotten once it has ended. */
-  private addRemoval({ machine, commands }: CommandBatch, heartbeat: TaskStatus): void {
-    const { task, attempt } = heartbeat;
-    if (heartbeat.state !== 'exited') {
+  private addRemoval({ machine, commands }: CommandBatch, status: TaskStatus): void {
+    const { task, attempt } = status;
+    if (status.state !== 'exited') {
       commands.push({ op: 'stop', task, attempt, graceS: 0 });
       return;
     }
     // Forgotten only after the state service knows the end: until then a new owner of this part
     // would take the placement for one whose start was lost.
     // Nor while a start sent straight to the worker may still arrive: it would run once more.
-    const assignment = this.context.tasks.find(task.job, task.index)?.assignment;
-    const stored = assignment?.stored.live[String(task.index)];
+    const assignment = this.context.tasks.findTask(task.job, task.index)?.assignment;
+    const stored = assignment?.committedRecord.live[String(task.index)];
     if (stored?.[1] !== attempt && !machine.directCalls?.attempts.has(attempt)) {
       commands.push({ op: 'forget', task, attempt });
     }
@@ -88,16 +88,17 @@
   /** Starts what is placed on the machine and not there, where its room allows. */
   private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
     const { gangs, tasks } = this.context;
-    const missing = [...tasks.on(machine.name)].filter(([slot]) => !listed.has(slot));
-    for (const [slot, assignment] of missing) if (slot.startSent) allocate(free, assignment.record);
-    for (const [slot, assignment] of missing) {
-      if (!tasks.committed(assignment, slot) || slot.halting) continue;
+    const missing = [...tasks.placedOn(machine.name)].filter(([task]) => !listed.has(task));
+    for (const [task, assignment] of missing)
+      if (task.isStartSent) allocate(free, assignment.record);
+    for (const [task, assignment] of missing) {
+      if (!tasks.isCommitted(assignment, task) || task.isStopping) continue;
       if (jobSpec(this.context, assignment.job) === null || !gangs.mayStart(assignment)) continue;
-      if (slot.startSent ? !resend : !fits(free, assignment.record)) continue;
-      if (!slot.startSent) allocate(free, assignment.record);
-      slot.startSent = true;
-      const task = { job: assignment.job, index: slot.index };
-      commands.push({ op: 'start', task, attempt: slot.attempt });
+      if (task.isStartSent ? !resend : !fits(free, assignment.record)) continue;
+      if (!task.isStartSent) allocate(free, assignment.record);
+      task.isStartSent = true;
+      const reference = { job: assignment.job, index: task.index };
+      commands.push({ op: 'start', task: reference, attempt: task.attempt });
     }
   }
 }
--- a/src/coordination/shard/reported-task.ts
+++ b/src/coordination/shard/reported-task.ts
@@ -1,18 +1,18 @@
 /** Finds the placement to which a reported task belongs. */
 import type { TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
-import type { Tasks, TaskSlot } from '../shard-state/tasks.js';
+import type { Tasks, AssignedTask } from '../shard-state/tasks.js';
 
 /** The placement that a task reported by the machine is; null: it is none of ours. */
 export function findReported(
   tasks: Tasks,
   machine: Machine,
-  heartbeat: TaskStatus,
-): TaskSlot | null {
-  const found = tasks.find(heartbeat.task.job, heartbeat.task.index);
+  status: TaskStatus,
+): AssignedTask | null {
+  const found = tasks.findTask(status.task.job, status.task.index);
   if (!found) return null;
-  const { slot } = found;
+  const { task } = found;
   const isSame =
-    slot.state === 'live' && slot.machine === machine.name && slot.attempt === heartbeat.attempt;
+    task.state === 'placed' && task.machine === machine.name && task.attempt === status.attempt;
   return isSame ? found : null;
 }
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -9,7 +9,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { GangShares } from './gang-shares.js';
 import type { Machines } from '../shard-state/machines.js';
-import type { Chunk, Tasks } from '../shard-state/tasks.js';
+import type { Assignment, Tasks } from '../shard-state/tasks.js';
 import type { CostLearning } from './cost-learning.js';
 import type { JobFailureBackoff } from './job-failure-backoff.js';
 
@@ -48,13 +48,13 @@
   /** Seconds within which tasks of a class should start. */
   startWithinS: Readonly<Record<string, number>>;
   /** Still the owner, as far as the replica knows. */
-  alive: () => boolean;
+  isHolder: () => boolean;
   /** What the replica knows is recent enough to act on it before the outside. */
-  current: () => boolean;
+  isReplicaCurrent: () => boolean;
   /** How far this node's writes to the state service reach. */
   limiter: Pick<RateLimiter, 'supply' | 'hasCapacity'>;
   /** Something urgent was written: the leader should not wait for its next look. */
-  written: () => void;
+  onUrgentWrite: () => void;
 }
 
 /** The services that a part uses. */
@@ -77,9 +77,9 @@
   readonly jobFailureBackoff: JobFailureBackoff;
   readonly costLearning: CostLearning;
   /** Machines for which there may be commands that are not in any answer yet. */
-  readonly dirtyMachines: Set<string>;
+  readonly machinesToCommand: Set<string>;
   /** Chunks of jobs that are over. */
-  readonly endedAssignments: Set<Chunk>;
+  readonly assignmentsOfEndedJobs: Set<Assignment>;
 }
 
 /** A job's description; null: it is over. */
@@ -88,8 +88,8 @@
 }
 
 /** Notes that there may be commands for these machines. */
-export function markDirty(
-  { dirtyMachines }: Pick<ShardContext, 'dirtyMachines'>,
+export function markForCommands(
+  { machinesToCommand: dirtyMachines }: Pick<ShardContext, 'machinesToCommand'>,
   machines: Iterable<string>,
 ): void {
   for (const machine of machines) dirtyMachines.add(machine);
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -1,7 +1,7 @@
 /** A part's reports to the other nodes: the health of its machines, and what it has learned. */
 
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
-import { STATUS_PACE_MS } from '../../constants/shard.js';
+import { STATUS_INTERVAL_MS } from '../../constants/shard.js';
 import { VALUE_SHARE } from '../../constants/storage.js';
 import { bytesOf, type Committer } from '../../storage/committer.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
@@ -22,7 +22,7 @@
   transactionOps: number;
   valueBytes: number;
   snapshotMs: number;
-  alive: () => boolean;
+  isHolder: () => boolean;
   limiter: Pick<RateLimiter, 'supply'>;
 }
 
@@ -164,7 +164,7 @@
 
   private async writeStatus(): Promise<void> {
     const now = this.services.clock.now();
-    if (now - this.statusAt < STATUS_PACE_MS[this.options.limiter.supply]) return;
+    if (now - this.statusAt < STATUS_INTERVAL_MS[this.options.limiter.supply]) return;
     this.statusAt = now;
     const entries = new Map<string, Entry>();
     for (const machine of this.machines.all.values()) {
@@ -200,7 +200,7 @@
     const guards: Guard[] = [{ key: this.options.roleKey, revision: this.options.roleRevision }];
     for (const { key } of changes)
       guards.push({ key, revision: this.services.replica.revisionOf(key) });
-    const { alive } = this.options;
+    const { isHolder: alive } = this.options;
     const result = await this.services.committer.commit(purpose, guards, changes, alive);
     for (const { key } of changes) {
       if (result.kind === 'invalid') this.rejectedChangeBackoff.add(key);
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -16,7 +16,7 @@
 import {
   jobSpec,
   machineTypeNames,
-  markDirty,
+  markForCommands,
   type ShardContext,
   type ShardOptions,
   type ShardServices,
@@ -63,8 +63,8 @@
     this.lostMachines = new LostMachines(this.context);
     this.writer = new AssignmentWriter(this.context, {
       onCommitted: (machines, urgent) => {
-        markDirty(this.context, machines);
-        if (urgent) options.written();
+        markForCommands(this.context, machines);
+        if (urgent) options.onUrgentWrite();
         this.directCalls.sendPending();
       },
     });
@@ -93,10 +93,10 @@
   /** A key of the replica changed; true: this part may have something to do. */
   changed(key: string): boolean {
     if (key.startsWith(JOBS)) return this.jobChanged(key.slice(JOBS.length));
-    const { endedAssignments, tasks } = this.context;
-    if (tasks.gangs.size > 0 && this.otherShareChanged(key)) return true;
+    const { assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
+    if (tasks.gangAssignments.size > 0 && this.otherShareChanged(key)) return true;
     const before = tasks.assignments.get(key);
-    tasks.changed(key);
+    tasks.handleChange(key);
     const assignment = tasks.assignments.get(key);
     if (assignment && !before) withdrawIfEnded(this.context, assignment);
     if (before && !assignment) endedAssignments.delete(before);
@@ -107,7 +107,7 @@
   private jobChanged(job: string): boolean {
     this.gangReservation.noteJob(jobSpec(this.context, job));
     let known = false;
-    for (const assignment of this.context.tasks.of(job)) {
+    for (const assignment of this.context.tasks.assignmentsOf(job)) {
       withdrawIfEnded(this.context, assignment);
       known = true;
     }
@@ -122,7 +122,7 @@
     const name = key.startsWith(ASSIGNMENTS) ? readAssignmentKey(key) : null;
     if (!name || name.shard === options.shard) return false;
     const machines = gangs.machinesOf(name.job);
-    markDirty(this.context, machines);
+    markForCommands(this.context, machines);
     return machines.size > 0;
   }
 
@@ -136,7 +136,7 @@
     const machine = this.machines.all.get(heartbeat.machine) ?? this.addMachine(heartbeat);
     const freshness = this.observer.observe(machine, heartbeat, null);
     if (!this.machines.mayAnswer(machine)) return { ok: false };
-    this.machines.answered(machine, freshness);
+    this.machines.noteAnswer(machine, freshness);
     // What is put into the answer to a late copy is lost: starts go only to who hears us.
     const commands =
       freshness === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
@@ -167,9 +167,9 @@
       const scheduler = this.schedulerLoader.scheduler ?? (await this.schedulerLoader.load());
       if (!scheduler) return;
       this.lostMachines.sweep();
-      markDirty(this.context, scheduler.place());
-      markDirty(this.context, scheduler.consolidate());
-      markDirty(this.context, this.context.gangs.reconcile());
+      markForCommands(this.context, scheduler.place());
+      markForCommands(this.context, scheduler.consolidate());
+      markForCommands(this.context, this.context.gangs.reconcile());
       releaseWaitingTasks(this.context);
       await this.writer.flush();
       this.directCalls.sendPending();
@@ -192,7 +192,7 @@
     gangs: new GangShares(options, { tasks, machines, replica, clock, log }),
     jobFailureBackoff: new JobFailureBackoff(clock),
     costLearning: new CostLearning(machines, clock),
-    dirtyMachines: new Set(),
-    endedAssignments: new Set(),
+    machinesToCommand: new Set(),
+    assignmentsOfEndedJobs: new Set(),
   };
 }
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -1,5 +1,5 @@
 /** Gives tasks back to the leader for which the part has no room. */
-import { QUEUE_RELEASE_MS, RELEASE_MS } from '../../constants/shard.js';
+import { QUEUED_RELEASE_MS, UNPLACED_RELEASE_MS } from '../../constants/shard.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
@@ -7,15 +7,15 @@
 export function releaseWaitingTasks(context: ShardContext): void {
   const { clock, jobFailureBackoff, tasks } = context;
   const now = clock.now();
-  for (const assignment of [...tasks.waiting]) {
+  for (const assignment of [...tasks.waitingAssignments]) {
     const spec = jobSpec(context, assignment.job);
     if (assignment.record.attempt !== undefined) continue;
     if (spec === null || jobFailureBackoff.isPaused(assignment.job)) continue;
     // The leader queues lower work here ahead of the room for it; urgent work must not wait.
     const urgent = rankOf(spec.priority) >= rankOf('high');
-    const patience = urgent ? RELEASE_MS : QUEUE_RELEASE_MS;
-    for (const slot of [...assignment.waiting]) {
-      if (now - slot.pendingSince >= patience) tasks.returnMachines(assignment, slot);
+    const patience = urgent ? UNPLACED_RELEASE_MS : QUEUED_RELEASE_MS;
+    for (const task of [...assignment.waitingTasks]) {
+      if (now - task.waitingSince >= patience) tasks.returnToLeader(assignment, task);
     }
   }
 }
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,9 +1,13 @@
 /** Decides which of a part's chunks are to be written now. */
-import { DONE_GATHER_MS, PLACE_GATHER_MS, YIELD_MS } from '../../constants/shard.js';
+import {
+  COMPLETION_BATCH_MS,
+  PLACEMENT_BATCH_MS,
+  MAX_WRITE_DELAY_MS,
+} from '../../constants/shard.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
-import type { Chunk } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/tasks.js';
 
 /** Orders the changed chunks by urgency and holds back what can be gathered with other changes. */
 export class WriteSchedule {
@@ -14,33 +18,36 @@
   ) {}
 
   /** The chunks that are due, urgent ones first. */
-  dueAssignments(): Chunk[] {
-    const { clock, endedAssignments, tasks } = this.context;
+  dueAssignments(): Assignment[] {
+    const { clock, assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
     const now = clock.now();
-    for (const assignment of endedAssignments) if (this.isOver(assignment)) tasks.touch(assignment);
-    const due: Chunk[] = [];
-    for (const assignment of tasks.dirty) {
+    for (const assignment of endedAssignments)
+      if (this.isOver(assignment)) tasks.markChanged(assignment);
+    const due: Assignment[] = [];
+    for (const assignment of tasks.changedAssignments) {
       if (!this.withheld.has(assignment.key) && this.isDue(assignment, now)) due.push(assignment);
     }
     return due.sort((a, b) => Number(this.isUrgent(b)) - Number(this.isUrgent(a)));
   }
 
   /** Whether work that is not urgent may be written now, or has to wait for its turn. */
-  mayWriteOrdinary(due: readonly Chunk[]): boolean {
+  mayWriteOrdinary(due: readonly Assignment[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
-    const old = due.some((assignment) => now - (assignment.dirtySince ?? now) > YIELD_MS);
+    const old = due.some(
+      (assignment) => now - (assignment.changedSince ?? now) > MAX_WRITE_DELAY_MS,
+    );
     return old || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
   }
 
   /** Removed once its job is over, or all of it was given back, and nothing of it is placed. */
-  isOver(assignment: Chunk): boolean {
-    if (assignment.slots.size === 0) return true;
-    return assignment.placed === 0 && jobSpec(this.context, assignment.job) === null;
+  isOver(assignment: Assignment): boolean {
+    if (assignment.tasks.size === 0) return true;
+    return assignment.placedCount === 0 && jobSpec(this.context, assignment.job) === null;
   }
 
   /** Whether the chunk's job is a gang or has at least high priority. */
-  isUrgent(assignment: Chunk): boolean {
+  isUrgent(assignment: Assignment): boolean {
     const spec = jobSpec(this.context, assignment.job);
     if (spec?.kind === 'gang') return true;
     return spec !== null && rankOf(spec.priority) >= rankOf('high');
@@ -50,30 +57,30 @@
    * Whether a chunk's changes should be written now. What starts tasks is; ends wait a moment for
    * others, since a write for each short task is more than the state service takes.
    */
-  private isDue(assignment: Chunk, now: number): boolean {
+  private isDue(assignment: Assignment, now: number): boolean {
     if (this.isOver(assignment)) return true;
-    const age = now - (assignment.dirtySince ?? now);
+    const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
-    if (age >= DONE_GATHER_MS[supply]) return true;
+    if (age >= COMPLETION_BATCH_MS[supply]) return true;
     // Other parts with tasks of the gang stop theirs when they see this.
-    const shared = assignment.slots.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
-    if (assignment.broken && shared && !assignment.stored.stopping) return true;
+    const shared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
+    if (assignment.hasFailed && shared && !assignment.committedRecord.stopping) return true;
     if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
-    return this.isUrgent(assignment) || age >= PLACE_GATHER_MS[supply];
+    return this.isUrgent(assignment) || age >= PLACEMENT_BATCH_MS[supply];
   }
 
   /** Whether some of the chunk's placements are not committed yet. */
-  private startsTasks(assignment: Chunk): boolean {
-    return [...assignment.slots.values()].some(
-      (slot) => slot.state === 'live' && !this.context.tasks.committed(assignment, slot),
+  private startsTasks(assignment: Assignment): boolean {
+    return [...assignment.tasks.values()].some(
+      (task) => task.state === 'placed' && !this.context.tasks.isCommitted(assignment, task),
     );
   }
 
   /** Whether tasks of the chunk wait for a place or are placed. */
-  private isOpen(assignment: Chunk): boolean {
+  private isOpen(assignment: Assignment): boolean {
     return (
-      assignment.waiting.size > 0 ||
-      [...assignment.slots.values()].some(({ state }) => state === 'live')
+      assignment.waitingTasks.size > 0 ||
+      [...assignment.tasks.values()].some(({ state }) => state === 'placed')
     );
   }
 }
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -7,7 +7,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { Bandit, type ArmRecord } from '../../src/coordination/scheduling/bandit.js';
-import { createAssignment, readSlots } from '../../src/coordination/shard-state/assignment.js';
+import { createAssignment, readTasks } from '../../src/coordination/shard-state/assignment.js';
 import { splitAssignment } from '../../src/coordination/shard-state/assignment-pieces.js';
 import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
 import { decodePeer, encodePeer } from '../../src/protocol/peer-messages.js';
@@ -69,7 +69,8 @@
     const identity = readAssignmentKey(key);
     assert.ok(identity);
     const assignment = createAssignment({ key, ...identity }, JSON.parse(text) as AssignmentRecord);
-    for (const slot of readSlots(assignment.stored, 0)) assignment.slots.set(slot.index, slot);
+    for (const slot of readTasks(assignment.committedRecord, 0))
+      assignment.tasks.set(slot.index, slot);
     const limits = { newMachines: new Set<string>(), maxBytes: 8192, isKeyTaken: () => false };
     const pieces = splitAssignment(assignment, limits);
     assert.deepEqual(
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -135,10 +135,10 @@
       penalty: 2,
       snapshotMs: 1e9,
       startWithinS: {},
-      alive: () => true,
-      current: () => true,
+      isHolder: () => true,
+      isReplicaCurrent: () => true,
       limiter: { supply: 'scarce', hasCapacity: () => true },
-      written: () => undefined,
+      onUrgentWrite: () => undefined,
     },
     {
       replica,
