--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -50,7 +50,7 @@
     machine.directCalls = direct;
     if (commands.some(({ op }) => op === 'start')) machine.hasUnfencedStart = true;
     const askedAt = clock.now();
-    const fencingToken = machines.fencingTokenOf(machine);
+    const fencingToken = machines.fencingTokens.tokenOf(machine);
     try {
       const result = await workers.command(
         machine.address,
@@ -63,8 +63,8 @@
       if (machinesToCommand.size > 0) wake();
     } catch (error) {
       if (machine.directCalls !== direct) return;
-      machines.requireAcknowledgement(machine);
-      direct.fencedBy = machines.fencingTokenOf(machine);
+      machines.fencingTokens.requireAcknowledgement(machine);
+      direct.fencedBy = machines.fencingTokens.tokenOf(machine);
       log.info({ machine: machine.name, error: String(error) }, 'direct commands unanswered');
     }
   }
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -1,7 +1,7 @@
 /** Takes over what workers' reports show of machines and tasks. */
 import type { TaskStatus, Heartbeat } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
-import type { HeartbeatFreshness } from '../shard-state/machines.js';
+import type { HeartbeatFreshness } from '../shard-state/machine-heartbeats.js';
 import type { Task, AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
@@ -17,12 +17,12 @@
   observe(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
     const wasAcknowledged = machine.isAcknowledged;
-    const freshness = machines.applyHeartbeat(machine, heartbeat, askedAt);
+    const freshness = machines.heartbeats.apply(machine, heartbeat, askedAt);
     if (freshness === 'older') return freshness;
-    if (freshness === 'newSession' || machine.isAcknowledged !== wasAcknowledged) {
+    if (freshness === 'newEpoch' || machine.isAcknowledged !== wasAcknowledged) {
       log.debug(
         { machine: machine.name, agentEpoch: machine.agentEpoch, hears: machine.isAcknowledged },
-        freshness === 'newSession' ? 'machine began a new session' : 'machine hears us or does not',
+        freshness === 'newEpoch' ? 'machine began a new session' : 'machine hears us or does not',
       );
       wake();
     }
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -32,7 +32,7 @@
     // Once forgotten, a start that was sent straight to the worker and is delivered once more would
     // run again: what forgets it carries a token that makes all earlier direct calls powerless.
     if (machine.hasUnfencedStart && batch.commands.some(({ op }) => op === 'forget')) {
-      machines.raiseFencingToken(machine);
+      machines.fencingTokens.raise(machine);
     }
     if (machines.isSchedulable(machine)) this.addStarts(batch);
     return batch.commands.slice(0, MAX_COMMANDS_PER_ANSWER);
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,5 +1,4 @@
 /** One part of the cluster as its owner runs it: machines and the tasks assigned to them. */
-import { FENCING_TOKENS_PER_TERM } from '../../constants/election.js';
 import { ASSIGNMENTS, JOBS, readAssignmentKey } from '../../storage/keys.js';
 import type { Command, Heartbeat } from '../../protocol/model.js';
 import { AssignmentWriter } from './assignment-writer.js';
@@ -80,7 +79,10 @@
 
   /** Half of the numbers of this term are used: the part should go on under a new one. */
   get needsTermRenewal(): boolean {
-    return this.machines.isRunningOut || (this.schedulerLoader.scheduler?.isRunningOut ?? false);
+    return (
+      this.machines.fencingTokens.isRunningOut ||
+      (this.schedulerLoader.scheduler?.isRunningOut ?? false)
+    );
   }
 
   /** How many machines the part has, and how many tasks are placed and wait, for the metrics. */
@@ -130,17 +132,17 @@
 
   /** Takes over a worker's report; the answer carries the commands for its machine. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
-    const newer =
-      heartbeat.fencingToken >= this.machines.baseFencingToken + FENCING_TOKENS_PER_TERM;
-    if (newer || this.machines.recordedState(heartbeat.machine) === 'gone') return { ok: false };
+    const hasLaterHolder = this.machines.fencingTokens.isOfLaterTerm(heartbeat.fencingToken);
+    if (hasLaterHolder || this.machines.recordedState(heartbeat.machine) === 'gone')
+      return { ok: false };
     const machine = this.machines.all.get(heartbeat.machine) ?? this.addMachine(heartbeat);
     const freshness = this.observer.observe(machine, heartbeat, null);
-    if (!this.machines.mayAnswer(machine)) return { ok: false };
-    this.machines.noteAnswer(machine, freshness);
+    if (!this.machines.heartbeats.mayAnswer(machine)) return { ok: false };
+    this.machines.heartbeats.noteAnswer(machine, freshness);
     // What is put into the answer to a late copy is lost: starts go only to who hears us.
     const commands =
       freshness === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
-    return { ok: true, fencingToken: this.machines.fencingTokenOf(machine), commands };
+    return { ok: true, fencingToken: this.machines.fencingTokens.tokenOf(machine), commands };
   }
 
   private addMachine(heartbeat: Heartbeat): Machine {
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -44,7 +44,7 @@
     assert.ok(shard && machine);
     const roles = world.members.map(([node]) => shardRole(node));
     const before = roles.map((role) => termOf(world, role));
-    while (!shard.needsTermRenewal) shard.machines.raiseFencingToken(machine);
+    while (!shard.needsTermRenewal) shard.machines.fencingTokens.raise(machine);
     assert.ok(machine.fencingOffset < FENCING_TOKENS_PER_TERM);
     for (const [node] of world.members) {
       for (const worker of world.workers.keys()) if (cutS > 0) world.cuts.add(`${node}>${worker}`);
