--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -1,29 +1,29 @@
-/** Writes a chunk's record, in several pieces if one value of the state service can't hold it. */
+/** Makes an assignment's record, in several pieces if one value of the store can't hold it. */
 import { bytesOf } from '../../storage/committer.js';
 import { splitKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
 import { isCommitted, type Assignment, type Task } from './assignment.js';
 
-/** A part of a chunk as it is to be written; the first one keeps the chunk's key. */
+/** A piece of an assignment as it is to be written; the first one keeps the assignment's key. */
 export interface Piece {
   key: string;
   record: AssignmentRecord;
-  /** The slots that move to this piece; empty if the chunk is written as a whole. */
+  /** The tasks that move to this piece; empty if the assignment is written as a whole. */
   tasks: Task[];
 }
 
-/** How a chunk may be divided into pieces. */
+/** How an assignment may be divided into pieces. */
 export interface SplitLimits {
   /** Machines whose new placements are written. */
   newMachines: ReadonlySet<string>;
   /** Bytes that the record of a piece may have. */
   maxBytes: number;
-  /** Whether a key belongs to another chunk already. */
+  /** Whether a key belongs to another assignment already. */
   isKeyTaken: (key: string) => boolean;
 }
 
-/** The record of a chunk's slots as they are now; new placements only on the machines named. */
+/** The record of tasks in their present state; new placements only on the machines named. */
 function writeRecord(
   assignment: Assignment,
   newMachines: ReadonlySet<string>,
@@ -48,7 +48,7 @@
   };
 }
 
-/** The last end, above `from` and up to `last`, with which a piece fits; at least one slot. */
+/** The last end, above `from` and up to `last`, with which a piece fits; at least one task. */
 function lastFittingEnd(from: number, last: number, fits: (end: number) => boolean): number {
   let end = from + 1;
   let least = end;
@@ -64,8 +64,8 @@
 }
 
 /**
- * The chunk's record as it is now, in as many pieces as values of so many bytes take: the version
- * before may have stored it larger than the state service takes now.
+ * The assignment's present record, in as many pieces as values of so many bytes take: the version
+ * before may have stored it larger than the key-value store takes now.
  */
 export function splitAssignment(assignment: Assignment, limits: SplitLimits): Piece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
@@ -84,18 +84,18 @@
     );
     let key = assignment.key;
     while (pieces.length > 0 && isKeyTaken(key)) key = splitKey(assignment.key, ++count);
-    const some = tasks.slice(start, end);
-    pieces.push({ key, record: writeRecord(assignment, newMachines, some), tasks: some });
+    const taken = tasks.slice(start, end);
+    pieces.push({ key, record: writeRecord(assignment, newMachines, taken), tasks: taken });
     from = end;
   }
   return pieces;
 }
 
-/** Pieces on their way to the state service, and the chunks that they are taken from. */
+/** Pieces on their way to the key-value store, and the assignments that they are taken from. */
 export class PlannedPieces {
   private readonly byKey = new Map<string, { from: Assignment; pieces: Piece[] }>();
 
-  /** Told before the pieces are written: their keys may be seen before the answer comes. */
+  /** To be called before the pieces are written: their keys may be seen before the answer comes. */
   add(from: Assignment, pieces: Piece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.set(key, { from, pieces });
   }
--- a/src/coordination/shard-state/task-index.ts
+++ b/src/coordination/shard-state/task-index.ts
@@ -1,29 +1,41 @@
-/** Indexes of a part's chunks by job, and of its placed tasks by machine. */
+/** Indexes of a shard's assignments: by key, by job, by machine, and by what is left to do. */
 import type { Assignment, Task } from './assignment.js';
 
-const NO_SLOTS: ReadonlyMap<Task, Assignment> = new Map();
+const NO_TASKS: ReadonlyMap<Task, Assignment> = new Map();
 
-/** Finds the chunks of a job and the tasks placed on a machine. */
+/**
+ * The assignments of a shard and the indexes of their tasks. With them a heartbeat costs what its own
+ * machine has and a scheduling cycle what has changed, whatever the shard's size.
+ */
 export class TaskIndex {
+  readonly assignments = new Map<string, Assignment>();
+  /** Assignments with tasks that wait for a machine. */
+  readonly waiting = new Set<Assignment>();
+  /** Shares of gangs. */
+  readonly gangs = new Set<Assignment>();
   private readonly byJob = new Map<string, Set<Assignment>>();
   private readonly byMachine = new Map<string, Map<Task, Assignment>>();
 
-  /** Adds a chunk to those of its job. */
+  /** Adds an assignment that has no tasks yet. */
   addAssignment(assignment: Assignment): void {
+    this.assignments.set(assignment.key, assignment);
+    if (assignment.record.attempt !== undefined) this.gangs.add(assignment);
     const group = this.byJob.get(assignment.job);
     if (group) group.add(assignment);
     else this.byJob.set(assignment.job, new Set([assignment]));
   }
 
-  /** Removes a chunk; true: it was the last of its job. */
+  /** Removes an assignment whose tasks were removed; true: it was the last of its job. */
   removeAssignment(assignment: Assignment): boolean {
+    this.gangs.delete(assignment);
+    this.assignments.delete(assignment.key);
     const group = this.byJob.get(assignment.job);
     group?.delete(assignment);
     if (group?.size === 0) this.byJob.delete(assignment.job);
     return !this.byJob.has(assignment.job);
   }
 
-  /** Counts a slot as placed on its machine. */
+  /** Counts a task as placed on its machine. */
   addPlacement(assignment: Assignment, task: Task): void {
     assignment.placedCount++;
     const group = this.byMachine.get(task.machine);
@@ -31,7 +43,7 @@
     else this.byMachine.set(task.machine, new Map([[task, assignment]]));
   }
 
-  /** Counts a slot as no longer placed on its machine. */
+  /** Counts a task as no longer placed on its machine. */
   removePlacement(assignment: Assignment, task: Task): void {
     assignment.placedCount--;
     const group = this.byMachine.get(task.machine);
@@ -39,7 +51,13 @@
     if (group?.size === 0) this.byMachine.delete(task.machine);
   }
 
-  /** The chunks of a job. */
+  /** Brings `waiting` up to date with an assignment's waiting tasks. */
+  updateWaiting(assignment: Assignment): void {
+    if (assignment.waitingTasks.size === 0) this.waiting.delete(assignment);
+    else this.waiting.add(assignment);
+  }
+
+  /** The assignments of a job. */
   ofJob(job: string): Iterable<Assignment> {
     return this.byJob.get(job) ?? [];
   }
@@ -51,6 +69,6 @@
 
   /** The tasks placed on a machine. */
   onMachine(machine: string): ReadonlyMap<Task, Assignment> {
-    return this.byMachine.get(machine) ?? NO_SLOTS;
+    return this.byMachine.get(machine) ?? NO_TASKS;
   }
 }
