--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -4,7 +4,7 @@
 import { Autoscaler } from '../autoscaling/autoscaler.js';
 import { GuardedWriter } from '../election/guarded-writer.js';
 import { Leader } from '../leader/leader.js';
-import { Shard, type PartOptions } from '../shard/shard.js';
+import { Shard, type ShardOptions } from '../shard/shard.js';
 import { LEADER, shardRole, type HeldRole } from '../election/role-election.js';
 import type { ControllerServices } from './controller-services.js';
 
@@ -97,7 +97,7 @@
     });
   }
 
-  private shardOptions(name: string, number: number, owned: HeldRole): PartOptions {
+  private shardOptions(name: string, number: number, owned: HeldRole): ShardOptions {
     const { limiter, holderNotifier, roles, settings } = this.services;
     const { placement } = settings;
     const role = shardRole(name);
--- /dev/null
+++ b/src/coordination/shard/bandit-snapshot.ts
@@ -0,0 +1,84 @@
+/** Stores what a shard's bandit has learned, so that the next holder goes on with it. */
+import { TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { VALUE_SHARE } from '../../constants/storage.js';
+import type { Change } from '../../protocol/key-value-store.js';
+import { armKey } from '../../storage/keys.js';
+import type { StoreReplica } from '../../storage/store-replica.js';
+import type { Clock } from '../../transport/clock.js';
+import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
+import type { HolderRecords } from './holder-records.js';
+
+/** What the snapshots need to know of their shard. */
+export interface BanditSnapshotOptions {
+  shard: string;
+  transactionOps: number;
+  valueBytes: number;
+  /** ms between two snapshots. */
+  snapshotMs: number;
+}
+
+/** What the snapshots read and write. */
+export interface BanditSnapshotDependencies {
+  readonly records: HolderRecords;
+  readonly replica: StoreReplica;
+  readonly clock: Clock;
+}
+
+/** Writes the arms of a shard's bandit from time to time, each in one record or several. */
+export class BanditSnapshot {
+  private nextAt: number;
+
+  constructor(
+    private readonly options: BanditSnapshotOptions,
+    private readonly dependencies: BanditSnapshotDependencies,
+  ) {
+    this.nextAt = dependencies.clock.now() + options.snapshotMs;
+  }
+
+  /** Writes the arms of these machine types that changed, if a snapshot is due. */
+  async writeIfDue(bandit: Bandit | null, types: readonly string[]): Promise<void> {
+    const now = this.dependencies.clock.now();
+    if (now < this.nextAt || !bandit) return;
+    this.nextAt = now + this.options.snapshotMs;
+    for (const type of types) {
+      const changes = this.changesOf(bandit, type);
+      for (let start = 0; start < changes.length; start += this.changesPerTransaction) {
+        const some = changes.slice(start, start + this.changesPerTransaction);
+        if (!(await this.dependencies.records.write('part', some))) break;
+      }
+    }
+  }
+
+  /** Bytes that a record may have. */
+  private get maxBytes(): number {
+    return Math.floor(this.options.valueBytes * VALUE_SHARE);
+  }
+
+  private get changesPerTransaction(): number {
+    const fitting = Math.floor(TRANSACTION_BYTES / this.maxBytes);
+    return Math.max(1, Math.min(this.options.transactionOps, fitting));
+  }
+
+  /** The key of a record of an arm; the first one is its main record. */
+  private keyOf(type: string, number: number): string {
+    return armKey(this.options.shard, number === 0 ? type : `${type}+${number}`);
+  }
+
+  /** The changes that store a type's arm; none if it is stored already, or was called invalid. */
+  private changesOf(bandit: Bandit, type: string): Change[] {
+    const { records, replica } = this.dependencies;
+    const stamp = replica.get<ArmRecord>(this.keyOf(type, 0))?.value.stamp ?? 0;
+    const unchanged = bandit.records(type, this.maxBytes, stamp);
+    const isStored = (record: ArmRecord, number: number): boolean =>
+      JSON.stringify(replica.get(this.keyOf(type, number))?.value) === JSON.stringify(record);
+    if (unchanged.length === 0 || unchanged.every(isStored)) return [];
+    const values = bandit.records(type, this.maxBytes, stamp + 1);
+    const changes = values.map((value, number): Change => ({
+      key: this.keyOf(type, number),
+      value,
+    }));
+    if (changes.some(({ key }) => records.isRejected(key))) return [];
+    // The main record last: the others count only with it.
+    return changes.reverse();
+  }
+}
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,13 +1,17 @@
-/** One part of the cluster as its owner runs it: machines and the tasks assigned to them. */
+/** One shard of the cluster as its holder runs it: machines and the tasks assigned to them. */
 import { ASSIGNMENTS, JOBS, readAssignmentKey } from '../../storage/keys.js';
 import type { Command, Heartbeat } from '../../protocol/model.js';
+import { SingleFlight } from '../../transport/concurrency.js';
+import type { Bandit } from '../scheduling/bandit.js';
 import { AssignmentWriter } from './assignment-writer.js';
+import { BanditSnapshot } from './bandit-snapshot.js';
 import { GangShares } from './gang-shares.js';
 import type { Machine } from '../shard-state/machine.js';
 import { Machines } from '../shard-state/machines.js';
 import { CostLearning } from './cost-learning.js';
 import { DirectCalls } from './direct-calls.js';
 import { withdrawIfEnded } from './ended-jobs.js';
+import { HolderRecords } from './holder-records.js';
 import { JobFailureBackoff } from './job-failure-backoff.js';
 import { ReservedGang } from './reserved-gang.js';
 import { LostMachines } from './lost-machines.js';
@@ -26,19 +30,16 @@
 import { ShardStatus } from './shard-status.js';
 import { Tasks } from '../shard-state/tasks.js';
 
-export type {
-  ShardOptions as PartOptions,
-  ShardServices as PartServices,
-} from './shard-context.js';
+export type { ShardOptions } from './shard-context.js';
 
-/** The answer to a worker's report; not ok: the report must not be answered. */
+/** The answer to a worker's heartbeat; not ok: the heartbeat must not be answered. */
 export type HeartbeatAnswer =
   { ok: true; fencingToken: number; commands: Command[] } | { ok: false };
 
 /**
- * One part as its owner runs it: its machines and the tasks assigned to it. Wanted is that every
- * task runs on one machine and that machines run nothing else; reports tell what is, and the
- * answers to them carry the commands that make up the difference.
+ * One shard as its holder runs it: its machines and the tasks assigned to it. The desired state is
+ * that every task runs on one machine and that machines run nothing else; heartbeats show the actual
+ * state, and the answers to them carry the commands that make up the difference.
  */
 export class Shard {
   private readonly context: ShardContext;
@@ -50,7 +51,8 @@
   private readonly lostMachines: LostMachines;
   private readonly writer: AssignmentWriter;
   private readonly status: ShardStatus;
-  private busy = false;
+  private readonly banditSnapshot: BanditSnapshot;
+  private readonly reconciliation = new SingleFlight();
 
   constructor(options: ShardOptions, services: ShardServices) {
     this.context = createContext(options, services);
@@ -67,17 +69,20 @@
         this.directCalls.sendPending();
       },
     });
-    for (const assignment of this.context.tasks.assignments.values())
+    for (const assignment of this.context.tasks.assignments.values()) {
       withdrawIfEnded(this.context, assignment);
-    this.status = new ShardStatus(options, services, this.machines);
+    }
+    const records = new HolderRecords(options, services);
+    this.status = new ShardStatus(options, { ...services, machines: this.machines, records });
+    this.banditSnapshot = new BanditSnapshot(options, { ...services, records });
   }
 
-  /** The machines that report to this part. */
+  /** The machines whose heartbeats come to this shard. */
   get machines(): Machines {
     return this.context.machines;
   }
 
-  /** Half of the numbers of this term are used: the part should go on under a new one. */
+  /** Half of the numbers of this term are used: the shard should go on under a new one. */
   get needsTermRenewal(): boolean {
     return (
       this.machines.fencingTokens.isRunningOut ||
@@ -85,14 +90,14 @@
     );
   }
 
-  /** How many machines the part has, and how many tasks are placed and wait, for the metrics. */
+  /** How many machines the shard has, and how many tasks are placed and wait, for the metrics. */
   counts(): { machines: number; placed: number; waiting: number } {
     return { machines: this.machines.all.size, ...this.context.tasks.counts() };
   }
 
-  // --- What the state service holds ----------------------------------------------------------
+  // --- What the key-value store holds --------------------------------------------------------
 
-  /** A key of the replica changed; true: this part may have something to do. */
+  /** A key of the replica changed; true: this shard may have something to do. */
   changed(key: string): boolean {
     if (key.startsWith(JOBS)) return this.jobChanged(key.slice(JOBS.length));
     const { assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
@@ -105,20 +110,20 @@
     return before !== assignment;
   }
 
-  /** A job is new, has changed or is over; true: it has tasks in this part. */
+  /** A job is new, has changed or is over; true: it has tasks in this shard. */
   private jobChanged(job: string): boolean {
     this.gangReservation.noteJob(jobSpec(this.context, job));
-    let known = false;
+    let hasTasks = false;
     for (const assignment of this.context.tasks.assignmentsOf(job)) {
       withdrawIfEnded(this.context, assignment);
-      known = true;
+      hasTasks = true;
     }
-    // A round that waits for the state service must not hold up what ends tasks.
-    if (known && this.busy) this.directCalls.sendPending();
-    return known;
+    // A reconciliation that waits for the key-value store must not hold up what ends tasks.
+    if (hasTasks && this.reconciliation.isRunning) this.directCalls.sendPending();
+    return hasTasks;
   }
 
-  /** True: another part's share of a gang of ours changed, so that ours may start. */
+  /** True: another shard's share of a gang of ours changed, so that ours may start. */
   private otherShareChanged(key: string): boolean {
     const { gangs, options } = this.context;
     const name = key.startsWith(ASSIGNMENTS) ? readAssignmentKey(key) : null;
@@ -128,9 +133,9 @@
     return machines.size > 0;
   }
 
-  // --- Reports -------------------------------------------------------------------------------
+  // --- Heartbeats ----------------------------------------------------------------------------
 
-  /** Takes over a worker's report; the answer carries the commands for its machine. */
+  /** Takes over a worker's heartbeat; the answer carries the commands for its machine. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
     const hasLaterHolder = this.machines.fencingTokens.isOfLaterTerm(heartbeat.fencingToken);
     if (hasLaterHolder || this.machines.recordedState(heartbeat.machine) === 'gone')
@@ -139,7 +144,7 @@
     const freshness = this.observer.observe(machine, heartbeat, null);
     if (!this.machines.heartbeats.mayAnswer(machine)) return { ok: false };
     this.machines.heartbeats.noteAnswer(machine, freshness);
-    // What is put into the answer to a late copy is lost: starts go only to who hears us.
+    // What is put into the answer to a late copy is lost.
     const commands =
       freshness === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
     return { ok: true, fencingToken: this.machines.fencingTokens.tokenOf(machine), commands };
@@ -158,27 +163,31 @@
     return machine;
   }
 
-  // --- Rounds --------------------------------------------------------------------------------
+  // --- Reconciliation ------------------------------------------------------------------------
 
-  /** One round: find the difference between what is wanted and what is, and commit it. */
+  /** Compares the desired state with the actual one and commits the difference. */
   async reconcile(): Promise<void> {
-    if (this.busy) return;
-    this.busy = true;
+    await this.reconciliation.run(() => this.reconcileOnce());
+  }
+
+  private async reconcileOnce(): Promise<void> {
     this.writer.sweep();
-    try {
-      const scheduler = this.schedulerLoader.scheduler ?? (await this.schedulerLoader.load());
-      if (!scheduler) return;
-      this.lostMachines.sweep();
-      markForCommands(this.context, scheduler.place());
-      markForCommands(this.context, scheduler.consolidate());
-      markForCommands(this.context, this.context.gangs.reconcile());
-      releaseWaitingTasks(this.context);
-      await this.writer.flush();
-      this.directCalls.sendPending();
-      await this.status.reconcile(this.context.costLearning.bandit, machineTypeNames(this.context));
-    } finally {
-      this.busy = false;
-    }
+    const scheduler = this.schedulerLoader.scheduler ?? (await this.schedulerLoader.load());
+    if (!scheduler) return;
+    this.lostMachines.sweep();
+    markForCommands(this.context, scheduler.place());
+    markForCommands(this.context, scheduler.consolidate());
+    markForCommands(this.context, this.context.gangs.reconcile());
+    releaseWaitingTasks(this.context);
+    await this.writer.flush();
+    this.directCalls.sendPending();
+    await this.publish(this.context.costLearning.bandit, machineTypeNames(this.context));
+  }
+
+  /** Writes what others read beside the assignments: the machines' health, and what was learned. */
+  private async publish(bandit: Bandit | null, types: readonly string[]): Promise<void> {
+    await this.status.writeIfDue();
+    await this.banditSnapshot.writeIfDue(bandit, types);
   }
 }
 
