--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -1,4 +1,4 @@
-/** Builds one transaction that writes chunks, within the limits of the state service. */
+/** Builds one transaction that writes assignments, within the limits of the key-value store. */
 import { ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
 import { GUARDS_PER_OP, TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { ASSIGNMENT_OVERHEAD_BYTES } from '../../constants/shard.js';
@@ -10,16 +10,16 @@
 import { uncommittedMachines } from '../shard-state/assignment.js';
 import type { Assignment } from '../shard-state/tasks.js';
 
-/** A chunk on its way to the state service; no pieces: it is removed. */
+/** An assignment on its way to the key-value store; no pieces: it is removed. */
 export interface WrittenAssignment {
   assignment: Assignment;
   pieces: Piece[];
 }
 
-/** Whether a chunk was added, must wait for the next transaction, or fits in none. */
+/** Whether an assignment was added, must wait for the next transaction, or fits in none. */
 export type AddResult = { kind: 'added' } | { kind: 'full' } | { kind: 'tooLarge'; pieces: number };
 
-/** A transaction of changes of chunks. Everything guards the part's role. */
+/** A transaction of changes of assignments. Everything guards the shard's role. */
 export class AssignmentTransaction {
   readonly changes: Change[] = [];
   readonly written: WrittenAssignment[] = [];
@@ -31,7 +31,7 @@
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Adds a chunk's changes; `isOver`: it is removed. */
+  /** Adds an assignment's changes; `isOver`: it is removed. */
   add(assignment: Assignment, isOver: boolean): AddResult {
     const { options, tasks } = this.context;
     this.estimatedBytes +=
@@ -39,15 +39,15 @@
     if (this.estimatedBytes > TRANSACTION_BYTES && this.changes.length > 0) return { kind: 'full' };
     const uncommitted = isOver ? new Set<string>() : uncommittedMachines(assignment);
     // A machine that the leader takes out of use meanwhile gets no new task: each is guarded, and a
-    // transaction holds only so many guards. A chunk with more goes out in pieces: all in one would
-    // be refused, again and again.
+    // transaction may have only so many guards. New placements on further machines wait for the next
+    // transaction: all in one would be refused, again and again.
     const maxMachines = options.transactionOps * (GUARDS_PER_OP - 2) - 1;
     const allMachines = new Set([...this.machines, ...uncommitted]);
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
     const newMachines = new Set([...uncommitted].slice(0, maxMachines));
     const maxBytes = options.valueBytes * VALUE_SHARE;
     const pieces = isOver ? [] : tasks.split(assignment, newMachines, maxBytes);
-    // All in one transaction, or a task would be in two chunks or in none for a while.
+    // All in one transaction, or a task would be in two assignments or in none for a while.
     if (this.changes.length + Math.max(1, pieces.length) > options.transactionOps) {
       if (this.changes.length > 0) return { kind: 'full' };
       return { kind: 'tooLarge', pieces: pieces.length };
@@ -57,7 +57,7 @@
     return { kind: 'added' };
   }
 
-  /** The role, the chunks, and the machines and jobs of new placements, all as they are known. */
+  /** The role, the assignments, and the machines and jobs of new placements, as they are known. */
   guards(): Guard[] {
     const { options, replica } = this.context;
     const role: Guard = { key: options.roleKey, revision: options.roleRevision };
@@ -75,7 +75,7 @@
     newMachines: ReadonlySet<string>,
   ): void {
     for (const machine of newMachines) this.machines.add(machine);
-    // Nor is a job placed that was called off a moment ago, which this node has not heard yet.
+    // Nor is a job placed that was cancelled a moment ago, which this replica does not show yet.
     if (newMachines.size > 0) this.jobs.add(assignment.job);
     if (pieces.length === 0) this.changes.push({ key: assignment.key, remove: true });
     for (const { key, record } of pieces) this.changes.push({ key, value: record });
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -1,4 +1,4 @@
-/** Writes a part's changed chunks to the state service. */
+/** Writes a shard's changed assignments to the key-value store. */
 import { OVERSIZED_ASSIGNMENT_RETRY_MS } from '../../constants/shard.js';
 import type { CommitResult } from '../../storage/committer.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
@@ -7,18 +7,18 @@
 import type { ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/tasks.js';
 
-/** What the writer tells its part. */
+/** What the writer tells its shard. */
 export interface AssignmentWriterCallbacks {
   /** Placements on these machines are committed: their starts may be sent. */
   readonly onCommitted: (machines: ReadonlySet<string>, urgent: boolean) => void;
 }
 
 /**
- * Brings a part's chunks to the state service: what starts tasks at once, ends gathered, each chunk
- * within the limits of values and transactions. Everything guards the part's role.
+ * Writes a shard's assignments: what starts tasks at once, ends in batches, each assignment within
+ * the limits of values and transactions. Everything guards the shard's role.
  */
 export class AssignmentWriter {
-  /** Chunks whose changes were called invalid, or are too large to be written yet. */
+  /** Assignments whose changes were called invalid, or are too large to be written yet. */
   private readonly withheld: RejectedChangeBackoff;
   private readonly schedule: WriteSchedule;
 
@@ -61,12 +61,12 @@
         this.reloadRejected(written, result);
         return;
       }
-      for (const one of written) this.recordCommitted(one);
+      for (const assignment of written) this.recordCommitted(assignment);
       this.callbacks.onCommitted(transaction.machines, urgent);
     }
   }
 
-  /** The next transaction, of the first of the due chunks that are as urgent as the first one. */
+  /** The next transaction: the first due assignments that are as urgent as the first one. */
   private build(due: readonly Assignment[], urgent: boolean): AssignmentTransaction {
     const { log, options } = this.context;
     const transaction = new AssignmentTransaction(this.context);
@@ -77,8 +77,8 @@
       if (result.kind === 'full') break;
       if (result.kind === 'added') continue;
       log.info(
-        { assignment: assignment.key, pieces: result.pieces },
-        'chunk too large to write yet',
+        { shard: options.shard, assignment: assignment.key, pieces: result.pieces },
+        'assignment too large for one transaction',
       );
       this.withheld.hold(assignment.key, OVERSIZED_ASSIGNMENT_RETRY_MS);
     }
@@ -87,15 +87,15 @@
 
   /** Nothing of this was written, or another's change is newer: what is stored counts again. */
   private reloadRejected(written: readonly WrittenAssignment[], result: CommitResult): void {
-    const { log, tasks } = this.context;
-    log.info({ result }, 'placements not committed');
+    const { log, options, tasks } = this.context;
+    log.info({ shard: options.shard, result }, 'assignments not committed');
     for (const { assignment } of written) {
       if (result.kind === 'invalid') this.withheld.add(assignment.key);
       tasks.reload(assignment);
     }
   }
 
-  /** Takes a chunk as stored the way it was written. */
+  /** Takes an assignment as stored the way it was written. */
   private recordCommitted({ assignment, pieces }: WrittenAssignment): void {
     const { assignmentsOfEndedJobs, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -33,7 +33,7 @@
   }
 
   /**
-   * What a task costs per second on a machine. The paper's workers run one task at a time; ours
+   * What a task costs per second on a machine. The paper's workers run one task at a time; here tasks
    * share a machine, so a task pays for the share that it keeps others from.
    */
   private pricePerS(machine: Machine, task: Resources): number {
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -1,4 +1,4 @@
-/** Sends new commands straight to workers instead of waiting for their next reports. */
+/** Sends new commands straight to workers instead of waiting for their next heartbeats. */
 import type { Command } from '../../protocol/model.js';
 import type { UnconfirmedCalls, Machine } from '../shard-state/machine.js';
 import type { MachineCommands } from './machine-commands.js';
@@ -17,7 +17,7 @@
     private readonly observer: HeartbeatObserver,
   ) {}
 
-  /** Sends what is new for the machines that are marked dirty. */
+  /** Sends what is new for the machines that are marked for commands. */
   sendPending(): void {
     const { machinesToCommand, machines, options, workers } = this.context;
     if (!options.isHolder() || !options.isReplicaCurrent()) return;
@@ -26,7 +26,7 @@
       const machine = machines.all.get(name);
       if (machine?.directCalls) continue;
       machinesToCommand.delete(name);
-      // The answer to the report that proves that it hears us carries all that is missing.
+      // The answer to the heartbeat that proves that it hears us carries all that is missing.
       if (!machine?.isAcknowledged || machine.address === '') continue;
       const commands = this.newCommandsFor(machine);
       if (commands.length > 0) void this.send(machine, commands);
@@ -35,19 +35,19 @@
 
   private newCommandsFor(machine: Machine): Command[] {
     const commands = this.commands.commandsFor(machine, { resend: false });
-    // A silent one may still hear calls: what must end there is told to it, nothing else.
+    // A silent machine may still hear calls: it gets stops, but no starts.
     if (this.context.machines.health(machine) !== 'silent') return commands;
     return commands.filter(({ op }) => op === 'stop');
   }
 
   private async send(machine: Machine, commands: Command[]): Promise<void> {
     const { clock, machinesToCommand, log, machines, wake, workers } = this.context;
-    const direct: UnconfirmedCalls = {
+    const call: UnconfirmedCalls = {
       agentEpoch: machine.agentEpoch,
       attempts: new Set(commands.map((command) => command.attempt)),
       fencedBy: null,
     };
-    machine.directCalls = direct;
+    machine.directCalls = call;
     if (commands.some(({ op }) => op === 'start')) machine.hasUnfencedStart = true;
     const askedAt = clock.now();
     const fencingToken = machines.fencingTokens.tokenOf(machine);
@@ -58,14 +58,14 @@
         machine.agentEpoch,
         commands,
       );
-      if (machine.directCalls === direct) machine.directCalls = null;
+      if (machine.directCalls === call) machine.directCalls = null;
       this.observer.observe(machine, result.heartbeat, askedAt);
       if (machinesToCommand.size > 0) wake();
     } catch (error) {
-      if (machine.directCalls !== direct) return;
+      if (machine.directCalls !== call) return;
       machines.fencingTokens.requireAcknowledgement(machine);
-      direct.fencedBy = machines.fencingTokens.tokenOf(machine);
-      log.info({ machine: machine.name, error: String(error) }, 'direct commands unanswered');
+      call.fencedBy = machines.fencingTokens.tokenOf(machine);
+      log.info({ machine: machine.name, error: String(error) }, 'direct commands got no answer');
     }
   }
 }
--- a/src/coordination/shard/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -3,8 +3,8 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /**
- * If the chunk's job is over: what was never sent is withdrawn at once, the rest when reports prove
- * its end.
+ * If the assignment's job is over: what was never sent is withdrawn at once, the rest when heartbeats
+ * prove its end.
  */
 export function withdrawIfEnded(context: ShardContext, assignment: Assignment): void {
   const { machinesToCommand, assignmentsOfEndedJobs, tasks } = context;
@@ -12,7 +12,7 @@
   assignmentsOfEndedJobs.add(assignment);
   for (const task of [...assignment.tasks.values()]) {
     if (task.state !== 'placed') continue;
-    // Not even committed: nobody can have sent it.
+    // Not committed, so nobody can have sent it.
     if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
     else machinesToCommand.add(task.machine);
   }
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -1,4 +1,4 @@
-/** Takes over what workers' reports show of machines and tasks. */
+/** Takes over what workers' heartbeats show of machines and tasks. */
 import type { TaskStatus, Heartbeat } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { HeartbeatFreshness } from '../shard-state/machine-heartbeats.js';
@@ -6,13 +6,14 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
-/** Brings machines and tasks up to date with the workers' reports. */
+/** Brings machines and tasks up to date with the workers' heartbeats. */
 export class HeartbeatObserver {
   constructor(private readonly context: ShardContext) {}
 
   /**
-   * Takes over what a report shows. `askedAt`: steady time of the direct call that it answers; null:
-   * it came by itself. Returns what the report is worth; an older one changes nothing.
+   * Takes over what a heartbeat shows. `askedAt`: steady time of the direct call that it answers;
+   * null: it came by itself. Returns whether it is newer than what was known; an older one changes
+   * nothing.
    */
   observe(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
@@ -21,15 +22,21 @@
     if (freshness === 'older') return freshness;
     if (freshness === 'newEpoch' || machine.isAcknowledged !== wasAcknowledged) {
       log.debug(
-        { machine: machine.name, agentEpoch: machine.agentEpoch, hears: machine.isAcknowledged },
-        freshness === 'newEpoch' ? 'machine began a new session' : 'machine hears us or does not',
+        {
+          machine: machine.name,
+          agentEpoch: machine.agentEpoch,
+          acknowledged: machine.isAcknowledged,
+        },
+        freshness === 'newEpoch'
+          ? 'machine began a new agent epoch'
+          : 'machine acknowledgement changed',
       );
       wake();
     }
-    const leaving = heartbeat.noticeS !== null;
-    if (machine.address !== heartbeat.address || machine.isLeaving !== leaving) {
+    const isLeaving = heartbeat.noticeS !== null;
+    if (machine.address !== heartbeat.address || machine.isLeaving !== isLeaving) {
       machine.address = heartbeat.address;
-      machine.isLeaving = leaving;
+      machine.isLeaving = isLeaving;
       wake();
     }
     machine.reportedTasks = heartbeat.tasks;
@@ -46,7 +53,7 @@
       listed.add(assigned.task);
       if (status.state === 'exited') {
         this.taskExited(machine, assigned, status);
-        // Its room may be what a start on this machine waited for.
+        // A start on this machine may have waited for its resources.
         this.context.machinesToCommand.add(machine.name);
         this.context.wake();
       } else if (status.state !== 'fetching') this.taskFetched(machine, assigned, status);
@@ -80,26 +87,26 @@
     if (cause === 'error' || cause === 'unknown') {
       costLearning.recordFailure(machine, assigned);
       if (cause === 'error') machine.failedJobs.add(assignment.job);
-      const pause = jobFailureBackoff.add(assignment.job);
+      const backoffS = jobFailureBackoff.add(assignment.job);
       log.info(
-        { task: `${assignment.job}/${task.index}`, machine: machine.name, cause, pause },
+        { job: assignment.job, task: task.index, machine: machine.name, cause, backoffS },
         'task failed',
       );
     }
     tasks.requeue(assignment, task);
   }
 
-  /** Notes that placements which the machine did not list are not on it, where that is proven. */
+  /** Requeues or starts again placements that are not on the machine, where that is proven. */
   private requeueMissing(machine: Machine, listed: ReadonlySet<Task>): void {
     const { machines, tasks, wake } = this.context;
-    const usable = machines.isSchedulable(machine);
+    const isUsable = machines.isSchedulable(machine);
     for (const [task, assignment] of [...tasks.placedOn(machine.name)]) {
       if (listed.has(task)) continue;
-      // Not on the machine, which is proof only where the worker has heard nobody but us, and where
-      // no command sent straight to it is still on its way.
+      // That it is not listed is proof only where the worker has heard no other holder since, and
+      // where no command sent straight to it is still on its way.
       if (!machine.hasShownOurToken || machine.directCalls?.attempts.has(task.attempt)) continue;
       task.isStartSent = false;
-      if (jobSpec(this.context, assignment.job) === null || !usable || task.isStopping) {
+      if (jobSpec(this.context, assignment.job) === null || !isUsable || task.isStopping) {
         tasks.requeue(assignment, task);
         wake();
       }
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,4 +1,4 @@
-/** Pauses of jobs whose tasks failed. */
+/** Backoff of jobs whose tasks failed. */
 import { MAX_FAILURE_BACKOFF_S, FAILURE_BACKOFF_S } from '../../constants/shard.js';
 import type { Clock } from '../../transport/clock.js';
 
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -2,7 +2,7 @@
 import { LOST_MACHINE_SWEEP_MS } from '../../constants/shard.js';
 import type { ShardContext } from './shard-context.js';
 
-/** Looks periodically for machines that are gone or whose lease has surely run out. */
+/** Looks periodically for machines that are gone or whose lease has surely expired. */
 export class LostMachines {
   private sweptAt = -Infinity;
 
@@ -15,10 +15,10 @@
     if (now - this.sweptAt < LOST_MACHINE_SWEEP_MS) return;
     this.sweptAt = now;
     for (const name of [...tasks.occupiedMachines()]) {
-      const gone = machines.recordedState(name) === 'gone';
-      if (!gone && now < machines.leaseExpiresAt(name)) continue;
+      const isGone = machines.recordedState(name) === 'gone';
+      if (!isGone && now < machines.leaseExpiresAt(name)) continue;
       const lost = [...tasks.placedOn(name)];
-      log.info({ machine: name, tasks: lost.length, gone }, 'machine lost, its tasks wait');
+      log.info({ machine: name, tasks: lost.length, gone: isGone }, 'machine lost, tasks requeued');
       for (const [task, assignment] of lost) tasks.requeue(assignment, task);
     }
     machines.sweep();
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -1,4 +1,4 @@
-/** Makes the commands that bring a machine to what is wanted of it. */
+/** Makes the commands that bring a machine to its desired state. */
 import { MAX_COMMANDS_PER_ANSWER } from '../../constants/shard.js';
 import type { Command, TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
@@ -10,20 +10,20 @@
 /** The commands for one machine while they are collected. */
 interface CommandBatch {
   readonly machine: Machine;
-  /** What was sent before is sent again if it is still missing. */
+  /** Whether what was sent before is sent again if it is still missing. */
   readonly resend: boolean;
-  /** Room on the machine beside the tasks that are counted so far. */
+  /** Resources of the machine that the tasks counted so far leave free. */
   readonly free: Resources;
-  /** Placements that the machine's newest report lists. */
+  /** Placements that the machine's newest heartbeat lists. */
   readonly listed: Set<Task>;
   readonly commands: Command[];
 }
 
-/** Compares what is wanted of a machine with its newest report. */
+/** Compares the desired state of a machine with its newest heartbeat. */
 export class MachineCommands {
   constructor(private readonly context: ShardContext) {}
 
-  /** What makes the machine do what is wanted; `resend`: also what was sent before. */
+  /** The commands that are missing on the machine; `resend`: also those that were sent before. */
   commandsFor(machine: Machine, { resend }: { resend: boolean }): Command[] {
     const { machines } = this.context;
     const free = machines.capacity(machine.type);
@@ -38,31 +38,31 @@
     return batch.commands.slice(0, MAX_COMMANDS_PER_ANSWER);
   }
 
-  /** Counts the room of a task on the machine, and stops it if it is not wanted there. */
+  /** Counts the resources of a task on the machine, and stops it if it is not wanted there. */
   private addForReported(batch: CommandBatch, status: TaskStatus): void {
     const { tasks } = this.context;
     const { machine, resend, free } = batch;
     const assignment = tasks.findTask(status.task.job, status.task.index)?.assignment;
-    // Of an unknown task the need is not known: it counts as if it took all of the machine.
+    // What an unknown task needs is not known: it counts as if it took all of the machine.
     if (status.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
-    const wanted = findReported(tasks, machine, status);
-    if (!wanted) {
+    const assigned = findReported(tasks, machine, status);
+    if (!assigned) {
       if (resend) this.addRemoval(batch, status);
       return;
     }
-    batch.listed.add(wanted.task);
-    this.addStop(batch, status, wanted);
+    batch.listed.add(assigned.task);
+    this.addStop(batch, status, assigned);
   }
 
-  /** Stops a placed task whose job is over, or which makes room for others. */
+  /** Stops a placed task whose job is over, or which was preempted. */
   private addStop(
     batch: CommandBatch,
     status: TaskStatus,
     { assignment, task }: AssignedTask,
   ): void {
     const spec = jobSpec(this.context, assignment.job);
-    const stop = spec === null || (task.isStopping && status.state !== 'saving');
-    if (!stop || (task.isStopSent && !batch.resend)) return;
+    const mustStop = spec === null || (task.isStopping && status.state !== 'saving');
+    if (!mustStop || (task.isStopSent && !batch.resend)) return;
     task.isStopSent = true;
     const graceS = spec !== null && spec.checkpointS > 0 ? spec.saveS : 0;
     batch.commands.push({ op: 'stop', task: status.task, attempt: status.attempt, graceS });
@@ -75,9 +75,9 @@
       commands.push({ op: 'stop', task, attempt, graceS: 0 });
       return;
     }
-    // Forgotten only after the state service knows the end: until then a new owner of this part
-    // would take the placement for one whose start was lost.
-    // Nor while a start sent straight to the worker may still arrive: it would run once more.
+    // Forgotten only after the key-value store has the end: until then a new holder of this shard
+    // would take the placement for one whose start was lost. Nor while a start sent straight to the
+    // worker may still arrive: it would run once more.
     const assignment = this.context.tasks.findTask(task.job, task.index)?.assignment;
     const stored = assignment?.committedRecord.live[String(task.index)];
     if (stored?.[1] !== attempt && !machine.directCalls?.attempts.has(attempt)) {
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Starts what is placed on the machine and not there, where its room allows. */
+  /** Starts what is placed on the machine and not there, where its resources allow. */
   private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
     const { gangs, tasks } = this.context;
     const missing = [...tasks.placedOn(machine.name)].filter(([task]) => !listed.has(task));
--- a/src/coordination/shard/reported-task.ts
+++ b/src/coordination/shard/reported-task.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../shard-state/machine.js';
 import type { Tasks, AssignedTask } from '../shard-state/tasks.js';
 
-/** The placement that a task reported by the machine is; null: it is none of ours. */
+/** The placement of a task that the machine reported; null: no such placement is known. */
 export function findReported(
   tasks: Tasks,
   machine: Machine,
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -1,4 +1,4 @@
-/** Decides for which gang the part keeps some room free. */
+/** Decides for which gang the shard keeps some capacity free. */
 import { GANG_RESERVING_PLACE_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { reservingPlace } from '../capacity/gang-capacity.js';
@@ -7,7 +7,7 @@
 import type { ShardContext } from './shard-context.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
 
-/** Some room for the next gang is kept free by the part that has most machines for it. */
+/** Some capacity for the next gang is kept free by the shard that has most machines for it. */
 export class ReservedGang {
   private readonly recentGangs: RecentGangs;
   private reserved: JobSpec | null = null;
@@ -22,7 +22,7 @@
     if (spec?.kind === 'gang') this.recentGangs.add(spec);
   }
 
-  /** The gang for which this part keeps some room free; null: it keeps none. */
+  /** The gang for which this shard keeps some capacity free; null: it keeps none. */
   next(): JobSpec | null {
     const now = this.context.clock.now();
     if (now < this.checkAgainAt) return this.reserved;
@@ -36,7 +36,9 @@
     const next = this.recentGangs.largestNotUrgent;
     if (!next) return null;
     const place = reservingPlace(next, machinesOf(replica));
-    const ours = machines.inOrder().some(({ zone }) => shardZoneKey(options.shard, zone) === place);
-    return ours ? next : null;
+    const isOurs = machines
+      .inOrder()
+      .some(({ zone }) => shardZoneKey(options.shard, zone) === place);
+    return isOurs ? next : null;
   }
 }
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -1,13 +1,14 @@
-/** Creates the placing of a part with what its bandit has learned. */
+/** Creates a shard's scheduler with what its bandit has learned. */
 import { KEPT_FROM_MS } from '../../constants/gangs.js';
 import { BEGIN_WITHIN_S } from '../../constants/leader.js';
 import { ARMS } from '../../storage/keys.js';
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
 import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.js';
+import { GangPreemption } from './gang-preemption.js';
 import type { ReservedGang } from './reserved-gang.js';
 import { machineTypeNames, type ShardContext } from './shard-context.js';
 
-/** Creates the placing once the catalog of machine types is known. */
+/** Creates the scheduler once the catalog of machine types is known. */
 export class SchedulerLoader {
   private loaded: Scheduler | null = null;
 
@@ -16,17 +17,17 @@
     private readonly reservation: ReservedGang,
   ) {}
 
-  /** The placing; null: it is not loaded yet. */
+  /** The scheduler; null: it is not loaded yet. */
   get scheduler(): Scheduler | null {
     return this.loaded;
   }
 
-  /** Loads the placing; null: there is no catalog yet. */
+  /** Creates the scheduler; null: there is no catalog yet. */
   async load(): Promise<Scheduler | null> {
     const types = machineTypeNames(this.context);
     if (types.length === 0) return null;
     const { clock, costLearning, log, machines, options, tasks } = this.context;
-    // Loaded late: the matrix library is the largest of all, and start-up time is dear.
+    // Imported late: the matrix library is the largest dependency, and start-up must be quick.
     const module = await import('../scheduling/bandit.js');
     const bandit = new module.Bandit(types, options.alpha, options.penalty);
     this.restore(bandit);
@@ -39,14 +40,15 @@
   /** Gives the bandit what was stored of its arms. */
   private restore(bandit: Bandit): void {
     const { options, replica } = this.context;
-    for (const [key, held] of replica.below<ArmRecord>(`${ARMS}${options.shard}/`)) {
+    for (const [key, stored] of replica.below<ArmRecord>(`${ARMS}${options.shard}/`)) {
       const further = (at: number) => replica.get<ArmRecord>(`${key}+${at}`)?.value;
-      bandit.restore(key.slice(key.lastIndexOf('/') + 1), held.value, further);
+      bandit.restore(key.slice(key.lastIndexOf('/') + 1), stored.value, further);
     }
   }
 
   private schedulerOptions(): SchedulerOptions {
-    const { jobFailureBackoff, gangs, options, replica } = this.context;
+    const { jobFailureBackoff, options, replica } = this.context;
+    const gangPreemption = new GangPreemption(this.context);
     return {
       number: options.number,
       term: options.term,
@@ -56,7 +58,7 @@
       waitsLong: (id) => this.waitsLong(id),
       nextGang: () => this.reservation.next(),
       pauses: (id) => jobFailureBackoff.isPaused(id),
-      mayStopGang: (assignment) => gangs.mayStop(assignment),
+      mayStopGang: (assignment) => gangPreemption.mayStop(assignment),
       gangWaitS: options.gangWaitS,
     };
   }
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -1,4 +1,4 @@
-/** What the steps of a part share: its options, the services that it uses, and its state. */
+/** What the steps of a shard have in common: its options, the services that it uses, its state. */
 import { readCatalog } from '../../storage/catalog.js';
 import type { Committer } from '../../storage/committer.js';
 import type { Log } from '../../storage/log.js';
@@ -13,23 +13,23 @@
 import type { CostLearning } from './cost-learning.js';
 import type { JobFailureBackoff } from './job-failure-backoff.js';
 
-/** A part's identity and settings, and what its node tells it. */
+/** A shard's identity and settings, and what its controller tells it. */
 export interface ShardOptions {
-  /** Name of the part. */
+  /** Name of the shard. */
   shard: string;
-  /** Number of the part among all, which its attempts carry. */
+  /** Number of the shard among all, which its attempts carry. */
   number: number;
-  /** Term of the owner's role. */
+  /** Term in which the holder has the shard's role. */
   term: number;
-  /** Key of the owner's role, which guards every write. */
+  /** Key of the shard's role, which guards every write. */
   roleKey: string;
-  /** Revision at which this owner holds the role. */
+  /** Revision at which this holder has the role. */
   roleRevision: number;
-  /** Steady time from which no machine that never spoke to this owner has tasks left. */
+  /** Steady time from which no machine that never heard this holder has tasks left. */
   fenceAt: number;
-  /** Seconds that a worker's tasks outlive its last answered report. */
+  /** Seconds that a worker's tasks outlive its last answered heartbeat. */
   leaseS: number;
-  /** Seconds between a worker's reports. */
+  /** Seconds between a worker's heartbeats. */
   heartbeatIntervalS: number;
   /** Seconds for which a gang's task waits for the others. */
   gangWaitS: number;
@@ -47,24 +47,24 @@
   snapshotMs: number;
   /** Seconds within which tasks of a class should start. */
   startWithinS: Readonly<Record<string, number>>;
-  /** Still the owner, as far as the replica knows. */
+  /** Whether it still holds the shard, as far as the replica knows. */
   isHolder: () => boolean;
-  /** What the replica knows is recent enough to act on it before the outside. */
+  /** Whether the replica is recent enough for commands to workers. */
   isReplicaCurrent: () => boolean;
-  /** How far this node's writes to the state service reach. */
+  /** What the store's rate limit leaves for this controller's writes. */
   limiter: Pick<RateLimiter, 'supply' | 'hasCapacity'>;
-  /** Something urgent was written: the leader should not wait for its next look. */
+  /** Something urgent was written: the leader should reconcile without delay. */
   onUrgentWrite: () => void;
 }
 
-/** The services that a part uses. */
+/** The services that a shard uses. */
 export interface ShardServices {
   readonly replica: StoreReplica;
   readonly committer: Committer;
   readonly workers: WorkerApi;
   readonly clock: Clock;
   readonly log: Log;
-  /** Asks for a round soon: there may be something to do. */
+  /** Asks for a reconciliation soon: there may be something to do. */
   readonly wake: () => void;
 }
 
@@ -78,7 +78,7 @@
   readonly costLearning: CostLearning;
   /** Machines for which there may be commands that are not in any answer yet. */
   readonly machinesToCommand: Set<string>;
-  /** Chunks of jobs that are over. */
+  /** Assignments of jobs that are over. */
   readonly assignmentsOfEndedJobs: Set<Assignment>;
 }
 
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -151,14 +151,17 @@
   }
 
   private addMachine(heartbeat: Heartbeat): Machine {
-    const { log, wake } = this.context;
+    const { log, options, wake } = this.context;
     const machine = this.machines.add(
       heartbeat.machine,
       heartbeat.type,
       heartbeat.zone,
       heartbeat.spot,
     );
-    log.info({ machine: heartbeat.machine, type: heartbeat.type }, 'machine reports');
+    log.info(
+      { shard: options.shard, machine: heartbeat.machine, type: heartbeat.type },
+      'machine joined shard',
+    );
     wake();
     return machine;
   }
@@ -200,7 +203,7 @@
     options,
     machines,
     tasks,
-    gangs: new GangShares(options, { tasks, machines, replica, clock, log }),
+    gangs: new GangShares(options, { tasks, replica, clock, log }),
     jobFailureBackoff: new JobFailureBackoff(clock),
     costLearning: new CostLearning(machines, clock),
     machinesToCommand: new Set(),
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,4 +1,4 @@
-/** Decides which of a part's chunks are to be written now. */
+/** Decides which of a shard's assignments are to be written now. */
 import {
   COMPLETION_BATCH_MS,
   PLACEMENT_BATCH_MS,
@@ -9,15 +9,15 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/tasks.js';
 
-/** Orders the changed chunks by urgency and holds back what can be gathered with other changes. */
+/** Orders the changed assignments by urgency and holds back those that may share later writes. */
 export class WriteSchedule {
   constructor(
     private readonly context: ShardContext,
-    /** Chunks whose changes were called invalid, or are too large to be written yet. */
+    /** Assignments whose changes were called invalid, or are too large to be written yet. */
     private readonly withheld: RejectedChangeBackoff,
   ) {}
 
-  /** The chunks that are due, urgent ones first. */
+  /** The assignments that are due, urgent ones first. */
   dueAssignments(): Assignment[] {
     const { clock, assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
     const now = clock.now();
@@ -34,19 +34,19 @@
   mayWriteOrdinary(due: readonly Assignment[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
-    const old = due.some(
+    const isOverdue = due.some(
       (assignment) => now - (assignment.changedSince ?? now) > MAX_WRITE_DELAY_MS,
     );
-    return old || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
+    return isOverdue || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
   }
 
-  /** Removed once its job is over, or all of it was given back, and nothing of it is placed. */
+  /** Whether it is to be removed: its job is over and no task is placed, or all tasks were returned. */
   isOver(assignment: Assignment): boolean {
     if (assignment.tasks.size === 0) return true;
     return assignment.placedCount === 0 && jobSpec(this.context, assignment.job) === null;
   }
 
-  /** Whether the chunk's job is a gang or has at least high priority. */
+  /** Whether the assignment's job is a gang or has at least high priority. */
   isUrgent(assignment: Assignment): boolean {
     const spec = jobSpec(this.context, assignment.job);
     if (spec?.kind === 'gang') return true;
@@ -54,29 +54,29 @@
   }
 
   /**
-   * Whether a chunk's changes should be written now. What starts tasks is; ends wait a moment for
-   * others, since a write for each short task is more than the state service takes.
+   * Whether an assignment's changes should be written now. What starts tasks is; ends wait a moment
+   * for others, since a write for each short task is more than the key-value store takes.
    */
   private isDue(assignment: Assignment, now: number): boolean {
     if (this.isOver(assignment)) return true;
     const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= COMPLETION_BATCH_MS[supply]) return true;
-    // Other parts with tasks of the gang stop theirs when they see this.
-    const shared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
-    if (assignment.hasFailed && shared && !assignment.committedRecord.stopping) return true;
+    // Other shards with tasks of the gang stop theirs when they see this.
+    const isShared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
+    if (assignment.hasFailed && isShared && !assignment.committedRecord.stopping) return true;
     if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
     return this.isUrgent(assignment) || age >= PLACEMENT_BATCH_MS[supply];
   }
 
-  /** Whether some of the chunk's placements are not committed yet. */
+  /** Whether some of the assignment's placements are not committed yet. */
   private startsTasks(assignment: Assignment): boolean {
     return [...assignment.tasks.values()].some(
       (task) => task.state === 'placed' && !this.context.tasks.isCommitted(assignment, task),
     );
   }
 
-  /** Whether tasks of the chunk wait for a place or are placed. */
+  /** Whether tasks of the assignment wait for a machine or are placed. */
   private isOpen(assignment: Assignment): boolean {
     return (
       assignment.waitingTasks.size > 0 ||
