--- a/test/shard/gang-shard.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -9,7 +9,7 @@
 const SAVE_S = 2;
 const LIVE: AssignmentRecord['live'] = { '0': ['m-1', ATTEMPT], '1': ['m-1', ATTEMPT] };
 
-/** A part that takes over its share of a gang, as a former owner stored it. */
+/** A shard whose new holder takes over its share of a gang, as a former holder stored it. */
 async function takeOver(
   change: Partial<AssignmentRecord>,
   tasks = 2,
@@ -46,12 +46,12 @@
       ? `stop ${one.task.index} ${one.graceS}`
       : `${one.op} ${one.task.index} of ${one.attempt === ATTEMPT ? 'the old' : 'another'} attempt`,
   );
-/** Everything that the part told its machine by itself. */
+/** Everything that the shard told its machine by itself. */
 const sent = (world: TakenOver): string[] => world.sent.flatMap(({ commands }) => wire(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
-    // The former owner knew that task 1 had ended: its attempt can be placed no more.
+    // The former holder knew that task 1 had ended: its attempt can be placed no more.
     name: 'a share of which one task has no place any more ends, and goes back',
     check: async () => {
       const world = await takeOver({ live: { '0': ['m-1', ATTEMPT] } });
@@ -101,7 +101,7 @@
   })),
   {
     // Mates that have saved wait only some seconds for the last halt.
-    name: 'other parts are told of a stop at once, before ends are gathered',
+    name: 'other shards are told of a stop at once, before ends are gathered',
     check: async () => {
       const world = await takeOver({}, 4, {});
       world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
@@ -124,4 +124,4 @@
   },
 ];
 
-for (const { name, check } of ROWS) test(`gang in a part: ${name}`, check);
+for (const { name, check } of ROWS) test(`gang in a shard: ${name}`, check);
--- a/test/shard/gang-shares.test.ts
+++ b/test/shard/gang-shares.test.ts
@@ -13,7 +13,7 @@
   type ShardFixture,
 } from '../world/shard-fixture.js';
 
-/** A part with its share of a gang; `other`: the share of another part. */
+/** A shard with its share of a gang; `other`: the share of another shard. */
 async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
@@ -50,7 +50,7 @@
   },
   {
     // Tasks that start early hold their places, and end alone when the rest does not come.
-    name: 'none starts before all are reserved, here and in other parts',
+    name: 'none starts before all are reserved, here and in other shards',
     check: async () => {
       const world = await gang(4, {});
       world.heartbeat();
@@ -88,7 +88,7 @@
     },
   },
   {
-    name: 'what another part stops is stopped here too, with the time to save',
+    name: 'what another shard stops is stopped here too, with the time to save',
     check: async () => {
       const live = {
         '2': ['m-8', GANG_ATTEMPT],
@@ -110,7 +110,7 @@
     },
   },
   {
-    // Arrays that queue in a part would take each place that falls free, one by one, for ever.
+    // Arrays that queue in a shard would take each place that falls free, one by one, for ever.
     name: 'room that falls free is kept for a gang that waits, from arrays behind it',
     check: async () => {
       const world = await gang(2);
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -37,18 +37,18 @@
   assert.equal(world.sent.length, 0);
 });
 
-test('absence proves an end only to the owner whose token the worker has shown', async () => {
+test('absence proves an end only to the holder whose token the worker has shown', async () => {
   const world = await shardFixture({ placed: true });
   await world.cancel();
   world.heartbeat({ fencingToken: 3 });
   await world.reconcile();
-  assert.ok(world.stored(), 'a former owner may still start it');
+  assert.ok(world.stored(), 'a former holder may still start it');
   world.heartbeat();
   await world.reconcile();
   assert.equal(world.stored(), undefined);
 });
 
-test('an older report proves nothing', async () => {
+test('an older heartbeat proves nothing', async () => {
   const world = await shardFixture({ placed: true });
   world.heartbeat({ sequence: 9 }, [running(77)]);
   await world.cancel();
@@ -99,7 +99,7 @@
   assert.deepEqual(ops(world.heartbeat({ fencingToken: TOKEN + 1 }, [ended(attempt)])), ['forget']);
 });
 
-test('tasks on a machine that never spoke to the new owner wait for the fence', async () => {
+test('tasks on a machine that never heard the new holder wait for the fence', async () => {
   const world = await shardFixture({ placed: true });
   await world.clock.run(56_000);
   await world.reconcile();
@@ -159,9 +159,9 @@
   }
 });
 
-// Seen on the grown deployments: a chunk placed on more machines than a transaction may guard was
+// Seen on the grown deployments: an assignment placed on more machines than a transaction may guard was
 // refused as malformed, again and again, and none of its tasks ever started.
-test('a chunk on more machines than one transaction can guard is written in pieces', async () => {
+test('an assignment on more machines than one transaction can guard is written in pieces', async () => {
   const world = await shardFixture({ ids: '0-39', spec: { tasks: 40 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
@@ -205,7 +205,7 @@
 });
 
 // Seen on the earlier two-zone site: a start that waited for stopped work to leave its machine was
-// sent only with the machine's next report, which cost urgent work half a second and more.
+// sent only with the machine's next heartbeat, which cost urgent work half a second and more.
 test('a start that waited for stopped work follows the answer to the stop', async () => {
   const world = await shardFixture({ spec: { tasks: 4 }, ids: '0-3' });
   world.heartbeat();
@@ -236,9 +236,9 @@
   assert.deepEqual(ops(world.sent.at(-1)?.commands ?? []), ['start']);
 });
 
-// A placement may be committed only while its job is there: a part that has not heard yet of a
+// A placement may be committed only while its job is there: a shard that has not heard yet of a
 // cancellation started tasks after it had been confirmed.
-test('a job that was called off is not placed, though its part has not heard of it', async () => {
+test('a job that was cancelled is not placed, though its shard has not heard of it', async () => {
   const world = await shardFixture();
   world.heartbeat();
   // Gone from the store, and no watch tells of it.
