--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -172,6 +172,10 @@
     cycle.countTask(type);
     const context = this.choice.context(spec, type, cycle.taskCounts);
     const attempt = assignment.record.attempt ?? this.attempts.next();
-    this.dependencies.tasks.place(assignment, task, { machine: name, attempt, banditContext: context });
+    this.dependencies.tasks.place(assignment, task, {
+      machine: name,
+      attempt,
+      banditContext: context,
+    });
   }
 }
--- a/src/coordination/shard/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -1,18 +1,18 @@
 /** Withdraws the tasks of jobs that are over. */
-import type { Chunk } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /**
- * If the chunk's job is over: what was never sent is withdrawn at once, the rest when reports prove
- * its end.
+ * If the assignment's job is over: what was never sent is withdrawn at once, the rest when heartbeats
+ * prove its end.
  */
-export function withdrawIfEnded(context: ShardContext, assignment: Chunk): void {
+export function withdrawIfEnded(context: ShardContext, assignment: Assignment): void {
   const { machinesToCommand, assignmentsOfEndedJobs, tasks } = context;
   if (jobSpec(context, assignment.job) !== null) return;
   assignmentsOfEndedJobs.add(assignment);
   for (const task of [...assignment.tasks.values()]) {
-    if (task.state !== 'live') continue;
-    // Not even committed: nobody can have sent it.
+    if (task.state !== 'placed') continue;
+    // Not committed, so nobody can have sent it.
     if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
     else machinesToCommand.add(task.machine);
   }
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,6 +1,6 @@
 /** Pauses of jobs whose tasks failed. */
 
-import { FAILURE_PAUSE_MAX_S, FAILURE_PAUSE_S } from '../../constants/shard.js';
+import { MAX_FAILURE_BACKOFF_S, FAILURE_BACKOFF_S } from '../../constants/shard.js';
 import { KeyedBackoff } from '../../transport/backoff.js';
 import type { Clock } from '../../transport/clock.js';
 
@@ -9,7 +9,7 @@
   private readonly backoff: KeyedBackoff;
 
   constructor(clock: Clock) {
-    this.backoff = new KeyedBackoff(clock, FAILURE_PAUSE_S * 1000, FAILURE_PAUSE_MAX_S * 1000);
+    this.backoff = new KeyedBackoff(clock, FAILURE_BACKOFF_S * 1000, MAX_FAILURE_BACKOFF_S * 1000);
   }
 
   /** A task of the job failed now; returns for how many seconds the job is paused. */
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -1,4 +1,4 @@
-/** Decides for which gang the part keeps some room free. */
+/** Decides for which gang the shard keeps some capacity free. */
 import { RESERVING_SHARD_CHECK_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { reservingShardZone } from '../capacity/gang-capacity.js';
@@ -7,7 +7,7 @@
 import type { ShardContext } from './shard-context.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
 
-/** Some room for the next gang is kept free by the part that has most machines for it. */
+/** Some capacity for the next gang is kept free by the shard that has most machines for it. */
 export class ReservedGang {
   private readonly recentGangs: RecentGangs;
   private reserved: JobSpec | null = null;
@@ -22,7 +22,7 @@
     if (spec?.kind === 'gang') this.recentGangs.add(spec);
   }
 
-  /** The gang for which this part keeps some room free; null: it keeps none. */
+  /** The gang for which this shard keeps some capacity free; null: it keeps none. */
   next(): JobSpec | null {
     const now = this.context.clock.now();
     if (now < this.checkAgainAt) return this.reserved;
@@ -36,9 +36,9 @@
     const next = this.recentGangs.largestNonUrgent;
     if (!next) return null;
     const shardZone = reservingShardZone(next, healthyMachines(replica));
-    const ours = machines
+    const isOurs = machines
       .inOrder()
       .some(({ zone }) => shardZoneKey(options.shard, zone) === shardZone);
-    return ours ? next : null;
+    return isOurs ? next : null;
   }
 }
