--- a/src/constants/leader.ts
+++ b/src/constants/leader.ts
@@ -1,50 +1,74 @@
-/** Constants, each with unit and reason. The leader: assignment of tasks to shards, scheduling order and quotas. */
+/**
+ * Constants, each with unit and reason. Assignment of tasks to shards, scheduling order, quotas.
+ */
 
-/** ms; lower work that came within this time tells how much will: some dozens of jobs. */
+/**
+ * ms; span of arrivals of non-urgent work from which more of it is forecast: some dozens of jobs.
+ */
 export const RECENT_ARRIVALS_MS = 90_000;
 
-/** Bytes that one placed task may take in its chunk's record (number, machine, an attempt of up to 14
- * digits); bounds the tasks of a chunk. Fewer, larger chunks need fewer writes. */
+/**
+ * Bytes that a placed task may take in the record of its assignment (number, machine, an attempt of
+ * up to 14 digits); bounds the tasks of an assignment. Fewer, larger assignments need fewer writes.
+ */
 export const ASSIGNMENT_TASK_BYTES = 36;
 
-/** Bytes that a chunk's record takes beside its placed tasks: its fields, and the ranges of its tasks. */
+/**
+ * Bytes of an assignment record besides its placed tasks: its fields, and the ranges of its tasks.
+ */
 export const ASSIGNMENT_BASE_BYTES = 250;
 
-/** s; lower work waits in a part for the room that ends within this time: longer than the way from
- * a task's end over the leader to a new chunk, so that no machine idles and chunks are not small. */
+/**
+ * s; non-urgent work is queued in a shard for the capacity that becomes free within this time:
+ * longer than it takes from a task's end over the leader to a new assignment, so that no machine
+ * idles and assignments are not small.
+ */
 export const QUEUE_AHEAD_S = 8;
 
-/** A queue is filled again when what waits is at most so many times what is missing. */
+/** A queue is refilled when what waits is at most this many times what is missing. */
 export const QUEUE_REFILL_RATIO = 1;
 
-/** ms; a job of lower work gets more tasks assigned this often at the most, except urgent ones. Parts
- * queue `QUEUE_S` ahead, so that where writes are short larger chunks cost no idle machines. */
+/**
+ * ms; minimum interval between assignments of a non-urgent job, by the supply of writes. Shards
+ * queue `QUEUE_AHEAD_S` ahead, so that larger assignments idle no machines where writes are short.
+ */
 export const ASSIGN_INTERVAL_MS = { plenty: 1_000, scarce: 1_500, short: 3_000 };
 
-/** s; a job of which nothing has begun for so long comes first: the largest, which step back for
- * others, must begin within 4 minutes, of which a team at its limit or an outage may take most. */
+/**
+ * s; a job without any started task for this long comes first: the largest, which yield to others,
+ * must start within 4 minutes, of which a team at its quota or an outage may take most.
+ */
 export const START_OVERDUE_S = 100;
 
-/** Share of a job's tasks that come first for that reason; the rest keeps its turn. */
+/** Share of an overdue job's tasks that come first for that reason. */
 export const OVERDUE_TASK_SHARE = 0.05;
 
-/** ms; a job of lower work of which nothing ran for so long may use what its team's limit keeps for
- * urgent work: far less than users let a job wait in front of free machines. */
+/**
+ * ms; a non-urgent job without any running task for this long may use the quota that is reserved
+ * for urgent work: far less than users let a job wait beside idle machines.
+ */
 export const STARVATION_MS = 30_000;
 
-/** Share of its tasks that may do so at a time. */
+/** Share of its tasks that may use that reserve at a time. */
 export const STARVED_TASK_SHARE = 0.25;
 
-/** Share of the room for lower work that counts when jobs are chosen to be late: the rest goes to
- * urgent work, to ways between tasks and to estimates that are too low. */
+/**
+ * Share of the capacity for non-urgent work with which deadlines are calculated: the rest goes to
+ * urgent work, to gaps between tasks and to estimates that are too low.
+ */
 export const DEADLINE_CAPACITY_SHARE = 0.75;
 
-/** Urgent jobs of the usual size for which lower work of the same team leaves room in its limit. */
+/** Urgent jobs of the usual size for which non-urgent work of the same team leaves quota. */
 export const URGENT_RESERVE_JOBS = 2;
 
-/** Share of a team's limit that this may take at the most: a large urgent job would else shut out all
- * lower work of a small team, though it already runs. */
+/**
+ * Share of a team's quota that this reserve may take at most: a large urgent job that runs already
+ * would else block all non-urgent work of a small team.
+ */
 export const URGENT_RESERVE_QUOTA_SHARE = 0.25;
 
-/** Deadlines past its own after which a job that stepped back for others comes first again. */
+/**
+ * A late job that yields to others comes first again once it is late by this many times its
+ * deadline.
+ */
 export const LATE_JOB_AGING_DEADLINES = 3;
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -1,4 +1,4 @@
-/** The leader's running sums over all chunks. */
+/** The leader's running sums over all assignments. */
 
 import { ACCOUNTING_REBUILD_MS } from '../../constants/capacity.js';
 import { ASSIGNMENTS, JOBS } from '../../storage/keys.js';
@@ -10,13 +10,13 @@
 import { isUrgent } from './priorities.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** What a team uses. */
+/** Resources that a team uses. */
 export interface Usage {
   cpus: number;
   gpus: number;
 }
 
-/** What is placed on a machine. */
+/** Resources that are placed on a machine. */
 export type MachineUsage = MachineResources;
 
 /** The sums of a machine on which nothing is placed. */
@@ -33,46 +33,48 @@
   };
 }
 
-/** How many tasks of a job are assigned to parts, done, and placed on machines. */
+/** Counts of tasks of a job that are assigned to shards, done, and placed on machines. */
 export interface Progress {
   assigned: number;
   done: number;
   placed: number;
 }
 
-/** How many tasks of a job must be done for it to be over: of a gang, which ends as a whole, one. */
+/**
+ * How many tasks must be done for a job to be complete: one of a gang, since it ends as a whole.
+ */
 export function doneTasksToComplete(spec: JobSpec): number {
   if (spec.kind === 'service') return Infinity;
   return spec.kind === 'gang' ? 1 : spec.tasks;
 }
 
-/** What one chunk adds to the sums, stored so that exactly this can be subtracted again. */
+/** Contribution of one assignment, kept so that exactly this can be subtracted again. */
 interface Entry {
   assignment: AssignmentSummary;
   isLowPriority: boolean;
   isArray: boolean;
-  /** CPUs that end in a second. */
+  /** CPUs that become free per second. */
   endingCpusPerS: number;
 }
 
 /**
- * The leader's sums over all chunks, updated with each change of one: the cost of a round then
- * depends on what is open and free, not on what runs. They are calculated anew now and then, since
+ * Sums over all assignments, updated with each change of one: the cost of a scheduling cycle
+ * depends on what is open and free, not on all that runs. They are recalculated periodically, since
  * sums of decimals drift.
  */
 export class CapacityAccounting {
   private entries = new Map<string, Entry>();
-  /** What is placed on each machine. */
+  /** Usage by machine. */
   readonly machines = new Map<string, MachineUsage>();
-  /** What each team uses. */
+  /** Usage by team. */
   readonly teams = new Map<string, Usage>();
-  /** How far each job has got. */
+  /** Progress by job. */
   readonly jobs = new Map<string, Progress>();
-  /** CPUs of arrays that end in a second, by place. */
+  /** CPUs of arrays and gangs that become free per second, by the key of their shard zone. */
   readonly endingCpusPerS = new Map<string, number>();
-  /** Chunks of open jobs with tasks that wait for a place. */
+  /** Assignments of open jobs with tasks that are not placed. */
   readonly waiting = new Map<string, AssignmentSummary>();
-  /** Arrays that seem to be done. */
+  /** Jobs that may be complete. */
   readonly completionCandidates = new Set<string>();
   private builtAt = -Infinity;
 
@@ -81,7 +83,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Called before a round: calculates the sums anew when that is due. */
+  /** Recalculates the sums when that is due; called before a scheduling cycle. */
   refresh(): void {
     const now = this.clock.now();
     if (now - this.builtAt < ACCOUNTING_REBUILD_MS) return;
@@ -94,7 +96,7 @@
     for (const key of this.replica.assignmentKeys()) this.add(key);
   }
 
-  /** A key changed in the replica. */
+  /** Handles a change of a key in the replica. */
   changed(key: string): void {
     if (key.startsWith(ASSIGNMENTS)) this.recount(key);
     else if (key.startsWith(JOBS)) {
@@ -133,7 +135,7 @@
     if (spec && done >= doneTasksToComplete(spec)) this.completionCandidates.add(assignment.job);
   }
 
-  /** Adds what a chunk counts for, or subtracts it. */
+  /** Adds or subtracts the contribution of an assignment. */
   private applyEntry(entry: Entry, sign: 1 | -1): void {
     const { assignment, endingCpusPerS } = entry;
     this.applyToTeam(assignment, sign);
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -1,4 +1,4 @@
-/** Capacity for gangs that have not come yet: which machines are reserved, and what the fleet lacks. */
+/** Capacity for future gangs: which machines are reserved, and what the fleet lacks. */
 
 import { GANG_RECLAIMABLE_SHARE } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -12,13 +12,13 @@
 import { countFittingTasks } from './resources.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** Tasks of a gang for which capacity is missing; the description names the zone. */
+/** Tasks of a gang for which capacity is missing; `spec` names the zone. */
 export interface MissingCapacity {
   spec: JobSpec;
   count: number;
 }
 
-/** How many of a gang's tasks fit on a machine: at present, and once the arrays there have ended. */
+/** How many tasks of a gang fit on a machine: at once, and after the arrays there have ended. */
 interface MachineFit {
   name: string;
   free: number;
@@ -26,8 +26,8 @@
 }
 
 /**
- * Where gangs like these would lack room if they came now, one after the other: with the zone where
- * they lack the least. Only part of what would make room counts, since it does so one by one.
+ * What gangs like these would lack if they arrived now, one after the other, each in the zone that
+ * lacks the least. Reclaimable capacity counts in part, since it becomes free bit by bit.
  */
 export function missingGangCapacity(
   gangs: readonly JobSpec[],
@@ -43,7 +43,7 @@
   return missing;
 }
 
-/** The zone with the most room for a gang, in part counting room to come; null: any is as good. */
+/** The zone with the most capacity for a gang, reclaimable capacity counted in part; null: any. */
 function zoneWithMostCapacity(spec: JobSpec, machines: readonly MachineCapacity[]): string | null {
   const zones = new Map<string, number>();
   for (const machine of machines) {
@@ -60,7 +60,9 @@
   return best?.[0] ?? spec.zone;
 }
 
-/** Takes room for a gang in a zone, free room first; returns how many tasks found none. */
+/**
+ * Allocates capacity for a gang in a zone, free capacity first; returns how many tasks found none.
+ */
 function allocateInZone(spec: JobSpec, zone: string | null, machines: MachineCapacity[]): number {
   let remaining = spec.tasks;
   for (const mayReclaim of [false, true]) {
@@ -80,8 +82,9 @@
 }
 
 /**
- * The one place that reserves room for such a gang: where most ordinary machines are that it may
- * use. Leader and parts compute it alike, and if they differ for a moment, arrays wait a little.
+ * The one shard zone that reserves capacity for such a gang: the one with the most eligible machines
+ * that are no spot instances. The leader and the shards compute it alike; while they differ, arrays
+ * wait a little.
  */
 export function reservingShardZone(
   spec: JobSpec,
@@ -104,7 +107,7 @@
   return best;
 }
 
-/** Names of the machines that are reserved for a gang like this one: arrays may not use them. */
+/** Names of the machines reserved for a gang like this one: arrays may not use them. */
 export function reservedMachines(spec: JobSpec, machines: readonly MachineCapacity[]): Set<string> {
   const shardZone = reservingShardZone(spec, machines);
   const fits = machines
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -1,22 +1,22 @@
-/** Room on machines: what tasks take, what is left, and what other work could free. */
+/** Free and reclaimable capacity of machines. */
 import type { MachineHealth } from '../../storage/records.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { isUrgent } from './priorities.js';
 import { resourcesOf, type Resources } from './resources.js';
 
-/** Amounts on a machine, with what other work there could leave to more. */
+/** Resources of a machine, and those of tasks that other work may reclaim. */
 export interface MachineResources extends Resources {
-  /** Tasks placed on it. */
+  /** Number of placed tasks. */
   tasks: number;
-  /** CPUs and memory of tasks that rank below `high`: what urgent work could take. */
+  /** CPUs and memory of tasks that rank below `high`: urgent work may preempt them. */
   preemptibleCpus: number;
   preemptibleMemoryGb: number;
-  /** CPUs and memory of arrays: what ends there by itself. */
+  /** CPUs and memory of arrays: they become free when these end. */
   arrayCpus: number;
   arrayMemoryGb: number;
 }
 
-/** A machine as the leader counts it: the amounts are those that are free. */
+/** A machine as the leader counts it: the resources are those that are free. */
 export interface MachineCapacity extends MachineResources {
   name: string;
   shard: string;
@@ -26,27 +26,30 @@
   health: MachineHealth | 'booting';
 }
 
-/** Tasks of a job for which no room was found. */
+/** Tasks of a job without capacity. */
 export interface UnmetDemand {
   spec: JobSpec;
   count: number;
-  /** Time of day of its acceptance in ms. */
+  /** Wall-clock time of acceptance of the job, in ms. */
   acceptedAt: number;
 }
 
-/** The fleet as the leader's last round left it, with the demand that it does not meet. */
+/** The fleet after the last scheduling cycle, and the demand that it does not meet. */
 export interface FleetSnapshot {
   machines: MachineCapacity[];
   unmetDemand: UnmetDemand[];
-  /** CPUs that lower work will take if it goes on arriving as it did lately. */
+  /** CPUs that non-urgent arrays are expected to need, by their recent rate of arrival. */
   expectedCpus: number;
-  /** The array of lower work that arrived last. */
+  /** The non-urgent array that arrived last; null: none did. */
   lastArray: JobSpec | null;
-  /** The largest gang of each class that arrived lately. */
+  /** The largest gang of each class that arrived recently. */
   recentGangs: JobSpec[];
 }
 
-/** Whether a job's tasks may run on a machine, by its type, its zone and whether it is spot. */
+/**
+ * Whether a job's tasks may run on a machine, by its type and zone and whether it is a spot
+ * instance.
+ */
 export function isEligible(
   spec: JobSpec,
   machine: { type: string; zone: string; spot: boolean },
@@ -58,21 +61,24 @@
   );
 }
 
-/** What makes room on a machine: urgent work stops lower work, other work waits for arrays to end. */
+/**
+ * How capacity is reclaimed: urgent work preempts arrays alone or any non-urgent work, other work
+ * waits for arrays to complete.
+ */
 export type ReclaimMode = 'preemptArrays' | 'preempt' | 'awaitCompletion';
 
-/** How the leader counts on room being made for a job. */
+/** The mode by which the leader counts on capacity to be reclaimed for a job. */
 export const reclaimModeFor = (spec: JobSpec): ReclaimMode =>
   isUrgent(spec) ? 'preempt' : 'awaitCompletion';
 
 /**
- * The ways to make room for a job, the least costly first: a task of an array that is stopped loses
- * its own work, one of a gang that of the whole gang.
+ * The modes for a job, the cheapest first: a preempted task of an array loses its own work, one of
+ * a gang the work of the whole gang.
  */
 export const reclaimModesFor = (spec: JobSpec): readonly ReclaimMode[] =>
   reclaimModeFor(spec) === 'preempt' ? ['preemptArrays', 'preempt'] : ['awaitCompletion'];
 
-/** What other work leaves on a machine when it makes room. */
+/** What reclaiming frees on a machine. */
 function reclaimableAmounts(
   machine: MachineCapacity,
   mode: ReclaimMode,
@@ -89,7 +95,7 @@
     case 'awaitCompletion':
       return { cpus: endingCpus, memoryGb: endingMemoryGb };
     case 'preemptArrays':
-      // Arrays may be urgent themselves.
+      // Arrays may be urgent themselves: these are not preempted.
       return {
         cpus: Math.min(preemptibleCpus, endingCpus),
         memoryGb: Math.min(preemptibleMemoryGb, endingMemoryGb),
@@ -97,7 +103,7 @@
   }
 }
 
-/** The room that a machine has once other work has made some. */
+/** What a machine has free after reclaiming. */
 export function reclaimableCapacity(machine: MachineCapacity, mode: ReclaimMode): Resources {
   const { cpus, memoryGb } = reclaimableAmounts(machine, mode);
   return {
@@ -107,7 +113,7 @@
   };
 }
 
-/** Takes the room of so many tasks from a machine: what is free, and the rest from other work. */
+/** Allocates tasks on a machine: what is free, and the rest from reclaimed capacity. */
 export function allocateReclaimable(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const allocated = resourcesOf(spec, count);
   const cpus = Math.max(0, allocated.cpus - Math.max(0, machine.cpus));
@@ -121,7 +127,7 @@
   machine.arrayMemoryGb -= memoryGb;
 }
 
-/** Takes the room of so many tasks of a job from a machine. */
+/** Allocates tasks on a machine from what is free. */
 export function allocateTasks(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const allocated = resourcesOf(spec, count);
   machine.cpus -= allocated.cpus;
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** The fleet as the leader counts it. */
+/** The fleet with its free capacity, as the leader counts it. */
 
 import { readCatalog } from '../../storage/catalog.js';
 import { MACHINES, STATUSES } from '../../storage/keys.js';
@@ -14,10 +14,10 @@
 import { shardOf, type Member } from '../election/rendezvous-hashing.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
-/** The sums of a machine that the ledger does not list. */
+/** The usage of a machine without placed tasks. */
 const EMPTY_MACHINE_USAGE: Readonly<MachineUsage> = emptyMachineUsage();
 
-/** The machines that the parts call good. */
+/** The machines that their shards report as healthy. */
 export function* healthyMachines(
   replica: StoreReplica,
 ): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
@@ -29,16 +29,16 @@
   }
 }
 
-/** Which machine it is, and where. */
+/** What identifies a machine, without its capacity. */
 type MachineIdentity = Readonly<
   Pick<MachineCapacity, 'name' | 'shard' | 'type' | 'zone' | 'spot' | 'health'>
 >;
 
-/** The machines as the leader counts them, with the room that is left on each. */
+/** All machines with their free capacity. */
 export class MachineInventory {
   /**
-   * What records were decoded to. A change of a key replaces its entry in the replica, so that a
-   * round decodes what changed and not the whole fleet.
+   * Machines by the record that lists them. A change of a key replaces its entry in the replica, so
+   * a scheduling cycle decodes only what changed.
    */
   private readonly decoded = new WeakMap<Held, readonly MachineIdentity[]>();
 
@@ -48,7 +48,7 @@
     private readonly accounting: CapacityAccounting,
   ) {}
 
-  /** The fleet now: what the leader rented, and what the parts say of it. */
+  /** The current fleet: what the leader rented, and what the shards report. */
   machines(): Map<string, MachineCapacity> {
     const types = new Map((readCatalog(this.replica) ?? []).map((type) => [type.name, type]));
     const machines = new Map<string, MachineCapacity>();
@@ -78,14 +78,14 @@
     return identities;
   }
 
-  /** A machine that was rented; it boots until its part says otherwise. */
+  /** A rented machine; it counts as booting until its shard reports it. */
   private rentedMachine(key: string, { type, zone, spot }: MachineRecord): MachineIdentity[] {
     const name = key.slice(MACHINES.length);
     const shard = shardOf(name, zone, this.members);
     return [{ name, shard, type, zone, spot, health: 'booting' }];
   }
 
-  /** Field by field: copying the place would make objects that the engine handles slowly. */
+  /** Copies field by field: a spread would create objects that the engine handles slowly. */
   private capacityOf(identity: MachineIdentity, type: MachineType): MachineCapacity {
     const placed = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
     return {
@@ -107,7 +107,7 @@
   }
 }
 
-/** The machines that a part tells of in one of its records. */
+/** The machines that a shard lists in one of its status records. */
 function reportedMachines(key: string, { machines }: StatusRecord): MachineIdentity[] {
   const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
   return Object.entries(machines).map(([name, [type, zone, spot, health]]) => {
--- a/src/coordination/capacity/recent-gangs.ts
+++ b/src/coordination/capacity/recent-gangs.ts
@@ -1,4 +1,4 @@
-/** The gangs that were submitted lately: the next ones may be like them. */
+/** Gangs that were submitted recently: the next ones may be like them. */
 
 import { RECENT_GANGS_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -8,18 +8,18 @@
 /** CPUs of all tasks of a gang. */
 const totalCpus = (spec: JobSpec): number => spec.tasks * spec.cpus;
 
-/** The gangs of the last while, in the order in which a leader or a part learned of them. */
+/** Gangs submitted within `RECENT_GANGS_MS`, in the order in which this controller saw them. */
 export class RecentGangs {
   private readonly recent: { submittedAt: number; spec: JobSpec }[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Records a gang that was submitted now. */
+  /** Records a gang that was just submitted. */
   add(spec: JobSpec): void {
     this.recent.push({ submittedAt: this.clock.now(), spec });
   }
 
-  /** The largest of each class: the next may be like it. */
+  /** The largest gang of each class. */
   get largestByClass(): JobSpec[] {
     this.expire();
     const largestByClass = new Map<string, JobSpec>();
@@ -30,7 +30,7 @@
     return [...largestByClass.values()];
   }
 
-  /** The largest that can't stop other work: room is reserved for one like it; null: none. */
+  /** The largest gang that may not preempt: capacity is reserved for one like it; null: none. */
   get largestNonUrgent(): JobSpec | null {
     return this.largestByClass
       .filter((spec) => !isUrgent(spec))
--- a/src/coordination/capacity/resources.ts
+++ b/src/coordination/capacity/resources.ts
@@ -7,7 +7,9 @@
   memoryGb: number;
 }
 
-/** Rounding error that is tolerated where sums of decimals are compared; also as a share of a task. */
+/**
+ * Rounding error that is tolerated where sums of decimals are compared; also as a share of a task.
+ */
 export const ROUNDING_SLACK = 1e-9;
 
 /** Whether a task fits into what is free. */
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -1,4 +1,4 @@
-/** Commits the chunk records of an assigning round. */
+/** Commits the assignment records of a scheduling cycle. */
 import type { Guard } from '../../protocol/key-value-store.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { jobKey } from '../../storage/keys.js';
@@ -7,33 +7,33 @@
 import type { GuardedWriter } from '../election/guarded-writer.js';
 import type { NewAssignment } from './assignment-factory.js';
 
-/** What the commit of chunks works with. */
+/** Dependencies of the commit of assignments. */
 export interface AssignmentCommitOptions {
   readonly writer: GuardedWriter;
-  /** Changes that one transaction may hold. */
+  /** Limit of changes in one transaction. */
   readonly transactionOps: number;
   readonly replica: StoreReplica;
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly log: Log;
 }
 
-/** The job in the key of a chunk. */
+/** Job of an assignment, from its key. */
 function jobOf({ key }: NewAssignment): string {
   return key.split('/').at(-2) ?? '';
 }
 
-/** The part in the key of a chunk. */
+/** Shard of an assignment, from its key. */
 function shardOf({ key }: NewAssignment): string {
   return key.split('/').at(-3) ?? '';
 }
 
-/** Commits chunks in transactions, in the order of their jobs' turns. */
+/** Commits assignments in transactions, in the scheduling order of their jobs. */
 export class AssignmentCommit {
   constructor(private readonly options: AssignmentCommitOptions) {}
 
   /**
-   * Commits chunks until a transaction fails; returns the parts that got urgent chunks.
-   * `urgentKeys`: keys of the chunks that hold urgent work.
+   * Commits assignments until a transaction fails; returns the shards with new urgent assignments.
+   * `urgentKeys`: keys of the assignments of urgent work.
    */
   async run(
     assignments: readonly NewAssignment[],
@@ -48,8 +48,9 @@
       start = end;
       const jobs = new Set(group.map(jobOf));
       const urgent = group.some((assignment) => urgentKeys.has(assignment.key));
-      // A part may use a chunk up and remove it within seconds. A late copy of this transaction must
-      // not create it a second time, since its tasks may be in another chunk by then.
+      // A shard may finish an assignment and remove its record within seconds. A delayed duplicate
+      // of this transaction must not create it again: its tasks may be in another assignment by
+      // then.
       const result = await writer.commit(
         urgent ? 'urgent' : 'leader',
         this.guardsOf(group, jobs),
@@ -62,15 +63,15 @@
         else rejectedChangeBackoff.clear(job);
       }
       if (result.kind !== 'done') break;
-      // Lower work is assigned ahead of its room: its parts see it with their next look.
+      // Non-urgent work is assigned ahead of free capacity: its shards read it in their next pass.
       if (urgent) for (const assignment of group) urgentShards.add(shardOf(assignment));
     }
     return urgentShards;
   }
 
   /**
-   * Guards that the chunks are new and that their jobs were not cancelled meanwhile. With the role
-   * that is at most two guards a change and one more, and a transaction holds four.
+   * Conditions: the assignments are new, and their jobs were not cancelled meanwhile. With the one
+   * on the role that is at most two conditions per change plus one; a transaction may hold four.
    */
   private guardsOf(assignments: readonly NewAssignment[], jobs: ReadonlySet<string>): Guard[] {
     const guards: Guard[] = assignments.map(({ key }) => ({ key, revision: 0 }));
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -1,4 +1,4 @@
-/** Creates the chunk records that assign tasks of a job to a part. */
+/** Creates the records that assign tasks of a job to a shard. */
 import { ASSIGNMENT_BASE_BYTES, ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
 import { VALUE_SHARE } from '../../constants/storage.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -8,19 +8,19 @@
 import type { ShardZone } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** A chunk record that is not committed yet. */
+/** An assignment record that is not committed yet. */
 export interface NewAssignment {
   readonly key: string;
   readonly value: AssignmentRecord;
 }
 
-/** What a chunk of a gang says beyond that of an array: its attempt, and what it may reclaim. */
+/** Fields that only assignments of gangs have: the attempt, and what it may reclaim. */
 export type GangFields = Pick<AssignmentRecord, 'attempt' | 'reclaim'>;
 
-/** Chunk numbers of one term begin at a multiple of this, so that no term repeats a number. */
+/** Assignment numbers of a term begin at a multiple of this: no two terms share a number. */
 const NUMBERS_PER_TERM = 1e6;
 
-/** Creates chunk records with numbers that no other chunk has. */
+/** Creates assignment records with unique numbers. */
 export class AssignmentFactory {
   private readonly numbers: TermNumbers;
   private readonly tasksPerAssignment: number;
@@ -31,12 +31,12 @@
     this.tasksPerAssignment = Math.max(1, Math.floor(bytes / ASSIGNMENT_TASK_BYTES));
   }
 
-  /** The leader needs a new term before it has made all chunks that this one has numbers for. */
+  /** The leader needs a new term before the assignment numbers of this one are used up. */
   get isRunningOut(): boolean {
     return this.numbers.isRunningOut;
   }
 
-  /** Records that assign these tasks to a place, each small enough for one value. */
+  /** Records that assign these tasks to a shard zone, each small enough for one value. */
   create(
     spec: JobSpec,
     shardZone: ShardZone,
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -1,4 +1,4 @@
-/** Plans an assigning round: which tasks of which jobs go to which parts. */
+/** Plans a scheduling cycle: which tasks of which jobs go to which shards. */
 import { ASSIGN_INTERVAL_MS, DEADLINE_CAPACITY_SHARE } from '../../constants/leader.js';
 import type { Team } from '../../protocol/settings.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
@@ -25,29 +25,29 @@
 import { TeamQuota } from './team-quota.js';
 import { allocateForWaitingTasks } from './waiting-tasks.js';
 
-/** What assigning rounds are planned with. */
+/** Dependencies and settings of the planner. */
 export interface AssignmentPlannerOptions {
   readonly term: number;
-  /** Bytes that one value may hold. */
+  /** Size limit of a value in the key-value store, in bytes. */
   readonly valueBytes: number;
   readonly teams: readonly Team[];
   readonly members: readonly Member[];
-  /** Seconds within which tasks of a class should start. */
+  /** Start-time objective by class, in s. */
   readonly startWithinS: Readonly<Record<string, number>>;
-  /** How scarce this node's writes to the state service are. */
+  /** How scarce write capacity to the key-value store is for this controller. */
   readonly supply: () => Supply;
-  /** Whether a part may get new tasks: not while its owner is suspected. */
+  /** Whether a shard may get new tasks: not while its holder is suspected. */
   readonly acceptsNewWork: (shard: string) => boolean;
   readonly accounting: CapacityAccounting;
   readonly arrivals: RecentArrivals;
-  /** Jobs whose changes the state service called invalid. */
+  /** Jobs whose changes the key-value store rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly replica: StoreReplica;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** CPUs of these machines that lower work uses or may use. */
+/** CPUs of these machines that non-urgent work uses or may use. */
 function cpusForNonUrgentWork(machines: readonly MachineCapacity[]): number {
   return machines.reduce(
     (sum, { cpus, preemptibleCpus }) => sum + (Math.max(0, cpus) + preemptibleCpus),
@@ -55,7 +55,9 @@
   );
 }
 
-/** Plans assigning rounds; it writes nothing, and remembers what later rounds depend on. */
+/**
+ * Plans scheduling cycles. It writes nothing, but keeps the history that later cycles depend on.
+ */
 export class AssignmentPlanner {
   private readonly teams: ReadonlyMap<string, Team>;
   private readonly inventory: MachineInventory;
@@ -93,12 +95,12 @@
     this.gangAssignment = new GangAssignment(gangOptions);
   }
 
-  /** The leader needs a new term before it has used all numbers of this one. */
+  /** The leader needs a new term before the numbers of this one are used up. */
   get isRunningOut(): boolean {
     return this.assignmentFactory.isRunningOut || this.gangHistory.isRunningOut;
   }
 
-  /** Plans a round by the room and the team limits that are left now. */
+  /** Plans a scheduling cycle with the capacity and the quotas that are left. */
   plan(): SchedulingCycle {
     const { clock, supply } = this.options;
     const startedAt = clock.now();
@@ -131,7 +133,7 @@
     };
   }
 
-  /** Jobs in the order of their turn, once tasks that wait in parts have occupied their room. */
+  /** Jobs in scheduling order, after capacity was allocated for tasks that wait in shards. */
   private jobsInSchedulingOrder(cycle: SchedulingCycle): OpenJob[] {
     const { clock, accounting, replica } = this.options;
     const cpus = cpusForNonUrgentWork(cycle.machines) * DEADLINE_CAPACITY_SHARE;
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -1,4 +1,4 @@
-/** Finds the places whose machines have room for tasks of a job. */
+/** Finds the shard zones whose machines have capacity for tasks of a job. */
 import type { JobSpec } from '../../protocol/model.js';
 import {
   isEligible,
@@ -10,12 +10,12 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import { entryOfShardZone, type ShardZone } from '../capacity/shard-zone.js';
 
-/** How many tasks of a job a place has room for. */
+/** How many tasks of a job a shard zone has capacity for. */
 export interface ShardZoneCapacity extends ShardZone {
   readonly count: number;
 }
 
-/** Sums of room by place, in the order in which the places were found. */
+/** Sums of capacity, in the order in which the shard zones were found. */
 class CapacitySums {
   private readonly sums = new Map<string, ShardZone & { count: number }>();
 
@@ -39,8 +39,8 @@
 }
 
 /**
- * Adds free room. Room beside other tasks comes first, and empty machines count only where it does
- * not suffice: machines that nothing needs then become idle and are returned.
+ * Adds free capacity. Machines in use come first, and idle ones count only where these do not
+ * suffice: machines that nothing needs thus become idle and are released.
  */
 function addFreeCapacity(
   sums: CapacitySums,
@@ -61,7 +61,9 @@
   }
 }
 
-/** Adds room that a part makes by stopping lower work, in the least costly way that makes some. */
+/**
+ * Adds what can be reclaimed by preempting non-urgent work, by the cheapest mode that yields any.
+ */
 function addReclaimableCapacity(
   sums: CapacitySums,
   spec: JobSpec,
@@ -76,7 +78,10 @@
   }
 }
 
-/** The places with room for up to `wanted` tasks: free room, and for urgent work what it may stop. */
+/**
+ * Shard zones with capacity for up to `wanted` tasks: what is free and, for urgent work without
+ * any, what it may preempt.
+ */
 export function findCapacity(
   spec: JobSpec,
   wanted: number,
--- a/src/coordination/leader/deadline-selection.ts
+++ b/src/coordination/leader/deadline-selection.ts
@@ -1,6 +1,6 @@
-/** Selects which jobs may miss their deadlines where not all of them can be in time. */
+/** Selects which jobs may miss their deadlines where not all can meet them. */
 
-/** What a job still needs of the fleet until its deadline; times in seconds from now. */
+/** What a job still needs until its deadline; times in seconds from now. */
 export interface DeadlineDemand {
   /** CPU seconds. */
   workCpuS: number;
@@ -9,7 +9,10 @@
   dueS: number;
 }
 
-/** Inserts a demand behind those with as much work or less: a burst brings hundreds of demands. */
+/**
+ * Inserts a demand behind those with as much work or less. By binary search: a burst brings
+ * hundreds of demands.
+ */
 function insertByWork(demands: DeadlineDemand[], demand: DeadlineDemand): void {
   let start = 0;
   for (let end = demands.length; start < end;) {
@@ -21,16 +24,16 @@
 }
 
 /**
- * Which demands to let be late so that most of them are in time, by the algorithm of Moore and
- * Hodgson: in the order of the deadlines, and whenever one would be late, the largest so far is
- * taken out.
+ * Selects the demands to be late so that as many as possible are on time, by the algorithm of Moore
+ * and Hodgson: they are taken in the order of their deadlines, and whenever one would be late, the
+ * one with the most work so far is dropped.
  */
 export function selectLateDemands(
   demands: readonly DeadlineDemand[],
   cpus: number,
 ): Set<DeadlineDemand> {
   const late = new Set<DeadlineDemand>();
-  /** Demands that are in time, the one with the most work last. */
+  /** Demands that are on time, in ascending order of work. */
   const onTime: DeadlineDemand[] = [];
   let workCpuS = 0;
   for (const demand of [...demands].sort((a, b) => a.dueS - b.dueS)) {
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -39,6 +39,21 @@
   return Math.max(0, spec.tasks - immediate) * spec.cpus;
 }
 
+/** Of the shard zones in which all of a gang fits, the one with the most free capacity. */
+function bestCandidate(
+  spec: JobSpec,
+  candidates: Iterable<GangCapacity>,
+  reclaimableCpus: number,
+): GangCapacity | null {
+  let best: GangCapacity | null = null;
+  for (const candidate of candidates) {
+    if (candidate.afterReclaim < spec.tasks) continue;
+    if (missingCpus(spec, candidate) > reclaimableCpus) continue;
+    if (best === null || candidate.immediate > best.immediate) best = candidate;
+  }
+  return best;
+}
+
 /** Finds such capacity. Its counts are valid for a moment, less what was reclaimed since. */
 export class FairShareReclaim {
   private countedAt = -Infinity;
@@ -63,12 +78,7 @@
     const capacities = gangCapacityByShardZone(spec, machines, (machine) =>
       this.withoutArraysOf(teams, machine),
     );
-    let best: GangCapacity | null = null;
-    for (const candidate of capacities.values()) {
-      if (candidate.afterReclaim < spec.tasks) continue;
-      if (missingCpus(spec, candidate) > reclaimableCpus) continue;
-      if (best === null || candidate.immediate > best.immediate) best = candidate;
-    }
+    const best = bestCandidate(spec, capacities.values(), reclaimableCpus);
     if (best === null) return null;
     const { shard, zone } = best;
     const reclaim = this.deductExcess(excesses, missingCpus(spec, best));
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -1,4 +1,4 @@
-/** Assigns gangs to parts: all tasks of a gang under one attempt number, or none. */
+/** Assigns gangs to shards: all tasks of a gang under one attempt number, or none. */
 import { FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
@@ -15,7 +15,7 @@
 import { allocateInShardZone, allocateInZone } from './capacity-allocation.js';
 import type { TeamQuota } from './team-quota.js';
 
-/** What the assignment of gangs works with. */
+/** Dependencies of the assignment of gangs. */
 export interface GangAssignmentOptions {
   readonly gangHistory: GangHistory;
   readonly fairShareReclaim: FairShareReclaim;
@@ -23,36 +23,40 @@
   readonly assignmentFactory: AssignmentFactory;
   readonly replica: StoreReplica;
   readonly log: Log;
-  /** Seconds within which tasks of a class should start. */
+  /** Start-time objective by class, in s. */
   readonly startWithinS: Readonly<Record<string, number>>;
 }
 
-/** A plan that has room for a gang: now, or soon. */
+/** A plan that has capacity for the whole gang, at once or after reclaiming some. */
 type PlannedShares = Extract<GangPlan, { shares: GangShare[] }>;
 
-/** Where a gang goes, and the room of other teams that it claims for this; null: it needs none. */
+/** Where a gang goes, and what it reclaims from other teams for that; null: nothing. */
 interface GangDecision {
   readonly plan: GangPlan;
   readonly reclaimPlan: ReclaimPlan | null;
 }
 
-/** Assigns gangs whose turn it is. */
+function consecutiveIds(first: number, count: number): number[] {
+  return Array.from({ length: count }, (_, offset) => first + offset);
+}
+
+/** Assigns gangs, one by one in scheduling order. */
 export class GangAssignment {
   constructor(private readonly options: GangAssignmentOptions) {}
 
   /**
-   * Assigns a gang, if it has room as a whole. While it has none, or its team's limit allows none,
-   * what there is of it is reserved from the work behind it for a while.
+   * Assigns a gang if there is capacity for all of it. Otherwise, or while its quota is exhausted,
+   * what there is may be reserved for it for a while from the jobs behind it.
    */
   assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { gangHistory, teamQuota } = this.options;
     const { id, spec } = job;
-    // While a part still has some of its tasks, these end first.
+    // Tasks of the previous attempt that a shard still has must end first.
     if (job.unassigned < spec.tasks || !gangHistory.isRetryDue(id, cycle.startedAt)) return;
     const reservesCapacity = gangHistory.reservesCapacity(id, cycle.startedAt);
     const exceedsQuota = teamQuota.wouldExceed(spec.team, resourcesOf(spec, spec.tasks));
     const decision = exceedsQuota ? null : this.decide(job, cycle.machines);
-    // While it waits, its share of the limit is reserved too, but not for ever: small jobs go on.
+    // While it waits, quota is reserved for it too, but not for ever: small jobs go on.
     if (decision?.plan.shares || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
     if (!decision) {
       teamQuota.recordWaiting(job);
@@ -63,8 +67,9 @@
       this.assignShares(job, plan, reclaimPlan, cycle);
       return;
     }
+    const demand = { ...spec, zone: plan.zone };
     cycle.unmetDemand.push({
-      spec: { ...spec, zone: plan.zone },
+      spec: demand,
       count: plan.missingTasks,
       acceptedAt: job.acceptedAt,
     });
@@ -93,8 +98,7 @@
     const reclaim = reclaimPlan && { reclaim: reclaimPlan.reclaim };
     let firstId = 0;
     for (const share of shares) {
-      const shareStart = firstId;
-      const ids = Array.from({ length: share.count }, (_, offset) => shareStart + offset);
+      const ids = consecutiveIds(firstId, share.count);
       firstId += share.count;
       const assignments = assignmentFactory.create(spec, share, ids, { attempt, ...reclaim });
       cycle.assignments.push(...assignments);
@@ -104,19 +108,21 @@
     log.info({ job: id, attempt, shares, availability, ...reclaim }, 'gang assigned');
   }
 
-  /** What a gang within its team's guarantee may claim of other teams; null: nothing, or no need. */
+  /**
+   * What a gang within its guarantee may reclaim from other teams; null: nothing, or it need not.
+   */
   private planReclaim(
     spec: JobSpec,
     plan: GangPlan,
     machines: readonly MachineCapacity[],
   ): ReclaimPlan | null {
-    // Urgent gangs stop lower work in any case.
-    if (plan.shares && (plan.availability === 'immediate' || reclaimModeFor(spec) === 'preempt'))
-      return null;
+    // Urgent gangs preempt non-urgent work anyway.
+    const mayPreempt = reclaimModeFor(spec) === 'preempt';
+    if (plan.shares && (plan.availability === 'immediate' || mayPreempt)) return null;
     return this.options.fairShareReclaim.find(spec, machines);
   }
 
-  /** Where the image of a gang is already, and which machine types fetch it in time. */
+  /** Where the image of a gang was used last, and which machine types fetch it in time. */
   private imageHints(spec: JobSpec): ImageHints {
     const { gangHistory, replica, startWithinS } = this.options;
     const startLimitS = startWithinS[spec.class];
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -1,4 +1,4 @@
-/** What the leader remembers of gangs: their attempts, how long they wait, and where images are. */
+/** What the leader remembers of gangs: attempts, waiting times and where images were used. */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import {
@@ -12,19 +12,19 @@
 import { shardZoneKey } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** How often a gang was handed out, and when last. */
+/** How often a gang was assigned, and when last. */
 interface AssignmentTries {
   count: number;
   lastTriedAt: number;
 }
 
-/** The leader's memory of gangs in one term; times are of the steady clock, in ms. */
+/** History of gangs in one term; times are of the monotonic clock, in ms. */
 export class GangHistory {
   private readonly attempts: TermNumbers;
   private readonly triesByJob = new Map<string, AssignmentTries>();
-  /** Since when a gang waits, by job. */
+  /** Since when each gang waits, by job. */
   private readonly waitingSince = new Map<string, number>();
-  /** Where a gang with an image was last, in the order of use. */
+  /** Key of the shard zone in which a gang with each image ran last; least recently used first. */
   private readonly shardZoneByImage = new Map<string, string>();
 
   constructor(term: number) {
@@ -32,12 +32,12 @@
     this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
   }
 
-  /** The leader needs a new term before it has used all attempts of this one. */
+  /** The leader needs a new term before the attempt numbers of this one are used up. */
   get isRunningOut(): boolean {
     return this.attempts.isRunningOut;
   }
 
-  /** A new attempt for all tasks of a gang: numbers of no part, and never used again. */
+  /** A new attempt number for all tasks of a gang: no shard issues it, and it is never reused. */
   nextAttempt(job: string, now: number): number {
     this.triesByJob.set(job, {
       count: (this.triesByJob.get(job)?.count ?? 0) + 1,
@@ -47,12 +47,12 @@
     return this.attempts.next();
   }
 
-  /** The place that had a gang with an image last; null: none is remembered. */
+  /** Key of the shard zone in which a gang with this image ran last; null: not remembered. */
   lastShardZoneOf(image: string): string | null {
     return this.shardZoneByImage.get(image) ?? null;
   }
 
-  /** Remembers the place of a gang with this image; the image that was unused longest is dropped. */
+  /** Remembers where a gang with this image went, and drops the least recently used image. */
   recordPlacement(image: string, share: GangShare): void {
     this.shardZoneByImage.delete(image);
     this.shardZoneByImage.set(image, shardZoneKey(share.shard, share.zone));
@@ -62,15 +62,15 @@
     }
   }
 
-  /** Whether a gang may be handed out: one that came back again and again waits longer each time. */
+  /** Whether a gang may be assigned: the pause doubles each time that it is returned. */
   isRetryDue(job: string, now: number): boolean {
     const { count, lastTriedAt } = this.triesByJob.get(job) ?? { count: 0, lastTriedAt: -Infinity };
     return now - lastTriedAt >= Math.min(GANG_RETRY_MAX_MS, GANG_RETRY_MIN_MS * 2 ** count);
   }
 
   /**
-   * Whether room is reserved for a gang that waits: after some seconds and for a time, then for as
-   * long not, so that what can't start soon doesn't block other work for ever.
+   * Whether capacity is reserved for a waiting gang: after a delay for a time, then for as long
+   * not, so that a gang that cannot start soon does not block other work for ever.
    */
   reservesCapacity(job: string, now: number): boolean {
     const waitingSinceMs = this.waitingSince.get(job) ?? now;
@@ -79,7 +79,7 @@
     return waited >= 0 && waited % (2 * GANG_RESERVATION_MS) < GANG_RESERVATION_MS;
   }
 
-  /** Forgets the gangs whose jobs are over. */
+  /** Forgets gangs whose jobs are no longer open. */
   forgetClosed(isOpen: (job: string) => boolean): void {
     for (const entries of [this.triesByJob, this.waitingSince]) {
       for (const job of entries.keys()) if (!isOpen(job)) entries.delete(job);
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -1,4 +1,4 @@
-/** Plans where a gang goes as a whole: which parts take how many of its tasks, and in which zones. */
+/** Plans where a gang goes as a whole: which shards get how many of its tasks, in which zones. */
 
 import type { JobSpec } from '../../protocol/model.js';
 import {
@@ -14,31 +14,36 @@
   type GangCapacity,
 } from './gang-shard-zones.js';
 
-/** Tasks of a gang for one part. */
+/** The tasks of a gang that one shard zone gets. */
 export interface GangShare extends ShardZone {
   readonly count: number;
 }
 
 /**
- * Where a gang goes as a whole, and when there is room for it. No shares: there is no room; `zone` is
- * then where it lacks the least (null: anywhere), and `missing` how many of its tasks have no room
+ * Where a gang goes as a whole, and when there is capacity for it. No shares: there is none; `zone`
+ * is then the one that lacks the least (null: any), and `missingTasks` how many tasks lack capacity
  * there.
  */
 export type GangPlan =
   | { shares: GangShare[]; availability: Availability }
   | { shares: null; zone: string | null; missingTasks: number };
 
-/** What the leader recorded about a gang's image. */
+/** Where fetching the image of a gang takes little or no time. */
 export interface ImageHints {
-  /** The place that had a gang with this image last; null: none. */
+  /** Key of the shard zone in which a gang with this image ran last; null: none. */
   lastShardZone: string | null;
-  /** Machine types that fetch the image soon enough for the start aim of the gang's class. */
+  /**
+   * Whether a machine type fetches the image within the start-time objective of the gang's class.
+   */
   isFetchInTime: (type: string) => boolean;
 }
 
 const NO_HINTS: ImageHints = { lastShardZone: null, isFetchInTime: () => true };
 
-/** Decides where a gang goes: where it costs the least to make room, if there is none. */
+/**
+ * Decides where a gang goes; without free capacity, by the cheapest mode of reclaiming that
+ * suffices.
+ */
 export function planGang(
   spec: JobSpec,
   machines: readonly MachineCapacity[],
@@ -53,8 +58,8 @@
 }
 
 /**
- * Machines that fetch a gang's image in time come before others, since it starts with its last
- * fetch; only where they have no room do the others count.
+ * Machines that fetch the image in time come before others, since a gang starts with its last
+ * fetch; others count only where these have no capacity.
  */
 function planPreferringFastFetch(
   spec: JobSpec,
@@ -67,14 +72,14 @@
   if (fastFetching.length === machines.length || !plan.shares) return plan;
   const fastPlan = planOnMachines(spec, fastFetching, hints.lastShardZone, mode);
   if (!fastPlan.shares) return plan;
-  // Stopping other work takes less time than a slow fetch, waiting for its end takes more.
+  // Preemption takes less time than a slow fetch; waiting for tasks to end takes more.
   const isSoonEnough = fastPlan.availability === 'immediate' || mode !== 'awaitCompletion';
   return isSoonEnough || plan.availability === 'afterReclaim' ? fastPlan : plan;
 }
 
 /**
- * One part that has the room is best: it commits all placements at once. Several parts reserve
- * theirs, and start when all have. By real fit on each machine, not by totals.
+ * A single shard with enough capacity is best, since it commits all placements at once. Several
+ * shards reserve theirs, and start when all have.
  */
 function planOnMachines(
   spec: JobSpec,
@@ -114,7 +119,7 @@
   return shardZones.reduce((total, shardZone) => total + shardZone[availability], 0);
 }
 
-/** All tasks of a gang in one place, as its only share; null: it may not, or no place has the room. */
+/** All tasks of a gang in one shard zone; null: its spread forbids it, or none has the capacity. */
 function singleShardShare(
   spec: JobSpec,
   shardZones: readonly GangCapacity[],
@@ -127,13 +132,13 @@
       found === null || shardZone[availability] > found[availability] ? shardZone : found,
     null,
   );
-  // A gang starts with its last fetch: machines that hold the image spare it the whole wait.
+  // A gang starts with its last fetch: machines that hold the image save the whole wait.
   const best = preferred && preferred[availability] >= spec.tasks ? preferred : largest;
   if (!best || best[availability] < spec.tasks) return null;
   return [{ shard: best.shard, zone: best.zone, count: spec.tasks }];
 }
 
-/** Shares for several places of one group, of the group with the most room first. */
+/** Shares over the shard zones of one group, the group with the most capacity first. */
 function distributeOverGroups(
   spec: JobSpec,
   groups: readonly GangCapacity[][],
@@ -149,7 +154,9 @@
   return null;
 }
 
-/** Fills the places with the most room first; of a spread gang at most half goes to each zone. */
+/**
+ * Fills the shard zones with the most capacity first; a zone gets at most half of a spread gang.
+ */
 function fillShardZones(
   spec: JobSpec,
   shardZones: readonly GangCapacity[],
@@ -171,7 +178,7 @@
   return null;
 }
 
-/** What a gang that needs one zone lacks in the zone that will have the most room for it. */
+/** What a gang that must stay in one zone lacks in the zone with the most capacity for it. */
 function shortfallInBestZone(
   spec: JobSpec,
   zones: ReadonlyMap<string, readonly GangCapacity[]>,
@@ -183,7 +190,7 @@
   return { shares: null, zone, missingTasks: countMissingTasks(spec, shardZones) };
 }
 
-/** How many of a gang's tasks have no free room in these places; at least one. */
+/** How many tasks of a gang have no free capacity in these shard zones; at least one. */
 function countMissingTasks(spec: JobSpec, shardZones: readonly GangCapacity[]): number {
   return Math.max(1, spec.tasks - totalCapacity(shardZones, 'immediate'));
 }
--- a/src/coordination/leader/gang-shard-zones.ts
+++ b/src/coordination/leader/gang-shard-zones.ts
@@ -5,8 +5,8 @@
 import { entryOfShardZone, type ShardZone } from '../capacity/shard-zone.js';
 
 /**
- * When there is capacity for all of a gang. `immediate`: it is free. `afterReclaim`: it will be, once
- * other work was preempted or has ended.
+ * When there is capacity for all of a gang. `immediate`: it is free. `afterReclaim`: it will be,
+ * once other work was preempted or has ended.
  */
 export type Availability = 'immediate' | 'afterReclaim';
 
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -8,10 +8,10 @@
 import type { GuardedWriter } from '../election/guarded-writer.js';
 import { doneTasksToComplete, type CapacityAccounting } from '../capacity/capacity-accounting.js';
 
-/** What the completion of jobs works with. */
+/** Dependencies of the completion of jobs. */
 export interface JobCompletionOptions {
   readonly writer: GuardedWriter;
-  /** Changes that one transaction may hold. */
+  /** Limit of changes in one transaction. */
   readonly transactionOps: number;
   readonly replica: StoreReplica;
   readonly accounting: CapacityAccounting;
@@ -26,7 +26,7 @@
   readonly tasks: number;
 }
 
-/** A completed job takes two changes: its record is removed, and its final record is written. */
+/** Changes per completed job: its record is removed, and its final record is written. */
 const CHANGES_PER_JOB = 2;
 
 function completionOf(jobs: readonly CompletedJob[]): { guards: Guard[]; changes: Change[] } {
@@ -40,7 +40,9 @@
   return { guards, changes };
 }
 
-/** Completes jobs: several in one transaction, each only if its record is unchanged. */
+/**
+ * Completes jobs, several in one transaction and each on condition that its record is unchanged.
+ */
 export class JobCompletion {
   private readonly jobsPerTransaction: number;
 
@@ -59,7 +61,7 @@
       start = end;
       const { guards, changes } = completionOf(group);
       const result = await writer.commit('leader', guards, changes);
-      log.info({ jobs: group.map((job) => job.id), result: result.kind }, 'jobs done');
+      log.info({ jobs: group.map((job) => job.id), result: result.kind }, 'jobs completed');
       if (result.kind === 'givenUp') return;
       for (const { id } of group) {
         if (result.kind === 'invalid') rejectedChangeBackoff.add(id);
@@ -68,7 +70,7 @@
     }
   }
 
-  /** Jobs that the ledger takes for done and that are; the others are taken off its list. */
+  /** Jobs whose tasks are all done. Candidates that turn out not to be are dropped. */
   private completedJobs(): CompletedJob[] {
     const { rejectedChangeBackoff, accounting, replica } = this.options;
     const completed: CompletedJob[] = [];
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -1,4 +1,4 @@
-/** The leader's round: it completes jobs whose tasks are done, and assigns tasks to parts. */
+/** The leader: it completes jobs whose tasks are done, and assigns tasks to shards. */
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { JOBS } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
@@ -14,32 +14,32 @@
 import { CapacityAccounting } from '../capacity/capacity-accounting.js';
 import { RecentArrivals } from './recent-arrivals.js';
 
-/** What the planner of assignments gets from its leader's options. */
+/** Options that the leader passes on to its planner. */
 type PlannerSettings = Pick<
   AssignmentPlannerOptions,
   'term' | 'valueBytes' | 'teams' | 'members' | 'startWithinS' | 'supply' | 'acceptsNewWork'
 >;
 
-/** What a leader works with in its term. */
+/** Options of a leader in one term. */
 export interface LeaderOptions extends PlannerSettings {
   readonly writer: GuardedWriter;
-  /** Changes that one transaction may hold. */
+  /** Limit of changes in one transaction. */
   readonly transactionOps: number;
 }
 
-/** Completes jobs and assigns tasks to parts, round by round. */
+/** Completes jobs and assigns tasks to shards, in one scheduling cycle after the other. */
 export class Leader {
   private readonly accounting: CapacityAccounting;
   private readonly arrivals: RecentArrivals;
-  /** Jobs whose changes the state service called invalid. */
+  /** Jobs whose changes the key-value store rejected as invalid. */
   private readonly rejectedChangeBackoff: RejectedChangeBackoff;
   private readonly planner: AssignmentPlanner;
   private readonly jobCompletion: JobCompletion;
   private readonly assignmentCommit: AssignmentCommit;
   private readonly reconciling = new SingleFlight();
-  /** ms that the last round took, its waiting for the state service aside. */
+  /** Duration of the last planning in ms, without any wait for the key-value store. */
   lastCycleCpuMs = 0;
-  /** The fleet, and the demand that it does not meet, as the last round found them. */
+  /** The fleet after the last scheduling cycle, and its unmet demand. */
   snapshot: FleetSnapshot = {
     machines: [],
     unmetDemand: [],
@@ -74,12 +74,12 @@
     this.assignmentCommit = new AssignmentCommit(services);
   }
 
-  /** Half of the numbers of this term are used: the leader should go on under a new one. */
+  /** Half of the numbers of this term are used: the leader should continue under a new one. */
   get needsTermRenewal(): boolean {
     return this.planner.isRunningOut;
   }
 
-  /** A key of the replica changed. */
+  /** Handles a change of a key in the replica. */
   changed(key: string): void {
     this.accounting.changed(key);
     if (key.startsWith(JOBS)) this.arrivals.changed(key.slice(JOBS.length));
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,4 +1,4 @@
-/** The work that arrived lately: what the fleet should expect. */
+/** Work that arrived recently: a forecast of what the fleet should expect. */
 import { RECENT_ARRIVALS_MS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -6,24 +6,27 @@
 import { RecentGangs } from '../capacity/recent-gangs.js';
 import { isUrgent } from '../capacity/priorities.js';
 
-/** ms; for a shorter time than this no figure is given: too little was observed. */
+/** ms; no forecast is made from a shorter observation. */
 const MIN_OBSERVED_MS = RECENT_ARRIVALS_MS / 3;
 
-/** The work of an array that arrived. */
+/** An array that arrived. */
 interface ArrayArrival {
   readonly arrivedAt: number;
   /** CPU seconds. */
   readonly workCpuS: number;
 }
 
-/** Arrays and gangs that arrived in the last minutes: the fleet should be ready for as much again. */
+/**
+ * Arrays and gangs that arrived within `RECENT_ARRIVALS_MS`: the fleet should be ready for as much
+ * again.
+ */
 export class RecentArrivals {
   private readonly knownJobs = new Set<string>();
   private readonly recentArrays: ArrayArrival[] = [];
-  /** The gangs among them. */
+  /** Gangs that arrived recently. */
   readonly recentGangs: RecentGangs;
   private readonly startedAt: number;
-  /** The array of lower work that arrived last; null: there was none. */
+  /** The non-urgent array that arrived last; null: none did. */
   lastArray: JobSpec | null = null;
 
   constructor(
@@ -32,11 +35,11 @@
   ) {
     this.startedAt = clock.now();
     this.recentGangs = new RecentGangs(clock);
-    // Jobs that are already there arrived some time ago: they are known, but not counted.
+    // Jobs that exist already arrived at an unknown time: they are known, but not counted.
     for (const { spec } of replica.openJobs()) this.knownJobs.add(spec.id);
   }
 
-  /** A job is new or has changed, or its record is gone. */
+  /** Handles a job record that was created, changed or removed. */
   changed(job: string): void {
     const spec = this.replica.job(job)?.spec;
     if (!spec) {
@@ -49,7 +52,7 @@
     if (spec.kind === 'array' && !isUrgent(spec)) this.addArray(spec);
   }
 
-  /** CPUs that arrays of lower work need all the time if they go on arriving like this. */
+  /** CPUs that non-urgent arrays occupy on average if they go on arriving at this rate. */
   get expectedCpus(): number {
     const now = this.clock.now();
     while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > RECENT_ARRIVALS_MS)
--- a/src/coordination/leader/scheduling-cycle.ts
+++ b/src/coordination/leader/scheduling-cycle.ts
@@ -1,26 +1,26 @@
-/** What the pieces of one assigning round share. */
+/** State that the steps of one scheduling cycle share. */
 import type { MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
 import type { Queue } from './shard-queues.js';
 import type { NewAssignment } from './assignment-factory.js';
 
-/** One assigning round: what it works on, and what comes of it. */
+/** One scheduling cycle: its input, and the assignments and unmet demand that it results in. */
 export interface SchedulingCycle {
-  /** Time at which the round started, in ms. */
+  /** Start of the cycle on the monotonic clock, in ms. */
   readonly startedAt: number;
-  /** All machines, also those that boot or take no new tasks. */
+  /** All machines, including those that boot or accept no new tasks. */
   readonly fleet: MachineCapacity[];
-  /** Healthy machines; the room left on them decreases as tasks are assigned. */
+  /** Healthy machines; their free capacity decreases as tasks are assigned. */
   readonly machines: readonly MachineCapacity[];
-  /** The healthy machines without those whose room is reserved for the next gang. */
+  /** The healthy machines without those reserved for the next gang. */
   readonly unreservedMachines: readonly MachineCapacity[];
-  /** Names of the machines whose room is reserved for the next gang. */
+  /** Names of the machines reserved for the next gang. */
   readonly reservedMachineNames: ReadonlySet<string>;
-  /** The queues of the parts, by place. */
+  /** Queues by the key of their shard zone. */
   readonly queues: ReadonlyMap<string, Queue>;
-  /** Tasks for which no room was found. */
+  /** Tasks for which there is no capacity. */
   readonly unmetDemand: UnmetDemand[];
-  /** Chunks that assign tasks to parts, in the order of the jobs' turns. */
+  /** New assignments, in the scheduling order of their jobs. */
   readonly assignments: NewAssignment[];
-  /** Keys of the chunks that hold urgent work. */
+  /** Keys of the assignments of urgent work. */
   readonly urgentKeys: Set<string>;
 }
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -10,41 +10,41 @@
 export interface OpenJob {
   id: string;
   spec: JobSpec;
-  /** Time of day of its acceptance in ms. */
+  /** Wall-clock time of its acceptance, in ms. */
   acceptedAt: number;
   unassigned: number;
   done: number;
   placed: number;
   /** Fits into its team's guarantee together with the team's earlier jobs. */
   isWithinGuarantee: boolean;
-  /** 0: makes its deadline in this order; 1: would make others late, or is late already. */
+  /** 0: meets its deadline in this order; 1: is late already, or would make others late. */
   deadlineTier: number;
-  /** Nothing of it has begun for so long that it comes before all others of its rank. */
+  /** No task of it was assigned for so long that it precedes all other jobs of its rank. */
   isStartOverdue: boolean;
 }
 
-/** What the order depends on beside the jobs themselves. */
+/** What the order depends on besides the jobs. */
 export interface SchedulingState {
-  /** How far the tasks of each job have got. */
+  /** Counts of assigned, done and placed tasks, by job. */
   readonly progress: ReadonlyMap<string, Progress>;
   readonly teams: ReadonlyMap<string, Team>;
-  /** What each team uses. */
+  /** Usage by team. */
   readonly usage: ReadonlyMap<string, Usage>;
-  /** CPUs that the fleet has for lower work. */
+  /** CPUs of the fleet that non-urgent work uses or may use. */
   readonly cpus: number;
-  /** Time of day in ms. */
+  /** Wall-clock time, in ms. */
   readonly wall: number;
 }
 
-/** A job, with what its turn depends on. */
+/** A job with its sort keys. */
 interface SchedulingKey {
   readonly job: OpenJob;
   readonly rank: number;
-  /** Time of day of its deadline in ms; Infinity: it has none. */
+  /** Wall-clock time of its deadline, in ms; Infinity: it has none. */
   readonly dueAt: number;
-  /** CPU seconds that are not assigned yet. */
+  /** CPU seconds of its unassigned tasks. */
   readonly workCpuS: number;
-  /** What its team uses, as a share of the team's guarantee. */
+  /** Its team's usage as a share of the team's guarantee. */
   readonly guaranteeUsage: number;
 }
 
@@ -72,7 +72,7 @@
   wall: number,
 ): DeadlineDemand | null {
   if (spec.deadlineS === null) return null;
-  // Running tasks are half done on average.
+  // Running tasks are assumed to be half done.
   const tasks = spec.tasks - done - placed / 2;
   const runS = Math.max(1, spec.estimateS);
   return {
@@ -83,8 +83,8 @@
 }
 
 /**
- * Sets the tiers of jobs that would be late. A job that is late for long enough returns to the
- * first tier: otherwise a large job whose team stays at its limit would never end.
+ * Moves jobs that would be late to the second tier. A job that is very late returns to the first:
+ * otherwise a large job whose team stays at its quota would never end.
  */
 function setDeadlineTiers(jobs: readonly OpenJob[], { cpus, wall }: SchedulingState): void {
   const demands = new Map<DeadlineDemand, OpenJob>();
@@ -100,7 +100,7 @@
   }
 }
 
-/** Sets which jobs fit into the guarantees of their teams; `jobs`: the earliest first. */
+/** Marks the jobs that fit into the guarantees of their teams; `jobs`: in order of acceptance. */
 function setWithinGuarantee(jobs: readonly OpenJob[], teams: ReadonlyMap<string, Team>): void {
   const committed = new Map<string, Usage>();
   for (const job of jobs) {
@@ -127,23 +127,23 @@
   };
 }
 
-/** Negative: `a` comes before `b` by its rank, its waiting time, its guarantee or its kind. */
+/** Compares by rank, overdue start, guarantee and kind; negative: `a` comes first. */
 function compareClasses(a: SchedulingKey, b: SchedulingKey): number {
   return (
     b.rank - a.rank ||
     Number(b.job.isStartOverdue) - Number(a.job.isStartOverdue) ||
     (a.job.isStartOverdue ? a.job.acceptedAt - b.job.acceptedAt : 0) ||
     Number(b.job.isWithinGuarantee) - Number(a.job.isWithinGuarantee) ||
-    // A gang needs its room all at once: behind work that fits anywhere it would never find it.
+    // A gang needs all its capacity at once: behind work that fits anywhere it would never find it.
     Number(b.job.spec.kind === 'gang') - Number(a.job.spec.kind === 'gang')
   );
 }
 
-/** Negative: `a` comes before `b` by its deadline, its team's use or its age. */
+/** Compares by deadline, team usage and age; negative: `a` comes first. */
 function compareDeadlines(a: SchedulingKey, b: SchedulingKey): number {
   return (
     a.job.deadlineTier - b.job.deadlineTier ||
-    // Of those that will be late the least work first: that lets most of them end soon.
+    // Among late jobs the one with the least work first: most of them then end soon.
     (a.job.deadlineTier === 1 ? a.workCpuS - b.workCpuS : 0) ||
     (a.dueAt === b.dueAt ? 0 : a.dueAt - b.dueAt) ||
     a.guaranteeUsage - b.guaranteeUsage ||
@@ -151,7 +151,7 @@
   );
 }
 
-/** Jobs with unassigned tasks, in the order of their turn. */
+/** Jobs with unassigned tasks, in the order in which they are scheduled. */
 export function schedulingOrder(records: Iterable<JobRecord>, state: SchedulingState): OpenJob[] {
   const jobs = [...records].map((record) => openJobOf(record, state));
   setDeadlineTiers(jobs, state);
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -1,4 +1,4 @@
-/** Assigns tasks of arrays and services to parts, within the limits of their teams. */
+/** Assigns tasks of arrays and services to shards, within the quotas of their teams. */
 import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
 import { OVERDUE_TASK_SHARE, STARVED_TASK_SHARE } from '../../constants/leader.js';
 import type { Clock } from '../../transport/clock.js';
@@ -11,7 +11,7 @@
 import type { TaskDistribution } from './task-distribution.js';
 import type { TeamQuota } from './team-quota.js';
 
-/** What the assignment of arrays and services works with. */
+/** Dependencies of the assignment of arrays and services. */
 export interface ShardAssignmentOptions {
   readonly teamQuota: TeamQuota;
   readonly history: AssignmentHistory;
@@ -19,11 +19,11 @@
   readonly clock: Clock;
 }
 
-/** Assigns tasks of arrays and services whose turn it is. */
+/** Assigns tasks of arrays and services, job by job in scheduling order. */
 export class ShardAssignment {
   constructor(private readonly options: ShardAssignmentOptions) {}
 
-  /** Assigns tasks of a job, and records how many of them find no room. */
+  /** Assigns tasks of a job, and records those without capacity as unmet demand. */
   assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { history, teamQuota } = this.options;
     const allowed = this.allowedTasks(job, cycle.startedAt);
@@ -31,21 +31,18 @@
       teamQuota.recordWaiting(job);
       return;
     }
-    // Tasks that end one by one would each bring a chunk of their own: those that follow them wait
-    // until some have come together.
+    // Tasks that end one by one would each lead to an assignment of one task: their successors wait
+    // until several can be assigned together.
     const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
     const tasksWithoutCapacity = recent
       ? Math.min(allowed, recent.tasksWithoutCapacity)
       : this.assignAllowed(job, allowed, cycle);
-    if (tasksWithoutCapacity > 0)
-      cycle.unmetDemand.push({
-        spec: job.spec,
-        count: tasksWithoutCapacity,
-        acceptedAt: job.acceptedAt,
-      });
+    if (tasksWithoutCapacity <= 0) return;
+    const { spec, acceptedAt } = job;
+    cycle.unmetDemand.push({ spec, count: tasksWithoutCapacity, acceptedAt });
   }
 
-  /** Assigns up to `allowed` tasks of a job; returns how many of them have no free room. */
+  /** Assigns up to `allowed` tasks of a job; returns how many of them have no free capacity. */
   private assignAllowed(job: OpenJob, allowed: number, cycle: SchedulingCycle): number {
     const { distribution, history, teamQuota } = this.options;
     const { assignments, assigned, queued } = distribution.distribute(job, allowed, {
@@ -68,17 +65,21 @@
     const task = { ...resourcesOf(spec, 1), memoryGb: 0 };
     const wanted = job.isStartOverdue ? Math.ceil(spec.tasks * OVERDUE_TASK_SHARE) : job.unassigned;
     if (isUrgent(spec)) return Math.min(wanted, countFittingTasks(remaining, task));
-    // Non-urgent work leaves a reserve of the quota to its team's urgent work, which can reclaim none.
+    // Non-urgent work leaves a reserve of the quota to its team's urgent work, which can reclaim
+    // none.
     const unreserved = { ...remaining, cpus: remaining.cpus - teamQuota.urgentReserve(spec.team) };
     const fitting = countFittingTasks(unreserved, task);
     // Where services fill the rest of the quota, non-urgent work would starve beside idle machines:
-    // after a while some of it may use the reserve, though only if it is the reserve that blocks it.
+    // after a while some of it may use the reserve, though only if it is the reserve that blocks
+    // it.
     if (!history.isStarved(job, now) || fitting > 0) return Math.min(wanted, fitting);
     const starvedLimit = Math.ceil(spec.tasks * STARVED_TASK_SHARE);
     return Math.min(wanted, starvedLimit, countFittingTasks(remaining, task));
   }
 
-  /** Machines that a job may use: an array those reserved for a gang only after a while. */
+  /**
+   * Machines that a job may use. An array uses those reserved for a gang only once it waited long.
+   */
   private usableMachines(job: OpenJob, cycle: SchedulingCycle): readonly MachineCapacity[] {
     const waitsLong =
       job.placed === 0 && this.options.clock.wall() - job.acceptedAt > ARRAY_USES_RESERVED_AFTER_MS;
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -1,18 +1,21 @@
-/** Queues of the parts: work that is assigned to a part ahead of its free room. */
+/** Queues of shard zones: work that is assigned to a shard ahead of its free capacity. */
 
 import { QUEUE_REFILL_RATIO, QUEUE_AHEAD_S } from '../../constants/leader.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { shardZoneKey, type ShardZone } from '../capacity/shard-zone.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** What waits in a part beyond its free room, and what its machines finish meanwhile. */
+/** Work that waits in a shard zone beyond its free capacity, and how fast tasks end there. */
 export interface Queue extends ShardZone {
   waitingCpus: number;
-  /** CPUs under lower work that end in a second, by the owners' estimates. */
+  /** CPUs of arrays and gangs that become free per second, by the estimated run times. */
   endingCpus: number;
 }
 
-/** Empty queues of all places that have machines; `endingCpus`: CPUs that end there in a second. */
+/**
+ * Empty queues of all shard zones with machines; `endingCpus`: CPUs that become free per second, by
+ * shard zone.
+ */
 export function queuesByShardZone(
   machines: readonly MachineCapacity[],
   endingCpus: ReadonlyMap<string, number>,
@@ -27,8 +30,8 @@
 }
 
 /**
- * Tasks of a job that a part should get beyond its room: as many as end there in the next
- * seconds. A job that is overdue does not wait for the queue: the part takes the earliest first.
+ * Tasks of a job that may join a queue: as many as end there within `QUEUE_AHEAD_S`. A job whose
+ * start is overdue need not wait behind the queue, since the shard takes the earliest first.
  */
 export function queueCapacity(job: OpenJob, queue: Queue): number {
   const waitingCpus = job.isStartOverdue ? 0 : queue.waitingCpus;
@@ -43,7 +46,10 @@
   return job.isStartOverdue || queue.waitingCpus <= capacity * spec.cpus * QUEUE_REFILL_RATIO;
 }
 
-/** Queues short enough to be refilled with a job, the shortest first: seldom, but with many tasks. */
+/**
+ * Queues short enough to be refilled with a job, the shortest first. They are refilled seldom but
+ * with many tasks, which needs fewer writes.
+ */
 export function shortQueues(job: OpenJob, queues: ReadonlyMap<string, Queue>): Queue[] {
   return [...queues.values()]
     .filter((queue) => mayRefill(job, queue))
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -1,4 +1,4 @@
-/** Distributes tasks of an array or a service over the places with room for them. */
+/** Distributes tasks of an array or a service over the shard zones that have capacity. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { isUrgent } from '../capacity/priorities.js';
@@ -13,20 +13,20 @@
 /** What the tasks of a job are distributed over. */
 export interface DistributionTarget {
   readonly machines: readonly MachineCapacity[];
-  /** The queues of the parts, by place. */
+  /** Queues by the key of their shard zone. */
   readonly queues: ReadonlyMap<string, Queue>;
 }
 
 /** The result of distributing tasks of a job. */
 export interface DistributionResult {
   readonly assignments: readonly NewAssignment[];
-  /** Tasks that were assigned. */
+  /** Number of tasks that were assigned. */
   readonly assigned: number;
-  /** Tasks among them that wait in their part until other tasks end. */
+  /** How many of them wait in their shard until other tasks end. */
   readonly queued: number;
 }
 
-/** Numbers of a job's tasks that are in no chunk, lowest first. */
+/** Numbers of a job's tasks that are in no assignment, lowest first. */
 function unassignedIds({ id: job, spec }: OpenJob, replica: StoreReplica): number[] {
   const taken = new Uint8Array(spec.tasks);
   for (const assignment of replica.assignmentsOf(job)) {
@@ -37,13 +37,13 @@
   return ids;
 }
 
-/** Queues of the parts that a job may join: an array that is not urgent waits for others to end. */
+/** Queues that a job may join: only a non-urgent array may wait for other tasks' end. */
 function queuesFor(job: OpenJob, queues: ReadonlyMap<string, Queue>): Queue[] {
   const { spec } = job;
   return spec.kind === 'array' && !isUrgent(spec) ? shortQueues(job, queues) : [];
 }
 
-/** Tasks of one job that are being assigned: how many are left, and the chunks created so far. */
+/** Tasks of one job that are being assigned, and the assignments created so far. */
 class TaskAllotment {
   readonly assignments: NewAssignment[] = [];
 
@@ -55,7 +55,7 @@
     private readonly createAssignments: (shardZone: ShardZone, ids: number[]) => NewAssignment[],
   ) {}
 
-  /** Assigns up to `most` tasks to a place, as its zone allows; returns how many. */
+  /** Assigns up to `limit` tasks to a shard zone, as far as its zone allows; returns how many. */
   assign(shardZone: ShardZone, limit: number): number {
     const count = Math.min(this.remaining, limit, this.zones.remaining(shardZone.zone));
     if (count <= 0) return 0;
@@ -66,7 +66,9 @@
   }
 }
 
-/** Distributes tasks over places: the place with the most room first, then the shortest queue. */
+/**
+ * Distributes tasks over shard zones: by free capacity, the largest first, then the shortest queue.
+ */
 export class TaskDistribution {
   constructor(
     private readonly replica: StoreReplica,
@@ -74,8 +76,8 @@
   ) {}
 
   /**
-   * Assigns up to `allowed` tasks: as many as there is free room for and, of arrays that are not
-   * urgent, as many as there will soon be room for.
+   * Assigns up to `allowed` tasks: as many as there is free capacity for and, of non-urgent arrays,
+   * as many as there will soon be capacity for.
    */
   distribute(job: OpenJob, allowed: number, target: DistributionTarget): DistributionResult {
     const { spec } = job;
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -1,4 +1,4 @@
-/** What each team uses of its limits while the leader assigns tasks, and what it may still use. */
+/** Usage of team quotas during a scheduling cycle. */
 import { URGENT_RESERVE_QUOTA_SHARE, URGENT_RESERVE_JOBS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
@@ -9,7 +9,7 @@
 import { isUrgent } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** What the team limits are calculated from. */
+/** Dependencies of the quotas. */
 export interface TeamQuotaOptions {
   readonly teams: ReadonlyMap<string, Team>;
   readonly replica: StoreReplica;
@@ -17,22 +17,22 @@
   readonly log: Log;
 }
 
-/** The limits of all teams, and what is used of them. */
+/** The quotas of all teams and their usage. */
 export class TeamQuota {
   private readonly usageByTeam = new Map<string, Usage>();
-  /** CPUs of each team's limit that its urgent work may want at any moment. */
+  /** CPUs of each quota that are reserved for urgent work of the team. */
   private urgentReserves: ReadonlyMap<string, number> = new Map();
-  /** Jobs that came to wait for their team's limit: logged once each. */
+  /** Jobs that wait for quota: each is logged once. */
   private readonly waitingJobs = new Set<string>();
 
   constructor(private readonly options: TeamQuotaOptions) {}
 
-  /** What each team uses, with what this round assigned. */
+  /** Usage by team, including what this cycle assigned. */
   get usage(): ReadonlyMap<string, Usage> {
     return this.usageByTeam;
   }
 
-  /** Starts a round: counts what the teams use and what their urgent work may want. */
+  /** Starts a scheduling cycle: counts usage and reserves for urgent work. */
   beginCycle(): void {
     this.usageByTeam.clear();
     for (const [team, usage] of this.options.accounting.teams)
@@ -47,7 +47,7 @@
     }
   }
 
-  /** What a team's limit still allows, its reserve for urgent work included. */
+  /** What is left of a quota, its reserve for urgent work included. */
   remaining(name: string): Usage {
     const team = this.options.teams.get(name);
     const usage = this.usageOf(name);
@@ -57,12 +57,12 @@
     };
   }
 
-  /** CPUs of a team's limit that lower work must leave to the team's urgent work. */
+  /** CPUs of a quota that non-urgent work must leave to the team's urgent work. */
   urgentReserve(team: string): number {
     return this.urgentReserves.get(team) ?? 0;
   }
 
-  /** Whether a team's limit does not allow so much more. */
+  /** Whether so much more would exceed the quota of a team. */
   wouldExceed(name: string, more: Resources): boolean {
     const team = this.options.teams.get(name);
     const usage = this.usageOf(name);
@@ -72,7 +72,7 @@
     );
   }
 
-  /** Counts so many tasks of a job as used by its team. */
+  /** Counts tasks of a job as usage of its team. */
   recordUse(spec: JobSpec, count: number): void {
     const usage = this.usageOf(spec.team);
     const allocated = resourcesOf(spec, count);
@@ -80,12 +80,12 @@
     usage.gpus += allocated.gpus;
   }
 
-  /** Notes that a job waits for its team's limit. */
+  /** Records that a job waits for quota. */
   recordWaiting({ id, spec }: OpenJob): void {
     if (this.waitingJobs.has(id)) return;
     this.waitingJobs.add(id);
-    const use = this.usageOf(spec.team);
-    this.options.log.info({ job: id, team: spec.team, use }, 'waits: its team is at its limit');
+    const usage = this.usageOf(spec.team);
+    this.options.log.info({ job: id, team: spec.team, usage }, 'job waits for team quota');
   }
 
   private usageOf(team: string): Usage {
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -1,4 +1,7 @@
-/** Occupies room for tasks that were assigned to a part earlier and still wait there. */
+/**
+ * Allocates capacity for tasks that were assigned to a shard in an earlier cycle and are not placed
+ * yet.
+ */
 import type { JobSpec } from '../../protocol/model.js';
 import type { AssignmentSummary, JobRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -9,13 +12,16 @@
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import { allocateInShardZone } from './capacity-allocation.js';
 
-/** Share of a place's machines that must have become full for its list to be shortened. */
+/** A shard zone's list of machines is filtered once this share of them has become full. */
 const FULL_SHARE = 1 / 4;
 
-/** Machines with free CPUs, by place. */
+/** Machines with free CPUs, by the key of their shard zone. */
 type FreeMachines = Map<string, readonly MachineCapacity[]>;
 
-/** Most machines of a busy fleet are full: those are not looked at again for each chunk. */
+/**
+ * Only machines with free CPUs: most of a busy fleet have none, and need not be visited for each
+ * assignment.
+ */
 function freeMachinesByShardZone(machines: readonly MachineCapacity[]): FreeMachines {
   const machinesByShardZone = new Map<string, MachineCapacity[]>();
   for (const machine of machines) {
@@ -28,8 +34,11 @@
   return machinesByShardZone;
 }
 
-/** Occupies free room as the part's first fit will; returns how many tasks found none. */
-function allocateFirstFit(
+/**
+ * Allocates free capacity in the order of the shard's own first fit; returns how many tasks found
+ * none.
+ */
+function allocateInShardOrder(
   spec: JobSpec,
   assignment: AssignmentSummary,
   free: FreeMachines,
@@ -57,7 +66,10 @@
   return remaining;
 }
 
-/** Occupies room to come for waiting tasks of a chunk, and records them as unmet demand. */
+/**
+ * Records waiting tasks of an assignment as unmet demand. For a gang, also allocates the capacity
+ * that will be reclaimed.
+ */
 function addUnmetDemand(
   { spec, at: acceptedAt }: JobRecord,
   assignment: AssignmentSummary,
@@ -65,16 +77,19 @@
   cycle: SchedulingCycle,
 ): void {
   const isGang = assignment.attempt !== null;
-  // Its part reserves room to come for a gang: other jobs must not count on it.
+  // Its shard reserves reclaimed capacity for the gang: other jobs must not count on it.
   if (isGang) allocateInShardZone(spec, assignment, count, cycle.machines);
   const queue = cycle.queues.get(shardZoneKey(assignment.shard, assignment.zone));
   if (queue) queue.waitingCpus += count * spec.cpus;
-  // A gang's machines must be where the rest of it has its room.
+  // Machines for a gang in one zone must be rented in the zone of the gang's other tasks.
   const demand = isGang && spec.oneZone ? { ...spec, zone: assignment.zone } : spec;
   cycle.unmetDemand.push({ spec: demand, count, acceptedAt });
 }
 
-/** Occupies room for all waiting tasks of open jobs; those without free room join the queues. */
+/**
+ * Allocates capacity for all waiting tasks of open jobs. Those without free capacity join the
+ * queues.
+ */
 export function allocateForWaitingTasks(
   cycle: SchedulingCycle,
   accounting: CapacityAccounting,
@@ -84,7 +99,7 @@
   for (const assignment of accounting.waiting.values()) {
     const job = replica.job(assignment.job);
     if (!job) continue;
-    const remaining = allocateFirstFit(job.spec, assignment, free, cycle.reservedMachineNames);
+    const remaining = allocateInShardOrder(job.spec, assignment, free, cycle.reservedMachineNames);
     if (remaining > 0) addUnmetDemand(job, assignment, remaining, cycle);
   }
 }
--- a/src/coordination/leader/zone-limits.ts
+++ b/src/coordination/leader/zone-limits.ts
@@ -1,14 +1,14 @@
-/** How many tasks of a job each zone may take, by the job's `oneZone` and `spread`. */
+/** How many tasks of a job each zone may get, by its `oneZone` and `spread`. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** Room for tasks of a job in a zone. */
+/** Capacity for tasks of a job in a zone. */
 export interface ZoneCapacity {
   readonly zone: string;
   readonly count: number;
 }
 
-/** Tasks of a job that are assigned and not done, by zone. */
+/** Assigned tasks of a job that are not done, by zone. */
 function activeTasks(job: string, replica: StoreReplica): Map<string, number> {
   const active = new Map<string, number>();
   for (const assignment of replica.assignmentsOf(job)) {
@@ -24,7 +24,9 @@
   return freeByZone;
 }
 
-/** The zone of a job that must have one: where tasks of it are, or where it has the most room. */
+/**
+ * The zone of a job that must stay in one: where it has tasks, else where there is most capacity.
+ */
 function onlyZone(
   active: ReadonlyMap<string, number>,
   free: ReadonlyMap<string, number>,
@@ -35,7 +37,7 @@
   return best?.[0];
 }
 
-/** How many more tasks of a job each zone with room may take. */
+/** How many more tasks of a job each zone with capacity may get. */
 export class ZoneLimits {
   private readonly limits = new Map<string, number>();
 
@@ -54,7 +56,7 @@
     }
   }
 
-  /** How many more tasks a zone may take. */
+  /** How many more tasks a zone may get. */
   remaining(zone: string): number {
     return this.limits.get(zone) ?? 0;
   }
--- a/test/capacity/machine-inventory.test.ts
+++ b/test/capacity/machine-inventory.test.ts
@@ -18,7 +18,7 @@
   { node: 'q', zone: 'b' },
 ];
 
-const nameOf = (at: number): string => `m-${String(at).padStart(6, '0')}`;
+const nameOf = (index: number): string => `m-${String(index).padStart(6, '0')}`;
 
 /** A status record that counts how often its machines are listed. */
 function countedStatus(page: number, count: { reads: number }): StatusRecord {
@@ -58,12 +58,12 @@
   return { replica, inventory, count, revision };
 }
 
-// Each round of the leader decoded the records of the whole fleet anew: an eighth of its processor
-// time on a small controller, in one stretch that held up the reports of workers.
-test('a round decodes only the records that changed, and lists 4,000 machines', () => {
+// Each scheduling cycle decoded the records of the whole fleet anew: an eighth of its processor
+// time on a small controller, in one stretch that held up the heartbeats of workers.
+test('a scheduling cycle decodes only the records that changed, and lists 4,000 machines', () => {
   const { replica, inventory, count, revision } = largeFleet();
   const pages = MACHINES / PER_SHARD / 2;
-  for (let round = 0; round < 5; round++) {
+  for (let cycle = 0; cycle < 5; cycle++) {
     const machines = [...inventory.machines().values()];
     assert.equal(machines.length, MACHINES);
     assert.equal(machines.filter(({ health }) => health === 'ok').length, MACHINES / 2);
@@ -77,7 +77,7 @@
   assert.equal(count.reads, pages + 1, 'and once more when it changes');
 });
 
-test('a machine that drains or is gone is not counted, whatever its part says', () => {
+test('a machine that drains or is gone is not counted, whatever its shard says', () => {
   const { replica, inventory, revision } = largeFleet();
   const record: MachineRecord = { state: 'drain', type: 'small', zone: 'a', spot: false, at: 0 };
   assert.ok(inventory.machines().has(nameOf(1)));
--- a/test/cluster/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -1,4 +1,4 @@
-/** Gangs: where they begin, how they wait for room, and how they are stopped. */
+/** Gangs: where they begin, how they wait for capacity, and how they are stopped. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -77,7 +77,7 @@
   })),
   {
     // Each holding half of what it needs, both would wait for ever.
-    name: 'two gangs for one room, each more than half of it',
+    name: 'two gangs for the same capacity, each more than half of it',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -92,7 +92,7 @@
     },
   },
   {
-    name: 'larger than the machines of any part',
+    name: 'larger than the machines of any shard',
     zones: ['a', 'a', 'a', 'a', 'a', 'a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { team: 'wide', tasks: 16, cpus: 2, oneZone: true });
@@ -112,7 +112,7 @@
   },
   {
     // A transaction of the world holds 8 changes; the store refuses a larger one.
-    name: 'larger than one transaction, over many machines and all parts',
+    name: 'larger than one transaction, over many machines and all shards',
     zones: ['a', 'b', 'a', 'b', 'a', 'b', 'a', 'b', 'a', 'b'],
     maxMachines: 10,
     act: async (world) => {
@@ -144,7 +144,7 @@
     },
   },
   {
-    name: 'its team is at its limit by other work: it waits, then runs',
+    name: 'its team is at its quota by other work: it waits, then runs',
     zones: ['a', 'a', 'a', 'b', 'b', 'b'],
     done: [GANG, OTHER],
     act: async (world) => {
@@ -157,7 +157,7 @@
     },
   },
   {
-    name: 'an urgent gang stops lower array work for room',
+    name: 'an urgent gang preempts non-urgent arrays for capacity',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER, 'j-000003'],
@@ -170,8 +170,8 @@
     },
   },
   {
-    // Room that ends piece by piece must be kept for it, or short work takes every piece.
-    name: 'waits for room while short array work keeps coming, and begins within 60 s',
+    // Capacity that becomes free piece by piece must be reserved for it, or short work takes every piece.
+    name: 'waits for capacity while short array work keeps coming, and begins within 60 s',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG],
@@ -194,7 +194,7 @@
     },
   },
   {
-    // Room kept for a gang that can't begin is kept from others for nothing.
+    // Capacity reserved for a gang that can't begin is kept from others for nothing.
     name: 'arrays behind a gang that can not start soon get done',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -1,4 +1,4 @@
-/** Gangs within their team's guarantee stop arrays that other teams run beyond theirs. */
+/** Gangs within their team's guarantee preempt arrays that other teams run beyond theirs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
@@ -26,7 +26,7 @@
   ].map((team) => [team.name, team]),
 );
 
-/** One machine of part p with this much free, and arrays of blue on it. */
+/** One machine of shard p with this much free, and arrays of blue on it. */
 const machine = (cpus: number, zone = 'a'): MachineCapacity => ({
   name: 'm-1',
   shard: 'p',
@@ -54,7 +54,7 @@
   } as unknown as StoreReplica;
 }
 
-test('a claim stops no more than what other teams run beyond their guarantees', () => {
+test('a reclaim preempts no more than what other teams run beyond their guarantees', () => {
   const cases: {
     name: string;
     team?: string;
@@ -65,7 +65,7 @@
     want: Record<string, number> | null;
   }[] = [
     { name: 'enough beyond the guarantee', tasks: 8, want: { blue: 4 } },
-    { name: 'some room is free', tasks: 6, free: 2, want: { blue: 2 } },
+    { name: 'some capacity is free', tasks: 6, free: 2, want: { blue: 2 } },
     { name: 'too little beyond it', tasks: 7, want: null },
     { name: 'all within it', tasks: 4, want: null },
     { name: 'its own team', team: 'red', tasks: 14, want: null },
@@ -73,14 +73,18 @@
     { name: 'not where it may go', tasks: 8, zone: 'b', want: null },
   ];
   for (const { name, team = 'blue', tasks, kind = 'array', free = 0, zone = 'a', want } of cases) {
-    const claims = new FairShareReclaim(TEAMS, running(team, tasks, kind), new SimClock());
+    const fairShareReclaim = new FairShareReclaim(
+      TEAMS,
+      running(team, tasks, kind),
+      new SimClock(),
+    );
     const spec = { ...GANG, zone: 'a' };
-    const claim = claims.find(spec, [machine(free, zone)]);
-    assert.deepEqual(claim?.reclaim ?? null, want, name);
+    const plan = fairShareReclaim.find(spec, [machine(free, zone)]);
+    assert.deepEqual(plan?.reclaim ?? null, want, name);
     if (want === null) continue;
-    assert.deepEqual(claim?.share, { shard: 'p', zone: 'a', count: 2 }, name);
-    // What was claimed is not claimed again before it is counted anew.
-    assert.equal(claims.find(spec, [machine(free, zone)]), null, `${name}, again`);
+    assert.deepEqual(plan?.share, { shard: 'p', zone: 'a', count: 2 }, name);
+    // What was reclaimed is not reclaimed again before it is recounted.
+    assert.equal(fairShareReclaim.find(spec, [machine(free, zone)]), null, `${name}, again`);
   }
 });
 
@@ -101,7 +105,7 @@
   cause: null,
 });
 
-test('a part stops just the arrays that a claim allows, and only at once', async () => {
+test('a shard preempts just the arrays that a reclaim allows, and only at once', async () => {
   const cases: {
     name: string;
     reclaim?: Record<string, number>;
@@ -109,13 +113,13 @@
     kind?: JobSpec['kind'];
     want: string[];
   }[] = [
-    { name: 'no claim', want: [] },
-    { name: 'a claim', reclaim: { blue: 1 }, want: ['stop'] },
-    { name: 'a larger claim', reclaim: { blue: 3 }, want: ['stop'] },
-    { name: 'too small a claim', reclaim: { blue: 0.5 }, want: [] },
+    { name: 'no reclaim', want: [] },
+    { name: 'a reclaim', reclaim: { blue: 1 }, want: ['stop'] },
+    { name: 'a larger reclaim', reclaim: { blue: 3 }, want: ['stop'] },
+    { name: 'too small a reclaim', reclaim: { blue: 0.5 }, want: [] },
     { name: 'of another team', reclaim: { green: 3 }, want: [] },
     { name: 'services stay', reclaim: { blue: 3 }, kind: 'service', want: [] },
-    { name: 'a claim of long ago', reclaim: { blue: 3 }, lateMs: 3500, want: [] },
+    { name: 'a reclaim of long ago', reclaim: { blue: 3 }, lateMs: 3500, want: [] },
   ];
   for (const { name, reclaim, lateMs = 0, kind = 'array', want } of cases) {
     const world = await shardFixture({
--- a/test/leader/team-quota-reserve.test.ts
+++ b/test/leader/team-quota-reserve.test.ts
@@ -1,4 +1,4 @@
-/** How much of its team's limit lower work may use, beside what is reserved for urgent work. */
+/** How much of its team's quota non-urgent work may use, beside what is reserved for urgent work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { STARVATION_MS } from '../../src/constants/leader.js';
@@ -22,7 +22,7 @@
   isStartOverdue: false,
 };
 
-/** How many tasks are allowed with so many CPUs left of the limit, after so long without any. */
+/** How many tasks are allowed with so many CPUs left of the quota, after so long without any. */
 function allowedTasks(remaining: number, starvedMs: number): number {
   let allowed = 0;
   const history = new AssignmentHistory();
@@ -43,17 +43,17 @@
     } as never,
     clock: new SimClock(),
   });
-  const round = { startedAt: starvedMs, assignments: [], unmetDemand: [], machines: [] };
-  assignment.assign(OPEN, round as never);
+  const cycle = { startedAt: starvedMs, assignments: [], unmetDemand: [], machines: [] };
+  assignment.assign(OPEN, cycle as never);
   return allowed;
 }
 
-test('lower work leaves the reserve alone, but for a share of what starves because of it', () => {
+test('non-urgent work leaves the reserve alone, but for a share of what starves because of it', () => {
   const cases: [string, number, number, number][] = [
     ['the reserve is left alone', 10, 0, 6],
     ['nothing but the reserve is left', 3, 0, 0],
-    // A quarter of its tasks was all that a starved job got, however much room there was.
-    ['starved, though there is room beside the reserve', 10, STARVATION_MS + 1, 6],
+    // A quarter of its tasks was all that a starved job got, however much quota was left.
+    ['starved, though there is quota beside the reserve', 10, STARVATION_MS + 1, 6],
     ['starved because of the reserve', 3, STARVATION_MS + 1, 2],
     ['starved, and little is left at all', 1, STARVATION_MS + 1, 1],
   ];
--- a/test/scheduling/scheduling-sums.test.ts
+++ b/test/scheduling/scheduling-sums.test.ts
@@ -43,18 +43,18 @@
   for (const one of small) assert.ok(JSON.stringify(one).length <= 320);
 });
 
-test('overload: as many claims as possible stay in time', () => {
-  const claim = (work: number, dueS: number, runS = 1) => ({ workCpuS: work, runS, dueS });
-  const cases: [ReturnType<typeof claim>[], number, number[]][] = [
-    [[claim(10, 10), claim(10, 20)], 1, []],
-    [[claim(15, 10), claim(5, 12), claim(5, 13)], 1, [0]],
-    [[claim(5, 10), claim(50, 20), claim(5, 30)], 1, [1]],
-    [[claim(5, 10, 11)], 100, [0]],
+test('overload: as many demands as possible stay in time', () => {
+  const demand = (workCpuS: number, dueS: number, runS = 1) => ({ workCpuS, runS, dueS });
+  const cases: [ReturnType<typeof demand>[], number, number[]][] = [
+    [[demand(10, 10), demand(10, 20)], 1, []],
+    [[demand(15, 10), demand(5, 12), demand(5, 13)], 1, [0]],
+    [[demand(5, 10), demand(50, 20), demand(5, 30)], 1, [1]],
+    [[demand(5, 10, 11)], 100, [0]],
   ];
-  for (const [claims, cpus, late] of cases) {
-    const found = selectLateDemands(claims, cpus);
+  for (const [demands, cpus, late] of cases) {
+    const found = selectLateDemands(demands, cpus);
     assert.deepEqual(
-      claims.flatMap((one, at) => (found.has(one) ? [at] : [])),
+      demands.flatMap((one, at) => (found.has(one) ? [at] : [])),
       late,
     );
   }
