--- a/src/coordination/controller/controller-node.ts
+++ b/src/coordination/controller/controller-node.ts
@@ -214,7 +214,7 @@
   /** One round of each part, one after the other, and what is due periodically beside them. */
   private async runShards(): Promise<void> {
     this.requestLog.writeIfDue();
-    this.detection?.writeIfDue();
+    this.detection?.recordProbeTimesIfDue();
     for (const shard of [...this.shards.values()]) await shard.reconcile();
     this.heartbeatEndpoint.forgetOldRedirects();
     this.relay.probeSilent();
--- a/src/coordination/election/failover-policy.ts
+++ b/src/coordination/election/failover-policy.ts
@@ -8,7 +8,7 @@
   readonly incarnation: string;
   readonly term: number;
   /** Steady time in ms since which this node has seen that nobody holds the role. */
-  readonly since: number;
+  readonly expiredSince: number;
 }
 
 /**
@@ -17,16 +17,16 @@
  */
 export interface FailoverPolicy {
   /** Whether a role may be taken now from a holder whose registration has ended. */
-  mayTakeOver(holder: ExpiredHolder): boolean;
+  mayFailOver(holder: ExpiredHolder): boolean;
   /** This node's own registration has ended. */
-  registrationLost(): void;
+  onRegistrationLost(): void;
   /** Whether this node leaves its roles with nodes that live, since it lost its registration often. */
   isDamped(): boolean;
 }
 
 /** The state service's word alone decides. */
 export const STORE_ONLY_POLICY: FailoverPolicy = {
-  mayTakeOver: () => true,
-  registrationLost: () => undefined,
+  mayFailOver: () => true,
+  onRegistrationLost: () => undefined,
   isDamped: () => false,
 };
--- a/src/coordination/election/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -16,10 +16,10 @@
     private readonly replica: StoreReplica,
     private readonly committer: Committer,
     /** Still ours, as far as the replica knows. */
-    readonly alive: () => boolean,
+    readonly isStillHolder: () => boolean,
   ) {}
 
-  private guard(): Guard {
+  private roleGuard(): Guard {
     return { key: this.key, revision: this.replica.revisionOf(this.key) };
   }
 
@@ -31,34 +31,36 @@
     purpose: Purpose,
     guards: Guard[],
     changes: Change[],
-    once = false,
+    mustNotRepeat = false,
   ): Promise<CommitResult> {
     for (;;) {
-      if (!this.alive()) return { kind: 'givenUp', unsure: false };
-      const guarded = [this.guard(), ...guards];
-      const result = once
-        ? await this.committer.commitOnce({ purpose, guards: guarded, changes }, this.alive, () =>
-            this.renew(),
+      if (!this.isStillHolder()) return { kind: 'givenUp', unsure: false };
+      const guarded = [this.roleGuard(), ...guards];
+      const result = mustNotRepeat
+        ? await this.committer.commitOnce(
+            { purpose, guards: guarded, changes },
+            this.isStillHolder,
+            () => this.rewriteRoleKey(),
           )
-        : await this.committer.commit(purpose, guarded, changes, this.alive);
+        : await this.committer.commit(purpose, guarded, changes, this.isStillHolder);
       // Not carried out, and the role is still ours: its key was only written anew meanwhile.
-      const again =
+      const shouldRetry =
         result.kind === 'settled' ||
         (result.kind === 'conflict' && result.failed.length === 1 && result.failed[0] === this.key);
-      if (!again || !this.alive()) return result;
+      if (!shouldRetry || !this.isStillHolder()) return result;
     }
   }
 
   /** Writes the role's key anew; false: the role is lost. */
-  private async renew(): Promise<boolean> {
+  private async rewriteRoleKey(): Promise<boolean> {
     const before = this.replica.get<RoleRecord>(this.key);
-    if (!before || !this.alive()) return false;
+    if (!before || !this.isStillHolder()) return false;
     await this.committer.commit(
       'role',
-      [this.guard()],
+      [this.roleGuard()],
       [{ key: this.key, value: before.value }],
-      this.alive,
+      this.isStillHolder,
     );
-    return this.alive() && this.replica.revisionOf(this.key) > before.revision;
+    return this.isStillHolder() && this.replica.revisionOf(this.key) > before.revision;
   }
 }
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -4,7 +4,7 @@
   CANCEL_MARGIN_S,
   CANCEL_MARGIN_SHARE,
   LEASE_MARGIN_MS,
-  MOVED_LONG_MS,
+  FORMER_HOLDER_GONE_MS,
 } from '../../constants/election.js';
 import { CLOCK_DRIFT } from '../../constants/protocol.js';
 import type { RoleRecord } from '../../storage/records.js';
@@ -22,14 +22,14 @@
  * cancellation that the owner never heard of is due.
  */
 export function graceMs(timing: LeaseTiming): number {
-  const gap = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
+  const slackS = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
   // Where the deployment leaves little between the two, the margin must not eat up the grace: an
   // owner whose grace is shorter than its watch takes would never answer a worker.
-  return (gap - Math.min(CANCEL_MARGIN_S, gap * CANCEL_MARGIN_SHARE)) * 1000;
+  return (slackS - Math.min(CANCEL_MARGIN_S, slackS * CANCEL_MARGIN_SHARE)) * 1000;
 }
 
 /** The longest that a worker's tasks outlive its last answered report. */
-export function leaseMs(timing: LeaseTiming): number {
+export function workerLeaseMs(timing: LeaseTiming): number {
   return timing.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
 }
 
@@ -46,9 +46,9 @@
 ): number {
   // The process before this one ended before this one began, so its answers did too. Where this one
   // held the role itself, `startedAt` is when its earlier term ended.
-  const afterSelf = self.startedAt + leaseMs(timing);
-  if (record.movedAt === 0 || wall - record.movedAt > MOVED_LONG_MS) return afterSelf;
+  const ownAnswersEndAt = self.startedAt + workerLeaseMs(timing);
+  if (record.movedAt === 0 || wall - record.movedAt > FORMER_HOLDER_GONE_MS) return ownAnswersEndAt;
   // Another node answered at the latest a full grace after its last watch that did not show the
   // claim, which was sent before the claim was carried out, which was before we saw it.
-  return Math.max(afterSelf, self.seenAt + graceMs(timing) + leaseMs(timing));
+  return Math.max(ownAnswersEndAt, self.seenAt + graceMs(timing) + workerLeaseMs(timing));
 }
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -3,8 +3,8 @@
 /** FNV-1a over UTF-16 units, mixed once more: even enough for choosing among a few nodes. */
 export function hash(text: string): number {
   let value = 0x811c9dc5;
-  for (let at = 0; at < text.length; at++) {
-    value ^= text.charCodeAt(at);
+  for (let index = 0; index < text.length; index++) {
+    value ^= text.charCodeAt(index);
     value = Math.imul(value, 0x01000193);
   }
   value ^= value >>> 16;
@@ -14,7 +14,7 @@
 }
 
 /** Rendezvous hashing: the candidate with the greatest hash together with the name. */
-export function choose(name: string, candidates: readonly string[]): string | null {
+export function highestRanked(name: string, candidates: readonly string[]): string | null {
   let best: string | null = null;
   let bestHash = -1;
   for (const candidate of candidates) {
@@ -40,18 +40,18 @@
 export function shardOf(machine: string, zone: string, members: readonly Member[]): string {
   const local = members.filter((member) => member.zone === zone);
   const names = (local.length > 0 ? local : members).map((member) => member.node);
-  return choose(machine, names) ?? '';
+  return highestRanked(machine, names) ?? '';
 }
 
 /** All names, each the choice among those that are left. */
-function rank(role: string, members: readonly Member[]): string[] {
+function rankByHash(role: string, members: readonly Member[]): string[] {
   const names = members.map((member) => member.node);
-  const order: string[] = [];
-  for (let next = choose(role, names); next !== null; next = choose(role, names)) {
-    order.push(next);
+  const ranking: string[] = [];
+  for (let next = highestRanked(role, names); next !== null; next = highestRanked(role, names)) {
+    ranking.push(next);
     names.splice(names.indexOf(next), 1);
   }
-  return order;
+  return ranking;
 }
 
 /** The order in which nodes take a part whose home does not: those of its zone first. */
@@ -60,9 +60,9 @@
   preferredOwner: Member,
   nodes: readonly Member[],
 ): string[] {
-  const near = nodes.filter((node) => node.zone === preferredOwner.zone);
-  const far = nodes.filter((node) => node.zone !== preferredOwner.zone);
-  return [...rank(role, near), ...rank(role, far)];
+  const sameZone = nodes.filter((node) => node.zone === preferredOwner.zone);
+  const otherZones = nodes.filter((node) => node.zone !== preferredOwner.zone);
+  return [...rankByHash(role, sameZone), ...rankByHash(role, otherZones)];
 }
 
 /**
@@ -74,13 +74,13 @@
   nodes: readonly Member[],
   members: readonly Member[],
 ): string[] {
-  const sharing = (node: Member): number =>
+  const membersInZoneOf = (node: Member): number =>
     members.filter((member) => member.zone === node.zone).length;
-  const sizes = [...new Set(nodes.map(sharing))].sort((a, b) => b - a);
+  const sizes = [...new Set(nodes.map(membersInZoneOf))].sort((a, b) => b - a);
   return sizes.flatMap((size) =>
-    rank(
+    rankByHash(
       role,
-      nodes.filter((node) => sharing(node) === size),
+      nodes.filter((node) => membersInZoneOf(node) === size),
     ),
   );
 }
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -1,6 +1,6 @@
 /** Roles: which node leads and which node owns each part. */
 
-import { MEMBER_RENEW_MS, MEMBER_TTL_MS } from '../../constants/election.js';
+import { MEMBER_LEASE_RENEW_MS, MEMBER_LEASE_TTL_MS } from '../../constants/election.js';
 import type { Committer } from '../../storage/committer.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import { nodeKey, roleKey } from '../../storage/keys.js';
@@ -62,16 +62,16 @@
 
 /** One ownership for all roles: who holds what, on whose lease, and taking over what is free. */
 export class RoleElection {
-  private lease: number | null = null;
+  private memberLease: number | null = null;
   /** Our roles: term, the revision at which we got it, and when we first saw that. */
-  private readonly claims = new Map<string, ClaimedTerm>();
+  private readonly claimedTerms = new Map<string, ClaimedTerm>();
   private busy = false;
   private renewedAt = -Infinity;
   /** This process is registered, unless that has ended; a loss is noted once. */
   private hasRegistration = false;
   private readonly rejectedChangeBackoff: RejectedChangeBackoff;
   private readonly steppedDown: SteppedDownRoles;
-  private readonly turns: CandidateOrder;
+  private readonly candidateOrder: CandidateOrder;
   private readonly self: Member;
   private readonly replica: StoreReplica;
   private readonly clock: Clock;
@@ -89,7 +89,7 @@
     this.steppedDown = new SteppedDownRoles(clock);
     this.startedAt = clock.now();
     const { rejectedChangeBackoff, startedAt, steppedDown } = this;
-    this.turns = new CandidateOrder({
+    this.candidateOrder = new CandidateOrder({
       ...options,
       rejectedChangeBackoff,
       startedAt,
@@ -115,20 +115,20 @@
 
   /** A role of ours, once the replica holds everything that was written before we took it. */
   heldRole(role: string): HeldRole | null {
-    const held = this.replica.get<RoleRecord>(roleKey(role));
-    if (!held || held.value.owner !== this.self.node) return null;
-    if (held.value.incarnation !== this.options.incarnation) return null;
-    const { term } = held.value;
+    const entry = this.replica.get<RoleRecord>(roleKey(role));
+    if (!entry || entry.value.owner !== this.self.node) return null;
+    if (entry.value.incarnation !== this.options.incarnation) return null;
+    const { term } = entry.value;
     if (this.steppedDown.has(role, term)) return null;
-    let claim = this.claims.get(role);
+    let claim = this.claimedTerms.get(role);
     // Its key may be written anew within the term: what counts is when we got it.
     if (claim?.term !== term) {
       const heldBefore = claim !== undefined;
-      claim = { term, revision: held.revision, seenAt: this.clock.now(), heldBefore };
-      this.claims.set(role, claim);
+      claim = { term, revision: entry.revision, seenAt: this.clock.now(), heldBefore };
+      this.claimedTerms.set(role, claim);
     }
     if (this.replica.revision < claim.revision) return null;
-    return { role, term, revision: held.revision, record: held.value };
+    return { role, term, revision: entry.revision, record: entry.value };
   }
 
   /** Whether the replica is recent enough to act on a role before the outside. */
@@ -155,12 +155,17 @@
   }
 
   /** The steady time from which no machine that did not speak to us has tasks left. */
-  fenceEndsAt(owned: HeldRole): number {
-    const claim = this.claims.get(owned.role);
+  fenceEndsAt(heldRole: HeldRole): number {
+    const claim = this.claimedTerms.get(heldRole.role);
     const seenAt = claim?.seenAt ?? this.clock.now();
     // Under an earlier term this process itself answered until it saw the new one.
     const startedAt = claim?.heldBefore ? seenAt : this.startedAt;
-    return fenceEndsAt(owned.record, { startedAt, seenAt }, this.clock.wall(), this.options.timing);
+    return fenceEndsAt(
+      heldRole.record,
+      { startedAt, seenAt },
+      this.clock.wall(),
+      this.options.timing,
+    );
   }
 
   /** One round: keep the lease, then take what should be ours. */
@@ -169,7 +174,7 @@
     this.busy = true;
     try {
       await this.keepMemberLease();
-      if (this.lease !== null) await this.claimFreeRoles();
+      if (this.memberLease !== null) await this.claimFreeRoles();
     } catch (error) {
       this.options.log.debug({ error: String(error) }, 'roles: state service did not answer');
     } finally {
@@ -180,42 +185,43 @@
   private async keepMemberLease(): Promise<void> {
     const now = this.clock.now();
     const registered = this.isRegistered;
-    if (this.lease !== null && registered && (await this.renewLease(this.lease, now))) return;
+    if (this.memberLease !== null && registered && (await this.renewLease(this.memberLease, now)))
+      return;
     if (this.rejectedChangeBackoff.has(REGISTRATION)) return;
     await this.register(now);
   }
 
   /** Keeps the lease when that is due; false: it has ended. */
   private async renewLease(lease: number, now: number): Promise<boolean> {
-    if (now - this.renewedAt < MEMBER_RENEW_MS) return true;
+    if (now - this.renewedAt < MEMBER_LEASE_RENEW_MS) return true;
     await this.options.limiter.pass('role', 0);
     if (await this.options.keyValueStore.extend(lease)) {
       this.renewedAt = now;
       return true;
     }
     this.options.log.warn({}, 'member lease ended, asking for a new one');
-    this.lease = null;
+    this.memberLease = null;
     return false;
   }
 
   private async register(now: number): Promise<void> {
-    if (this.hasRegistration) this.options.policy.registrationLost();
+    if (this.hasRegistration) this.options.policy.onRegistrationLost();
     this.hasRegistration = false;
     await this.options.limiter.pass('role', 0);
-    const lease = await this.options.keyValueStore.grant(MEMBER_TTL_MS);
-    const { guards, changes } = this.registration(lease);
+    const lease = await this.options.keyValueStore.grant(MEMBER_LEASE_TTL_MS);
+    const { guards, changes } = this.registrationTransaction(lease);
     const result = await this.options.committer.commit('role', guards, changes, () => true);
     if (result.kind === 'invalid') this.rejectedChangeBackoff.add(REGISTRATION);
     if (result.kind !== 'done') return;
     this.rejectedChangeBackoff.clear(REGISTRATION);
-    this.lease = lease;
+    this.memberLease = lease;
     this.renewedAt = now;
     this.hasRegistration = true;
     this.options.log.info({ roles: guards.map((guard) => guard.key) }, 'registered as a member');
   }
 
   /** Our registration, and with it the roles of the process before this one. */
-  private registration(lease: number): { guards: Guard[]; changes: Change[] } {
+  private registrationTransaction(lease: number): { guards: Guard[]; changes: Change[] } {
     const key = nodeKey(this.self.node);
     const value: NodeRecord = { incarnation: this.options.incarnation };
     const changes: Change[] = [{ key, value, lease }];
@@ -228,16 +234,16 @@
     for (const { role, preferredOwner } of roles) {
       // What does not fit into the transaction is free for us as for all others right after it.
       if (changes.length >= this.options.transactionOps) break;
-      const held = this.replica.get<RoleRecord>(roleKey(role));
-      if (!this.comesWithRegistration(role, preferredOwner, held?.value ?? null)) continue;
-      guards.push({ key: roleKey(role), revision: held?.revision ?? 0 });
-      changes.push({ key: roleKey(role), value: this.claimRecord(held?.value ?? null) });
+      const entry = this.replica.get<RoleRecord>(roleKey(role));
+      if (!this.isClaimedWithRegistration(role, preferredOwner, entry?.value ?? null)) continue;
+      guards.push({ key: roleKey(role), revision: entry?.revision ?? 0 });
+      changes.push({ key: roleKey(role), value: this.claimRecord(entry?.value ?? null) });
     }
     return { guards, changes };
   }
 
   /** Whether a role is claimed together with the registration. */
-  private comesWithRegistration(
+  private isClaimedWithRegistration(
     role: string,
     preferredOwner: Member | null,
     holder: RoleRecord | null,
@@ -245,8 +251,8 @@
     if (holder?.owner === this.self.node) return holder.incarnation !== this.options.incarnation;
     if (preferredOwner?.node !== this.self.node) return false;
     if (holder === null) return true;
-    if (this.turns.holderLives(holder)) return !this.options.policy.isDamped();
-    return this.turns.mayFailOverFrom(role, holder);
+    if (this.candidateOrder.isHolderRegistered(holder)) return !this.options.policy.isDamped();
+    return this.candidateOrder.mayFailOverFrom(role, holder);
   }
 
   private claimRecord(before: RoleRecord | null): RoleRecord {
@@ -261,7 +267,7 @@
 
   private async claimFreeRoles(): Promise<void> {
     for (const { role, preferredOwner } of this.allRoles()) {
-      if (this.turns.isOurTurn(role, preferredOwner)) await this.claim(role);
+      if (this.candidateOrder.shouldClaim(role, preferredOwner)) await this.claim(role);
     }
   }
 
@@ -272,11 +278,11 @@
 
   private async claim(role: string): Promise<void> {
     const key = roleKey(role);
-    const held = this.replica.get<RoleRecord>(key);
-    const holder = held?.value ?? null;
-    const guards: Guard[] = [{ key, revision: held?.revision ?? 0 }];
+    const entry = this.replica.get<RoleRecord>(key);
+    const holder = entry?.value ?? null;
+    const guards: Guard[] = [{ key, revision: entry?.revision ?? 0 }];
     // A holder that registers again at this moment keeps its role.
-    if (holder !== null && !this.turns.holderLives(holder)) {
+    if (holder !== null && !this.candidateOrder.isHolderRegistered(holder)) {
       const holderKey = nodeKey(holder.owner);
       guards.push({ key: holderKey, revision: this.replica.revisionOf(holderKey) });
     }
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,11 +1,11 @@
 /** Roles that this process gave up when it was asked to, by the term in which it held them. */
 
-import { STEP_DOWN_REST_MS } from '../../constants/election.js';
+import { STEP_DOWN_UNCLAIMED_MS } from '../../constants/election.js';
 import type { Clock } from '../../transport/clock.js';
 
 interface SteppedDownTerm {
   readonly term: number;
-  readonly at: number;
+  readonly steppedDownAt: number;
 }
 
 /** Under a term that it gave up, this process acts and answers no more, whatever it learns later. */
@@ -16,7 +16,7 @@
 
   /** Gives a role up under this term. */
   add(role: string, term: number): void {
-    this.terms.set(role, { term, at: this.clock.now() });
+    this.terms.set(role, { term, steppedDownAt: this.clock.now() });
   }
 
   /** Whether this process gave the role up under this term. */
@@ -28,6 +28,6 @@
   isUnclaimed(role: string, term: number): boolean {
     const steppedDown = this.terms.get(role);
     if (steppedDown?.term !== term) return false;
-    return this.clock.now() - steppedDown.at >= STEP_DOWN_REST_MS;
+    return this.clock.now() - steppedDown.steppedDownAt >= STEP_DOWN_UNCLAIMED_MS;
   }
 }
--- a/src/coordination/election/term-numbers.ts
+++ b/src/coordination/election/term-numbers.ts
@@ -3,10 +3,11 @@
 import { MothbankError } from '../../transport/errors.js';
 
 /** Share of a term's numbers after which the role should go on under a new term. */
-const RENEW_SHARE = 0.5;
+const TERM_RENEWAL_SHARE = 0.5;
 
 /** Whether so many of a term's numbers are used that the role needs a new term. */
-export const isRunningOut = (used: number, size: number): boolean => used >= size * RENEW_SHARE;
+export const isRunningOut = (used: number, size: number): boolean =>
+  used >= size * TERM_RENEWAL_SHARE;
 
 /** A term has no unused numbers left: its holder must go on under a new term. */
 export class TermExhaustedError extends MothbankError {
--- a/src/coordination/failure-detection/confirmed-failover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -10,7 +10,7 @@
 /** What decisions rest on. */
 export interface ConfirmedFailoverOptions {
   readonly detector: FailureDetector;
-  readonly stepDown: StepDownRequests;
+  readonly stepDownRequests: StepDownRequests;
   readonly clock: Clock;
   /** ms after which the state service's word alone decides. */
   readonly confirmWithinMs: number;
@@ -19,49 +19,50 @@
 }
 
 /** Verdicts on which a role is taken at once, and why. */
-const TAKEN_AT_ONCE: Partial<Record<VerdictKind, string>> = {
+const IMMEDIATE_FAILOVER_REASONS: Partial<Record<VerdictKind, string>> = {
   failed: 'failure confirmed by a quorum',
   replaced: 'a later process answers',
   unsupported: 'the holder never answered a probe',
 };
 
-interface Reasoned {
+interface ReasonedAction {
   readonly action: FailoverAction;
   readonly why: string;
 }
 
 /** The policy that asks the failure detector. Safety rests on terms, guards and fences, not on it. */
 export class ConfirmedFailover implements FailoverPolicy {
-  private readonly damping: FlapDamping;
+  private readonly flapDamping: FlapDamping;
   /** The last decision by role, so that each is told once. */
-  private readonly told = new Map<string, string>();
+  private readonly lastReported = new Map<string, string>();
 
   constructor(private readonly options: ConfirmedFailoverOptions) {
-    this.damping = new FlapDamping(options.clock);
+    this.flapDamping = new FlapDamping(options.clock);
   }
 
-  mayTakeOver(holder: ExpiredHolder): boolean {
-    const { clock, detector, stepDown } = this.options;
-    const verdict = detector.verdict(holder.node, holder.incarnation, holder.since);
-    const waitedMs = clock.now() - holder.since;
+  mayFailOver(holder: ExpiredHolder): boolean {
+    const { clock, detector, stepDownRequests } = this.options;
+    const verdict = detector.verdict(holder.node, holder.incarnation, holder.expiredSince);
+    const waitedMs = clock.now() - holder.expiredSince;
     const decision = this.decide(holder, verdict, waitedMs);
     if (decision.action !== 'take') detector.probe(holder.node);
-    if (decision.action === 'ask to stand down') stepDown.ask(holder);
-    this.tell(holder, { ...decision, waitedMs, verdict });
+    if (decision.action === 'ask to stand down') stepDownRequests.request(holder);
+    this.reportOnce(holder, { ...decision, waitedMs, verdict });
     return decision.action === 'take';
   }
 
-  registrationLost(): void {
-    this.damping.lost();
+  onRegistrationLost(): void {
+    this.flapDamping.addLoss();
   }
 
   isDamped(): boolean {
-    return this.damping.isDamped;
+    return this.flapDamping.isDamped;
   }
 
-  private decide(holder: ExpiredHolder, verdict: Verdict | null, waitedMs: number): Reasoned {
-    if (this.options.stepDown.isConfirmed(holder)) return { action: 'take', why: 'stood down' };
-    const reason = TAKEN_AT_ONCE[verdict?.kind ?? 'unsupported'];
+  private decide(holder: ExpiredHolder, verdict: Verdict | null, waitedMs: number): ReasonedAction {
+    if (this.options.stepDownRequests.isConfirmed(holder))
+      return { action: 'take', why: 'stood down' };
+    const reason = IMMEDIATE_FAILOVER_REASONS[verdict?.kind ?? 'unsupported'];
     if (reason !== undefined) return { action: 'take', why: reason };
     if (waitedMs >= this.options.confirmWithinMs) {
       return { action: 'take', why: 'not confirmed in time: by the state service alone' };
@@ -71,14 +72,14 @@
       : { action: 'wait', why: 'failure not confirmed yet' };
   }
 
-  private tell(
+  private reportOnce(
     { incarnation, node, role, term }: ExpiredHolder,
-    reasoned: Reasoned & { waitedMs: number; verdict: Verdict | null },
+    reasoned: ReasonedAction & { waitedMs: number; verdict: Verdict | null },
   ): void {
     const { action, verdict, waitedMs, why } = reasoned;
     const key = `${incarnation} ${term} ${why}`;
-    if (this.told.get(role) === key) return;
-    this.told.set(role, key);
+    if (this.lastReported.get(role) === key) return;
+    this.lastReported.set(role, key);
     const { quorum, witnesses } = verdict ?? { quorum: 0, witnesses: [] };
     const basis = { witnesses, quorum, waitedMs };
     this.options.onDecision({ role, holder: node, incarnation, term, action, why, ...basis });
--- a/src/coordination/failure-detection/detection-records.ts
+++ b/src/coordination/failure-detection/detection-records.ts
@@ -40,16 +40,16 @@
   private readonly history: BoundedHistory<DetectionRecord>;
 
   constructor(
-    most: number,
+    maxRecords: number,
     private readonly log: Log,
   ) {
-    this.history = new BoundedHistory(most);
+    this.history = new BoundedHistory(maxRecords);
   }
 
   /** Adds a record and writes its line. */
   add(record: DetectionRecord): void {
     this.history.add(record);
-    this.log.info({ detection: record }, messageOf(record));
+    this.log.info({ detection: record }, eventNameOf(record));
   }
 
   /** The records that are kept, one JSON object a line, in the form of the log's lines. */
@@ -61,7 +61,7 @@
   }
 }
 
-function messageOf(record: DetectionRecord): string {
+function eventNameOf(record: DetectionRecord): string {
   switch (record.type) {
     case 'transition':
       return `${record.member} is ${record.to}: ${record.reason}`;
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -41,7 +41,7 @@
   /** Whether the leader may assign new tasks to a part. */
   acceptsNewWork(shard: string): boolean;
   /** Records the times of probes if the last ones are old enough. */
-  writeIfDue(): void;
+  recordProbeTimesIfDue(): void;
   /** The history, one JSON object a line. */
   export(): string;
 }
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -1,7 +1,7 @@
 /** Failure detection in a controller: the detector on peer links, its policy and its records. */
 
 import { FailureDetector, type DetectorCounts } from '@mothbank/failure-detector';
-import { PROBE_TIMES_MS, STORE_ANSWERS_MS } from '../../constants/failure-detection.js';
+import { PROBE_TIMES_PERIOD_MS, STORE_REACHABLE_MS } from '../../constants/failure-detection.js';
 import { decodeDetector, encodeDetector } from '../../protocol/detector-codec.js';
 import type { SuspicionSettings } from '../../protocol/settings.js';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
@@ -13,7 +13,7 @@
 import { DetectionRecords } from './detection-records.js';
 import { StepDownRequests } from './step-down-requests.js';
 
-type Answer = (message: PeerMessage) => void;
+type SendReply = (message: PeerMessage) => void;
 
 /** Watches the peers of one controller, and decides when a role may be taken from one. */
 export class FailureDetection implements DetectionService {
@@ -21,9 +21,9 @@
   /** Bytes of messages that were sent. */
   bytesSent = 0;
   private readonly detector: FailureDetector;
-  private readonly stepDown: StepDownRequests;
+  private readonly stepDownRequests: StepDownRequests;
   private readonly records: DetectionRecords;
-  private timesWrittenAt = -Infinity;
+  private probeTimesRecordedAt = -Infinity;
 
   constructor(
     private readonly options: DetectionServiceOptions,
@@ -32,10 +32,10 @@
     const { environment, log } = options;
     this.records = new DetectionRecords(suspicion.history, log);
     this.detector = this.createDetector();
-    this.stepDown = this.createStepDownRequests();
+    this.stepDownRequests = this.createStepDownRequests();
     this.policy = new ConfirmedFailover({
       detector: this.detector,
-      stepDown: this.stepDown,
+      stepDownRequests: this.stepDownRequests,
       clock: environment.clock,
       confirmWithinMs: suspicion.confirmWithinMs,
       onDecision: (decision) => {
@@ -69,10 +69,10 @@
     this.detector.stop();
   }
 
-  receive(message: PeerMessage, answer: Answer): void {
-    if (message.kind === 'detector') this.receiveDetector(message.payload, answer);
-    else if (message.kind === 'stepDown') this.stepDown.asked(message, answer);
-    else if (message.kind === 'steppedDown') this.stepDown.answered(message);
+  receive(message: PeerMessage, sendReply: SendReply): void {
+    if (message.kind === 'detector') this.receiveDetector(message.payload, sendReply);
+    else if (message.kind === 'stepDown') this.stepDownRequests.onRequest(message, sendReply);
+    else if (message.kind === 'steppedDown') this.stepDownRequests.onAnswer(message);
   }
 
   /** A suspected owner's part keeps what it runs and gets nothing new, for a bounded time. */
@@ -85,10 +85,10 @@
     return environment.clock.now() - since >= this.suspicion.holdNewWorkMs;
   }
 
-  writeIfDue(): void {
+  recordProbeTimesIfDue(): void {
     const { clock } = this.options.environment;
-    if (clock.now() - this.timesWrittenAt < PROBE_TIMES_MS) return;
-    this.timesWrittenAt = clock.now();
+    if (clock.now() - this.probeTimesRecordedAt < PROBE_TIMES_PERIOD_MS) return;
+    this.probeTimesRecordedAt = clock.now();
     const localHealth = this.detector.localHealthScore;
     for (const times of this.detector.takeProbeTimes()) {
       if (times.roundTripsMs.length === 0) continue;
@@ -127,7 +127,7 @@
           this.options.onChanged();
         },
       },
-      storeAnswers: () => this.storeAnswers(),
+      storeAnswers: () => this.isStoreReachable(),
     });
   }
 
@@ -140,19 +140,19 @@
       clock: environment.clock,
       log,
       send: (peer, message) => environment.sendToPeer(peer, message),
-      storeAnswers: () => this.storeAnswers(),
+      isStoreReachable: () => this.isStoreReachable(),
       roles: this.options.roles,
       onSteppedDown: () => this.options.onSteppedDown(),
       onConfirmed: () => this.options.onChanged(),
     });
   }
 
-  private storeAnswers(): boolean {
+  private isStoreReachable(): boolean {
     const { environment, replica } = this.options;
-    return environment.clock.now() - replica.knownCurrentAt < STORE_ANSWERS_MS;
+    return environment.clock.now() - replica.knownCurrentAt < STORE_REACHABLE_MS;
   }
 
-  private receiveDetector(payload: Uint8Array, answer: Answer): void {
+  private receiveDetector(payload: Uint8Array, sendReply: SendReply): void {
     const message = decodeDetector(payload);
     if (message === null) {
       this.detector.receiveMalformed();
@@ -161,7 +161,7 @@
     this.detector.receive(message, (reply) => {
       const encoded = encodeDetector(reply);
       this.bytesSent += encoded.length;
-      answer({ kind: 'detector', payload: encoded });
+      sendReply({ kind: 'detector', payload: encoded });
     });
   }
 }
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -17,7 +17,7 @@
   readonly log: Log;
   readonly send: (peer: string, message: PeerMessage) => boolean;
   /** Whether the state service answers this node. */
-  readonly storeAnswers: () => boolean;
+  readonly isStoreReachable: () => boolean;
   readonly roles: () => RoleElection;
   /** This node gave a role up: nothing may act in it any more. */
   readonly onSteppedDown: () => void;
@@ -25,48 +25,49 @@
   readonly onConfirmed: () => void;
 }
 
-const keyOf = ({ role, term, incarnation }: Omit<RoleTenure, 'node'>): string =>
+const tenureKeyOf = ({ role, term, incarnation }: Omit<RoleTenure, 'node'>): string =>
   `${role} ${term} ${incarnation}`;
 
 /** Both sides of standing down. A lost or repeated message does no harm: an answer names its term. */
 export class StepDownRequests {
   /** The latest answer by role: older ones are of terms that are over. */
   private readonly confirmed = new Map<string, string>();
-  private readonly askedAt = new Map<string, number>();
+  private readonly requestedAt = new Map<string, number>();
 
   constructor(private readonly options: StepDownRequestsOptions) {}
 
   /** Whether a holder said that it gave the role up. */
   isConfirmed(holder: ExpiredHolder): boolean {
-    return this.confirmed.get(holder.role) === keyOf(holder);
+    return this.confirmed.get(holder.role) === tenureKeyOf(holder);
   }
 
   /** Asks a holder, again after a while. */
-  ask({ incarnation, node, role, term }: ExpiredHolder): void {
+  request({ incarnation, node, role, term }: ExpiredHolder): void {
     const { clock, send } = this.options;
     const now = clock.now();
-    if (now - (this.askedAt.get(role) ?? -Infinity) < STEP_DOWN_RETRY_MS) return;
-    this.askedAt.set(role, now);
+    if (now - (this.requestedAt.get(role) ?? -Infinity) < STEP_DOWN_RETRY_MS) return;
+    this.requestedAt.set(role, now);
     send(node, { kind: 'stepDown', node: this.options.node, role, term, incarnation });
   }
 
   /** A peer asks this node to give a role up. */
-  asked(tenure: RoleTenure, answer: (message: PeerMessage) => void): void {
-    const { incarnation, log, members, node, onSteppedDown, roles, storeAnswers } = this.options;
+  onRequest(tenure: RoleTenure, sendReply: (message: PeerMessage) => void): void {
+    const { incarnation, log, members, node, onSteppedDown, roles, isStoreReachable } =
+      this.options;
     if (!members.has(tenure.node) || tenure.incarnation !== incarnation) return;
     // What the peer saw is over: this node is registered, and by the state service's own word.
-    if (roles().isRegistered && storeAnswers()) return;
+    if (roles().isRegistered && isStoreReachable()) return;
     const { role, term } = tenure;
     if (!roles().stepDown(role, term) && !roles().hasSteppedDown(role, term)) return;
     onSteppedDown();
     log.info({ role, term, for: tenure.node }, 'stood down');
-    answer({ kind: 'steppedDown', node, role, term, incarnation });
+    sendReply({ kind: 'steppedDown', node, role, term, incarnation });
   }
 
   /** A holder answers that it gave a role up. */
-  answered(tenure: RoleTenure): void {
+  onAnswer(tenure: RoleTenure): void {
     if (!this.options.members.has(tenure.node)) return;
-    this.confirmed.set(tenure.role, keyOf(tenure));
+    this.confirmed.set(tenure.role, tenureKeyOf(tenure));
     this.options.onConfirmed();
   }
 }
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -1,7 +1,7 @@
 /** The operators' own settings, from any number of files; docs/operations.md explains each. */
 
 import * as v from 'valibot';
-import { MEMBER_TTL_MS } from '../constants/election.js';
+import { MEMBER_LEASE_TTL_MS } from '../constants/election.js';
 import { amount, checkFile, positive, readToml, SettingsError } from './settings-file.js';
 
 const placement = v.object({
@@ -83,7 +83,7 @@
   const fail = (key: string, reason: string): never => {
     throw new SettingsError(file, `suspicion.${key}: ${reason}`);
   };
-  const leaseS = MEMBER_TTL_MS / 1000;
+  const leaseS = MEMBER_LEASE_TTL_MS / 1000;
   if (raw.probe_timeout_s > raw.probe_interval_s) {
     fail('probe_timeout_s', 'must not be above probe_interval_s');
   }
--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -1,7 +1,7 @@
 /** Whose turn it is to take a free role, on a clock that moves on between two readings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MEMBER_RENEW_MS } from '../../src/constants/election.js';
+import { MEMBER_LEASE_RENEW_MS } from '../../src/constants/election.js';
 import { CandidateOrder } from '../../src/coordination/election/candidate-order.js';
 import { SteppedDownRoles } from '../../src/coordination/election/stepped-down-roles.js';
 import { STORE_ONLY_POLICY } from '../../src/coordination/election/failover-policy.js';
@@ -41,7 +41,7 @@
   const looks: string[] = [];
   for (const self of ['n0', 'n1']) {
     const clock = new MovingClock();
-    const turns = new CandidateOrder({
+    const candidateOrder = new CandidateOrder({
       self: { node: self, zone: self === 'n0' ? 'a' : 'b' },
       incarnation: 'x',
       members: [
@@ -56,9 +56,9 @@
       startedAt: clock.now(),
     });
     // Both are starting, so all members are candidates for the lead.
-    const first = turns.isOurTurn('leader', null);
-    clock.pass(MEMBER_RENEW_MS);
-    const later = turns.isOurTurn('leader', null);
+    const first = candidateOrder.shouldClaim('leader', null);
+    clock.pass(MEMBER_LEASE_RENEW_MS);
+    const later = candidateOrder.shouldClaim('leader', null);
     looks.push(`${first} ${later}`);
   }
   assert.deepEqual(looks.sort(), ['false true', 'true true']);
