--- /dev/null
+++ b/src/coordination/election/member-registration.ts
@@ -0,0 +1,117 @@
+/** This process's registration as a member: a key that hangs on a lease of the key-value store. */
+
+import { MEMBER_LEASE_RENEW_MS, MEMBER_LEASE_TTL_MS } from '../../constants/election.js';
+import type { Change, Guard } from '../../protocol/key-value-store.js';
+import { nodeKey, roleKey } from '../../storage/keys.js';
+import type { NodeRecord, RoleRecord } from '../../storage/records.js';
+import type { ElectableRole, ElectionContext, GuardedChanges } from './election-context.js';
+import { claimRecord } from './role-claims.js';
+
+/** The name under which a rejected registration is backed off; no role has this name. */
+const REGISTRATION = 'registration';
+
+/** Registers this process, and keeps the lease that the registration hangs on. */
+export class MemberRegistration {
+  /** The lease's id; null: there is none. */
+  private lease: number | null = null;
+  private renewedAt = -Infinity;
+  /** Registered since the last attempt: a lost registration is counted once, not on each attempt. */
+  private hasRegistered = false;
+
+  constructor(private readonly context: ElectionContext) {}
+
+  /** Whether this process has a lease, as far as it knows. */
+  get hasLease(): boolean {
+    return this.lease !== null;
+  }
+
+  /** Whether this process is registered, by what the replica holds. */
+  get isRegistered(): boolean {
+    const { incarnation, replica, self } = this.context;
+    return replica.get<NodeRecord>(nodeKey(self.node))?.value.incarnation === incarnation;
+  }
+
+  /** Renews the lease when that is due, and registers anew where lease or registration are gone. */
+  async keep(): Promise<void> {
+    const now = this.context.clock.now();
+    const { isRegistered, lease } = this;
+    if (lease !== null && isRegistered && (await this.renewLease(lease, now))) return;
+    if (this.context.rejectedChangeBackoff.has(REGISTRATION)) return;
+    await this.register(now);
+  }
+
+  /** Renews the lease when that is due; false: it has expired. */
+  private async renewLease(lease: number, now: number): Promise<boolean> {
+    if (now - this.renewedAt < MEMBER_LEASE_RENEW_MS) return true;
+    await this.context.limiter.pass('role', 0);
+    if (await this.context.keyValueStore.extend(lease)) {
+      this.renewedAt = now;
+      return true;
+    }
+    this.context.log.warn({}, 'member lease expired');
+    this.lease = null;
+    return false;
+  }
+
+  private async register(now: number): Promise<void> {
+    const { committer, keyValueStore, limiter, log, policy, rejectedChangeBackoff } = this.context;
+    if (this.hasRegistered) policy.onRegistrationLost();
+    this.hasRegistered = false;
+    await limiter.pass('role', 0);
+    const lease = await keyValueStore.grant(MEMBER_LEASE_TTL_MS);
+    const { guards, changes } = this.transaction(lease);
+    const result = await committer.commit('role', guards, changes, () => true);
+    if (result.kind === 'invalid') rejectedChangeBackoff.add(REGISTRATION);
+    if (result.kind !== 'done') return;
+    rejectedChangeBackoff.clear(REGISTRATION);
+    this.lease = lease;
+    this.renewedAt = now;
+    this.hasRegistered = true;
+    log.info({ keys: guards.map((guard) => guard.key) }, 'member registered');
+  }
+
+  /** The registration, and with it the roles that this process claims without a wait. */
+  private transaction(lease: number): GuardedChanges {
+    const { incarnation, replica, self, transactionOps } = this.context;
+    const key = nodeKey(self.node);
+    const value: NodeRecord = { incarnation };
+    const changes: Change[] = [{ key, value, lease }];
+    // A late registration of an earlier process must not replace this one, nor this one a newer.
+    const guards: Guard[] = [{ key, revision: replica.revisionOf(key) }];
+    for (const electableRole of this.preferredRolesFirst()) {
+      // What does not fit into the transaction can be claimed by any candidate right after it.
+      if (changes.length >= transactionOps) break;
+      const claimedKey = roleKey(electableRole.role);
+      const entry = replica.get<RoleRecord>(claimedKey);
+      const holder = entry?.value ?? null;
+      if (!this.isClaimedAtOnce(electableRole, holder)) continue;
+      guards.push({ key: claimedKey, revision: entry?.revision ?? 0 });
+      changes.push({ key: claimedKey, value: claimRecord(this.context, holder) });
+    }
+    return { guards, changes };
+  }
+
+  private preferredRolesFirst(): ElectableRole[] {
+    const { electableRoles } = this.context;
+    const isPreferred = (role: ElectableRole): boolean => this.isPreferredOwner(role);
+    return [
+      ...electableRoles.filter(isPreferred),
+      ...electableRoles.filter((role) => !isPreferred(role)),
+    ];
+  }
+
+  private isPreferredOwner({ preferredOwner }: ElectableRole): boolean {
+    return preferredOwner?.node === this.context.self.node;
+  }
+
+  /** Whether a role is claimed together with the registration. */
+  private isClaimedAtOnce(electableRole: ElectableRole, holder: RoleRecord | null): boolean {
+    const { candidateOrder, incarnation, policy, self } = this.context;
+    // A role of an earlier process of this member: that process has ended.
+    if (holder?.owner === self.node) return holder.incarnation !== incarnation;
+    if (!this.isPreferredOwner(electableRole)) return false;
+    if (holder === null) return true;
+    if (candidateOrder.isHolderRegistered(holder)) return !policy.isDamped();
+    return candidateOrder.mayFailOverFrom(electableRole.role, holder);
+  }
+}
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -1,299 +1,112 @@
-/** Roles: which node leads and which node owns each part. */
+/** Leader election and shard ownership: who holds which role, and under which term. */
 
-import { MEMBER_LEASE_RENEW_MS, MEMBER_LEASE_TTL_MS } from '../../constants/election.js';
-import type { Committer } from '../../storage/committer.js';
-import type { RateLimiter } from '../../storage/rate-limiter.js';
-import { nodeKey, roleKey } from '../../storage/keys.js';
-import type { Log } from '../../storage/log.js';
-import type { NodeRecord, RoleRecord } from '../../storage/records.js';
+import { roleKey } from '../../storage/keys.js';
+import type { RoleRecord } from '../../storage/records.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
-import type { StoreReplica } from '../../storage/store-replica.js';
-import type { Change, Guard, KeyValueStore } from '../../protocol/key-value-store.js';
-import type { Clock } from '../../transport/clock.js';
-import { fenceEndsAt, graceMs, type LeaseTiming } from './lease-timing.js';
-import type { Member } from './rendezvous-hashing.js';
+import { SingleFlight } from '../../transport/concurrency.js';
 import { CandidateOrder } from './candidate-order.js';
+import type { ElectableRole, ElectionContext, RoleElectionOptions } from './election-context.js';
+import { HeldRoles, type HeldRole } from './held-roles.js';
+import { graceMs } from './lease-timing.js';
+import { MemberRegistration } from './member-registration.js';
+import type { Member } from './rendezvous-hashing.js';
+import { RoleClaims } from './role-claims.js';
 import { SteppedDownRoles } from './stepped-down-roles.js';
-import type { FailoverPolicy } from './failover-policy.js';
-
-/** What the roles of one node rest on. */
-export interface RoleElectionOptions {
-  self: Member;
-  /** Tells this process from the ones before it. */
-  incarnation: string;
-  members: readonly Member[];
-  timing: LeaseTiming;
-  keyValueStore: KeyValueStore;
-  limiter: RateLimiter;
-  replica: StoreReplica;
-  committer: Committer;
-  clock: Clock;
-  log: Log;
-  /** Changes that one transaction may hold. */
-  transactionOps: number;
-  policy: FailoverPolicy;
-}
-
-/** A role that this node holds. `revision`: of the role's key. */
-export interface HeldRole {
-  role: string;
-  term: number;
-  revision: number;
-  record: RoleRecord;
-}
-
-/** When and how this process got a role. */
-interface ClaimedTerm {
-  term: number;
-  revision: number;
-  /** Steady time at which this process first saw the term. */
-  seenAt: number;
-  /** This process held the role under an earlier term, and may have answered workers until then. */
-  heldBefore: boolean;
-}
 
-/** What a pause of the registration is kept under; no role has this name. */
-const REGISTRATION = 'registration';
+export type { HeldRole } from './held-roles.js';
 
-/** The role of the leader, which hands out tasks and rents machines. */
+/** The role of the leader, which assigns tasks to shards and scales out and in. */
 export const LEADER = 'leader';
-/** The role of owning a part. */
+/** The role of a shard's owner. */
 export const shardRole = (shard: string): string => `part-${shard}`;
 
-/** One ownership for all roles: who holds what, on whose lease, and taking over what is free. */
-export class RoleElection {
-  private memberLease: number | null = null;
-  /** Our roles: term, the revision at which we got it, and when we first saw that. */
-  private readonly claimedTerms = new Map<string, ClaimedTerm>();
-  private busy = false;
-  private renewedAt = -Infinity;
-  /** This process is registered, unless that has ended; a loss is noted once. */
-  private hasRegistration = false;
-  private readonly rejectedChangeBackoff: RejectedChangeBackoff;
-  private readonly steppedDown: SteppedDownRoles;
-  private readonly candidateOrder: CandidateOrder;
-  private readonly self: Member;
-  private readonly replica: StoreReplica;
-  private readonly clock: Clock;
-  /** Steady time of this process's start. */
-  readonly startedAt: number;
-  /** Milliseconds for which a current replica may be acted on. */
-  readonly graceMs: number;
+const electableRolesOf = (members: readonly Member[]): ElectableRole[] => [
+  ...members.map((member) => ({ role: shardRole(member.node), preferredOwner: member })),
+  { role: LEADER, preferredOwner: null },
+];
 
-  constructor(private readonly options: RoleElectionOptions) {
-    const { self, replica, clock } = options;
-    this.self = self;
-    this.replica = replica;
-    this.clock = clock;
-    this.rejectedChangeBackoff = new RejectedChangeBackoff(clock);
-    this.steppedDown = new SteppedDownRoles(clock);
-    this.startedAt = clock.now();
-    const { rejectedChangeBackoff, startedAt, steppedDown } = this;
-    this.candidateOrder = new CandidateOrder({
+/**
+ * One election for all roles of the cluster. A member registers under a lease, claims the roles that
+ * are free, and holds each until another process claims it under a later term.
+ */
+export class RoleElection {
+  private readonly context: ElectionContext;
+  private readonly registration: MemberRegistration;
+  private readonly claims: RoleClaims;
+  private readonly heldRoles: HeldRoles;
+  private readonly reconciles = new SingleFlight();
+  /** ms for which a current replica may be acted on. */
+  private readonly graceMs: number;
+
+  constructor(options: RoleElectionOptions) {
+    const { clock, members, timing } = options;
+    const shared = {
       ...options,
-      rejectedChangeBackoff,
-      startedAt,
-      steppedDown,
-    });
-    this.graceMs = graceMs(options.timing);
-  }
-
-  private allRoles(): { role: string; preferredOwner: Member | null }[] {
-    return [
-      ...this.options.members.map((member) => ({
-        role: shardRole(member.node),
-        preferredOwner: member,
-      })),
-      { role: LEADER, preferredOwner: null },
-    ];
+      rejectedChangeBackoff: new RejectedChangeBackoff(clock),
+      steppedDown: new SteppedDownRoles(clock),
+      startedAt: clock.now(),
+    };
+    const candidateOrder = new CandidateOrder(shared);
+    this.context = { ...shared, candidateOrder, electableRoles: electableRolesOf(members) };
+    this.registration = new MemberRegistration(this.context);
+    this.claims = new RoleClaims(this.context);
+    this.heldRoles = new HeldRoles(this.context);
+    this.graceMs = graceMs(timing);
   }
 
-  /** The node that holds a role, whether or not it still lives. */
+  /** The member that holds a role, whether or not its process still lives. */
   holderOf(role: string): string | null {
-    return this.replica.get<RoleRecord>(roleKey(role))?.value.owner ?? null;
+    return this.context.replica.get<RoleRecord>(roleKey(role))?.value.owner ?? null;
   }
 
-  /** A role of ours, once the replica holds everything that was written before we took it. */
+  /** A held role; null until the replica has everything that was written before the claim. */
   heldRole(role: string): HeldRole | null {
-    const entry = this.replica.get<RoleRecord>(roleKey(role));
-    if (!entry || entry.value.owner !== this.self.node) return null;
-    if (entry.value.incarnation !== this.options.incarnation) return null;
-    const { term } = entry.value;
-    if (this.steppedDown.has(role, term)) return null;
-    let claim = this.claimedTerms.get(role);
-    // Its key may be written anew within the term: what counts is when we got it.
-    if (claim?.term !== term) {
-      const heldBefore = claim !== undefined;
-      claim = { term, revision: entry.revision, seenAt: this.clock.now(), heldBefore };
-      this.claimedTerms.set(role, claim);
-    }
-    if (this.replica.revision < claim.revision) return null;
-    return { role, term, revision: entry.revision, record: entry.value };
+    return this.heldRoles.get(role);
   }
 
-  /** Whether the replica is recent enough to act on a role before the outside. */
+  /** Whether the replica is recent enough to act on a role outside this process. */
   get isReplicaCurrent(): boolean {
-    return this.clock.now() - this.replica.knownCurrentAt < this.graceMs;
+    const { clock, replica } = this.context;
+    return clock.now() - replica.knownCurrentAt < this.graceMs;
   }
 
-  /** Acts and answers no more in a role of ours; false: we don't hold it under this term. */
+  /** Stops acting and answering in a held role; false: it is not held under this term. */
   stepDown(role: string, term: number): boolean {
-    if (this.heldRole(role)?.term !== term) return false;
-    this.steppedDown.add(role, term);
-    return true;
+    return this.heldRoles.stepDown(role, term);
   }
 
-  /** Whether this process gave a role up under this term. */
+  /** Whether this process stepped down from a role under this term. */
   hasSteppedDown(role: string, term: number): boolean {
-    return this.steppedDown.has(role, term);
+    return this.context.steppedDown.has(role, term);
   }
 
-  /** Whether this process is registered, by what the replica holds. */
+  /** Whether this process is registered as a member, by what the replica holds. */
   get isRegistered(): boolean {
-    const { value } = this.replica.get<NodeRecord>(nodeKey(this.self.node)) ?? {};
-    return value?.incarnation === this.options.incarnation;
+    return this.registration.isRegistered;
   }
 
-  /** The steady time from which no machine that did not speak to us has tasks left. */
+  /** Steady time from which no machine that did not send us a heartbeat has tasks left. */
   fenceEndsAt(heldRole: HeldRole): number {
-    const claim = this.claimedTerms.get(heldRole.role);
-    const seenAt = claim?.seenAt ?? this.clock.now();
-    // Under an earlier term this process itself answered until it saw the new one.
-    const startedAt = claim?.heldBefore ? seenAt : this.startedAt;
-    return fenceEndsAt(
-      heldRole.record,
-      { startedAt, seenAt },
-      this.clock.wall(),
-      this.options.timing,
-    );
+    return this.heldRoles.fenceEndsAt(heldRole);
   }
 
-  /** One round: keep the lease, then take what should be ours. */
+  /** Keeps the registration, then claims the free roles; skipped while an earlier pass runs. */
   async reconcile(): Promise<void> {
-    if (this.busy || !this.replica.isLoaded) return;
-    this.busy = true;
-    try {
-      await this.keepMemberLease();
-      if (this.memberLease !== null) await this.claimFreeRoles();
-    } catch (error) {
-      this.options.log.debug({ error: String(error) }, 'roles: state service did not answer');
-    } finally {
-      this.busy = false;
-    }
-  }
-
-  private async keepMemberLease(): Promise<void> {
-    const now = this.clock.now();
-    const registered = this.isRegistered;
-    if (this.memberLease !== null && registered && (await this.renewLease(this.memberLease, now)))
-      return;
-    if (this.rejectedChangeBackoff.has(REGISTRATION)) return;
-    await this.register(now);
+    if (!this.context.replica.isLoaded) return;
+    await this.reconciles.run(() => this.reconcileOnce());
   }
 
-  /** Keeps the lease when that is due; false: it has ended. */
-  private async renewLease(lease: number, now: number): Promise<boolean> {
-    if (now - this.renewedAt < MEMBER_LEASE_RENEW_MS) return true;
-    await this.options.limiter.pass('role', 0);
-    if (await this.options.keyValueStore.extend(lease)) {
-      this.renewedAt = now;
-      return true;
-    }
-    this.options.log.warn({}, 'member lease ended, asking for a new one');
-    this.memberLease = null;
-    return false;
-  }
-
-  private async register(now: number): Promise<void> {
-    if (this.hasRegistration) this.options.policy.onRegistrationLost();
-    this.hasRegistration = false;
-    await this.options.limiter.pass('role', 0);
-    const lease = await this.options.keyValueStore.grant(MEMBER_LEASE_TTL_MS);
-    const { guards, changes } = this.registrationTransaction(lease);
-    const result = await this.options.committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'invalid') this.rejectedChangeBackoff.add(REGISTRATION);
-    if (result.kind !== 'done') return;
-    this.rejectedChangeBackoff.clear(REGISTRATION);
-    this.memberLease = lease;
-    this.renewedAt = now;
-    this.hasRegistration = true;
-    this.options.log.info({ roles: guards.map((guard) => guard.key) }, 'registered as a member');
-  }
-
-  /** Our registration, and with it the roles of the process before this one. */
-  private registrationTransaction(lease: number): { guards: Guard[]; changes: Change[] } {
-    const key = nodeKey(this.self.node);
-    const value: NodeRecord = { incarnation: this.options.incarnation };
-    const changes: Change[] = [{ key, value, lease }];
-    // A registration of the process before this one may still be on its way to the store: it must
-    // not undo this one, nor this one a newer.
-    const guards: Guard[] = [{ key, revision: this.replica.revisionOf(key) }];
-    const isPreferredOwner = ({ preferredOwner }: { preferredOwner: Member | null }): number =>
-      Number(preferredOwner?.node === this.self.node);
-    const roles = this.allRoles().sort((a, b) => isPreferredOwner(b) - isPreferredOwner(a));
-    for (const { role, preferredOwner } of roles) {
-      // What does not fit into the transaction is free for us as for all others right after it.
-      if (changes.length >= this.options.transactionOps) break;
-      const entry = this.replica.get<RoleRecord>(roleKey(role));
-      if (!this.isClaimedWithRegistration(role, preferredOwner, entry?.value ?? null)) continue;
-      guards.push({ key: roleKey(role), revision: entry?.revision ?? 0 });
-      changes.push({ key: roleKey(role), value: this.claimRecord(entry?.value ?? null) });
-    }
-    return { guards, changes };
-  }
-
-  /** Whether a role is claimed together with the registration. */
-  private isClaimedWithRegistration(
-    role: string,
-    preferredOwner: Member | null,
-    holder: RoleRecord | null,
-  ): boolean {
-    if (holder?.owner === this.self.node) return holder.incarnation !== this.options.incarnation;
-    if (preferredOwner?.node !== this.self.node) return false;
-    if (holder === null) return true;
-    if (this.candidateOrder.isHolderRegistered(holder)) return !this.options.policy.isDamped();
-    return this.candidateOrder.mayFailOverFrom(role, holder);
-  }
-
-  private claimRecord(before: RoleRecord | null): RoleRecord {
-    const moved = before !== null && before.owner !== this.self.node;
-    return {
-      owner: this.self.node,
-      incarnation: this.options.incarnation,
-      term: (before?.term ?? 0) + 1,
-      movedAt: moved ? this.clock.wall() : (before?.movedAt ?? 0),
-    };
-  }
-
-  private async claimFreeRoles(): Promise<void> {
-    for (const { role, preferredOwner } of this.allRoles()) {
-      if (this.candidateOrder.shouldClaim(role, preferredOwner)) await this.claim(role);
-    }
-  }
-
-  /** Goes on with a role of ours under a new term, whose numbers are all unused. */
+  /** Continues with a held role under a new term, whose numbers are all unused. */
   async renewTerm(role: string): Promise<void> {
-    if (this.heldRole(role) !== null) await this.claim(role);
+    if (this.heldRole(role) !== null) await this.claims.claim(role);
   }
 
-  private async claim(role: string): Promise<void> {
-    const key = roleKey(role);
-    const entry = this.replica.get<RoleRecord>(key);
-    const holder = entry?.value ?? null;
-    const guards: Guard[] = [{ key, revision: entry?.revision ?? 0 }];
-    // A holder that registers again at this moment keeps its role.
-    if (holder !== null && !this.candidateOrder.isHolderRegistered(holder)) {
-      const holderKey = nodeKey(holder.owner);
-      guards.push({ key: holderKey, revision: this.replica.revisionOf(holderKey) });
+  private async reconcileOnce(): Promise<void> {
+    try {
+      await this.registration.keep();
+      if (this.registration.hasLease) await this.claims.claimFreeRoles();
+    } catch (error) {
+      this.context.log.debug({ error: String(error) }, 'role reconcile failed');
     }
-    const record = this.claimRecord(holder);
-    const changes: Change[] = [{ key, value: record }];
-    const result = await this.options.committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'invalid') this.rejectedChangeBackoff.add(role);
-    else this.rejectedChangeBackoff.clear(role);
-    this.options.log.info(
-      { role, from: holder?.owner ?? null, term: record.term, result: result.kind },
-      'taking a role',
-    );
   }
 }
