--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -1,4 +1,4 @@
-/** Whose turn it is to take a free role. */
+/** Which candidate claims a free role, and when. */
 
 import {
   LEADER_SETTLE_MS,
@@ -14,7 +14,7 @@
 import type { SteppedDownRoles } from './stepped-down-roles.js';
 import type { FailoverPolicy } from './failover-policy.js';
 
-/** What turns are decided with. */
+/** What the order of candidates rests on. */
 export interface CandidateOrderOptions {
   readonly self: Member;
   readonly incarnation: string;
@@ -23,14 +23,18 @@
   readonly clock: Clock;
   readonly policy: FailoverPolicy;
   readonly steppedDown: SteppedDownRoles;
-  /** Roles whose claims the state service called invalid. */
+  /** Roles whose claims the key-value store called invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   /** Steady time of this process's start. */
   readonly startedAt: number;
 }
 
-/** The order in which nodes take roles, and since when each has been free. */
+/**
+ * Ranks the members that may claim a role: the first claims it at once, each further one only after
+ * those before it had a lease renewal interval of time to do so.
+ */
 export class CandidateOrder {
+  /** Steady time by role since which this process has seen that it is free. */
   private readonly freeSince = new Map<string, number>();
 
   constructor(private readonly options: CandidateOrderOptions) {}
@@ -42,7 +46,7 @@
     return registered?.value.incarnation === holder.incarnation;
   }
 
-  /** Whether a role should be claimed now. Notes since when it has been free. */
+  /** Whether a role should be claimed now. Keeps track of since when it has been free. */
   shouldClaim(role: string, preferredOwner: Member | null): boolean {
     const { incarnation, rejectedChangeBackoff, replica, self, steppedDown } = this.options;
     const holder = replica.get<RoleRecord>(roleKey(role))?.value ?? null;
@@ -59,50 +63,55 @@
       this.freeSince.delete(role);
       return false;
     }
-    const freeSince = this.trackFreeSince(role);
-    const freeForMs = this.options.clock.now() - freeSince;
-    const rank = isPreferredOwner ? 0 : this.rankOfSelf(role, preferredOwner);
-    // The first choice takes it at once; the others only if the first does not.
-    if (freeForMs < rank * MEMBER_LEASE_RENEW_MS) return false;
+    if (!this.hasWaitedForItsRank(role, preferredOwner)) return false;
     return holder === null || this.isHolderRegistered(holder) || this.mayFailOverFrom(role, holder);
   }
 
-  /** Whether a role may be taken from a holder whose registration has ended. */
+  /** Whether a role may be claimed from a holder whose lease has expired. */
   mayFailOverFrom(role: string, holder: RoleRecord): boolean {
     const { policy, replica, self } = this.options;
     const { incarnation, owner: node, term } = holder;
-    const freeSince = this.trackFreeSince(role);
-    // A process of this node before this one has ended, and so has one that a later one followed.
-    const isFollowed = node === self.node || replica.get(nodeKey(node)) !== null;
-    return (
-      isFollowed || policy.mayFailOver({ role, node, incarnation, term, expiredSince: freeSince })
-    );
+    const expiredSince = this.trackFreeSince(role);
+    // An earlier process of this member has ended, and so has one whose member registered anew.
+    const hasEnded = node === self.node || replica.get(nodeKey(node)) !== null;
+    return hasEnded || policy.mayFailOver({ role, node, incarnation, term, expiredSince });
   }
 
-  /** A node takes its part back from one that lives once it has settled. */
+  /** A preferred owner reclaims its shard from a live holder once it is up for a moment. */
   private mayReclaimAsPreferredOwner(): boolean {
     const { clock, policy, startedAt } = this.options;
     return clock.now() - startedAt > PREFERRED_OWNER_SETTLE_MS && !policy.isDamped();
   }
 
-  /** Steady time in ms since which a role has been free, by what this node saw. */
+  /** Steady time in ms since which this process has seen that a role is free: now at the latest. */
   private trackFreeSince(role: string): number {
     const freeSince = this.freeSince.get(role) ?? this.options.clock.now();
     this.freeSince.set(role, freeSince);
     return freeSince;
   }
 
-  /** Our place in the order in which nodes take a role. */
+  /** Whether the candidates before this one have had their time to claim a role. */
+  private hasWaitedForItsRank(role: string, preferredOwner: Member | null): boolean {
+    const { clock, self } = this.options;
+    // Read before the clock: read after it, the time would be negative at the first look.
+    const freeSince = this.trackFreeSince(role);
+    const freeForMs = clock.now() - freeSince;
+    const isPreferredOwner = preferredOwner?.node === self.node;
+    const rank = isPreferredOwner ? 0 : this.rankOfSelf(role, preferredOwner);
+    return freeForMs >= rank * MEMBER_LEASE_RENEW_MS;
+  }
+
+  /** This member's position among the candidates for a role, from 0. */
   private rankOfSelf(role: string, preferredOwner: Member | null): number {
     const { clock, members, self, startedAt } = this.options;
     const isStarting = clock.now() - startedAt < LEADER_SETTLE_MS;
-    // Where all start at once, the first to be up leaves the lead to a better choice for a moment.
+    // Where all start at once, the first to be up leaves the leader role to better candidates.
     const candidates = preferredOwner === null && isStarting ? members : this.registeredMembers();
-    const order = preferredOwner
+    const candidateOrder = preferredOwner
       ? orderForShard(role, preferredOwner, candidates)
       : orderForLeader(role, candidates, members);
-    const index = order.indexOf(self.node);
-    return index < 0 ? order.length : index;
+    const rank = candidateOrder.indexOf(self.node);
+    return rank < 0 ? candidateOrder.length : rank;
   }
 
   /** Members that are registered now. */
--- a/src/coordination/election/failover-policy.ts
+++ b/src/coordination/election/failover-policy.ts
@@ -1,30 +1,30 @@
-/** When a role whose holder's registration has ended may be taken over. */
+/** When a role may fail over from a holder whose lease has expired. */
 
-/** A holder of a role whose registration in the state service has ended. */
+/** A holder of a role whose registration in the key-value store has expired with its lease. */
 export interface ExpiredHolder {
   readonly role: string;
   readonly node: string;
-  /** Tells the holder's process from others of the same node. */
+  /** Tells the holder's process from others of the same member. */
   readonly incarnation: string;
   readonly term: number;
-  /** Steady time in ms since which this node has seen that nobody holds the role. */
+  /** Steady time in ms since which this process has seen that the holder is not registered. */
   readonly expiredSince: number;
 }
 
 /**
- * Says when a takeover is tried. That it is safe rests on terms, guards and fences alone, whatever a
- * policy says.
+ * Decides when a failover is attempted. Its safety rests on terms, guards and fences alone, whatever
+ * a policy says.
  */
 export interface FailoverPolicy {
-  /** Whether a role may be taken now from a holder whose registration has ended. */
+  /** Whether a role may be claimed now from a holder whose lease has expired. */
   mayFailOver(holder: ExpiredHolder): boolean;
-  /** This node's own registration has ended. */
+  /** Called when this process finds its own registration lost. */
   onRegistrationLost(): void;
-  /** Whether this node leaves its roles with nodes that live, since it lost its registration often. */
+  /** Whether this member lost its registration so often that it leaves its shard with a live holder. */
   isDamped(): boolean;
 }
 
-/** The state service's word alone decides. */
+/** Lease expiry in the key-value store alone decides. */
 export const STORE_ONLY_POLICY: FailoverPolicy = {
   mayFailOver: () => true,
   onRegistrationLost: () => undefined,
--- a/src/coordination/election/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -1,4 +1,4 @@
-/** Writes to the state service on behalf of a role. */
+/** Writes to the key-value store on behalf of a role. */
 
 import type { CommitResult, Committer } from '../../storage/committer.js';
 import type { Purpose } from '../../storage/rate-limiter.js';
@@ -7,15 +7,15 @@
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 
 /**
- * A role in our hands: every write in it guards its key. Writing that key anew, with nothing changed
- * but its revision, makes all of our earlier transactions powerless that were not carried out yet.
+ * Guards every write by the key of the held role. Rewriting that key, with nothing changed but its
+ * revision, invalidates all earlier transactions of this holder that have not been executed yet.
  */
 export class GuardedWriter {
   constructor(
     private readonly key: string,
     private readonly replica: StoreReplica,
     private readonly committer: Committer,
-    /** Still ours, as far as the replica knows. */
+    /** Whether this process still holds the role, as far as the replica shows. */
     readonly isStillHolder: () => boolean,
   ) {}
 
@@ -24,8 +24,9 @@
   }
 
   /**
-   * Commits in the role. `once`: what it creates may be used up and removed soon, so that a copy of
-   * it without an answer could create it a second time. Such a copy is made powerless first.
+   * Commits on behalf of the role. `mustNotRepeat`: the records that it creates may soon be consumed
+   * and removed, so an unanswered copy of the transaction could create them a second time. Such a
+   * copy is invalidated first.
    */
   async commit(
     purpose: Purpose,
@@ -35,15 +36,15 @@
   ): Promise<CommitResult> {
     for (;;) {
       if (!this.isStillHolder()) return { kind: 'givenUp', unsure: false };
-      const guarded = [this.roleGuard(), ...guards];
+      const allGuards = [this.roleGuard(), ...guards];
       const result = mustNotRepeat
         ? await this.committer.commitOnce(
-            { purpose, guards: guarded, changes },
+            { purpose, guards: allGuards, changes },
             this.isStillHolder,
             () => this.rewriteRoleKey(),
           )
-        : await this.committer.commit(purpose, guarded, changes, this.isStillHolder);
-      // Not carried out, and the role is still ours: its key was only written anew meanwhile.
+        : await this.committer.commit(purpose, allGuards, changes, this.isStillHolder);
+      // Not executed while the role is still held: its key was only rewritten in the meantime.
       const shouldRetry =
         result.kind === 'settled' ||
         (result.kind === 'conflict' && result.failed.length === 1 && result.failed[0] === this.key);
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Writes the role's key anew; false: the role is lost. */
+  /** Rewrites the role's key unchanged; false: the role is lost. */
   private async rewriteRoleKey(): Promise<boolean> {
     const before = this.replica.get<RoleRecord>(this.key);
     if (!before || !this.isStillHolder()) return false;
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -1,4 +1,4 @@
-/** How long an owner may act, and how long a new owner waits for the one before. */
+/** How long a holder may act, and how long a new holder waits for the former one. */
 
 import {
   CANCEL_MARGIN_S,
@@ -9,7 +9,7 @@
 import { CLOCK_DRIFT } from '../../constants/protocol.js';
 import type { RoleRecord } from '../../storage/records.js';
 
-/** The deployment's bounds that ownership rests on. */
+/** The deployment's time bounds that exclusive ownership rests on. */
 export interface LeaseTiming {
   leaseS: number;
   cancelS: number;
@@ -17,38 +17,45 @@
 }
 
 /**
- * How long an owner may answer workers after its replica was last known to be current. A worker that
- * it answered last keeps its tasks for one more lease, and both together must end before a
- * cancellation that the owner never heard of is due.
+ * ms for which a shard's owner may answer heartbeats after its replica was last known to be current.
+ * A worker that it answered last keeps its tasks for one more lease, and both together must end
+ * before a cancellation is due that the owner has not learned of.
  */
 export function graceMs(timing: LeaseTiming): number {
   const slackS = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
-  // Where the deployment leaves little between the two, the margin must not eat up the grace: an
-  // owner whose grace is shorter than its watch takes would never answer a worker.
+  // Where the deployment leaves little between the two, the margin must not consume the grace: an
+  // owner whose grace is shorter than one watch would never answer a heartbeat.
   return (slackS - Math.min(CANCEL_MARGIN_S, slackS * CANCEL_MARGIN_SHARE)) * 1000;
 }
 
-/** The longest that a worker's tasks outlive its last answered report. */
+/** The longest time in ms that a worker's tasks outlive its last answered heartbeat. */
 export function workerLeaseMs(timing: LeaseTiming): number {
   return timing.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
 }
 
+/** Steady times of this process that bound how long answers under earlier terms went on. */
+export interface TenureTimes {
+  /** When this process started or, where it held the role before, when that earlier term ended. */
+  readonly startedAt: number;
+  /** When this process first saw that it holds the role. */
+  readonly seenAt: number;
+}
+
 /**
- * The steady time from which no machine that never spoke to a part's new owner has tasks left.
- * `seenAt`: when this process first saw that the role is its own. What the claim itself says of the
- * time is no proof, since a claim may be carried out long after it was made, in an outage or late.
+ * The steady time from which no machine has tasks left that has not sent its shard's new owner a
+ * heartbeat. The time of day in the claim is no proof of when it took effect: in an outage a claim
+ * may be executed long after it was made. `wall`: the time of day in ms.
  */
 export function fenceEndsAt(
   record: RoleRecord,
-  self: { startedAt: number; seenAt: number },
+  self: TenureTimes,
   wall: number,
   timing: LeaseTiming,
 ): number {
-  // The process before this one ended before this one began, so its answers did too. Where this one
-  // held the role itself, `startedAt` is when its earlier term ended.
+  // An earlier process of this member ended before this one started, and its answers with it.
   const ownAnswersEndAt = self.startedAt + workerLeaseMs(timing);
   if (record.movedAt === 0 || wall - record.movedAt > FORMER_HOLDER_GONE_MS) return ownAnswersEndAt;
-  // Another node answered at the latest a full grace after its last watch that did not show the
-  // claim, which was sent before the claim was carried out, which was before we saw it.
+  // Another holder answered at the latest a full grace after it sent the last watch that did not show
+  // the claim. That was before the claim was executed, which was before this process saw it.
   return Math.max(ownAnswersEndAt, self.seenAt + graceMs(timing) + workerLeaseMs(timing));
 }
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -1,6 +1,6 @@
-/** Rendezvous hashing: which of a few nodes something belongs to. */
+/** Rendezvous hashing: which shard a machine belongs to, and the order of candidates for a role. */
 
-/** FNV-1a over UTF-16 units, mixed once more: even enough for choosing among a few nodes. */
+/** FNV-1a over UTF-16 units, mixed once more: even enough for choosing among a few members. */
 export function hash(text: string): number {
   let value = 0x811c9dc5;
   for (let index = 0; index < text.length; index++) {
@@ -13,8 +13,8 @@
   return value >>> 0;
 }
 
-/** Rendezvous hashing: the candidate with the greatest hash together with the name. */
-export function highestRanked(name: string, candidates: readonly string[]): string | null {
+/** The candidate with the greatest hash together with the name; of equals the first by name. */
+function highestRanked(name: string, candidates: readonly string[]): string | null {
   let best: string | null = null;
   let bestHash = -1;
   for (const candidate of candidates) {
@@ -34,8 +34,8 @@
 }
 
 /**
- * The part that a machine belongs to: among the parts homed in its zone, so that a zone that is cut
- * off keeps working; among all where no node lives in that zone. It never changes.
+ * The shard that a machine belongs to. It is one whose preferred owner is in the machine's zone, so
+ * that a zone that is cut off keeps working, or any where that zone has no member. It never changes.
  */
 export function shardOf(machine: string, zone: string, members: readonly Member[]): string {
   const local = members.filter((member) => member.zone === zone);
@@ -43,7 +43,7 @@
   return highestRanked(machine, names) ?? '';
 }
 
-/** All names, each the choice among those that are left. */
+/** The members' names, each the highest ranked among those that are left. */
 function rankByHash(role: string, members: readonly Member[]): string[] {
   const names = members.map((member) => member.node);
   const ranking: string[] = [];
@@ -54,7 +54,7 @@
   return ranking;
 }
 
-/** The order in which nodes take a part whose home does not: those of its zone first. */
+/** The candidates for a shard that its preferred owner does not claim: those of its zone first. */
 export function orderForShard(
   role: string,
   preferredOwner: Member,
@@ -66,8 +66,8 @@
 }
 
 /**
- * The order in which nodes take the lead: those that share their zone's machines with the most
- * others first, since they have the least to do beside it.
+ * The candidates for the leader role: those that share their zone's machines with the most other
+ * members first, since their shards leave them the least to do.
  */
 export function orderForLeader(
   role: string,
--- a/src/coordination/election/role-claims.ts
+++ b/src/coordination/election/role-claims.ts
@@ -23,7 +23,7 @@
 export class RoleClaims {
   constructor(private readonly context: ElectionContext) {}
 
-  /** Claims, one after another, all free roles for which it is this process's turn. */
+  /** Claims, one after another, all free roles for which this process is the candidate. */
   async claimFreeRoles(): Promise<void> {
     const { candidateOrder, electableRoles } = this.context;
     for (const { role, preferredOwner } of electableRoles) {
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,30 +1,31 @@
-/** Roles that this process gave up when it was asked to, by the term in which it held them. */
+/** Roles that this process stepped down from on request, and under which term. */
 
 import { STEP_DOWN_UNCLAIMED_MS } from '../../constants/election.js';
 import type { Clock } from '../../transport/clock.js';
 
 interface SteppedDownTerm {
   readonly term: number;
+  /** Steady time in ms. */
   readonly steppedDownAt: number;
 }
 
-/** Under a term that it gave up, this process acts and answers no more, whatever it learns later. */
+/** Under a term that it stepped down from, this process never acts or answers again. */
 export class SteppedDownRoles {
   private readonly terms = new Map<string, SteppedDownTerm>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Gives a role up under this term. */
+  /** Steps down from a role under this term. */
   add(role: string, term: number): void {
     this.terms.set(role, { term, steppedDownAt: this.clock.now() });
   }
 
-  /** Whether this process gave the role up under this term. */
+  /** Whether this process stepped down from the role under this term. */
   has(role: string, term: number): boolean {
     return this.terms.get(role)?.term === term;
   }
 
-  /** Whether nobody has followed for so long that this process may go on, under a new term. */
+  /** Whether nobody claimed the role for so long that this process may claim it under a new term. */
   isUnclaimed(role: string, term: number): boolean {
     const steppedDown = this.terms.get(role);
     if (steppedDown?.term !== term) return false;
--- a/src/coordination/election/term-numbers.ts
+++ b/src/coordination/election/term-numbers.ts
@@ -2,15 +2,15 @@
 
 import { MothbankError } from '../../transport/errors.js';
 
-/** Share of a term's numbers after which the role should go on under a new term. */
+/** Share of a term's numbers after which the holder should continue under a new term. */
 const TERM_RENEWAL_SHARE = 0.5;
 
-/** Whether so many of a term's numbers are used that the role needs a new term. */
+/** Whether so many of a term's numbers are used that the holder needs a new term. */
 export const isRunningOut = (used: number, size: number): boolean =>
   used >= size * TERM_RENEWAL_SHARE;
 
-/** A term has no unused numbers left: its holder must go on under a new term. */
-export class TermExhaustedError extends MothbankError {
+/** A term has no unused numbers left: its holder must continue under a new term. */
+class TermExhaustedError extends MothbankError {
   readonly code = 'TERM_EXHAUSTED';
   readonly outcome = 'notExecuted';
 
@@ -37,7 +37,7 @@
     return this.base + this.used;
   }
 
-  /** The role needs a new term: half of the numbers are left for the time until it has one. */
+  /** Whether the holder needs a new term: half of the numbers are left until it has one. */
   get isRunningOut(): boolean {
     return isRunningOut(this.used, this.size);
   }
--- a/src/coordination/failure-detection/confirmed-failover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -1,4 +1,4 @@
-/** Takes roles over once the failure of their holder is confirmed, or the wait for that is over. */
+/** Lets roles fail over once the failure of their holder is confirmed, or after a bounded wait. */
 
 import type { FailureDetector, Verdict, VerdictKind } from '@mothbank/failure-detector';
 import type { Clock } from '../../transport/clock.js';
@@ -7,18 +7,18 @@
 import { FlapDamping } from './flap-damping.js';
 import type { StepDownRequests } from './step-down-requests.js';
 
-/** What decisions rest on. */
+/** What failover decisions rest on. */
 export interface ConfirmedFailoverOptions {
   readonly detector: FailureDetector;
   readonly stepDownRequests: StepDownRequests;
   readonly clock: Clock;
-  /** ms after which the state service's word alone decides. */
+  /** ms after which lease expiry in the key-value store alone decides. */
   readonly confirmWithinMs: number;
-  /** Hears of each decision once. */
+  /** Called once for each new decision. */
   readonly onDecision: (decision: FailoverDecision) => void;
 }
 
-/** Verdicts on which a role is taken at once, and why. */
+/** Verdicts on which a role fails over at once, with the reason that is recorded. */
 const IMMEDIATE_FAILOVER_REASONS: Partial<Record<VerdictKind, string>> = {
   failed: 'failure confirmed by a quorum',
   replaced: 'a later process answers',
@@ -30,10 +30,10 @@
   readonly why: string;
 }
 
-/** The policy that asks the failure detector. Safety rests on terms, guards and fences, not on it. */
+/** Decides by the failure detector. Safety rests on terms, guards and fences, not on its verdicts. */
 export class ConfirmedFailover implements FailoverPolicy {
   private readonly flapDamping: FlapDamping;
-  /** The last decision by role, so that each is told once. */
+  /** The last reported decision by role, so that each is reported once. */
   private readonly lastReported = new Map<string, string>();
 
   constructor(private readonly options: ConfirmedFailoverOptions) {
@@ -60,11 +60,11 @@
   }
 
   private decide(holder: ExpiredHolder, verdict: Verdict | null, waitedMs: number): ReasonedAction {
-    if (this.options.stepDownRequests.isConfirmed(holder))
-      return { action: 'take', why: 'stood down' };
+    const { confirmWithinMs, stepDownRequests } = this.options;
+    if (stepDownRequests.isConfirmed(holder)) return { action: 'take', why: 'stood down' };
     const reason = IMMEDIATE_FAILOVER_REASONS[verdict?.kind ?? 'unsupported'];
     if (reason !== undefined) return { action: 'take', why: reason };
-    if (waitedMs >= this.options.confirmWithinMs) {
+    if (waitedMs >= confirmWithinMs) {
       return { action: 'take', why: 'not confirmed in time: by the state service alone' };
     }
     return verdict?.kind === 'reachable'
@@ -74,14 +74,14 @@
 
   private reportOnce(
     { incarnation, node, role, term }: ExpiredHolder,
-    reasoned: ReasonedAction & { waitedMs: number; verdict: Verdict | null },
+    decision: ReasonedAction & { waitedMs: number; verdict: Verdict | null },
   ): void {
-    const { action, verdict, waitedMs, why } = reasoned;
-    const key = `${incarnation} ${term} ${why}`;
-    if (this.lastReported.get(role) === key) return;
-    this.lastReported.set(role, key);
+    const { action, verdict, waitedMs, why } = decision;
+    const decisionKey = `${incarnation} ${term} ${why}`;
+    if (this.lastReported.get(role) === decisionKey) return;
+    this.lastReported.set(role, decisionKey);
     const { quorum, witnesses } = verdict ?? { quorum: 0, witnesses: [] };
-    const basis = { witnesses, quorum, waitedMs };
-    this.options.onDecision({ role, holder: node, incarnation, term, action, why, ...basis });
+    const evidence = { witnesses, quorum, waitedMs };
+    this.options.onDecision({ role, holder: node, incarnation, term, action, why, ...evidence });
   }
 }
--- a/src/coordination/failure-detection/detection-records.ts
+++ b/src/coordination/failure-detection/detection-records.ts
@@ -1,12 +1,12 @@
-/** What this node detected and decided: a bounded history in memory, and one log line each. */
+/** What this controller detected and decided: a bounded history in memory, and one log line each. */
 
 import { BoundedHistory, type ProbeTimes, type Transition } from '@mothbank/failure-detector';
 import type { Log } from '../../storage/log.js';
 
-/** What was decided about a role whose holder's registration has ended. */
+/** What was decided about a role whose holder's lease has expired; exported with the history. */
 export type FailoverAction = 'take' | 'wait' | 'ask to stand down';
 
-/** A decision, with what it rests on. */
+/** A failover decision with its evidence. */
 export interface FailoverDecision {
   readonly role: string;
   readonly holder: string;
@@ -16,11 +16,11 @@
   readonly why: string;
   readonly witnesses: readonly string[];
   readonly quorum: number;
-  /** ms since this node saw that nobody holds the role. */
+  /** ms since this controller saw that the holder is not registered. */
   readonly waitedMs: number;
 }
 
-/** One line of the history; `at`: time of day in ms. */
+/** One record of the history; `at`: time of day in ms. */
 export type DetectionRecord =
   | ({ readonly type: 'transition' } & Transition)
   | ({
@@ -35,7 +35,7 @@
       readonly localHealth: number;
     } & ProbeTimes);
 
-/** Keeps records, and logs each as the field `detection` of a line. */
+/** Keeps records, and logs each as the field `detection` of a log line. */
 export class DetectionRecords {
   private readonly history: BoundedHistory<DetectionRecord>;
 
@@ -46,13 +46,13 @@
     this.history = new BoundedHistory(maxRecords);
   }
 
-  /** Adds a record and writes its line. */
+  /** Adds a record and logs it. */
   add(record: DetectionRecord): void {
     this.history.add(record);
     this.log.info({ detection: record }, eventNameOf(record));
   }
 
-  /** The records that are kept, one JSON object a line, in the form of the log's lines. */
+  /** The kept records, one JSON object a line, in the form of the log's lines. */
   export(): string {
     return this.history
       .all()
@@ -64,10 +64,10 @@
 function eventNameOf(record: DetectionRecord): string {
   switch (record.type) {
     case 'transition':
-      return `${record.member} is ${record.to}: ${record.reason}`;
+      return 'member state changed';
     case 'decision':
-      return `${record.role} of ${record.holder}: ${record.action}, ${record.why}`;
+      return 'failover decision';
     case 'probeTimes':
-      return `probes of ${record.member}`;
+      return 'probe round-trip times';
   }
 }
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -1,4 +1,5 @@
-/** What a node knows of its failure detection; its code is loaded only where it is enabled. */
+/** A controller's interface to failure detection, whose code is loaded only where it is enabled. */
+
 import type { DetectorCounts } from '@mothbank/failure-detector';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
 import type { Log } from '../../storage/log.js';
@@ -19,32 +20,36 @@
   readonly random: () => number;
   readonly log: Log;
   readonly roles: () => RoleElection;
-  /** This node gave a role up: what acts in it is to end now. */
+  /** This process stepped down from a role: whatever acts on its behalf must stop now. */
   readonly onSteppedDown: () => void;
-  /** Something changed that a takeover may wait for. */
+  /** Something changed that a failover may wait for. */
   readonly onChanged: () => void;
 }
 
-/** Failure detection of one node. */
+/** Failure detection of one controller. */
 export interface DetectionService {
   readonly policy: FailoverPolicy;
+  /** Counts since the start. */
   readonly counts: DetectorCounts;
+  /** Probes that were sent and that failed. */
   readonly probeCounts: { readonly sent: number; readonly failed: number };
+  /** 0: this controller trusts its own observations fully. */
   readonly localHealthScore: number;
+  /** Bytes of detector messages that were sent. */
   readonly bytesSent: number;
-  /** Begins to probe. */
+  /** Starts probing. */
   start(): void;
-  /** Ends all probing. */
+  /** Stops all probing. */
   stop(): void;
-  /** Handles a peer's message. */
+  /** Handles a peer's message; `answer` sends a reply to that peer. */
   receive(message: PeerMessage, answer: (message: PeerMessage) => void): void;
-  /** Whether the leader may assign new tasks to a part. */
+  /** Whether the leader may assign new tasks to a shard. */
   acceptsNewWork(shard: string): boolean;
-  /** Records the times of probes if the last ones are old enough. */
+  /** Records probe round-trip times if the last record is old enough. */
   recordProbeTimesIfDue(): void;
   /** The history, one JSON object a line. */
   export(): string;
 }
 
-/** Creates failure detection for a node; null where it is off. */
+/** Creates failure detection for a controller; null where it is disabled. */
 export type CreateDetection = ((options: DetectionServiceOptions) => DetectionService) | null;
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -1,4 +1,4 @@
-/** Failure detection in a controller: the detector on peer links, its policy and its records. */
+/** Failure detection in a controller: the detector on peer links, the failover policy, the records. */
 
 import { FailureDetector, type DetectorCounts } from '@mothbank/failure-detector';
 import { PROBE_TIMES_PERIOD_MS, STORE_REACHABLE_MS } from '../../constants/failure-detection.js';
@@ -15,10 +15,9 @@
 
 type SendReply = (message: PeerMessage) => void;
 
-/** Watches the peers of one controller, and decides when a role may be taken from one. */
+/** Monitors the peers of one controller, and decides when a role may fail over from one. */
 export class FailureDetection implements DetectionService {
   readonly policy: FailoverPolicy;
-  /** Bytes of messages that were sent. */
   bytesSent = 0;
   private readonly detector: FailureDetector;
   private readonly stepDownRequests: StepDownRequests;
@@ -46,17 +45,14 @@
     });
   }
 
-  /** Counts since the start. */
   get counts(): DetectorCounts {
     return this.detector.counts;
   }
 
-  /** Probes that were sent and that failed. */
   get probeCounts(): { readonly sent: number; readonly failed: number } {
     return this.detector.probeCounts;
   }
 
-  /** 0: this node trusts its own observations wholly. */
   get localHealthScore(): number {
     return this.detector.localHealthScore;
   }
@@ -75,7 +71,7 @@
     else if (message.kind === 'steppedDown') this.stepDownRequests.onAnswer(message);
   }
 
-  /** A suspected owner's part keeps what it runs and gets nothing new, for a bounded time. */
+  /** The shard of a suspected owner keeps its tasks and gets no new ones, for a bounded time. */
   acceptsNewWork(shard: string): boolean {
     const { environment, node, roles } = this.options;
     const owner = roles().holderOf(shardRole(shard));
--- a/src/coordination/failure-detection/flap-damping.ts
+++ b/src/coordination/failure-detection/flap-damping.ts
@@ -1,4 +1,4 @@
-/** Damps a node that loses its registration again and again. */
+/** Flap damping: a controller that keeps losing its registration stops reclaiming its shard. */
 
 import {
   FLAP_HALF_LIFE_MS,
@@ -8,7 +8,7 @@
 } from '../../constants/failure-detection.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** A penalty that grows with each loss and decays; suppressed above one bound until below another. */
+/** A penalty that grows with each loss and decays, with hysteresis between two bounds. */
 export class FlapDamping {
   private penalty = 0;
   private penaltySetAt = 0;
@@ -16,14 +16,14 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** The registration was lost once more. */
+  /** Adds a lost registration to the penalty. */
   addLoss(): void {
     this.penalty = Math.min(FLAP_PENALTY_MAX, this.decayedPenalty() + 1);
     this.penaltySetAt = this.clock.now();
     if (this.penalty >= FLAP_SUPPRESS_PENALTY) this.isSuppressed = true;
   }
 
-  /** Whether this node should leave its part with the one that has it. */
+  /** Whether this controller should leave its shard with the current holder. */
   get isDamped(): boolean {
     if (this.isSuppressed && this.decayedPenalty() < FLAP_REUSE_PENALTY) this.isSuppressed = false;
     return this.isSuppressed;
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -1,4 +1,4 @@
-/** Asks holders without a registration to give their roles up, and gives up this node's when asked. */
+/** Asks holders whose lease has expired to step down, and steps down when this process is asked. */
 
 import { STEP_DOWN_RETRY_MS } from '../../constants/failure-detection.js';
 import type { PeerMessage, RoleTenure } from '../../protocol/peer-messages.js';
@@ -7,7 +7,7 @@
 import type { ExpiredHolder } from '../election/failover-policy.js';
 import type { RoleElection } from '../election/role-election.js';
 
-/** What standing down works with. */
+/** What step-down requests work with. */
 export interface StepDownRequestsOptions {
   readonly node: string;
   readonly incarnation: string;
@@ -16,32 +16,33 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly send: (peer: string, message: PeerMessage) => boolean;
-  /** Whether the state service answers this node. */
+  /** Whether the key-value store answers this controller. */
   readonly isStoreReachable: () => boolean;
   readonly roles: () => RoleElection;
-  /** This node gave a role up: nothing may act in it any more. */
+  /** This process stepped down: nothing may act on behalf of the role any more. */
   readonly onSteppedDown: () => void;
-  /** A holder gave a role up: it can be taken. */
+  /** A holder confirmed that it stepped down: the role can be claimed. */
   readonly onConfirmed: () => void;
 }
 
 const tenureKeyOf = ({ role, term, incarnation }: Omit<RoleTenure, 'node'>): string =>
   `${role} ${term} ${incarnation}`;
 
-/** Both sides of standing down. A lost or repeated message does no harm: an answer names its term. */
+/** Both sides of a step-down. A lost or repeated message does no harm: an answer names its term. */
 export class StepDownRequests {
-  /** The latest answer by role: older ones are of terms that are over. */
+  /** The tenure of the latest answer by role: older answers are about terms that are over. */
   private readonly confirmed = new Map<string, string>();
+  /** Steady time of the last request by role. */
   private readonly requestedAt = new Map<string, number>();
 
   constructor(private readonly options: StepDownRequestsOptions) {}
 
-  /** Whether a holder said that it gave the role up. */
+  /** Whether a holder confirmed that it stepped down. */
   isConfirmed(holder: ExpiredHolder): boolean {
     return this.confirmed.get(holder.role) === tenureKeyOf(holder);
   }
 
-  /** Asks a holder, again after a while. */
+  /** Asks a holder to step down, at most once in `STEP_DOWN_RETRY_MS`. */
   request({ incarnation, node, role, term }: ExpiredHolder): void {
     const { clock, send } = this.options;
     const now = clock.now();
@@ -50,21 +51,21 @@
     send(node, { kind: 'stepDown', node: this.options.node, role, term, incarnation });
   }
 
-  /** A peer asks this node to give a role up. */
+  /** Handles a peer's request to step down. */
   onRequest(tenure: RoleTenure, sendReply: (message: PeerMessage) => void): void {
     const { incarnation, log, members, node, onSteppedDown, roles, isStoreReachable } =
       this.options;
     if (!members.has(tenure.node) || tenure.incarnation !== incarnation) return;
-    // What the peer saw is over: this node is registered, and by the state service's own word.
+    // The peer's view is out of date: the key-value store answers, and shows that we are registered.
     if (roles().isRegistered && isStoreReachable()) return;
     const { role, term } = tenure;
     if (!roles().stepDown(role, term) && !roles().hasSteppedDown(role, term)) return;
     onSteppedDown();
-    log.info({ role, term, for: tenure.node }, 'stood down');
+    log.info({ role, term, requestedBy: tenure.node }, 'stepped down');
     sendReply({ kind: 'steppedDown', node, role, term, incarnation });
   }
 
-  /** A holder answers that it gave a role up. */
+  /** Handles a holder's answer that it stepped down. */
   onAnswer(tenure: RoleTenure): void {
     if (!this.options.members.has(tenure.node)) return;
     this.confirmed.set(tenure.role, tenureKeyOf(tenure));
--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -1,4 +1,4 @@
-/** Whose turn it is to take a free role, on a clock that moves on between two readings. */
+/** Which candidate claims a free role, on a clock that moves on between two readings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MEMBER_LEASE_RENEW_MS } from '../../src/constants/election.js';
--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -13,7 +13,7 @@
 import type { World } from '../world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
-const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
+const NOT_CONFIRMED_IN_TIME = 'not confirmed in time: by the state service alone';
 
 const nodes = (world: World): string[] => world.members.map(([name]) => name);
 
@@ -63,7 +63,7 @@
   },
   {
     name: 'one survivor of three',
-    reasons: [STORE_ONLY_POLICY],
+    reasons: [NOT_CONFIRMED_IN_TIME],
     trouble: async ({ world }) => {
       world.kill('n1');
       world.kill('n2');
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -6,7 +6,7 @@
 import type { World } from '../world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
-const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
+const NOT_CONFIRMED_IN_TIME = 'not confirmed in time: by the state service alone';
 const STEPPED_DOWN = 'stood down';
 const REPLACED = 'a later process answers';
 
@@ -89,7 +89,7 @@
   },
   {
     name: 'the answer of a node that stood down is lost: the wait ends',
-    reasons: [STORE_ONLY_POLICY],
+    reasons: [NOT_CONFIRMED_IN_TIME],
     trouble: async ({ world }) => {
       world.onPeerMessage = (message) =>
         message.kind === 'steppedDown' ? { ...message, role: 'lost' } : message;
--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -122,7 +122,7 @@
     await startWork(cluster, other);
     cluster.state.refused.add(leader);
     await cluster.until('its roles are taken', LIMIT_S, () => holdsNothing(cluster, leader));
-    assert.ok(logged(cluster, leader, 'stood down'));
+    assert.ok(logged(cluster, leader, 'stepped down'));
     cluster.state.refused.clear();
     await endsWell(cluster, other);
   });
--- a/test/world/suspicion.ts
+++ b/test/world/suspicion.ts
@@ -20,7 +20,7 @@
 export interface WatchfulWorld {
   world: World;
   records: DetectionRecord[];
-  /** What was logged as stood down: the node and the role. */
+  /** What was logged as stepped down: the node and the role. */
   steppedDown: string[];
 }
 
@@ -32,7 +32,7 @@
     ...silent,
     info: (fields, message) => {
       if ('detection' in fields) records.push(fields.detection as DetectionRecord);
-      if (message === 'stood down')
+      if (message === 'stepped down')
         steppedDown.push(`${node} ${(fields as { role: string }).role}`);
     },
   });
