--- a/src/coordination/election/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -1,4 +1,4 @@
-/** Writes to the state service on behalf of a role. */
+/** Writes to the key-value store on behalf of a role. */
 
 import type { CommitResult, Committer } from '../../storage/committer.js';
 import type { Purpose } from '../../storage/rate-limiter.js';
@@ -7,58 +7,61 @@
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 
 /**
- * A role in our hands: every write in it guards its key. Writing that key anew, with nothing changed
- * but its revision, makes all of our earlier transactions powerless that were not carried out yet.
+ * Guards every write by the key of the held role. Rewriting that key, with nothing changed but its
+ * revision, invalidates all earlier transactions of this holder that have not been executed yet.
  */
 export class GuardedWriter {
   constructor(
     private readonly key: string,
     private readonly replica: StoreReplica,
     private readonly committer: Committer,
-    /** Still ours, as far as the replica knows. */
-    readonly alive: () => boolean,
+    /** Whether this process still holds the role, as far as the replica shows. */
+    readonly isStillHolder: () => boolean,
   ) {}
 
-  private guard(): Guard {
+  private roleGuard(): Guard {
     return { key: this.key, revision: this.replica.revisionOf(this.key) };
   }
 
   /**
-   * Commits in the role. `once`: what it creates may be used up and removed soon, so that a copy of
-   * it without an answer could create it a second time. Such a copy is made powerless first.
+   * Commits on behalf of the role. `mustNotRepeat`: the records that it creates may soon be consumed
+   * and removed, so an unanswered copy of the transaction could create them a second time. Such a
+   * copy is invalidated first.
    */
   async commit(
     purpose: Purpose,
     guards: Guard[],
     changes: Change[],
-    once = false,
+    mustNotRepeat = false,
   ): Promise<CommitResult> {
     for (;;) {
-      if (!this.alive()) return { kind: 'abandoned', mayCommitLater: false };
-      const guarded = [this.guard(), ...guards];
-      const result = once
-        ? await this.committer.commitOnce({ purpose, guards: guarded, changes }, this.alive, () =>
-            this.renew(),
+      if (!this.isStillHolder()) return { kind: 'abandoned', mayCommitLater: false };
+      const allGuards = [this.roleGuard(), ...guards];
+      const result = mustNotRepeat
+        ? await this.committer.commitOnce(
+            { purpose, guards: allGuards, changes },
+            this.isStillHolder,
+            () => this.rewriteRoleKey(),
           )
-        : await this.committer.commit(purpose, guarded, changes, this.alive);
-      // Not carried out, and the role is still ours: its key was only written anew meanwhile.
-      const again =
+        : await this.committer.commit(purpose, allGuards, changes, this.isStillHolder);
+      // Not executed while the role is still held: its key was only rewritten in the meantime.
+      const shouldRetry =
         result.kind === 'neverCommitted' ||
         (result.kind === 'conflict' && result.failed.length === 1 && result.failed[0] === this.key);
-      if (!again || !this.alive()) return result;
+      if (!shouldRetry || !this.isStillHolder()) return result;
     }
   }
 
-  /** Writes the role's key anew; false: the role is lost. */
-  private async renew(): Promise<boolean> {
+  /** Rewrites the role's key unchanged; false: the role is lost. */
+  private async rewriteRoleKey(): Promise<boolean> {
     const before = this.replica.get<RoleRecord>(this.key);
-    if (!before || !this.alive()) return false;
+    if (!before || !this.isStillHolder()) return false;
     await this.committer.commit(
       'role',
-      [this.guard()],
+      [this.roleGuard()],
       [{ key: this.key, value: before.value }],
-      this.alive,
+      this.isStillHolder,
     );
-    return this.alive() && this.replica.revisionOf(this.key) > before.revision;
+    return this.isStillHolder() && this.replica.revisionOf(this.key) > before.revision;
   }
 }
