--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -3,10 +3,10 @@
 import type { Team } from '../../protocol/settings.js';
 
 /** Returned instead of a reason while the machine types are not known yet. */
-export const TYPES_UNKNOWN = 'unknown';
+export const MACHINE_TYPES_UNKNOWN = 'unknown';
 
 /** The reason why a job can never run, TYPES_UNKNOWN, or null if nothing speaks against it. */
-export function neverRuns(
+export function reasonNeverRunnable(
   spec: JobSpec,
   teams: readonly Team[],
   types: readonly MachineType[] | null,
@@ -17,15 +17,15 @@
   if (spec.cpus * times > team.cpusMax || spec.gpus * times > team.gpusMax) {
     return 'cores: more than the team may use';
   }
-  if (types === null) return TYPES_UNKNOWN;
-  const fitting = types.filter((type) => fitsType(spec, type));
+  if (types === null) return MACHINE_TYPES_UNKNOWN;
+  const fitting = types.filter((type) => fitsMachineType(spec, type));
   if (fitting.length === 0) return 'larvae: a task fits no allowed machine type';
-  if (lacksZones(spec, fitting)) return 'apart: all tasks at once would be in one zone';
+  if (lacksZonesToSpread(spec, fitting)) return 'apart: all tasks at once would be in one zone';
   return null;
 }
 
 /** Whether a task of the job may run on machines of the type, and has room on an empty one. */
-function fitsType(spec: JobSpec, type: MachineType): boolean {
+function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
     (spec.zone === null || type.zones.includes(spec.zone)) &&
@@ -36,7 +36,7 @@
 }
 
 /** At most half of a spread gang may be in one zone, and all of it runs at the same time. */
-function lacksZones(spec: JobSpec, fitting: readonly MachineType[]): boolean {
+function lacksZonesToSpread(spec: JobSpec, fitting: readonly MachineType[]): boolean {
   if (spec.kind !== 'gang' || !spec.spread || spec.tasks <= 1) return false;
   const zones = new Set(spec.zone === null ? fitting.flatMap((type) => type.zones) : [spec.zone]);
   return spec.oneZone || zones.size < 2;
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -1,5 +1,5 @@
 /** Cancels jobs: the final record takes the place of the job's record in one transaction. */
-import { POLL_LIMIT_MS, SUBMIT_LIMIT_MS } from '../../constants/api.js';
+import { JOB_CHECK_TIMEOUT_MS, COMMIT_TIMEOUT_MS } from '../../constants/api.js';
 import { isJobId } from '../../protocol/user-codec.js';
 import type { CommitResult, Committer } from '../../storage/committer.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
@@ -9,9 +9,9 @@
 import type { HttpReply } from '../../transport/http-server.js';
 import {
   noSuchJob,
-  notAJobId,
-  notCommitted,
-  notStarted,
+  invalidJobId,
+  notCommittedInTime,
+  stillStarting,
   stateReply,
   type CommitListener,
 } from './job-answers.js';
@@ -33,22 +33,22 @@
   /** Cancels a job; the reply tells how it ended if it was over before. */
   async cancel(id: string): Promise<HttpReply> {
     const { replica, clock } = this.options;
-    if (!isJobId(id)) return notAJobId();
-    if (!replica.isLoaded) return this.whileLoading(id);
-    const deadline = clock.now() + SUBMIT_LIMIT_MS;
+    if (!isJobId(id)) return invalidJobId();
+    if (!replica.isLoaded) return this.cancelWhileLoading(id);
+    const deadline = clock.now() + COMMIT_TIMEOUT_MS;
     while (clock.now() < deadline) {
       const reply = await this.attempt(id, deadline);
       if (reply) return reply;
     }
-    return notCommitted();
+    return notCommittedInTime();
   }
 
   /** What has ended or never was can be told before the replica is loaded. */
-  private async whileLoading(id: string): Promise<HttpReply> {
-    const lookup = await this.options.checks.check(id, POLL_LIMIT_MS);
+  private async cancelWhileLoading(id: string): Promise<HttpReply> {
+    const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
-    if (lookup.kind === 'found' && lookup.job.final) return stateReply(id, lookup.job.state);
-    return notStarted();
+    if (lookup.kind === 'found' && lookup.job.isFinal) return stateReply(id, lookup.job.state);
+    return stillStarting();
   }
 
   /** One try, by what the replica holds; null: the replica is newer now, so try again. */
@@ -56,27 +56,27 @@
     const { replica, checks, onCommitted } = this.options;
     const final = replica.final(id);
     if (final) return stateReply(id, final.state);
-    const held = replica.get<JobRecord>(jobKey(id));
-    if (!held) return this.withoutRecord(id);
-    const { tasks } = held.value.spec;
-    const result = await this.commit(id, held.revision, tasks, deadline);
+    const stored = replica.get<JobRecord>(jobKey(id));
+    if (!stored) return this.cancelWithoutRecord(id);
+    const { tasks } = stored.value.spec;
+    const result = await this.commit(id, stored.revision, tasks, deadline);
     if (result.kind === 'done') {
       onCommitted([id], { tasks });
       return stateReply(id, 'cancelled');
     }
-    if (result.kind === 'givenUp' || result.kind === 'invalid') return notCommitted();
-    const lookup = await checks.check(id, POLL_LIMIT_MS);
+    if (result.kind === 'givenUp' || result.kind === 'invalid') return notCommittedInTime();
+    const lookup = await checks.check(id, JOB_CHECK_TIMEOUT_MS);
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
-    if (lookup.kind === 'found' && lookup.job.final) return stateReply(id, lookup.job.state);
+    if (lookup.kind === 'found' && lookup.job.isFinal) return stateReply(id, lookup.job.state);
     return null;
   }
 
   /** As `attempt`, for a job whose record the replica does not hold. */
-  private async withoutRecord(id: string): Promise<HttpReply | null> {
-    const lookup = await this.options.checks.check(id, POLL_LIMIT_MS);
-    if (lookup.kind === 'unsure') return notCommitted();
+  private async cancelWithoutRecord(id: string): Promise<HttpReply | null> {
+    const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
+    if (lookup.kind === 'unsure') return notCommittedInTime();
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
-    return lookup.job.final ? stateReply(id, lookup.job.state) : null;
+    return lookup.job.isFinal ? stateReply(id, lookup.job.state) : null;
   }
 
   /** Ends the job if its record has this revision still, and no final record is there. */
--- a/src/coordination/api/job-answers.ts
+++ b/src/coordination/api/job-answers.ts
@@ -14,11 +14,11 @@
 export interface KnownJob {
   state: JobState;
   /** Number of tasks that are done. */
-  done: number;
+  doneTasks: number;
   /** Number of tasks that run. */
-  running: number;
+  runningTasks: number;
   /** The job is over: its state never changes again. */
-  final: boolean;
+  isFinal: boolean;
 }
 
 /** Result of asking for a job. */
@@ -30,27 +30,30 @@
   | { kind: 'unsure' };
 
 /** Nothing can be said about the job. */
-export const UNSURE: JobLookup = { kind: 'unsure' };
+export const UNKNOWN_LOOKUP: JobLookup = { kind: 'unsure' };
 
 /** Called with the ids of the jobs of each commit; `cancelled`: they are over by it. */
 export type CommitListener = (jobs: string[], cancelled?: { tasks: number }) => void;
 
 /** A job that is over, by its final record. */
-export function finalJob(record: FinalRecord): JobLookup {
-  const done = record.state === 'done' ? record.tasks : 0;
-  return { kind: 'found', job: { state: record.state, done, running: 0, final: true } };
+export function finishedJobLookup(record: FinalRecord): JobLookup {
+  const doneTasks = record.state === 'done' ? record.tasks : 0;
+  return {
+    kind: 'found',
+    job: { state: record.state, doneTasks, runningTasks: 0, isFinal: true },
+  };
 }
 
 /** A job that is not over, by the chunks that the replica holds of it. */
-export function openJob(replica: StoreReplica, id: string): JobLookup {
-  let done = 0;
-  let running = 0;
+export function openJobLookup(replica: StoreReplica, id: string): JobLookup {
+  let doneTasks = 0;
+  let runningTasks = 0;
   for (const assignment of replica.assignmentsOf(id)) {
-    done += assignment.done;
-    running += assignment.placedCount;
+    doneTasks += assignment.done;
+    runningTasks += assignment.placedCount;
   }
-  const state = running > 0 ? 'running' : 'queued';
-  return { kind: 'found', job: { state, done, running, final: false } };
+  const state = runningTasks > 0 ? 'running' : 'queued';
+  return { kind: 'found', job: { state, doneTasks, runningTasks, isFinal: false } };
 }
 
 /** A reply with an error that the user should not repeat the request for. */
@@ -60,7 +63,7 @@
 });
 
 /** A reply with an error that may be gone when the user asks again. */
-export const retryLater = (status: number, error: string): HttpReply => ({
+export const temporaryError = (status: number, error: string): HttpReply => ({
   status,
   body: { error },
   retryAfterS: RETRY_AFTER_S,
@@ -73,17 +76,18 @@
 });
 
 /** The reply for an id that no accepted job can have, by its form. */
-export const notAJobId = (): HttpReply => errorReply(404, 'no such job');
+export const invalidJobId = (): HttpReply => errorReply(404, 'no such job');
 
 /** The reply for an id that no job had. */
 export const noSuchJob = ({ job }: AbsenceProof): HttpReply =>
   errorReply(404, `no such job: ${job}`);
 
 /** The reply until the replica is loaded. */
-export const notStarted = (): HttpReply => retryLater(503, 'starting');
+export const stillStarting = (): HttpReply => temporaryError(503, 'starting');
 
 /** The reply when a lookup had no result. */
-export const storeSilent = (): HttpReply => retryLater(503, 'state service does not answer');
+export const storeNotResponding = (): HttpReply =>
+  temporaryError(503, 'state service does not answer');
 
 /** The reply when it is not known in time whether a change was committed. */
-export const notCommitted = (): HttpReply => retryLater(503, 'not committed in time');
+export const notCommittedInTime = (): HttpReply => temporaryError(503, 'not committed in time');
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -2,7 +2,11 @@
  * Checks of jobs with the state service: many jobs share one comparing transaction, whose guards
  * fail for those that are no longer as the replica has them.
  */
-import { CHECK_QUEUE, GROUP_COMMIT_MS, REREADS_AT_ONCE } from '../../constants/api.js';
+import {
+  MAX_WAITING_CHECKS,
+  GROUP_COMMIT_DELAY_MS,
+  MAX_CONCURRENT_REREADS,
+} from '../../constants/api.js';
 import { GUARDS_PER_OP } from '../../constants/protocol.js';
 import {
   StoreRejectedError,
@@ -17,7 +21,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { forEachLimited } from '../../transport/concurrency.js';
 import { AbsenceProof } from './absence-proof.js';
-import { UNSURE, finalJob, openJob, type JobLookup } from './job-answers.js';
+import { UNKNOWN_LOOKUP, finishedJobLookup, openJobLookup, type JobLookup } from './job-answers.js';
 
 /** What the checks are made with. */
 export interface JobChecksOptions {
@@ -68,7 +72,7 @@
   /** What the state service holds on a job now; unsure after `limitMs`. */
   check(id: string, limitMs: number): Promise<JobLookup> {
     const existing = this.pending.get(id);
-    if (!existing && this.waiterCount >= CHECK_QUEUE) return Promise.resolve(UNSURE);
+    if (!existing && this.waiterCount >= MAX_WAITING_CHECKS) return Promise.resolve(UNKNOWN_LOOKUP);
     const check = existing ?? { id, waiters: new Set() };
     this.pending.set(id, check);
     return new Promise((resolve) => {
@@ -88,7 +92,7 @@
     if (check.waiters.size === 0 && this.pending.get(check.id) === check) {
       this.pending.delete(check.id);
     }
-    waiter.resolve(UNSURE);
+    waiter.resolve(UNKNOWN_LOOKUP);
   }
 
   private settle(check: Check, lookup: JobLookup): void {
@@ -107,7 +111,7 @@
     const { clock, checkMs } = this.options;
     const isFull = this.pending.size >= this.checksPerTransaction;
     const remainingMs = isFull ? 0 : checkMs - (clock.now() - this.checkedAt);
-    clock.after(Math.max(GROUP_COMMIT_MS, remainingMs), () => void this.runNext());
+    clock.after(Math.max(GROUP_COMMIT_DELAY_MS, remainingMs), () => void this.runNext());
   }
 
   private async runNext(): Promise<void> {
@@ -127,7 +131,7 @@
       if (group.length >= this.checksPerTransaction) break;
       this.pending.delete(check.id);
       const final = this.options.replica.final(check.id);
-      if (final) this.settle(check, finalJob(final));
+      if (final) this.settle(check, finishedJobLookup(final));
       else group.push(check);
     }
     return group;
@@ -198,11 +202,11 @@
   private settleUnsure(group: Check[], reason: string): void {
     if (group.length === 0) return;
     this.options.log.debug({ reason, jobs: group.length }, 'checks failed');
-    for (const check of group) this.settle(check, UNSURE);
+    for (const check of group) this.settle(check, UNKNOWN_LOOKUP);
   }
 
   private async rereadAll(checks: Check[], failed: ReadonlySet<string>): Promise<void> {
-    await forEachLimited(checks, REREADS_AT_ONCE, async (check) => {
+    await forEachLimited(checks, MAX_CONCURRENT_REREADS, async (check) => {
       try {
         this.settle(check, await this.reread(check.id, failed.has(finalKey(check.id))));
       } catch (error) {
@@ -226,18 +230,18 @@
     await limiter.pass('check', 0);
     const final = await keyValueStore.get(finalKey(id));
     // Neither record: two reads at two moments don't prove that there was none all the time.
-    if (!final) return UNSURE;
+    if (!final) return UNKNOWN_LOOKUP;
     replica.keepFinal(id, final.value as FinalRecord);
-    return finalJob(final.value as FinalRecord);
+    return finishedJobLookup(final.value as FinalRecord);
   }
 
   /** A job that was open when it was checked; its end may have been heard of since. */
   private openLookup(id: string): JobLookup {
     const { replica } = this.options;
     const final = replica.final(id);
-    if (final) return finalJob(final);
+    if (final) return finishedJobLookup(final);
     // Without all chunks it can't be said whether tasks of it run.
-    return replica.isLoaded ? openJob(replica, id) : UNSURE;
+    return replica.isLoaded ? openJobLookup(replica, id) : UNKNOWN_LOOKUP;
   }
 }
 
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -1,58 +1,59 @@
 /** Queries for the state of a job: users' polls, and what submissions ask first. */
-import { POLL_LIMIT_MS, WATCHED_MS } from '../../constants/api.js';
+import { JOB_CHECK_TIMEOUT_MS, FRESH_REPLICA_TIMEOUT_MS } from '../../constants/api.js';
 import { encodeJobView, isJobId } from '../../protocol/user-codec.js';
 import { jobKey } from '../../storage/keys.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import {
-  finalJob,
+  finishedJobLookup,
   noSuchJob,
-  notAJobId,
-  notStarted,
-  openJob,
-  storeSilent,
+  invalidJobId,
+  stillStarting,
+  openJobLookup,
+  storeNotResponding,
   type JobLookup,
 } from './job-answers.js';
 import type { JobChecks } from './job-checks.js';
 
 /** A poll that waits for a watch sent after it came. */
-interface WatchWaiter {
+interface FreshReplicaWaiter {
   /** Steady time at which it came. */
-  from: number;
+  arrivedAt: number;
   resolve: (fresh: boolean) => void;
   cancelTimer: () => void;
 }
 
 /** Answers from the replica where it is fresh enough, and from the state service otherwise. */
 export class JobQueries {
-  private readonly watching = new Set<WatchWaiter>();
+  private readonly waiters = new Set<FreshReplicaWaiter>();
 
   constructor(
     private readonly replica: StoreReplica,
     private readonly checks: JobChecks,
     private readonly clock: Clock,
   ) {
-    replica.onConfirmedCurrent((sentAt) => this.fresh(sentAt));
+    replica.onConfirmedCurrent((sentAt) => this.resolveWaiters(sentAt));
   }
 
   /** Answers a user's poll. */
   async poll(id: string): Promise<HttpReply> {
-    if (!isJobId(id)) return notAJobId();
-    const lookup = await this.newest(id);
-    if (lookup.kind === 'unsure') return this.replica.isLoaded ? storeSilent() : notStarted();
+    if (!isJobId(id)) return invalidJobId();
+    const lookup = await this.lookUpNewest(id);
+    if (lookup.kind === 'unsure')
+      return this.replica.isLoaded ? storeNotResponding() : stillStarting();
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
-    const { state, done, running } = lookup.job;
-    return { status: 200, body: encodeJobView(id, state, done, running) };
+    const { state, doneTasks, runningTasks } = lookup.job;
+    return { status: 200, body: encodeJobView(id, state, doneTasks, runningTasks) };
   }
 
   /** What is known of a job that this node has heard of; null: it has not, which proves nothing. */
-  heardOf(id: string): Promise<JobLookup | null> {
+  lookUpIfKnown(id: string): Promise<JobLookup | null> {
     const final = this.replica.final(id);
-    if (final) return Promise.resolve(finalJob(final));
+    if (final) return Promise.resolve(finishedJobLookup(final));
     // Until the replica is loaded nothing can be accepted, and what ended can only be looked up.
     if (this.replica.isLoaded && !this.replica.get(jobKey(id))) return Promise.resolve(null);
-    return this.checks.check(id, POLL_LIMIT_MS);
+    return this.checks.check(id, JOB_CHECK_TIMEOUT_MS);
   }
 
   /**
@@ -60,38 +61,38 @@
    * was sent later than the question came is as good as an answer to the question itself, and costs
    * no request; where changes are seldom, or the job is not in the replica, the service is asked.
    */
-  private async newest(id: string): Promise<JobLookup> {
+  private async lookUpNewest(id: string): Promise<JobLookup> {
     const before = this.replica.final(id);
-    if (before) return finalJob(before);
-    if (this.replica.isLoaded && this.replica.job(id) && (await this.watched())) {
+    if (before) return finishedJobLookup(before);
+    if (this.replica.isLoaded && this.replica.job(id) && (await this.awaitFreshReplica())) {
       const final = this.replica.final(id);
-      if (final) return finalJob(final);
-      if (this.replica.job(id)) return openJob(this.replica, id);
+      if (final) return finishedJobLookup(final);
+      if (this.replica.job(id)) return openJobLookup(this.replica, id);
     }
-    return this.checks.check(id, POLL_LIMIT_MS - WATCHED_MS);
+    return this.checks.check(id, JOB_CHECK_TIMEOUT_MS - FRESH_REPLICA_TIMEOUT_MS);
   }
 
   /** True once a watch that is sent from now on is answered; false: not soon. */
-  private watched(): Promise<boolean> {
+  private awaitFreshReplica(): Promise<boolean> {
     return new Promise((resolve) => {
-      const waiter: WatchWaiter = {
-        from: this.clock.now(),
+      const waiter: FreshReplicaWaiter = {
+        arrivedAt: this.clock.now(),
         resolve,
         cancelTimer: () => undefined,
       };
-      waiter.cancelTimer = this.clock.after(WATCHED_MS, () => {
-        this.watching.delete(waiter);
+      waiter.cancelTimer = this.clock.after(FRESH_REPLICA_TIMEOUT_MS, () => {
+        this.waiters.delete(waiter);
         resolve(false);
       });
-      this.watching.add(waiter);
+      this.waiters.add(waiter);
     });
   }
 
   /** A watch that was sent at this steady time is answered. */
-  private fresh(sentAt: number): void {
-    for (const waiter of this.watching) {
-      if (waiter.from > sentAt) continue;
-      this.watching.delete(waiter);
+  private resolveWaiters(sentAt: number): void {
+    for (const waiter of this.waiters) {
+      if (waiter.arrivedAt > sentAt) continue;
+      this.waiters.delete(waiter);
       waiter.cancelTimer();
       waiter.resolve(true);
     }
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -1,9 +1,9 @@
 /** Group commit of submissions: those that come within a few ms share one transaction. */
 import {
-  GROUP_COMMIT_MS,
-  SUBMIT_BYTES,
-  SUBMIT_LIMIT_MS,
-  SUBMIT_QUEUE,
+  GROUP_COMMIT_DELAY_MS,
+  SUBMISSION_OVERHEAD_BYTES,
+  COMMIT_TIMEOUT_MS,
+  MAX_QUEUED_SUBMISSIONS,
 } from '../../constants/api.js';
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -35,20 +35,20 @@
 interface Submission {
   spec: JobSpec;
   resolve: (outcome: SubmissionOutcome) => void;
-  settled: boolean;
+  isResolved: boolean;
   cancelTimer: () => void;
 }
 
 /** Submissions on their way to the state service, in the order in which they came. */
 export class SubmissionQueue {
-  private readonly waiting: Submission[] = [];
-  private committing = false;
+  private readonly queue: Submission[] = [];
+  private isCommitting = false;
 
   constructor(private readonly options: SubmissionQueueOptions) {}
 
   /** No further submission should be put in. */
-  get full(): boolean {
-    return this.waiting.length >= SUBMIT_QUEUE;
+  get isFull(): boolean {
+    return this.queue.length >= MAX_QUEUED_SUBMISSIONS;
   }
 
   /** Bytes that the job's record takes in the state service. */
@@ -60,12 +60,12 @@
   commit(spec: JobSpec): Promise<SubmissionOutcome> {
     const { clock } = this.options;
     return new Promise((resolve) => {
-      const cancelTimer = clock.after(SUBMIT_LIMIT_MS, () => this.settle(submission, 'unsure'));
-      const submission: Submission = { spec, resolve, settled: false, cancelTimer };
-      this.waiting.push(submission);
-      if (!this.committing) {
-        this.committing = true;
-        clock.after(GROUP_COMMIT_MS, () => void this.commitAll());
+      const cancelTimer = clock.after(COMMIT_TIMEOUT_MS, () => this.resolve(submission, 'unsure'));
+      const submission: Submission = { spec, resolve, isResolved: false, cancelTimer };
+      this.queue.push(submission);
+      if (!this.isCommitting) {
+        this.isCommitting = true;
+        clock.after(GROUP_COMMIT_DELAY_MS, () => void this.commitAll());
       }
     });
   }
@@ -74,39 +74,39 @@
     return { spec, at: this.options.clock.wall() };
   }
 
-  private settle(submission: Submission, outcome: SubmissionOutcome): void {
-    if (submission.settled) return;
-    submission.settled = true;
+  private resolve(submission: Submission, outcome: SubmissionOutcome): void {
+    if (submission.isResolved) return;
+    submission.isResolved = true;
     submission.cancelTimer();
     submission.resolve(outcome);
   }
 
-  private settleAll(group: Submission[], outcome: SubmissionOutcome): void {
-    for (const submission of group) this.settle(submission, outcome);
+  private resolveAll(group: Submission[], outcome: SubmissionOutcome): void {
+    for (const submission of group) this.resolve(submission, outcome);
   }
 
   private async commitAll(): Promise<void> {
     try {
-      while (this.waiting.length > 0) await this.commitGroup(this.nextGroup());
+      while (this.queue.length > 0) await this.commitGroup(this.takeGroup());
     } catch (error) {
       this.options.log.warn({ error: String(error) }, 'submissions not committed');
     } finally {
-      this.committing = false;
+      this.isCommitting = false;
     }
   }
 
   /** Takes out what one transaction may hold; an id comes once, its repeats with the next group. */
-  private nextGroup(): Submission[] {
+  private takeGroup(): Submission[] {
     const group: Submission[] = [];
     const ids = new Set<string>();
     let bytes = 0;
     while (group.length < this.options.transactionOps) {
-      const next = this.waiting[0];
+      const next = this.queue[0];
       if (!next || ids.has(next.spec.id)) break;
-      bytes += this.recordBytes(next.spec) + SUBMIT_BYTES;
+      bytes += this.recordBytes(next.spec) + SUBMISSION_OVERHEAD_BYTES;
       if (group.length > 0 && bytes > TRANSACTION_BYTES) break;
-      this.waiting.shift();
-      if (next.settled) continue;
+      this.queue.shift();
+      if (next.isResolved) continue;
       ids.add(next.spec.id);
       group.push(next);
     }
@@ -117,8 +117,8 @@
     let remaining = group;
     while (remaining.length > 0) {
       const result = await this.tryCommit(remaining);
-      if (result.kind !== 'conflict') return this.conclude(remaining, result);
-      remaining = this.withoutKnown(remaining, new Set(result.failed));
+      if (result.kind !== 'conflict') return this.resolveByResult(remaining, result);
+      remaining = this.withoutExistingJobs(remaining, new Set(result.failed));
     }
   }
 
@@ -130,35 +130,35 @@
       guards.push({ key: jobKey(spec.id), revision: 0 }, { key: finalKey(spec.id), revision: 0 });
       changes.push({ key: jobKey(spec.id), value: this.recordOf(spec) });
     }
-    const wanted = (): boolean => group.some((one) => !one.settled);
-    return this.options.committer.commit('submit', guards, changes, wanted);
+    const isWanted = (): boolean => group.some((one) => !one.isResolved);
+    return this.options.committer.commit('submit', guards, changes, isWanted);
   }
 
   /** Tells the users of a group how its transaction ended. */
-  private async conclude(group: Submission[], result: CommitResult): Promise<void> {
+  private async resolveByResult(group: Submission[], result: CommitResult): Promise<void> {
     if (result.kind === 'done') {
-      this.settleAll(group, 'accepted');
+      this.resolveAll(group, 'accepted');
       this.options.onCommitted(group.map((one) => one.spec.id));
     } else if (result.kind !== 'invalid') {
-      this.settleAll(group, 'unsure');
+      this.resolveAll(group, 'unsure');
     } else if (group.length > 1) {
       // One job must not take the others down: each is tried on its own, and then told.
       for (const one of group) await this.commitGroup([one]);
     } else {
-      this.settleAll(group, result.unsure ? 'unsure' : 'invalid');
+      this.resolveAll(group, result.unsure ? 'unsure' : 'invalid');
     }
   }
 
   /** What is left to commit of a group after these keys were found otherwise than its guards say. */
-  private withoutKnown(group: Submission[], failed: Set<string>): Submission[] {
-    const isKnown = ({ spec }: Submission): boolean =>
+  private withoutExistingJobs(group: Submission[], failed: Set<string>): Submission[] {
+    const exists = ({ spec }: Submission): boolean =>
       failed.has(jobKey(spec.id)) || failed.has(finalKey(spec.id));
-    const known = group.filter(isKnown);
-    this.settleAll(known, 'known');
-    const remaining = group.filter((one) => !isKnown(one) && !one.settled);
-    if (known.length > 0) return remaining;
+    const existing = group.filter(exists);
+    this.resolveAll(existing, 'known');
+    const remaining = group.filter((one) => !exists(one) && !one.isResolved);
+    if (existing.length > 0) return remaining;
     // Refused for no reason that these jobs give.
-    this.settleAll(remaining, 'unsure');
+    this.resolveAll(remaining, 'unsure');
     return [];
   }
 }
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -1,5 +1,5 @@
 /** Answers submissions: a known id first, then what can't be accepted, then the commit. */
-import { POLL_LIMIT_MS } from '../../constants/api.js';
+import { JOB_CHECK_TIMEOUT_MS } from '../../constants/api.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import { parseJson, parseSubmission, submissionId } from '../../protocol/user-codec.js';
@@ -7,22 +7,22 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import type { AbsenceProof } from './absence-proof.js';
-import { TYPES_UNKNOWN, neverRuns } from './admission.js';
+import { MACHINE_TYPES_UNKNOWN, reasonNeverRunnable } from './admission.js';
 import {
   errorReply,
-  notCommitted,
-  notStarted,
-  retryLater,
+  notCommittedInTime,
+  stillStarting,
+  temporaryError,
   stateReply,
-  storeSilent,
+  storeNotResponding,
 } from './job-answers.js';
 import type { JobChecks } from './job-checks.js';
 import type { JobQueries } from './job-queries.js';
 import type { SubmissionQueue } from './submission-queue.js';
 
-const TOO_LARGE = 'body: larger than the service can keep';
+const RECORD_TOO_LARGE = 'body: larger than the service can keep';
 
-const typesUnknown = (): HttpReply => retryLater(503, 'machine types not known yet');
+const machineTypesUnknown = (): HttpReply => temporaryError(503, 'machine types not known yet');
 
 /** What submissions are answered with. */
 export interface SubmissionsOptions {
@@ -47,24 +47,24 @@
     if (id === null) return errorReply(400, 'ref: must look like j-000412');
     // A known id is answered first, whatever else the body says. What has ended stays so; of what
     // has not, this node may not have heard the end yet, and must not give an older answer.
-    const lookup = await this.options.queries.heardOf(id);
+    const lookup = await this.options.queries.lookUpIfKnown(id);
     if (lookup?.kind === 'found') return stateReply(id, lookup.job.state);
-    if (!this.options.replica.isLoaded) return notStarted();
-    if (lookup?.kind === 'unsure') return storeSilent();
+    if (!this.options.replica.isLoaded) return stillStarting();
+    if (lookup?.kind === 'unsure') return storeNotResponding();
     const parsed = parseSubmission(json.value);
     if (!parsed.ok) return this.refuse(id, 400, parsed.error);
-    const reason = this.refusalOf(parsed.value);
-    if (reason === TYPES_UNKNOWN) return this.unlessKnown(id, typesUnknown);
+    const reason = this.refusalReason(parsed.value);
+    if (reason === MACHINE_TYPES_UNKNOWN) return this.unlessKnown(id, machineTypesUnknown);
     return reason === null ? this.accept(parsed.value) : this.refuse(id, 422, reason);
   }
 
   /** Why a job can't be accepted if it is new, or TYPES_UNKNOWN; null: it can be. */
-  private refusalOf(spec: JobSpec): string | null {
+  private refusalReason(spec: JobSpec): string | null {
     const { teams, replica, queue, valueBytes } = this.options;
-    const reason = neverRuns(spec, teams, readCatalog(replica));
+    const reason = reasonNeverRunnable(spec, teams, readCatalog(replica));
     if (reason !== null) return reason;
     // Accepted it could never be written, and its user would be told to come back for ever.
-    return queue.recordBytes(spec) > valueBytes ? TOO_LARGE : null;
+    return queue.recordBytes(spec) > valueBytes ? RECORD_TOO_LARGE : null;
   }
 
   /** Refuses a submission for good. Its job may have been accepted before, which must be ruled out. */
@@ -77,20 +77,20 @@
     id: string,
     replyOf: (proof: AbsenceProof) => HttpReply,
   ): Promise<HttpReply> {
-    const stored = await this.options.checks.check(id, POLL_LIMIT_MS);
-    if (stored.kind === 'unsure') return storeSilent();
+    const stored = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
+    if (stored.kind === 'unsure') return storeNotResponding();
     if (stored.kind === 'found') return stateReply(id, stored.job.state);
     return replyOf(stored.proof);
   }
 
   private async accept(spec: JobSpec): Promise<HttpReply> {
     const { queue } = this.options;
-    if (queue.full) return retryLater(429, 'too many submissions');
+    if (queue.isFull) return temporaryError(429, 'too many submissions');
     const outcome = await queue.commit(spec);
     if (outcome === 'accepted') return stateReply(spec.id, 'queued', 201);
     // The state service may have taken the job before its limits became smaller.
-    if (outcome === 'invalid') return this.refuse(spec.id, 422, TOO_LARGE);
-    if (outcome === 'known') return this.unlessKnown(spec.id, notCommitted);
-    return notCommitted();
+    if (outcome === 'invalid') return this.refuse(spec.id, 422, RECORD_TOO_LARGE);
+    if (outcome === 'known') return this.unlessKnown(spec.id, notCommittedInTime);
+    return notCommittedInTime();
   }
 }
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -35,7 +35,7 @@
 /** Serves users. Nothing is told to one before the state service holds it. */
 export class UserRequests {
   /** Answers to submissions by status, for whoever watches the program. */
-  readonly answers = new Map<number, number>();
+  readonly submissionReplyCounts = new Map<number, number>();
   private readonly replica: StoreReplica;
   private readonly submissions: Submissions;
   private readonly queries: JobQueries;
@@ -51,14 +51,17 @@
   }
 
   /** The replica is loaded, so that requests can be answered. */
-  get ready(): boolean {
+  get isReady(): boolean {
     return this.replica.isLoaded;
   }
 
   /** Answers a submission with this body; null: the body was too long to be read. */
   async submit(text: string | null): Promise<HttpReply> {
     const reply = await this.submissions.submit(text);
-    this.answers.set(reply.status, (this.answers.get(reply.status) ?? 0) + 1);
+    this.submissionReplyCounts.set(
+      reply.status,
+      (this.submissionReplyCounts.get(reply.status) ?? 0) + 1,
+    );
     return reply;
   }
 
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -13,7 +13,7 @@
   /** A part has something to do. */
   readonly onShardWork: () => void;
   /** This node has become the leader. */
-  readonly onLeading: () => void;
+  readonly onLeadershipGained: () => void;
 }
 
 /** The parts, and the leader with its fleet, that act while this node owns their roles. */
@@ -23,7 +23,7 @@
   private readonly shardTerms = new Map<string, number>();
   private activeLeader: Leader | null = null;
   private leaderTerm = 0;
-  private fleet: Autoscaler | null = null;
+  private autoscaler: Autoscaler | null = null;
 
   constructor(
     private readonly services: ControllerServices,
@@ -36,7 +36,7 @@
   }
 
   /** Passes a changed key of the replica on; `affectsParts`: a part may have something to do. */
-  keyChanged(key: string): { affectsShards: boolean } {
+  handleKeyChange(key: string): { affectsShards: boolean } {
     let affectsShards = false;
     for (const shard of this.shards.values()) {
       if (shard.changed(key)) affectsShards = true;
@@ -56,38 +56,39 @@
   /** The roles whose terms have handed out half of their numbers. */
   rolesNeedingTermRenewal(): string[] {
     const shards = [...this.shards].filter(([, shard]) => shard.needsTermRenewal);
-    const roles = shards.map(([name]) => shardRole(name));
-    if (this.activeLeader?.needsTermRenewal) roles.push(LEADER);
-    return roles;
+    const election = shards.map(([name]) => shardRole(name));
+    if (this.activeLeader?.needsTermRenewal) election.push(LEADER);
+    return election;
   }
 
   /** One round of the leader; notifies the parts for which something urgent was written. */
-  async runLeader(): Promise<void> {
+  async reconcileLeader(): Promise<void> {
     const written = await this.activeLeader?.reconcile();
     for (const shard of written ?? []) this.services.holderNotifier.notify(shardRole(shard));
   }
 
   /** One round of the fleet. */
-  async runAutoscaler(): Promise<void> {
-    if (this.activeLeader && this.fleet) await this.fleet.reconcile(this.activeLeader.snapshot);
+  async reconcileAutoscaler(): Promise<void> {
+    if (this.activeLeader && this.autoscaler)
+      await this.autoscaler.reconcile(this.activeLeader.snapshot);
   }
 
   private syncShard(name: string, number: number): void {
-    const { log, roles } = this.services;
-    const owned = roles.heldRole(shardRole(name));
-    if (!owned) {
+    const { log, election } = this.services;
+    const heldRole = election.heldRole(shardRole(name));
+    if (!heldRole) {
       if (this.shards.delete(name)) log.info({ shard: name }, 'part given up');
       return;
     }
-    if (this.shards.has(name) && this.shardTerms.get(name) === owned.term) return;
-    this.shards.set(name, this.createShard(name, number, owned));
-    this.shardTerms.set(name, owned.term);
-    log.info({ shard: name, term: owned.term }, 'part taken');
+    if (this.shards.has(name) && this.shardTerms.get(name) === heldRole.term) return;
+    this.shards.set(name, this.createShard(name, number, heldRole));
+    this.shardTerms.set(name, heldRole.term);
+    log.info({ shard: name, term: heldRole.term }, 'part taken');
   }
 
-  private createShard(name: string, number: number, owned: HeldRole): Shard {
+  private createShard(name: string, number: number, heldRole: HeldRole): Shard {
     const { committer, environment, log, replica } = this.services;
-    return new Shard(this.shardOptions(name, number, owned), {
+    return new Shard(this.shardOptions(name, number, heldRole), {
       replica,
       committer,
       workers: environment.workers,
@@ -97,17 +98,17 @@
     });
   }
 
-  private shardOptions(name: string, number: number, owned: HeldRole): PartOptions {
-    const { limiter, holderNotifier, roles, settings } = this.services;
+  private shardOptions(name: string, number: number, heldRole: HeldRole): PartOptions {
+    const { limiter, holderNotifier, election, settings } = this.services;
     const { placement } = settings;
     const role = shardRole(name);
     return {
       shard: name,
       number,
-      term: owned.term,
+      term: heldRole.term,
       roleKey: roleKey(role),
-      roleRevision: owned.revision,
-      fenceAt: roles.fenceEndsAt(owned),
+      roleRevision: heldRole.revision,
+      fenceAt: election.fenceEndsAt(heldRole),
       leaseS: settings.leaseS,
       heartbeatIntervalS: settings.heartbeatIntervalS,
       gangWaitS: settings.gangWaitS,
@@ -118,35 +119,35 @@
       penalty: placement.penalty,
       startWithinS: settings.startWithinS,
       snapshotMs: placement.snapshotS * 1000,
-      alive: () => roles.heldRole(role)?.term === owned.term,
-      current: () => roles.isReplicaCurrent,
+      alive: () => election.heldRole(role)?.term === heldRole.term,
+      current: () => election.isReplicaCurrent,
       limiter,
       written: () => holderNotifier.notify(LEADER),
     };
   }
 
   private syncLeader(): void {
-    const { log, roles } = this.services;
-    const owned = roles.heldRole(LEADER);
-    if (!owned) {
+    const { log, election } = this.services;
+    const heldRole = election.heldRole(LEADER);
+    if (!heldRole) {
       if (this.activeLeader) log.info({}, 'leadership given up');
       this.activeLeader = null;
-      this.fleet = null;
+      this.autoscaler = null;
       return;
     }
-    const { term } = owned;
+    const { term } = heldRole;
     if (this.activeLeader && this.leaderTerm === term) return;
     this.leaderTerm = term;
     const writer = this.createLeaderWriter(term);
     this.activeLeader = this.createLeader(term, writer);
-    this.fleet = this.createAutoscaler(term, writer);
+    this.autoscaler = this.createAutoscaler(term, writer);
     log.info({ term }, 'leading');
-    this.callbacks.onLeading();
+    this.callbacks.onLeadershipGained();
   }
 
   private createLeaderWriter(term: number): GuardedWriter {
-    const { committer, replica, roles } = this.services;
-    const isOwner = (): boolean => roles.heldRole(LEADER)?.term === term;
+    const { committer, replica, election } = this.services;
+    const isOwner = (): boolean => election.heldRole(LEADER)?.term === term;
     return new GuardedWriter(roleKey(LEADER), replica, committer, isOwner);
   }
 
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -1,5 +1,9 @@
 /** Runs one kind of work periodically, and soon after it is woken. */
-import { LOOP_GATHER_MS, LOOP_MS, LOOP_REST } from '../../constants/controller.js';
+import {
+  LOOP_COALESCE_MS,
+  LOOP_INTERVAL_MS,
+  REST_PER_CPU_TIME,
+} from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 
@@ -14,18 +18,18 @@
   /** Processor time of a round in ms: the pause before the next leaves most of it to reports. */
   readonly lastCycleCpuMs?: () => number;
   /** ms between two rounds when nothing wakes the loop. */
-  readonly idleMs?: () => number;
+  readonly intervalMs?: () => number;
 }
 
 /** A periodic loop; its rounds never overlap. */
 export class ControlLoop {
   private cancelTimer: (() => void) | null = null;
-  private running = false;
-  private stopped = false;
+  private isRunning = false;
+  private isStopped = false;
   /** Woken since the last round began. */
-  private woken = false;
+  private hasPendingWake = false;
   /** The next round is scheduled after the gathering delay already. */
-  private scheduledSoon = false;
+  private isScheduledSoon = false;
 
   constructor(private readonly options: ControlLoopOptions) {}
 
@@ -37,37 +41,37 @@
 
   /** Runs a round soon; changes that follow one another closely share one. */
   wake(): void {
-    this.woken = true;
-    if (this.running || this.scheduledSoon || this.stopped) return;
-    this.scheduledSoon = true;
-    this.schedule(this.gatherMs());
+    this.hasPendingWake = true;
+    if (this.isRunning || this.isScheduledSoon || this.isStopped) return;
+    this.isScheduledSoon = true;
+    this.schedule(this.coalesceMs());
   }
 
   /** Begins no further round. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
-  private gatherMs(): number {
+  private coalesceMs(): number {
     const costMs = this.options.lastCycleCpuMs?.() ?? 0;
-    return Math.max(LOOP_GATHER_MS, costMs * LOOP_REST);
+    return Math.max(LOOP_COALESCE_MS, costMs * REST_PER_CPU_TIME);
   }
 
   private async run(): Promise<void> {
-    if (this.stopped) return;
+    if (this.isStopped) return;
     this.cancelTimer?.();
     this.cancelTimer = null;
-    this.running = true;
-    this.woken = false;
-    this.scheduledSoon = false;
-    const { idleMs, log, name, reconcile } = this.options;
+    this.isRunning = true;
+    this.hasPendingWake = false;
+    this.isScheduledSoon = false;
+    const { intervalMs, log, name, reconcile } = this.options;
     try {
       await reconcile();
     } catch (error) {
       log.error({ loop: name, error: String((error as Error).stack ?? error) }, 'round failed');
     }
-    this.running = false;
-    this.scheduledSoon = this.woken;
-    this.schedule(this.woken ? this.gatherMs() : (idleMs?.() ?? LOOP_MS));
+    this.isRunning = false;
+    this.isScheduledSoon = this.hasPendingWake;
+    this.schedule(this.hasPendingWake ? this.coalesceMs() : (intervalMs?.() ?? LOOP_INTERVAL_MS));
   }
 }
--- a/src/coordination/controller/controller-node.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -1,11 +1,11 @@
 /** One controller without its sockets: it connects the services, the loops and the entry points. */
 import {
-  AUTOSCALER_MS,
-  LEADER_GATHER_MS,
-  LOOP_IDLE_MS,
-  LOOP_MS,
-  LOOP_REST,
-  ROLES_MS,
+  AUTOSCALER_INTERVAL_MS,
+  LEADER_COALESCE_MS,
+  STANDBY_INTERVAL_MS,
+  LOOP_INTERVAL_MS,
+  REST_PER_CPU_TIME,
+  ELECTION_INTERVAL_MS,
 } from '../../constants/controller.js';
 import { ARMS, NODES, ROLES } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
@@ -29,15 +29,15 @@
 export type { Environment } from '../../protocol/environment.js';
 
 /** The periodic loops of a node. */
-interface NodeLoops {
-  readonly roles: ControlLoop;
+interface ControlLoops {
+  readonly election: ControlLoop;
   readonly shards: ControlLoop;
   readonly leader: ControlLoop;
-  readonly fleet: ControlLoop;
+  readonly autoscaler: ControlLoop;
 }
 
 /** What a node is created from. */
-export interface ControllerNodeOptions {
+export interface ControllerCoreOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
@@ -48,78 +48,78 @@
 }
 
 /** One controller without its sockets: everything that it decides is in here. */
-export class ControllerNode {
+export class ControllerCore {
   private readonly services: ControllerServices;
   private readonly activeRoles: ActiveRoles;
   private readonly userEndpoint: UserEndpoint;
   private readonly heartbeatEndpoint: HeartbeatEndpoint;
   private readonly peerEndpoint: PeerEndpoint;
-  private readonly relay: PeerRelay;
+  private readonly peerRelay: PeerRelay;
   private readonly requestLog: RequestLog;
-  private readonly loops: NodeLoops;
+  private readonly loops: ControlLoops;
   private readMetrics: (() => Promise<string>) | null = null;
 
-  constructor(options: ControllerNodeOptions) {
+  constructor(options: ControllerCoreOptions) {
     const { environment, log, settings } = options;
     const services = createControllerServices({
       createDetection: null,
       ...options,
       detectionEvents: {
         onSteppedDown: () => this.activeRoles.sync(),
-        onChanged: () => this.loops.roles.wake(),
+        onChanged: () => this.loops.election.wake(),
       },
     });
-    const { limiter, members, reachability, replica, roles, userRequests } = services;
+    const { limiter, members, reachability, replica, election, userRequests } = services;
     const { clock } = environment;
     this.services = services;
     this.activeRoles = new ActiveRoles(services, {
       onShardWork: () => this.loops.shards.wake(),
-      onLeading: () => {
+      onLeadershipGained: () => {
         this.loops.leader.wake();
-        this.loops.fleet.wake();
+        this.loops.autoscaler.wake();
       },
     });
     const { activeRoles } = this;
-    const relay = new PeerRelay(environment);
-    this.relay = relay;
+    const peerRelay = new PeerRelay(environment);
+    this.peerRelay = peerRelay;
     const { node } = settings;
     const isAlone = settings.peers.length === 0;
-    const userServices = { environment, userRequests, reachability, limiter, relay, isAlone };
+    const userServices = { environment, userRequests, reachability, limiter, peerRelay, isAlone };
     this.userEndpoint = new UserEndpoint(userServices);
     this.heartbeatEndpoint = new HeartbeatEndpoint({
-      node,
+      controllerName: node,
       clock,
       members,
-      roles,
+      election,
       activeRoles,
-      relay,
+      peerRelay,
     });
     const { userEndpoint, heartbeatEndpoint } = this;
     const { detection } = services;
     this.peerEndpoint = new PeerEndpoint({
       replica,
-      relay,
+      peerRelay,
       userEndpoint,
       heartbeatEndpoint,
       detection,
     });
     this.requestLog = new RequestLog({ clock, log, limiter, userRequests });
     this.loops = this.createLoops();
-    replica.onChange((keys) => this.storeChanged(keys));
+    replica.onChange((keys) => this.handleReplicaChange(keys));
   }
 
   /** Begins to follow the state service and to run the loops. */
   start(): void {
     void this.replica.follow();
-    const { fleet, leader, shards, roles } = this.loops;
-    for (const loop of [roles, shards, leader, fleet]) loop.schedule(0);
+    const { autoscaler, leader, shards, election } = this.loops;
+    for (const loop of [election, shards, leader, autoscaler]) loop.schedule(0);
     this.detection?.start();
   }
 
   /** Ends the loops and the watch of the state service. */
   stop(): void {
-    const { fleet, leader, shards, roles } = this.loops;
-    for (const loop of [roles, shards, leader, fleet]) loop.stop();
+    const { autoscaler, leader, shards, election } = this.loops;
+    for (const loop of [election, shards, leader, autoscaler]) loop.stop();
     this.detection?.stop();
     this.replica.stop();
   }
@@ -135,7 +135,7 @@
   }
 
   /** The parts that this node owns. */
-  get shards(): ReadonlyMap<string, Shard> {
+  get heldShards(): ReadonlyMap<string, Shard> {
     return this.activeRoles.shards;
   }
 
@@ -148,90 +148,98 @@
    * Whether users' requests can be answered here, or through this node by a peer. In an outage that
    * all nodes share it stays true, since a node taken out is only let back in late.
    */
-  get ready(): boolean {
-    return this.userEndpoint.ready;
+  get isReady(): boolean {
+    return this.userEndpoint.isReady;
   }
 
   /** ms since the replica was last known to be current. */
-  viewAgeMs(): number {
+  replicaAgeMs(): number {
     return this.services.environment.clock.now() - this.replica.knownCurrentAt;
   }
 
   /** The node's metrics in the Prometheus text format; their library is loaded on first use. */
   async metrics(): Promise<HttpReply> {
     if (!this.readMetrics) {
-      const { metricsOf } = await import('./metrics.js');
-      this.readMetrics = metricsOf(this);
+      const { createMetricsReader } = await import('./metrics.js');
+      this.readMetrics = createMetricsReader(this);
     }
     return { status: 200, body: await this.readMetrics(), type: 'text/plain; version=0.0.4' };
   }
 
   /** Serves a user's request; `about`: the id of the job, or '' in a submission. */
-  serve(ask: UserRequest['ask'], about: string, text: string | null): Promise<HttpReply> {
-    return this.userEndpoint.serve({ ask, about, text });
+  handleUserRequest(
+    operation: UserRequest['operation'],
+    jobId: string,
+    body: string | null,
+  ): Promise<HttpReply> {
+    return this.userEndpoint.handle({ operation, jobId, body });
   }
 
   /** Serves a worker's report. */
-  heartbeat(text: string | null): Promise<HttpReply> {
-    return this.heartbeatEndpoint.heartbeat(text);
+  handleHeartbeat(body: string | null): Promise<HttpReply> {
+    return this.heartbeatEndpoint.handle(body);
   }
 
   /** Handles a peer's message; `answer` sends one back to it. */
-  receive(message: PeerMessage, answer: (message: PeerMessage) => void): void {
-    this.peerEndpoint.receive(message, answer);
+  receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
+    this.peerEndpoint.receive(message, respond);
   }
 
-  private createLoops(): NodeLoops {
+  private createLoops(): ControlLoops {
     const { activeRoles } = this;
     const { environment, log } = this.services;
     const loop = (options: Omit<ControlLoopOptions, 'clock' | 'log'>): ControlLoop =>
       new ControlLoop({ ...options, clock: environment.clock, log });
     return {
-      roles: loop({ name: 'roles', reconcile: () => this.runRoles(), idleMs: () => ROLES_MS }),
-      shards: loop({ name: 'parts', reconcile: () => this.runShards() }),
+      election: loop({
+        name: 'roles',
+        reconcile: () => this.reconcileElection(),
+        intervalMs: () => ELECTION_INTERVAL_MS,
+      }),
+      shards: loop({ name: 'parts', reconcile: () => this.reconcileShards() }),
       leader: loop({
         name: 'leader',
-        reconcile: () => activeRoles.runLeader(),
+        reconcile: () => activeRoles.reconcileLeader(),
         lastCycleCpuMs: () =>
-          Math.max(LEADER_GATHER_MS / LOOP_REST, this.leader?.lastCycleCpuMs ?? 0),
-        idleMs: () => (this.leader ? LOOP_MS : LOOP_IDLE_MS),
+          Math.max(LEADER_COALESCE_MS / REST_PER_CPU_TIME, this.leader?.lastCycleCpuMs ?? 0),
+        intervalMs: () => (this.leader ? LOOP_INTERVAL_MS : STANDBY_INTERVAL_MS),
       }),
-      fleet: loop({
+      autoscaler: loop({
         name: 'fleet',
-        reconcile: () => activeRoles.runAutoscaler(),
-        idleMs: () => (this.leader ? AUTOSCALER_MS : LOOP_IDLE_MS),
+        reconcile: () => activeRoles.reconcileAutoscaler(),
+        intervalMs: () => (this.leader ? AUTOSCALER_INTERVAL_MS : STANDBY_INTERVAL_MS),
       }),
     };
   }
 
   /** One round of the roles, and new terms for those that run out of numbers. */
-  private async runRoles(): Promise<void> {
-    const { roles } = this.services;
-    await roles.reconcile();
-    for (const role of this.activeRoles.rolesNeedingTermRenewal()) await roles.renewTerm(role);
+  private async reconcileElection(): Promise<void> {
+    const { election } = this.services;
+    await election.reconcile();
+    for (const role of this.activeRoles.rolesNeedingTermRenewal()) await election.renewTerm(role);
   }
 
   /** One round of each part, one after the other, and what is due periodically beside them. */
-  private async runShards(): Promise<void> {
+  private async reconcileShards(): Promise<void> {
     this.requestLog.writeIfDue();
     this.detection?.writeIfDue();
-    for (const shard of [...this.shards.values()]) await shard.reconcile();
+    for (const shard of [...this.heldShards.values()]) await shard.reconcile();
     this.heartbeatEndpoint.forgetOldRedirects();
-    this.relay.probeSilent();
+    this.peerRelay.probeUnresponsivePeers();
   }
 
   /** Passes changed keys of the replica on and wakes the loops that they concern. */
-  private storeChanged(keys: string[]): void {
+  private handleReplicaChange(keys: string[]): void {
     let shardsAffected = false;
     let rolesAffected = false;
     let leaderAffected = false;
     for (const key of keys) {
-      if (this.activeRoles.keyChanged(key).affectsShards) shardsAffected = true;
+      if (this.activeRoles.handleKeyChange(key).affectsShards) shardsAffected = true;
       if (key.startsWith(ROLES) || key.startsWith(NODES)) rolesAffected = true;
       else if (!key.startsWith(ARMS)) leaderAffected = true;
     }
     this.activeRoles.sync();
-    if (rolesAffected) this.loops.roles.wake();
+    if (rolesAffected) this.loops.election.wake();
     if (shardsAffected || rolesAffected) this.loops.shards.wake();
     if (leaderAffected && this.leader) this.loops.leader.wake();
   }
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -1,5 +1,5 @@
 /** Creates the services that all modules of a node share, in the order of their dependencies. */
-import { CHECK_SHARE } from '../../constants/api.js';
+import { CHECK_RATE_SHARE } from '../../constants/api.js';
 import { WATCH_GRACE_SHARE } from '../../constants/election.js';
 import { WATCH_HOLD_MS, WATCH_SHARE, WATCH_SPACING_MS } from '../../constants/storage.js';
 import { Committer } from '../../storage/committer.js';
@@ -48,29 +48,34 @@
   readonly limiter: RateLimiter;
   readonly replica: StoreReplica;
   readonly committer: Committer;
-  readonly roles: RoleElection;
+  readonly election: RoleElection;
   /** Null: it is off. */
   readonly detection: DetectionService | null;
   readonly holderNotifier: HolderNotifier;
   readonly userRequests: UserRequests;
 }
 
-type StoreServices = Omit<
+type StorageServices = Omit<
   ControllerServices,
-  'roles' | 'detection' | 'holderNotifier' | 'userRequests'
+  'election' | 'detection' | 'holderNotifier' | 'userRequests'
 >;
-type RoleServices = Omit<ControllerServices, 'userRequests'>;
+type ElectionServices = Omit<ControllerServices, 'userRequests'>;
 
 /** Creates the services of a node. */
 export function createControllerServices(options: ControllerServicesOptions): ControllerServices {
   const store = createStoreServices(options);
-  const detection = createDetection(store, () => roles);
-  const roles = createRoles(store, detection?.policy ?? STORE_ONLY_POLICY);
+  const detection = createDetection(store, () => election);
+  const election = createElection(store, detection?.policy ?? STORE_ONLY_POLICY);
   const { environment, settings } = options;
   const { replica } = store;
-  const holderNotifier = new HolderNotifier({ node: settings.node, environment, roles, replica });
-  const withRoles = { ...store, roles, detection, holderNotifier };
-  return { ...withRoles, userRequests: createUserRequests(withRoles) };
+  const holderNotifier = new HolderNotifier({
+    controllerName: settings.node,
+    environment,
+    election,
+    replica,
+  });
+  const withElection = { ...store, election, detection, holderNotifier };
+  return { ...withElection, userRequests: createUserRequests(withElection) };
 }
 
 /** ms between requests of all members that take `share` of the state service's limit. */
@@ -79,11 +84,11 @@
   return (1000 * memberCount) / (storeRps * share);
 }
 
-function createStoreServices(options: ControllerServicesOptions): StoreServices {
+function createStoreServices(options: ControllerServicesOptions): StorageServices {
   const { environment, incarnation, log, settings } = options;
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
-  const state = reachability.watch(environment.keyValueStore);
+  const keyValueStore = reachability.watch(environment.keyValueStore);
   const { storeRps: rps, storeWriteRps: writeRps, transactionOps } = settings;
   const limiter = new RateLimiter(
     clock,
@@ -91,7 +96,7 @@
     settings.peers.length + 1,
   );
   const random = randomOf(hash(incarnation));
-  const common = { keyValueStore: state, limiter, clock, log, random };
+  const common = { keyValueStore, limiter, clock, log, random };
   const replica = new StoreReplica({
     ...common,
     holdMs: Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_SHARE)),
@@ -101,7 +106,7 @@
   const members = [selfOf(settings), ...settings.peers].sort((a, b) => (a.node < b.node ? -1 : 1));
   return {
     ...options,
-    keyValueStore: state,
+    keyValueStore,
     members,
     random,
     reachability,
@@ -116,26 +121,26 @@
 }
 
 function createDetection(
-  services: StoreServices,
-  roles: () => RoleElection,
+  services: StorageServices,
+  election: () => RoleElection,
 ): DetectionService | null {
   const { environment, incarnation, log, members, random, replica, settings } = services;
   const create = services.createDetection;
   if (!create) return null;
   const { node } = settings;
   const shared = { environment, incarnation, log, members, random, replica };
-  return create({ ...shared, node, roles, ...services.detectionEvents });
+  return create({ ...shared, node, roles: election, ...services.detectionEvents });
 }
 
-function createRoles(services: StoreServices, policy: FailoverPolicy): RoleElection {
-  const { environment, settings, keyValueStore: state } = services;
+function createElection(services: StorageServices, policy: FailoverPolicy): RoleElection {
+  const { environment, settings, keyValueStore } = services;
   const { committer, incarnation, limiter, log, members, replica } = services;
   return new RoleElection({
     self: selfOf(settings),
     incarnation,
     members,
     timing: settings,
-    keyValueStore: state,
+    keyValueStore,
     limiter,
     replica,
     committer,
@@ -146,24 +151,16 @@
   });
 }
 
-function createUserRequests(services: RoleServices): UserRequests {
-  const {
-    committer,
-    environment,
-    limiter,
-    log,
-    holderNotifier,
-    replica,
-    settings,
-    keyValueStore: state,
-  } = services;
+function createUserRequests(services: ElectionServices): UserRequests {
+  const { committer, environment, limiter, log, holderNotifier, replica, settings, keyValueStore } =
+    services;
   return new UserRequests({
     teams: settings.teams,
     transactionOps: settings.transactionOps,
     valueBytes: settings.valueBytes,
-    checkMs: requestSpacingMs(settings, CHECK_SHARE),
+    checkMs: requestSpacingMs(settings, CHECK_RATE_SHARE),
     replica,
-    keyValueStore: state,
+    keyValueStore,
     limiter,
     committer,
     clock: environment.clock,
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -6,14 +6,14 @@
 import { RETRY_AFTER_S } from '../../constants/api.js';
 import {
   CLOUD_TIMEOUT_MS,
-  CROWDED_SHARE,
-  DIRECT_AT_ONCE,
-  DIRECT_SOCKETS,
-  DIRECT_TIMEOUT_MS,
-  FULL_SHARE,
+  CROWDED_SOCKET_SHARE,
+  MAX_CONCURRENT_DIRECT_CALLS,
+  DIRECT_SOCKET_SHARE,
+  DIRECT_CALL_TIMEOUT_MS,
+  FULL_SOCKET_SHARE,
   KEEP_ALIVE_MS,
-  PEER_FRAME_BYTES,
-  PEER_RETRY_MS,
+  MAX_PEER_FRAME_BYTES,
+  PEER_RECONNECT_MS,
   RESERVED_SOCKETS,
   STORE_SOCKETS,
 } from '../../constants/controller.js';
@@ -34,7 +34,7 @@
   type ServerLimits,
 } from '../../transport/http-server.js';
 import { PeerLink, listenPeers, type PeerLinkOptions } from '../../transport/peer-link.js';
-import { ControllerNode, type Environment } from './controller-node.js';
+import { ControllerCore, type Environment } from './controller-core.js';
 import type { CreateDetection, DetectionService } from '../failure-detection/detection-service.js';
 
 /** Connections to the cloud: one for rentals and one for lists. */
@@ -44,18 +44,18 @@
 const NDJSON = 'application/x-ndjson';
 
 /** Sockets that the node's clients and its server may take. */
-interface SocketShares {
+interface SocketBudget {
   direct: number;
   connections: number;
 }
 
-function shareSockets(sockets: number): SocketShares {
-  const direct = Math.floor(sockets * DIRECT_SOCKETS);
+function divideSockets(sockets: number): SocketBudget {
+  const direct = Math.floor(sockets * DIRECT_SOCKET_SHARE);
   return { direct, connections: sockets - direct - RESERVED_SOCKETS };
 }
 
-function readiness(node: ControllerNode): HttpReply {
-  return node.ready
+function readinessReply(node: ControllerCore): HttpReply {
+  return node.isReady
     ? { status: 200, body: { ready: true } }
     : { status: 503, body: { ready: false }, retryAfterS: RETRY_AFTER_S };
 }
@@ -66,24 +66,32 @@
   return [{ method: 'GET', path: '/detections', handle }];
 }
 
-function routesOf(node: ControllerNode): Route[] {
+function createRoutes(node: ControllerCore): Route[] {
   return [
     ...detectionRoutes(node.detection),
     {
       method: 'POST',
       path: '/checkin',
       keepsConnection: true,
-      handle: ({ text }) => node.heartbeat(text),
+      handle: ({ text }) => node.handleHeartbeat(text),
+    },
+    {
+      method: 'POST',
+      path: '/v2/runs',
+      handle: ({ text }) => node.handleUserRequest('submit', '', text),
+    },
+    {
+      method: 'GET',
+      path: '/v2/runs/:id',
+      handle: ({ id }) => node.handleUserRequest('poll', id, null),
     },
-    { method: 'POST', path: '/v2/runs', handle: ({ text }) => node.serve('submit', '', text) },
-    { method: 'GET', path: '/v2/runs/:id', handle: ({ id }) => node.serve('poll', id, null) },
     {
       method: 'POST',
       path: '/v2/runs/:id/cancel',
-      handle: ({ id }) => node.serve('cancel', id, null),
+      handle: ({ id }) => node.handleUserRequest('cancel', id, null),
     },
     { method: 'GET', path: '/metrics', handle: () => node.metrics() },
-    { method: 'GET', path: '/ready', handle: () => readiness(node) },
+    { method: 'GET', path: '/ready', handle: () => readinessReply(node) },
   ];
 }
 
@@ -91,17 +99,17 @@
   return {
     bodyBytes: MAX_BODY_BYTES,
     connections,
-    crowded: Math.floor(connections * CROWDED_SHARE),
-    full: Math.floor(connections * FULL_SHARE),
+    crowded: Math.floor(connections * CROWDED_SOCKET_SHARE),
+    full: Math.floor(connections * FULL_SOCKET_SHARE),
     keepAliveMs: KEEP_ALIVE_MS,
   };
 }
 
-function peerOptionsOf(node: ControllerNode): PeerLinkOptions {
+function createPeerOptions(node: ControllerCore): PeerLinkOptions {
   return {
     clock: systemClock,
-    retryMs: PEER_RETRY_MS,
-    maxFrameBytes: PEER_FRAME_BYTES,
+    retryMs: PEER_RECONNECT_MS,
+    maxFrameBytes: MAX_PEER_FRAME_BYTES,
     onFrame: (frame, answer) => {
       const message = decodePeer(frame);
       if (message) node.receive(message, (reply) => answer(encodePeer(reply)));
@@ -119,7 +127,12 @@
   const storeHttp = new HttpClient(settings.keyValueStore, clock, STORE_SOCKETS);
   const watchHttp = new HttpClient(settings.keyValueStore, clock, 1);
   const cloudHttp = new HttpClient(settings.cloud, clock, CLOUD_SOCKETS);
-  const workers = new HttpWorkerApi(clock, DIRECT_TIMEOUT_MS, directSockets, DIRECT_AT_ONCE);
+  const workers = new HttpWorkerApi(
+    clock,
+    DIRECT_CALL_TIMEOUT_MS,
+    directSockets,
+    MAX_CONCURRENT_DIRECT_CALLS,
+  );
   const environment: Environment = {
     clock,
     keyValueStore: new HttpKeyValueStore(storeHttp, watchHttp, STORE_TIMEOUT_MS),
@@ -141,7 +154,7 @@
 /** A controller with its sockets, on the real clock. */
 export class Controller {
   private constructor(
-    private readonly node: ControllerNode,
+    private readonly node: ControllerCore,
     private readonly links: Map<string, PeerLink>,
     private readonly servers: (Server | net.Server)[],
     private readonly clients: { close(): void }[],
@@ -149,19 +162,19 @@
 
   /** Starts a controller; resolves once it listens to users, workers and peers. */
   static async start(settings: Settings, log: Log): Promise<Controller> {
-    const { direct, connections } = shareSockets(settings.sockets);
+    const { direct, connections } = divideSockets(settings.sockets);
     const links = new Map<string, PeerLink>();
     const { environment, clients } = connectEnvironment(settings, direct, links);
     const incarnation = randomUUID();
     const createDetection = await loadDetection(settings);
-    const node = new ControllerNode({ settings, environment, log, incarnation, createDetection });
+    const node = new ControllerCore({ settings, environment, log, incarnation, createDetection });
     const http = await listenHttp(
       settings.listen,
-      routesOf(node),
+      createRoutes(node),
       serverLimits(connections),
       (error) => log.error({ error: String(error) }, 'request failed'),
     );
-    const peerOptions = peerOptionsOf(node);
+    const peerOptions = createPeerOptions(node);
     const peers = await listenPeers(settings.peerListen, peerOptions);
     node.start();
     for (const peer of settings.peers) {
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -18,12 +18,12 @@
 /** What the entry works with. */
 export interface HeartbeatEndpointOptions {
   /** Name of this node. */
-  readonly node: string;
+  readonly controllerName: string;
   readonly clock: Clock;
   readonly members: readonly Member[];
-  readonly roles: RoleElection;
+  readonly election: RoleElection;
   readonly activeRoles: ActiveRoles;
-  readonly relay: PeerRelay;
+  readonly peerRelay: PeerRelay;
 }
 
 /** The entry point of workers' reports. */
@@ -34,29 +34,33 @@
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
   /** Answers a report, redirects the worker to the owner of its part, or relays the report there. */
-  async heartbeat(text: string | null): Promise<HttpReply> {
+  async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return { status: 400, body: { error: parsed.error } };
     const { machine, zone } = parsed.value;
-    const { clock, members, node, relay, roles } = this.options;
+    const { clock, members, controllerName, peerRelay, election } = this.options;
     const shard = shardOf(machine, zone, members);
     const reply = this.replyAsHolder(shard, parsed.value);
     if (reply) return reply;
-    const owner = roles.holderOf(shardRole(shard));
-    if (owner === null || owner === node) return unavailable('no owner acts');
+    const holder = election.holderOf(shardRole(shard));
+    if (holder === null || holder === controllerName) return unavailable('no owner acts');
     const now = clock.now();
-    const before = this.redirectedAt.get(machine);
+    const lastRedirectedAt = this.redirectedAt.get(machine);
     this.redirectedAt.set(machine, now);
-    if (before === undefined || now - before > REDIRECT_RETRY_MS) {
-      return { status: 421, body: encodeRedirect(owner) };
+    if (lastRedirectedAt === undefined || now - lastRedirectedAt > REDIRECT_RETRY_MS) {
+      return { status: 421, body: encodeRedirect(holder) };
     }
     // Back so soon after a redirect: it can't reach the owner, but perhaps this node can.
-    const relayed = await relay.request(owner, { ask: 'heartbeat', about: '', text: text ?? '' });
+    const relayed = await peerRelay.request(holder, {
+      operation: 'heartbeat',
+      jobId: '',
+      body: text ?? '',
+    });
     return relayed ?? unavailable('no owner acts');
   }
 
   /** Answers a report that a peer relayed; null: it is invalid, or not for this node. */
-  replyToRelayed(text: string): HttpReply | null {
+  handleRelayed(text: string): HttpReply | null {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return null;
     const { machine, zone } = parsed.value;
@@ -73,10 +77,10 @@
 
   /** Null: this node may not answer for the part. */
   private replyAsHolder(shard: string, heartbeat: Heartbeat): HttpReply | null {
-    const { activeRoles, roles } = this.options;
-    const owned = roles.heldRole(shardRole(shard));
+    const { activeRoles, election } = this.options;
+    const heldRole = election.heldRole(shardRole(shard));
     const activeShard = activeRoles.shards.get(shard);
-    if (!owned || !activeShard || !roles.isReplicaCurrent) return null;
+    if (!heldRole || !activeShard || !election.isReplicaCurrent) return null;
     const answer = activeShard.handleHeartbeat(heartbeat);
     if (!answer.ok) return unavailable('not for this node');
     return { status: 200, body: encodeHeartbeatAnswer(answer.fencingToken, answer.commands) };
--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -7,9 +7,9 @@
 /** What a notifier works with. */
 export interface HolderNotifierOptions {
   /** Name of this node. */
-  readonly node: string;
+  readonly controllerName: string;
   readonly environment: Environment;
-  readonly roles: RoleElection;
+  readonly election: RoleElection;
   readonly replica: StoreReplica;
 }
 
@@ -19,25 +19,29 @@
 
   /** Notifies the owner of a role, unless it is this node or there is none. */
   notify(role: string, cancelled?: CancelledJob): void {
-    const { environment, node, replica, roles } = this.options;
-    const owner = roles.holderOf(role);
-    if (owner === null || owner === node) return;
-    const poke: PeerMessage = { kind: 'poke', node, revision: replica.newestRevision };
-    environment.sendToPeer(owner, cancelled ? { ...poke, cancelled } : poke);
+    const { environment, controllerName, replica, election } = this.options;
+    const holder = election.holderOf(role);
+    if (holder === null || holder === controllerName) return;
+    const notification: PeerMessage = {
+      kind: 'poke',
+      node: controllerName,
+      revision: replica.newestRevision,
+    };
+    environment.sendToPeer(holder, cancelled ? { ...notification, cancelled } : notification);
   }
 
   /**
    * Notifies the leader, and the owners of the parts that hold the jobs. `over`: the only job was
    * cancelled; it has so many tasks.
    */
-  notifyOfJobs(jobs: readonly string[], over?: { tasks: number }): void {
+  notifyOfJobs(jobs: readonly string[], cancellation?: { tasks: number }): void {
     const shards = new Set<string>();
     for (const job of jobs) {
       for (const assignment of this.options.replica.assignmentsOf(job))
         shards.add(assignment.shard);
     }
     const [job = ''] = jobs;
-    const cancelled = over && { job, tasks: over.tasks };
+    const cancelled = cancellation && { job, tasks: cancellation.tasks };
     this.notify(LEADER, cancelled);
     for (const shard of shards) this.notify(shardRole(shard), cancelled);
   }
--- a/src/coordination/controller/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -1,12 +1,12 @@
 /** The metrics of one controller. */
 
 import { Gauge, Registry } from 'prom-client';
-import type { ControllerNode } from './controller-node.js';
+import type { ControllerCore } from './controller-core.js';
 import type { DetectionService } from '../failure-detection/detection-service.js';
 
 type AddGauge = (name: string, help: string, read: () => number) => void;
 
-function addDetection(detection: DetectionService, gauge: AddGauge): void {
+function addDetectionGauges(detection: DetectionService, gauge: AddGauge): void {
   const { counts, probeCounts } = detection;
   gauge('suspicions', 'Peers that were suspected', () => counts.suspicions);
   gauge('suspicions_refuted', 'Suspected peers that answered in time', () => counts.refutations);
@@ -25,7 +25,7 @@
 }
 
 /** The node's figures in the Prometheus text format; loaded only when they are first asked for. */
-export function metricsOf(node: ControllerNode): () => Promise<string> {
+export function createMetricsReader(node: ControllerCore): () => Promise<string> {
   const registry = new Registry();
   const gauge = (name: string, help: string, read: () => number): void => {
     new Gauge({
@@ -37,10 +37,10 @@
       },
     });
   };
-  const machines = () => [...node.shards.values()].map((shard) => shard.counts());
-  gauge('view_age_ms', 'Age of the view of the state service', () => node.viewAgeMs());
+  const machines = () => [...node.heldShards.values()].map((shard) => shard.counts());
+  gauge('view_age_ms', 'Age of the view of the state service', () => node.replicaAgeMs());
   gauge('leader', '1 on the node that leads', () => (node.leader ? 1 : 0));
-  gauge('parts', 'Parts that this node owns', () => node.shards.size);
+  gauge('parts', 'Parts that this node owns', () => node.heldShards.size);
   gauge('machines', 'Machines of these parts', () =>
     machines().reduce((sum, one) => sum + one.machines, 0),
   );
@@ -56,6 +56,6 @@
     () => node.replica.assignmentCount,
   );
   const { detection } = node;
-  if (detection) addDetection(detection, gauge);
+  if (detection) addDetectionGauges(detection, gauge);
   return () => registry.metrics();
 }
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -14,7 +14,7 @@
 /** What the entry works with. */
 export interface PeerEndpointOptions {
   readonly replica: StoreReplica;
-  readonly relay: PeerRelay;
+  readonly peerRelay: PeerRelay;
   readonly userEndpoint: UserEndpoint;
   readonly heartbeatEndpoint: HeartbeatEndpoint;
   /** Null: failure detection is off, and its messages are passed over. */
@@ -26,28 +26,28 @@
   constructor(private readonly options: PeerEndpointOptions) {}
 
   /** Handles a message; `answer` sends one back to its sender. */
-  receive(message: PeerMessage, answer: (message: PeerMessage) => void): void {
-    const { detection, relay, replica } = this.options;
+  receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
+    const { detection, peerRelay, replica } = this.options;
     switch (message.kind) {
       case 'poke':
         if (message.cancelled) this.applyCancellation(message.cancelled, message.revision);
         replica.pollSoon(message.revision);
         return;
       case 'relay':
-        void this.replyTo(message).then((reply) => {
+        void this.handleRelayed(message).then((reply) => {
           if (!reply) return;
           const { status, body } = reply;
-          const text = JSON.stringify(body);
-          answer({ kind: 'relayed', id: message.id, status, body: text, isProven: true });
+          const encodedBody = JSON.stringify(body);
+          respond({ kind: 'relayed', id: message.id, status, body: encodedBody, isProven: true });
         });
         return;
       case 'relayed':
-        relay.settle(message);
+        peerRelay.receiveReply(message);
         return;
       case 'detector':
       case 'stepDown':
       case 'steppedDown':
-        detection?.receive(message, answer);
+        detection?.receive(message, respond);
     }
   }
 
@@ -64,9 +64,9 @@
   }
 
   /** Null: this node can't answer the relayed request. */
-  private async replyTo({ ask, about, text }: RelayMessage): Promise<HttpReply | null> {
+  private async handleRelayed({ operation, jobId, body }: RelayMessage): Promise<HttpReply | null> {
     const { userEndpoint, heartbeatEndpoint } = this.options;
-    if (ask === 'heartbeat') return heartbeatEndpoint.replyToRelayed(text);
-    return userEndpoint.serveRelayed({ ask, about, text });
+    if (operation === 'heartbeat') return heartbeatEndpoint.handleRelayed(body);
+    return userEndpoint.handleRelayed({ operation, jobId, body });
   }
 }
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -1,78 +1,86 @@
 /** Passes requests of users and workers on to peers and waits for their replies. */
 import { RELAY_TIMEOUT_MS } from '../../constants/controller.js';
-import type { Ask, PeerMessage } from '../../protocol/peer-messages.js';
+import type { RelayOperation, PeerMessage } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import type { Environment } from '../../protocol/environment.js';
 
 /** A request to be relayed. */
 export interface RelayRequest {
-  readonly ask: Ask;
+  readonly operation: RelayOperation;
   /** Id of the job that is asked about, or ''. */
-  readonly about: string;
-  readonly text: string;
+  readonly jobId: string;
+  readonly body: string;
 }
 
 /** Replies that say for good that there is no such job, or that it can't be accepted. */
-const REFUSALS: readonly number[] = [400, 404, 422];
+const REFUSAL_STATUSES: readonly number[] = [400, 404, 422];
 
 /** A question that every version replies to at once: no job has this id. */
-const PROBE: RelayRequest = { ask: 'poll', about: '', text: '' };
+const PROBE: RelayRequest = { operation: 'poll', jobId: '', body: '' };
 
 /** How peers are asked one after the other. */
-export interface RelayAttempts {
+export interface RelayPolicy {
   /** ms after which the next peer is asked as well. */
-  readonly hedgeMs: number;
+  readonly nextPeerDelayMs: number;
   /** ms after which no reply is waited for any more. */
-  readonly limitMs: number;
+  readonly timeoutMs: number;
   /** Whether a reply is good enough; otherwise the next peer is asked. */
-  readonly accepts: (reply: HttpReply) => boolean;
+  readonly isAcceptable: (reply: HttpReply) => boolean;
 }
 
 /** The requests that were relayed and are not answered yet. */
 export class PeerRelay {
-  private readonly pending = new Map<number, (reply: HttpReply | null) => void>();
+  private readonly pendingRequests = new Map<number, (reply: HttpReply | null) => void>();
   private requestCount = 0;
   /** Peers that left a request without a reply, and have not replied since. */
-  private readonly silent = new Set<string>();
+  private readonly unresponsivePeers = new Set<string>();
   /** Silent peers that are being asked whether they reply again. */
-  private readonly probed = new Set<string>();
+  private readonly probedPeers = new Set<string>();
 
   constructor(private readonly environment: Environment) {}
 
   /** The peer's reply; null: there is no connection to it, or no reply came in time. */
-  request(peer: string, { ask, about, text }: RelayRequest): Promise<HttpReply | null> {
-    const { environment, pending } = this;
+  request(peer: string, { operation, jobId, body }: RelayRequest): Promise<HttpReply | null> {
+    const { environment, pendingRequests } = this;
     return new Promise((resolve) => {
       const id = ++this.requestCount;
-      if (!environment.sendToPeer(peer, { kind: 'relay', id, ask, about, text })) {
+      if (
+        !environment.sendToPeer(peer, {
+          kind: 'relay',
+          id,
+          operation,
+          jobId,
+          body,
+        })
+      ) {
         resolve(null);
         return;
       }
       const cancelTimeout = environment.clock.after(RELAY_TIMEOUT_MS, () => {
-        pending.delete(id);
-        this.silent.add(peer);
+        pendingRequests.delete(id);
+        this.unresponsivePeers.add(peer);
         resolve(null);
       });
-      pending.set(id, (reply) => {
+      pendingRequests.set(id, (reply) => {
         cancelTimeout();
-        pending.delete(id);
-        this.silent.delete(peer);
+        pendingRequests.delete(id);
+        this.unresponsivePeers.delete(peer);
         resolve(reply);
       });
     });
   }
 
   /** Peers to which a connection is open, without those that have left a request without a reply. */
-  answeringPeers(): string[] {
-    return this.environment.connectedPeers().filter((peer) => !this.silent.has(peer));
+  responsivePeers(): string[] {
+    return this.environment.connectedPeers().filter((peer) => !this.unresponsivePeers.has(peer));
   }
 
   /** Asks silent peers whether they reply again, each once at a time. */
-  probeSilent(): void {
-    for (const peer of this.silent) {
-      if (this.probed.has(peer)) continue;
-      this.probed.add(peer);
-      void this.request(peer, PROBE).then(() => this.probed.delete(peer));
+  probeUnresponsivePeers(): void {
+    for (const peer of this.unresponsivePeers) {
+      if (this.probedPeers.has(peer)) continue;
+      this.probedPeers.add(peer);
+      void this.request(peer, PROBE).then(() => this.probedPeers.delete(peer));
     }
   }
 
@@ -81,39 +89,41 @@
    * as soon as one refuses or is slow: it may be suspended, or behind a cut that drops packets.
    * Null: none gave a good reply in time.
    */
-  requestAny(request: RelayRequest, attempts: RelayAttempts): Promise<HttpReply | null> {
+  requestFromAny(request: RelayRequest, policy: RelayPolicy): Promise<HttpReply | null> {
     const { clock } = this.environment;
-    const { accepts, hedgeMs, limitMs } = attempts;
+    const { isAcceptable, nextPeerDelayMs, timeoutMs } = policy;
     const peers = this.environment.connectedPeers();
-    peers.sort((a, b) => Number(this.silent.has(a)) - Number(this.silent.has(b)));
+    peers.sort(
+      (a, b) => Number(this.unresponsivePeers.has(a)) - Number(this.unresponsivePeers.has(b)),
+    );
     return new Promise((resolve) => {
-      let outstanding = 0;
-      let finished = false;
-      let cancelHedge = (): void => undefined;
+      let pendingCount = 0;
+      let isFinished = false;
+      let cancelNextAttempt = (): void => undefined;
       const finish = (reply: HttpReply | null): void => {
-        finished = true;
-        cancelHedge();
-        cancelLimit();
+        isFinished = true;
+        cancelNextAttempt();
+        cancelTimeout();
         resolve(reply);
       };
-      const askNext = (): void => {
-        cancelHedge();
+      const tryNextPeer = (): void => {
+        cancelNextAttempt();
         const peer = peers.shift();
         if (peer === undefined) {
-          if (outstanding === 0) finish(null);
+          if (pendingCount === 0) finish(null);
           return;
         }
-        outstanding++;
-        cancelHedge = clock.after(hedgeMs, askNext);
+        pendingCount++;
+        cancelNextAttempt = clock.after(nextPeerDelayMs, tryNextPeer);
         void this.request(peer, request).then((reply) => {
-          outstanding--;
-          if (finished) return;
-          if (reply && accepts(reply)) finish(reply);
-          else askNext();
+          pendingCount--;
+          if (isFinished) return;
+          if (reply && isAcceptable(reply)) finish(reply);
+          else tryNextPeer();
         });
       };
-      const cancelLimit = clock.after(limitMs, () => finish(null));
-      askNext();
+      const cancelTimeout = clock.after(timeoutMs, () => finish(null));
+      tryNextPeer();
     });
   }
 
@@ -121,8 +131,8 @@
    * Handles a peer's reply; one that came too late is ignored. A refusal without a proof counts as no
    * reply: versions before this one may refuse a job that was accepted.
    */
-  settle({ id, status, body, isProven }: Extract<PeerMessage, { kind: 'relayed' }>): void {
-    const isUnproven = REFUSALS.includes(status) && !isProven;
-    this.pending.get(id)?.(isUnproven ? null : { status, body });
+  receiveReply({ id, status, body, isProven }: Extract<PeerMessage, { kind: 'relayed' }>): void {
+    const isUnproven = REFUSAL_STATUSES.includes(status) && !isProven;
+    this.pendingRequests.get(id)?.(isUnproven ? null : { status, body });
   }
 }
--- a/src/coordination/controller/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -1,5 +1,5 @@
 /** Logs periodically how this node uses the state service. */
-import { USE_LOG_MS } from '../../constants/controller.js';
+import { REQUEST_LOG_INTERVAL_MS } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { Clock } from '../../transport/clock.js';
@@ -15,7 +15,7 @@
 
 /** The periodic log of requests to the state service, by purpose. */
 export class RequestLog {
-  private loggedAt = -Infinity;
+  private lastLoggedAt = -Infinity;
 
   constructor(private readonly options: RequestLogOptions) {}
 
@@ -23,10 +23,10 @@
   writeIfDue(): void {
     const { clock, limiter, log, userRequests } = this.options;
     const now = clock.now();
-    if (now - this.loggedAt < USE_LOG_MS) return;
-    this.loggedAt = now;
+    if (now - this.lastLoggedAt < REQUEST_LOG_INTERVAL_MS) return;
+    this.lastLoggedAt = now;
     const { passed, refusals } = limiter;
-    const submissions = Object.fromEntries(userRequests.answers);
+    const submissions = Object.fromEntries(userRequests.submissionReplyCounts);
     log.info(
       { ...Object.fromEntries(passed), refusals, submissions },
       'requests to the state service',
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -1,28 +1,32 @@
 /** Serves users' requests: here, or through a peer where this node can't. */
-import { POLL_WAIT_MS, RETRY_AFTER_S, SUBMIT_WAIT_MS } from '../../constants/api.js';
 import {
-  POLL_ANSWER_MS,
-  RELAYED_CHANGE_MS,
-  RELAYED_COMMIT_MS,
-  RELAYED_POLL_MS,
-  SUBMIT_ANSWER_MS,
+  USER_POLL_TIMEOUT_MS,
+  RETRY_AFTER_S,
+  USER_CHANGE_TIMEOUT_MS,
+} from '../../constants/api.js';
+import {
+  POLL_DEADLINE_MS,
+  CHANGE_RELAY_TIMING,
+  COMMIT_RELAY_TIMING,
+  POLL_RELAY_TIMING,
+  CHANGE_DEADLINE_MS,
 } from '../../constants/controller.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { StoreReachability } from '../../storage/store-reachability.js';
-import type { Ask } from '../../protocol/peer-messages.js';
+import type { RelayOperation } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import type { UserRequests } from '../api/user-requests.js';
 import type { Environment } from '../../protocol/environment.js';
-import type { PeerRelay, RelayAttempts } from './peer-relay.js';
+import type { PeerRelay, RelayPolicy } from './peer-relay.js';
 import { unavailable } from './unavailable-reply.js';
 
 /** A user's request. */
 export interface UserRequest {
-  readonly ask: Exclude<Ask, 'heartbeat'>;
+  readonly operation: Exclude<RelayOperation, 'heartbeat'>;
   /** Id of the job that is asked about; '' in a submission. */
-  readonly about: string;
+  readonly jobId: string;
   /** The body; null: there is none, or it was longer than the limit. */
-  readonly text: string | null;
+  readonly body: string | null;
 }
 
 /** What the entry works with. */
@@ -31,7 +35,7 @@
   readonly userRequests: UserRequests;
   readonly reachability: StoreReachability;
   readonly limiter: RateLimiter;
-  readonly relay: PeerRelay;
+  readonly peerRelay: PeerRelay;
   /** There are no other controllers. */
   readonly isAlone: boolean;
 }
@@ -45,88 +49,95 @@
    * all nodes share it stays true, since a node taken out is only let back in late. A node that has
    * lost the state service and its peers alone would only keep its users from those that can answer.
    */
-  get ready(): boolean {
-    const { isAlone, reachability, relay, userRequests } = this.options;
-    if (relay.answeringPeers().length > 0) return true;
-    return userRequests.ready && (isAlone || reachability.reachable);
+  get isReady(): boolean {
+    const { isAlone, reachability, peerRelay, userRequests } = this.options;
+    if (peerRelay.responsivePeers().length > 0) return true;
+    return userRequests.isReady && (isAlone || reachability.reachable);
   }
 
   /**
    * Serves a user, in the time that users wait. A reply that took longer is not sent: this process
    * may have been suspended meanwhile, and other nodes may have given newer replies.
    */
-  async serve(request: UserRequest): Promise<HttpReply> {
+  async handle(request: UserRequest): Promise<HttpReply> {
     const { clock } = this.options.environment;
     const startedAt = clock.now();
-    const isPoll = request.ask === 'poll';
-    const reply = await this.within(
-      isPoll ? POLL_ANSWER_MS : SUBMIT_ANSWER_MS,
-      this.findReply(request),
+    const isPoll = request.operation === 'poll';
+    const reply = await this.withinDeadline(
+      isPoll ? POLL_DEADLINE_MS : CHANGE_DEADLINE_MS,
+      this.relayOrHandleLocally(request),
     );
-    const isOutdated = clock.now() - startedAt > (isPoll ? POLL_WAIT_MS : SUBMIT_WAIT_MS);
+    const isOutdated =
+      clock.now() - startedAt > (isPoll ? USER_POLL_TIMEOUT_MS : USER_CHANGE_TIMEOUT_MS);
     return isOutdated && !isTemporary(reply) ? unavailable('too late') : reply;
   }
 
   /** Serves a request by this node alone. */
-  serveLocally({ ask, about, text }: UserRequest): Promise<HttpReply> {
+  handleLocally({ operation, jobId, body }: UserRequest): Promise<HttpReply> {
     const { userRequests } = this.options;
-    switch (ask) {
+    switch (operation) {
       case 'submit':
-        return userRequests.submit(text);
+        return userRequests.submit(body);
       case 'poll':
-        return userRequests.poll(about);
+        return userRequests.poll(jobId);
       case 'cancel':
-        return userRequests.cancel(about);
+        return userRequests.cancel(jobId);
     }
   }
 
   /** Serves a peer's request. What can't be decided now is told at once: the peer may ask another. */
-  async serveRelayed(request: UserRequest): Promise<HttpReply> {
+  async handleRelayed(request: UserRequest): Promise<HttpReply> {
     const { reachability } = this.options;
-    if (request.ask !== 'poll' && !reachability.reachable) return outOfReach();
-    return this.serveLocally(request);
+    if (request.operation !== 'poll' && !reachability.reachable) return storeUnreachable();
+    return this.handleLocally(request);
   }
 
   /** The reply, or that there is none in time: what is given up is told, not left open. */
-  private within(limitMs: number, reply: Promise<HttpReply>): Promise<HttpReply> {
+  private withinDeadline(deadlineMs: number, reply: Promise<HttpReply>): Promise<HttpReply> {
     return new Promise((resolve, reject) => {
       const { clock } = this.options.environment;
-      const cancel = clock.after(limitMs, () => resolve(unavailable('not known in time')));
+      const cancel = clock.after(deadlineMs, () => resolve(unavailable('not known in time')));
       reply.then(resolve, reject).finally(cancel);
     });
   }
 
   /** A node that can't reach the state service asks its peers, since one of them may reach it. */
-  private async findReply(request: UserRequest): Promise<HttpReply> {
+  private async relayOrHandleLocally(request: UserRequest): Promise<HttpReply> {
     const { limiter, reachability, userRequests } = this.options;
-    if (!userRequests.ready || !reachability.reachable) {
-      const times = request.ask === 'poll' ? RELAYED_POLL_MS : RELAYED_CHANGE_MS;
-      const reply = await this.relay(request, { ...times, accepts: (one) => !isTemporary(one) });
+    if (!userRequests.isReady || !reachability.reachable) {
+      const timing = request.operation === 'poll' ? POLL_RELAY_TIMING : CHANGE_RELAY_TIMING;
+      const reply = await this.relayToPeers(request, {
+        ...timing,
+        isAcceptable: (reply) => !isTemporary(reply),
+      });
       if (reply) return reply;
       // What can't be decided here could only be held until its user gives up.
-      if (userRequests.ready && request.ask !== 'poll') {
-        return outOfReach();
+      if (userRequests.isReady && request.operation !== 'poll') {
+        return storeUnreachable();
       }
     }
     // A node that is short of writes, usually the leader's, has a peer commit: decisions take
     // precedence in what it may write, and a submission would wait behind them.
-    if (request.ask === 'submit' && userRequests.ready && limiter.supply === 'short') {
-      const accepts = ({ status }: HttpReply): boolean => status !== 503;
-      const reply = await this.relay(request, { ...RELAYED_COMMIT_MS, accepts });
+    if (request.operation === 'submit' && userRequests.isReady && limiter.supply === 'short') {
+      const isAcceptable = ({ status }: HttpReply): boolean => status !== 503;
+      const reply = await this.relayToPeers(request, {
+        ...COMMIT_RELAY_TIMING,
+        isAcceptable,
+      });
       if (reply) return isTemporary(reply) ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
     }
-    return this.serveLocally(request);
+    return this.handleLocally(request);
   }
 
-  private relay(
-    { ask, about, text }: UserRequest,
-    attempts: RelayAttempts,
+  private relayToPeers(
+    { operation, jobId, body }: UserRequest,
+    policy: RelayPolicy,
   ): Promise<HttpReply | null> {
-    return this.options.relay.requestAny({ ask, about, text: text ?? '' }, attempts);
+    return this.options.peerRelay.requestFromAny({ operation, jobId, body: body ?? '' }, policy);
   }
 }
 
-const outOfReach = (): HttpReply => unavailable('state service out of reach');
+const storeUnreachable = (): HttpReply => unavailable('state service out of reach');
 
 /** A reply that says nothing of the job, only that the user should ask again. */
 function isTemporary({ status }: HttpReply): boolean {
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,6 +1,6 @@
 /** The library's entry: what a program needs to embed a controller. */
 
 export { Controller } from './coordination/controller/controller.js';
-export { ControllerNode, type Environment } from './coordination/controller/controller-node.js';
+export { ControllerCore, type Environment } from './coordination/controller/controller-core.js';
 export { readSettings, SettingsError, type Settings } from './protocol/settings.js';
 export type { Log } from './storage/log.js';
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -20,7 +20,7 @@
   /** There is something new; `cancelled`: a job that was called off by this revision. */
   | { kind: 'poke'; node: string; revision: number; cancelled?: CancelledJob }
   /** A worker's or user's request that the sender can't serve itself. */
-  | { kind: 'relay'; id: number; ask: Ask; about: string; text: string }
+  | { kind: 'relay'; id: number; operation: RelayOperation; jobId: string; body: string }
   /** `isProven`: a refusal rests on a proof that the job is absent; older versions don't say so. */
   | { kind: 'relayed'; id: number; status: number; body: string; isProven: boolean }
   /** A message of the failure detector, as its own codec has it. */
@@ -46,9 +46,9 @@
 }
 
 /** What a relayed request asks; `about` is the job's id where there is one. */
-export const ASKS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
+export const RELAY_OPERATIONS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
 /** The kind of a relayed request. */
-export type Ask = (typeof ASKS)[number];
+export type RelayOperation = (typeof RELAY_OPERATIONS)[number];
 
 /** Field numbers of the kinds of message in the envelope. */
 const POKE = 1;
@@ -72,9 +72,9 @@
 function writeRelay(writer: protobuf.Writer, message: Message<'relay'>): void {
   writer.uint32(delimited(RELAY)).fork();
   writer.uint32(varint(1)).uint64(message.id);
-  writer.uint32(varint(2)).uint32(ASKS.indexOf(message.ask));
-  writer.uint32(delimited(3)).string(message.about);
-  writer.uint32(delimited(4)).string(message.text);
+  writer.uint32(varint(2)).uint32(RELAY_OPERATIONS.indexOf(message.operation));
+  writer.uint32(delimited(3)).string(message.jobId);
+  writer.uint32(delimited(4)).string(message.body);
 }
 
 function writeRelayed(writer: protobuf.Writer, message: Message<'relayed'>): void {
@@ -159,9 +159,9 @@
         : { ...poke, cancelled: { job: text(3), tasks: integer(4) } };
     }
     case RELAY: {
-      const ask = ASKS[integer(2)];
-      if (!ask) return null;
-      return { kind: 'relay', id: integer(1), ask, about: text(3), text: text(4) };
+      const operation = RELAY_OPERATIONS[integer(2)];
+      if (!operation) return null;
+      return { kind: 'relay', id: integer(1), operation, jobId: text(3), body: text(4) };
     }
     case RELAYED:
       return {
--- a/test/api/accepted-job-lookups.test.ts
+++ b/test/api/accepted-job-lookups.test.ts
@@ -1,7 +1,7 @@
 /** An accepted job is never told to be absent, or refused, whatever this node had heard of it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CHECK_QUEUE } from '../../src/constants/api.js';
+import { MAX_WAITING_CHECKS } from '../../src/constants/api.js';
 import type { JobSpec } from '../../src/protocol/model.js';
 import type { CompareAndSwapResult } from '../../src/protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../src/storage/keys.js';
@@ -170,7 +170,7 @@
     );
   const first = ask();
   await node.clock.run(node.clock.now() + 1);
-  assert.equal(node.answered(), 600 - CHECK_QUEUE);
+  assert.equal(node.answered(), 600 - MAX_WAITING_CHECKS);
   await node.clock.run(node.clock.now() + 5000);
   const turnedAway = (await first).flatMap((status, number) => (status === 404 ? [] : [number]));
   assert.ok(turnedAway.length > 0);
--- a/test/api/degraded-controllers.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -108,7 +108,7 @@
     await world.run(5);
     lose(world);
     const seen: boolean[] = [];
-    const node = (): boolean => world.nodes.get('n0')?.node.ready ?? false;
+    const node = (): boolean => world.nodes.get('n0')?.node.isReady ?? false;
     world.clock.after(5000, () => seen.push(node()));
     world.clock.after(20_000, () => seen.push(node()));
     await world.run(2);
@@ -149,7 +149,7 @@
   await world.run(7);
   world.state.outage = true;
   await world.run(10);
-  assert.equal(world.nodes.get('n0')?.node.ready, true);
+  assert.equal(world.nodes.get('n0')?.node.isReady, true);
 });
 
 // What it found out before speaks of a moment that has passed: the job may have been accepted since.
@@ -179,9 +179,9 @@
   for (const peer of others) world.dropped.add(`n0>${peer}`);
   await world.run(3);
   await timed(world, world.poll('j-000009'));
-  assert.equal(world.nodes.get('n0')?.node.ready, false);
+  assert.equal(world.nodes.get('n0')?.node.isReady, false);
   world.dropped.delete('n0>n2');
   await world.run(5);
-  assert.equal(world.nodes.get('n0')?.node.ready, true);
+  assert.equal(world.nodes.get('n0')?.node.isReady, true);
   assert.equal((await timed(world, world.poll('j-000009'))).reply.status, 404);
 });
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -1,7 +1,7 @@
 /** Submissions: what is malformed, and what can never run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { neverRuns } from '../../src/coordination/api/admission.js';
+import { reasonNeverRunnable } from '../../src/coordination/api/admission.js';
 import { parseJson, parseSubmission } from '../../src/protocol/user-codec.js';
 import { TEAMS, TYPES } from '../world/settings.js';
 
@@ -79,9 +79,9 @@
     [{ gpus: 1 }, /^cores/],
   ];
   for (const [change, reason] of cases) {
-    const result = neverRuns({ ...spec, ...change }, TEAMS, TYPES);
+    const result = reasonNeverRunnable({ ...spec, ...change }, TEAMS, TYPES);
     if (reason === null) assert.equal(result, null, JSON.stringify(change));
     else assert.match(String(result), reason);
   }
-  assert.equal(neverRuns(spec, TEAMS, null), 'unknown');
+  assert.equal(reasonNeverRunnable(spec, TEAMS, null), 'unknown');
 });
--- a/test/cluster/large-fleet.test.ts
+++ b/test/cluster/large-fleet.test.ts
@@ -24,7 +24,7 @@
 function healthyMachines(world: World): number {
   let count = 0;
   for (const { node } of world.nodes.values()) {
-    for (const { machines } of node.shards.values()) {
+    for (const { machines } of node.heldShards.values()) {
       for (const machine of machines.all.values()) {
         if (machines.health(machine) === 'ok' && machine.isAcknowledged) count++;
       }
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -35,11 +35,11 @@
     const starts = world.starts.length;
     assert.equal(starts, 8);
     const busy = world.members.find(([name]) => {
-      return (world.nodes.get(name)?.node.shards.get(name)?.machines.all.size ?? 0) > 0;
+      return (world.nodes.get(name)?.node.heldShards.get(name)?.machines.all.size ?? 0) > 0;
     });
     const [name = assert.fail('no part has machines')] = busy ?? [];
     const owner = world.nodes.get(name)?.node;
-    const shard = owner?.shards.get(name);
+    const shard = owner?.heldShards.get(name);
     const [machine] = shard?.machines.all.values() ?? [];
     assert.ok(shard && machine);
     const roles = world.members.map(([node]) => shardRole(node));
@@ -55,7 +55,7 @@
     const after = roles.map((role) => termOf(world, role));
     const expected = roles.map((role, at) => (before[at] ?? 0) + Number(role === shardRole(name)));
     assert.deepEqual(after, expected, 'only its own role has a new term');
-    const renewed = owner?.shards.get(name);
+    const renewed = owner?.heldShards.get(name);
     assert.ok(renewed && renewed !== shard && !renewed.needsTermRenewal);
     await world.run(60);
     assert.deepEqual(world.broken, []);
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -102,7 +102,7 @@
         name,
         {
           node: {
-            heartbeat: (body) => this.call(name, 'POST', '/checkin', body, REPORT_TIMEOUT_MS),
+            handleHeartbeat: (body) => this.call(name, 'POST', '/checkin', body, REPORT_TIMEOUT_MS),
           },
         },
       ]),
--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -74,7 +74,7 @@
 test('peer messages survive any cutting of the stream', () => {
   const messages: PeerMessage[] = [
     { kind: 'poke', node: 'n1', revision: 2 ** 40 },
-    { kind: 'relay', id: 7, ask: 'cancel', about: 'j-000001', text: 'ä'.repeat(300) },
+    { kind: 'relay', id: 7, operation: 'cancel', jobId: 'j-000001', body: 'ä'.repeat(300) },
     { kind: 'relayed', id: 7, status: 200, body: '{}', isProven: false },
     { kind: 'relayed', id: 8, status: 404, body: '{}', isProven: true },
   ];
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -41,7 +41,7 @@
   const node = world.nodes.get(at)?.node;
   assert.ok(node);
   let reply: HttpReply | null = null;
-  void node.serve('submit', '', JSON.stringify(body)).then((one) => {
+  void node.handleUserRequest('submit', '', JSON.stringify(body)).then((one) => {
     reply = one;
   });
   for (let turn = 0; turn < 200 && reply === null; turn++) {
--- a/test/upgrade/peer-messages.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -123,7 +123,7 @@
 /** `number`: of the question; a schema leaves zero out, both ways. */
 const relayRow = (ask: 'heartbeat' | 'submit' | 'poll' | 'cancel', number?: number): Row => ({
   name: `relay of ${ask}`,
-  message: { kind: 'relay', id: REVISION, ask, about: 'j-1', text: '{"ä":1}' },
+  message: { kind: 'relay', id: REVISION, operation: ask, jobId: 'j-1', body: '{"ä":1}' },
   numbers: [2, [1, VARINT], [2, VARINT], [3, DELIMITED], [4, DELIMITED]],
   production: {
     relay: {
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -1,5 +1,5 @@
 /** What a node of the simulated world reaches: time, state service, cloud, workers and peers. */
-import type { Environment } from '../../src/coordination/controller/controller-node.js';
+import type { Environment } from '../../src/coordination/controller/controller-core.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
 import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -8,7 +8,7 @@
 
 /** A node, as workers reach it. */
 export interface HeartbeatTarget {
-  readonly node: { heartbeat(body: string): Promise<Answer> };
+  readonly node: { handleHeartbeat(body: string): Promise<Answer> };
 }
 
 /** The world around workers, cloud and judge. */
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -194,14 +194,14 @@
     const reach = entry !== undefined && !this.mute && !world.cut(name, this.machine.name);
     for (const later of this.copyAfterMs) {
       const [copyTo = ''] = world.members[world.chance(world.members.length)] ?? [];
-      world.clock.after(later, () => void world.nodes.get(copyTo)?.node.heartbeat(body));
+      world.clock.after(later, () => void world.nodes.get(copyTo)?.node.handleHeartbeat(body));
     }
     return new Promise<Answer | null>((resolve) => {
       world.clock.after(ANSWER_LIMIT_MS, () => resolve(null));
       if (!reach || !entry) return;
       world.clock.after(world.linkMs + held, () => {
         world.at(name, () => {
-          void entry.node.heartbeat(body).then((reply) => {
+          void entry.node.handleHeartbeat(body).then((reply) => {
             if (!world.cut(name, this.machine.name) && !this.deaf)
               world.clock.after(world.linkMs, () => resolve(reply));
           });
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -1,7 +1,7 @@
 /** The simulated world: controllers, workers, cloud and state service in simulated time. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { ControllerNode } from '../../src/coordination/controller/controller-node.js';
+import { ControllerCore } from '../../src/coordination/controller/controller-core.js';
 import { FailureDetection } from '../../src/coordination/failure-detection/failure-detection.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
 import type { Settings } from '../../src/protocol/settings.js';
@@ -27,7 +27,7 @@
   readonly clock = new SimClock();
   readonly state;
   readonly cloud = new SimCloud(this);
-  readonly nodes = new Map<string, { node: ControllerNode; kill: () => void }>();
+  readonly nodes = new Map<string, { node: ControllerCore; kill: () => void }>();
   readonly workers = new Map<string, SimWorker>();
   readonly jobs = new Map<string, SimJob>();
   readonly completed = new Set<string>();
@@ -107,7 +107,7 @@
     let dead = false;
     const settings = { ...settingsOf(name, zone, this.members), ...this.settingsFor(name) };
     const { suspicion } = settings;
-    const node = new ControllerNode({
+    const node = new ControllerCore({
       settings,
       environment: environmentOf(this, name, () => dead),
       log: this.logOf(name),
@@ -234,7 +234,7 @@
     const requestedAt = this.clock.now();
     return new Promise((resolve) => {
       this.at(at, () => {
-        void node.serve(kind, kind === 'submit' ? '' : id, body).then((raw) => {
+        void node.handleUserRequest(kind, kind === 'submit' ? '' : id, body).then((raw) => {
           const reply = this.tamper(kind, id, unwrap(raw));
           this.invariants.replied(kind, id, requestedAt, reply);
           resolve(reply);
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -1,6 +1,6 @@
 /** Examples of the records that this version stores, and of its metrics. */
 import { Bandit } from '../../src/coordination/scheduling/bandit.js';
-import { metricsOf } from '../../src/coordination/controller/metrics.js';
+import { createMetricsReader } from '../../src/coordination/controller/metrics.js';
 import { World } from './world.js';
 
 /** Examples by their names. */
@@ -95,7 +95,7 @@
   await world.run(3);
   const node = world.nodes.get('n0')?.node;
   if (!node) throw new Error('the node is gone');
-  const text = await metricsOf(node)();
+  const text = await createMetricsReader(node)();
   const named = text.split('\n').filter((line) => line.startsWith('# '));
   return { 'metrics: names and help': named.join('\n') };
 }
