--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -7,14 +7,14 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply } from '../../transport/http-server.js';
+import type { CommitListener } from './commit-listener.js';
 import {
   noSuchJob,
   invalidJobId,
   notCommittedInTime,
   stillStarting,
   stateReply,
-  type CommitListener,
-} from './job-answers.js';
+} from './http-replies.js';
 import type { JobChecks } from './job-checks.js';
 
 /** What jobs are cancelled with. */
@@ -74,7 +74,7 @@
   /** As `attempt`, for a job whose record the replica does not hold. */
   private async cancelWithoutRecord(id: string): Promise<HttpReply | null> {
     const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
-    if (lookup.kind === 'unsure') return notCommittedInTime();
+    if (lookup.kind === 'unknown') return notCommittedInTime();
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
     return lookup.job.isFinal ? stateReply(id, lookup.job.state) : null;
   }
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -1,27 +1,19 @@
 /**
- * Checks of jobs with the state service: many jobs share one comparing transaction, whose guards
- * fail for those that are no longer as the replica has them.
+ * Checks of jobs with the key-value store: many jobs share one compare-and-swap without changes,
+ * whose guards fail for those that are no longer as the replica has them.
  */
-import {
-  MAX_WAITING_CHECKS,
-  GROUP_COMMIT_DELAY_MS,
-  MAX_CONCURRENT_REREADS,
-} from '../../constants/api.js';
+import { GROUP_COMMIT_DELAY_MS, MAX_CONCURRENT_REREADS } from '../../constants/api.js';
 import { GUARDS_PER_OP } from '../../constants/protocol.js';
-import {
-  StoreRejectedError,
-  type Guard,
-  type KeyValueStore,
-} from '../../protocol/key-value-store.js';
+import { StoreRejectedError, type KeyValueStore } from '../../protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
-import type { FinalRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import { forEachLimited } from '../../transport/concurrency.js';
-import { AbsenceProof } from './absence-proof.js';
-import { UNKNOWN_LOOKUP, finishedJobLookup, openJobLookup, type JobLookup } from './job-answers.js';
+import { JobCheckQueue, type JobCheck } from './job-check-queue.js';
+import { UNKNOWN_LOOKUP, type JobLookup } from './job-lookup.js';
+import { JobVerifier } from './job-verifier.js';
 
 /** What the checks are made with. */
 export interface JobChecksOptions {
@@ -36,219 +28,117 @@
   log: Log;
 }
 
-/** Someone who waits for the result of a check. */
-interface Waiter {
-  /** What it waits for: another one once its check was joined with a later one of the same job. */
-  check: Check;
-  resolve: (lookup: JobLookup) => void;
-  /** Ends its timer: thousands left to run out would each wake the process. */
-  cancelTimer: () => void;
-}
-
-/** A job to be checked, and all who wait for the result. */
-interface Check {
-  id: string;
-  waiters: Set<Waiter>;
-}
-
 /** A check takes two guards: the job's record and its final record. */
 const GUARDS_PER_CHECK = 2;
 
-/** Asks the state service what it holds on jobs now. */
+/** Asks the key-value store what it holds on jobs now, many of them at a time. */
 export class JobChecks {
-  /** Checks that are not sent yet, in the order in which they came: one for each job. */
-  private readonly pending = new Map<string, Check>();
+  private readonly queue: JobCheckQueue;
+  private readonly verifier: JobVerifier;
   private readonly checksPerTransaction: number;
-  private waiterCount = 0;
-  private scheduled = false;
+  private isScheduled = false;
   /** Steady time of the last checking transaction. */
-  private checkedAt = -Infinity;
+  private lastCheckedAt = -Infinity;
 
   constructor(private readonly options: JobChecksOptions) {
     const guards = options.transactionOps * GUARDS_PER_OP;
     this.checksPerTransaction = Math.max(1, Math.floor(guards / GUARDS_PER_CHECK));
+    this.queue = new JobCheckQueue(options.clock);
+    this.verifier = new JobVerifier(options);
   }
 
-  /** What the state service holds on a job now; unsure after `limitMs`. */
-  check(id: string, limitMs: number): Promise<JobLookup> {
-    const existing = this.pending.get(id);
-    if (!existing && this.waiterCount >= MAX_WAITING_CHECKS) return Promise.resolve(UNKNOWN_LOOKUP);
-    const check = existing ?? { id, waiters: new Set() };
-    this.pending.set(id, check);
-    return new Promise((resolve) => {
-      const cancelTimer = this.options.clock.after(limitMs, () => this.expire(waiter));
-      const waiter: Waiter = { check, resolve, cancelTimer };
-      check.waiters.add(waiter);
-      this.waiterCount++;
-      this.schedule();
-    });
-  }
-
-  /** A waiter's time is up; a check that nobody waits for is not sent. */
-  private expire(waiter: Waiter): void {
-    const { check } = waiter;
-    if (!check.waiters.delete(waiter)) return;
-    this.waiterCount--;
-    if (check.waiters.size === 0 && this.pending.get(check.id) === check) {
-      this.pending.delete(check.id);
-    }
-    waiter.resolve(UNKNOWN_LOOKUP);
-  }
-
-  private settle(check: Check, lookup: JobLookup): void {
-    this.waiterCount -= check.waiters.size;
-    for (const { resolve, cancelTimer } of check.waiters) {
-      cancelTimer();
-      resolve(lookup);
-    }
-    check.waiters.clear();
+  /** What the key-value store holds on a job now; unknown after `timeoutMs`. */
+  check(id: string, timeoutMs: number): Promise<JobLookup> {
+    if (!this.queue.mayWaitFor(id)) return Promise.resolve(UNKNOWN_LOOKUP);
+    const lookup = this.queue.waitFor(id, timeoutMs);
+    this.schedule();
+    return lookup;
   }
 
   /** The next transaction does not wait for the answer to the one before: that may be slow. */
   private schedule(): void {
-    if (this.scheduled || this.pending.size === 0) return;
-    this.scheduled = true;
+    if (this.isScheduled || this.queue.size === 0) return;
+    this.isScheduled = true;
     const { clock, checkMs } = this.options;
-    const isFull = this.pending.size >= this.checksPerTransaction;
-    const remainingMs = isFull ? 0 : checkMs - (clock.now() - this.checkedAt);
-    clock.after(Math.max(GROUP_COMMIT_DELAY_MS, remainingMs), () => void this.runNext());
+    const isFull = this.queue.size >= this.checksPerTransaction;
+    const remainingMs = isFull ? 0 : checkMs - (clock.now() - this.lastCheckedAt);
+    clock.after(Math.max(GROUP_COMMIT_DELAY_MS, remainingMs), () => void this.checkNextBatch());
   }
 
-  private async runNext(): Promise<void> {
+  private async checkNextBatch(): Promise<void> {
     const { clock, limiter } = this.options;
     await limiter.pass('check', 0);
-    const group = this.takeGroup();
-    this.checkedAt = clock.now();
-    this.scheduled = false;
+    // A job whose end the replica learned of meanwhile needs no check.
+    const batch = this.queue.takeNext(this.checksPerTransaction, (id) =>
+      this.verifier.finishedLookup(id),
+    );
+    this.lastCheckedAt = clock.now();
+    this.isScheduled = false;
     this.schedule();
-    await this.runGroup(group);
-  }
-
-  /** Takes out what one transaction may hold; whose end was heard of meanwhile needs none. */
-  private takeGroup(): Check[] {
-    const group: Check[] = [];
-    for (const check of this.pending.values()) {
-      if (group.length >= this.checksPerTransaction) break;
-      this.pending.delete(check.id);
-      const final = this.options.replica.final(check.id);
-      if (final) this.settle(check, finishedJobLookup(final));
-      else group.push(check);
-    }
-    return group;
+    await this.checkBatch(batch);
   }
 
-  /** Checks a group; a conflict proves nothing of the jobs that it does not name: they go again. */
-  private async runGroup(group: Check[]): Promise<void> {
-    let remaining = group;
+  /** A conflict proves nothing of the jobs that it does not name: they are checked again. */
+  private async checkBatch(batch: JobCheck[]): Promise<void> {
+    let remaining = batch;
     try {
       while (remaining.length > 0) {
-        const failed = await this.compare(remaining);
-        const isFailed = ({ id }: Check): boolean =>
-          failed.has(jobKey(id)) || failed.has(finalKey(id));
+        const failedKeys = await this.compare(remaining);
+        const isFailed = ({ id }: JobCheck): boolean =>
+          failedKeys.has(jobKey(id)) || failedKeys.has(finalKey(id));
         const changed = remaining.filter(isFailed);
-        void this.rereadAll(changed, failed);
+        void this.rereadAll(changed, failedKeys);
         remaining = remaining.filter((check) => check.waiters.size > 0 && !isFailed(check));
         if (changed.length === 0) break;
         if (remaining.length > 0) await this.options.limiter.pass('check', 0);
       }
-      this.settleUnsure(remaining, 'a conflict names none of the keys');
+      this.giveUp(remaining, 'a conflict names none of the keys');
     } catch (error) {
       this.retryOrGiveUp(remaining, error);
     }
   }
 
   /**
-   * One transaction for all; settles them if all are as the replica has them at this moment.
+   * One transaction for all; resolves them if all are as the replica has them at this moment.
    * Otherwise the keys that are not. The guards are made when they are sent, so that they speak for
    * everyone who asked before.
    */
-  private async compare(group: Check[]): Promise<Set<string>> {
-    const { keyValueStore, replica } = this.options;
-    const guards = guardsOf(group, replica);
-    const result = await keyValueStore.compareAndSwap(guards, []);
+  private async compare(batch: JobCheck[]): Promise<Set<string>> {
+    const guards = this.verifier.guardsOf(batch.map(({ id }) => id));
+    const result = await this.options.keyValueStore.compareAndSwap(guards, []);
     if (!result.ok) return new Set(result.failed);
-    for (const check of group) {
-      const proof = AbsenceProof.fromTransaction(check.id, guards, result);
-      this.settle(check, proof ? { kind: 'absent', proof } : this.openLookup(check.id));
+    for (const check of batch) {
+      this.queue.resolve(check, this.verifier.lookupOf(check.id, guards, result));
     }
     return new Set();
   }
 
-  /** What was not served is asked again as long as someone waits, except in an outage. */
-  private retryOrGiveUp(group: Check[], error: unknown): void {
-    if (error instanceof StoreRejectedError && error.status !== 429) {
-      this.settleUnsure(group, String(error));
-      return;
-    }
-    if (error instanceof StoreRejectedError) this.options.limiter.refused(0);
-    for (const check of group) this.putBack(check);
-    this.schedule();
-  }
-
-  private putBack(check: Check): void {
-    if (check.waiters.size === 0) return;
-    const newer = this.pending.get(check.id);
-    if (!newer) {
-      this.pending.set(check.id, check);
-      return;
-    }
-    for (const waiter of check.waiters) {
-      waiter.check = newer;
-      newer.waiters.add(waiter);
-    }
-    check.waiters.clear();
-  }
-
-  private settleUnsure(group: Check[], reason: string): void {
-    if (group.length === 0) return;
-    this.options.log.debug({ reason, jobs: group.length }, 'checks failed');
-    for (const check of group) this.settle(check, UNKNOWN_LOOKUP);
-  }
-
-  private async rereadAll(checks: Check[], failed: ReadonlySet<string>): Promise<void> {
+  private async rereadAll(checks: JobCheck[], failedKeys: ReadonlySet<string>): Promise<void> {
     await forEachLimited(checks, MAX_CONCURRENT_REREADS, async (check) => {
       try {
-        this.settle(check, await this.reread(check.id, failed.has(finalKey(check.id))));
+        const isFinished = failedKeys.has(finalKey(check.id));
+        this.queue.resolve(check, await this.verifier.reread(check.id, isFinished));
       } catch (error) {
         this.retryOrGiveUp([check], error);
       }
     });
   }
 
-  /** Reads a job whose guards failed; what is found goes into the replica too. */
-  private async reread(id: string, isOver: boolean): Promise<JobLookup> {
-    const { limiter, keyValueStore, replica } = this.options;
-    if (!isOver) {
-      await limiter.pass('check', 0);
-      const live = await keyValueStore.get(jobKey(id));
-      if (live) {
-        replica.applyOwnChanges([{ key: jobKey(id), value: live.value, revision: live.revision }]);
-        return this.openLookup(id);
-      }
+  /** Without a result a job is checked again, unless the store rejected more than the rate (429). */
+  private retryOrGiveUp(batch: JobCheck[], error: unknown): void {
+    const isRejected = error instanceof StoreRejectedError;
+    if (isRejected && error.status !== 429) {
+      this.giveUp(batch, String(error));
+      return;
     }
-    // The job's record goes in the change that makes its final record, which stays.
-    await limiter.pass('check', 0);
-    const final = await keyValueStore.get(finalKey(id));
-    // Neither record: two reads at two moments don't prove that there was none all the time.
-    if (!final) return UNKNOWN_LOOKUP;
-    replica.keepFinal(id, final.value as FinalRecord);
-    return finishedJobLookup(final.value as FinalRecord);
+    if (isRejected) this.options.limiter.refused(0);
+    for (const check of batch) this.queue.putBack(check);
+    this.schedule();
   }
 
-  /** A job that was open when it was checked; its end may have been heard of since. */
-  private openLookup(id: string): JobLookup {
-    const { replica } = this.options;
-    const final = replica.final(id);
-    if (final) return finishedJobLookup(final);
-    // Without all chunks it can't be said whether tasks of it run.
-    return replica.isLoaded ? openJobLookup(replica, id) : UNKNOWN_LOOKUP;
+  private giveUp(batch: JobCheck[], reason: string): void {
+    if (batch.length === 0) return;
+    this.options.log.debug({ reason, jobs: batch.length }, 'job checks failed');
+    for (const check of batch) this.queue.resolve(check, UNKNOWN_LOOKUP);
   }
 }
-
-/** Guards that hold while each job is as the replica has it, and is not over. */
-function guardsOf(group: readonly Check[], replica: StoreReplica): Guard[] {
-  return group.flatMap(({ id }) => [
-    { key: jobKey(id), revision: replica.revisionOf(jobKey(id)) },
-    { key: finalKey(id), revision: 0 },
-  ]);
-}
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -5,15 +5,8 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply } from '../../transport/http-server.js';
-import {
-  finishedJobLookup,
-  noSuchJob,
-  invalidJobId,
-  stillStarting,
-  openJobLookup,
-  storeNotResponding,
-  type JobLookup,
-} from './job-answers.js';
+import { noSuchJob, invalidJobId, stillStarting, storeNotResponding } from './http-replies.js';
+import { finishedJobLookup, openJobLookup, type JobLookup } from './job-lookup.js';
 import type { JobChecks } from './job-checks.js';
 
 /** A poll that waits for a watch sent after it came. */
@@ -40,7 +33,7 @@
   async poll(id: string): Promise<HttpReply> {
     if (!isJobId(id)) return invalidJobId();
     const lookup = await this.lookUpNewest(id);
-    if (lookup.kind === 'unsure')
+    if (lookup.kind === 'unknown')
       return this.replica.isLoaded ? storeNotResponding() : stillStarting();
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
     const { state, doneTasks, runningTasks } = lookup.job;
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -13,13 +13,13 @@
 import type { Log } from '../../storage/log.js';
 import type { JobRecord } from '../../storage/records.js';
 import type { Clock } from '../../transport/clock.js';
-import type { CommitListener } from './job-answers.js';
+import type { CommitListener } from './commit-listener.js';
 
 /**
- * What became of a submission: 'known': there is or was a job with its id; 'unsure': not known in
+ * What became of a submission: 'exists': there is or was a job with its id; 'unknown': not known in
  * time whether it was committed; 'invalid': the state service can't hold it.
  */
-export type SubmissionOutcome = 'accepted' | 'known' | 'unsure' | 'invalid';
+export type SubmissionOutcome = 'accepted' | 'exists' | 'unknown' | 'invalid';
 
 /** What the queue commits with. */
 export interface SubmissionQueueOptions {
@@ -56,11 +56,11 @@
     return bytesOf(this.recordOf(spec));
   }
 
-  /** Commits a new job; resolves with 'unsure' when that takes too long. */
+  /** Commits a new job; resolves with 'unknown' when that takes too long. */
   commit(spec: JobSpec): Promise<SubmissionOutcome> {
     const { clock } = this.options;
     return new Promise((resolve) => {
-      const cancelTimer = clock.after(COMMIT_TIMEOUT_MS, () => this.resolve(submission, 'unsure'));
+      const cancelTimer = clock.after(COMMIT_TIMEOUT_MS, () => this.resolve(submission, 'unknown'));
       const submission: Submission = { spec, resolve, isResolved: false, cancelTimer };
       this.queue.push(submission);
       if (!this.isCommitting) {
@@ -140,12 +140,12 @@
       this.resolveAll(group, 'accepted');
       this.options.onCommitted(group.map((one) => one.spec.id));
     } else if (result.kind !== 'invalid') {
-      this.resolveAll(group, 'unsure');
+      this.resolveAll(group, 'unknown');
     } else if (group.length > 1) {
       // One job must not take the others down: each is tried on its own, and then told.
       for (const one of group) await this.commitGroup([one]);
     } else {
-      this.resolveAll(group, result.unsure ? 'unsure' : 'invalid');
+      this.resolveAll(group, result.unsure ? 'unknown' : 'invalid');
     }
   }
 
@@ -154,11 +154,11 @@
     const exists = ({ spec }: Submission): boolean =>
       failed.has(jobKey(spec.id)) || failed.has(finalKey(spec.id));
     const existing = group.filter(exists);
-    this.resolveAll(existing, 'known');
+    this.resolveAll(existing, 'exists');
     const remaining = group.filter((one) => !exists(one) && !one.isResolved);
     if (existing.length > 0) return remaining;
     // Refused for no reason that these jobs give.
-    this.resolveAll(remaining, 'unsure');
+    this.resolveAll(remaining, 'unknown');
     return [];
   }
 }
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -15,7 +15,7 @@
   temporaryError,
   stateReply,
   storeNotResponding,
-} from './job-answers.js';
+} from './http-replies.js';
 import type { JobChecks } from './job-checks.js';
 import type { JobQueries } from './job-queries.js';
 import type { SubmissionQueue } from './submission-queue.js';
@@ -50,7 +50,7 @@
     const lookup = await this.options.queries.lookUpIfKnown(id);
     if (lookup?.kind === 'found') return stateReply(id, lookup.job.state);
     if (!this.options.replica.isLoaded) return stillStarting();
-    if (lookup?.kind === 'unsure') return storeNotResponding();
+    if (lookup?.kind === 'unknown') return storeNotResponding();
     const parsed = parseSubmission(json.value);
     if (!parsed.ok) return this.refuse(id, 400, parsed.error);
     const reason = this.refusalReason(parsed.value);
@@ -78,7 +78,7 @@
     replyOf: (proof: AbsenceProof) => HttpReply,
   ): Promise<HttpReply> {
     const stored = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
-    if (stored.kind === 'unsure') return storeNotResponding();
+    if (stored.kind === 'unknown') return storeNotResponding();
     if (stored.kind === 'found') return stateReply(id, stored.job.state);
     return replyOf(stored.proof);
   }
@@ -90,7 +90,7 @@
     if (outcome === 'accepted') return stateReply(spec.id, 'queued', 201);
     // The state service may have taken the job before its limits became smaller.
     if (outcome === 'invalid') return this.refuse(spec.id, 422, RECORD_TOO_LARGE);
-    if (outcome === 'known') return this.unlessKnown(spec.id, notCommittedInTime);
+    if (outcome === 'exists') return this.unlessKnown(spec.id, notCommittedInTime);
     return notCommittedInTime();
   }
 }
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import { Cancellations } from './cancellations.js';
-import type { CommitListener } from './job-answers.js';
+import type { CommitListener } from './commit-listener.js';
 import { JobChecks } from './job-checks.js';
 import { JobQueries } from './job-queries.js';
 import { SubmissionQueue } from './submission-queue.js';
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -13,7 +13,7 @@
 import { shardRole, type RoleElection } from '../election/role-election.js';
 import type { ActiveRoles } from './active-roles.js';
 import type { PeerRelay } from './peer-relay.js';
-import { unavailable } from './unavailable-reply.js';
+import { unavailable } from '../api/http-replies.js';
 
 /** What the entry works with. */
 export interface HeartbeatEndpointOptions {
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -18,7 +18,7 @@
 import type { UserRequests } from '../api/user-requests.js';
 import type { Environment } from '../../protocol/environment.js';
 import type { PeerRelay, RelayPolicy } from './peer-relay.js';
-import { unavailable } from './unavailable-reply.js';
+import { unavailable } from '../api/http-replies.js';
 
 /** A user's request. */
 export interface UserRequest {
