--- a/src/coordination/controller/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -1,9 +1,28 @@
-/** The metrics of one controller. */
+/** The metrics of one controller; loaded with their library when they are first scraped. */
 
 import { Gauge, Registry } from 'prom-client';
-import type { ControllerCore } from './controller-core.js';
 import type { DetectionService } from '../failure-detection/detection-service.js';
 
+/** What the metrics are read from; a controller satisfies it. */
+export interface MetricsSource {
+  /** The shards that this controller holds. */
+  readonly heldShards: ReadonlyMap<string, { counts(): ShardCounts }>;
+  /** Null: this controller does not lead. */
+  readonly leader: object | null;
+  readonly replica: { readonly assignmentCount: number };
+  /** Null: failure detection is off. */
+  readonly detection: DetectionService | null;
+  /** ms since the replica was last known to be current. */
+  replicaAgeMs(): number;
+}
+
+/** Machines and tasks of one shard. */
+interface ShardCounts {
+  readonly machines: number;
+  readonly placed: number;
+  readonly waiting: number;
+}
+
 type AddGauge = (name: string, help: string, read: () => number) => void;
 
 function addDetectionGauges(detection: DetectionService, gauge: AddGauge): void {
@@ -19,13 +38,13 @@
   gauge('probes_failed', 'Probes of peers without an answer', () => probeCounts.failed);
   gauge('detector_bytes_sent', 'Bytes of probes and answers', () => detection.bytesSent);
   gauge('detector_messages_dropped', 'Messages and rumours passed over', () =>
-    Object.values(counts.dropped).reduce((sum, one) => sum + one, 0),
+    Object.values(counts.dropped).reduce((sum, count) => sum + count, 0),
   );
   gauge('local_health', '0: trusts its own observations', () => detection.localHealthScore);
 }
 
-/** The node's figures in the Prometheus text format; loaded only when they are first asked for. */
-export function createMetricsReader(node: ControllerCore): () => Promise<string> {
+/** Returns a function that renders the metrics in the Prometheus text format. */
+export function createMetricsReader(source: MetricsSource): () => Promise<string> {
   const registry = new Registry();
   const gauge = (name: string, help: string, read: () => number): void => {
     new Gauge({
@@ -37,25 +56,20 @@
       },
     });
   };
-  const machines = () => [...node.heldShards.values()].map((shard) => shard.counts());
-  gauge('view_age_ms', 'Age of the view of the state service', () => node.replicaAgeMs());
-  gauge('leader', '1 on the node that leads', () => (node.leader ? 1 : 0));
-  gauge('parts', 'Parts that this node owns', () => node.heldShards.size);
-  gauge('machines', 'Machines of these parts', () =>
-    machines().reduce((sum, one) => sum + one.machines, 0),
-  );
-  gauge('tasks_placed', 'Tasks placed on them', () =>
-    machines().reduce((sum, one) => sum + one.placed, 0),
-  );
-  gauge('tasks_waiting', 'Tasks that wait in them for room', () =>
-    machines().reduce((sum, one) => sum + one.waiting, 0),
-  );
+  const sumOverShards = (count: keyof ShardCounts): number =>
+    [...source.heldShards.values()].reduce((sum, shard) => sum + shard.counts()[count], 0);
+  gauge('view_age_ms', 'Age of the view of the state service', () => source.replicaAgeMs());
+  gauge('leader', '1 on the node that leads', () => (source.leader ? 1 : 0));
+  gauge('parts', 'Parts that this node owns', () => source.heldShards.size);
+  gauge('machines', 'Machines of these parts', () => sumOverShards('machines'));
+  gauge('tasks_placed', 'Tasks placed on them', () => sumOverShards('placed'));
+  gauge('tasks_waiting', 'Tasks that wait in them for room', () => sumOverShards('waiting'));
   gauge(
     'chunks',
     'Ranges of tasks of all jobs that are not over',
-    () => node.replica.assignmentCount,
+    () => source.replica.assignmentCount,
   );
-  const { detection } = node;
+  const { detection } = source;
   if (detection) addDetectionGauges(detection, gauge);
   return () => registry.metrics();
 }
