--- a/src/coordination/api/absence-proof.ts
+++ b/src/coordination/api/absence-proof.ts
@@ -1,12 +1,12 @@
-/** What proves that the state service holds nothing on a job. */
+/** Proves that the key-value store holds nothing on a job. */
 import type { Guard, CompareAndSwapResult } from '../../protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 
 /**
- * Proof that there was neither a record nor a final record of a job at one moment, which lies after
- * the request that it is used for. Whoever tells a user that a job is unknown, or refuses a
- * submission, must hold one: a lookup without an answer, two reads at two moments, or a conflict that
- * names other keys prove nothing.
+ * Proof that there was neither a record nor a final record of a job at one moment, which lies
+ * after the request that it is used for. Code that answers that a job is unknown, or refuses a
+ * submission, must hold one: a lookup without an answer, two reads at two moments, or a conflict
+ * that names other keys prove nothing.
  */
 export class AbsenceProof {
   /** Private, so that nothing else has the type of a proof. */
--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -1,4 +1,4 @@
-/** Admission control: which jobs can never run, whatever ends or is rented. */
+/** Admission control: which jobs can never run, whatever finishes or is scaled out. */
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 
@@ -24,7 +24,7 @@
   return null;
 }
 
-/** Whether a task of the job may run on machines of the type, and has room on an empty one. */
+/** Whether a task of the job may run on machines of the type, and fits an empty one. */
 function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -26,11 +26,11 @@
   onCommitted: CommitListener;
 }
 
-/** Takes cancellations; none is confirmed before the state service holds it. */
+/** Takes cancellations; none is confirmed before the key-value store holds it. */
 export class Cancellations {
   constructor(private readonly options: CancellationsOptions) {}
 
-  /** Cancels a job; the reply tells how it ended if it was over before. */
+  /** Cancels a job; the reply says how it ended if it had finished before. */
   async cancel(id: string): Promise<HttpReply> {
     const { replica, clock } = this.options;
     if (!isJobId(id)) return invalidJobId();
@@ -43,7 +43,7 @@
     return notCommittedInTime();
   }
 
-  /** What has ended or never was can be told before the replica is loaded. */
+  /** Until the replica is loaded, only jobs that have finished or never existed get an answer. */
   private async cancelWhileLoading(id: string): Promise<HttpReply> {
     const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Takes out the next checks, `maxCount` at the most. Those whose result `resultOf` knows by now are
-   * resolved with it instead.
+   * Takes out the next checks, `maxCount` at the most. Those whose result `resultOf` knows by now
+   * are resolved with it instead.
    */
   takeNext(maxCount: number, resultOf: (id: string) => JobLookup | null): JobCheck[] {
     const taken: JobCheck[] = [];
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -124,7 +124,7 @@
     });
   }
 
-  /** Without a result a job is checked again, unless the store rejected more than the rate (429). */
+  /** A check that was not served is repeated while someone waits, unless the store refused it. */
   private retryOrGiveUp(batch: JobCheck[], error: unknown): void {
     const isRejected = error instanceof StoreRejectedError;
     if (isRejected && error.status !== 429) {
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -9,15 +9,15 @@
 import { finishedJobLookup, openJobLookup, type JobLookup } from './job-lookup.js';
 import type { JobChecks } from './job-checks.js';
 
-/** A poll that waits for a watch sent after it came. */
+/** A poll that waits for the answer to a watch request that is sent after the poll arrived. */
 interface FreshReplicaWaiter {
-  /** Steady time at which it came. */
+  /** Steady time at which the poll arrived. */
   arrivedAt: number;
   resolve: (fresh: boolean) => void;
   cancelTimer: () => void;
 }
 
-/** Answers from the replica where it is fresh enough, and from the state service otherwise. */
+/** Answers from the replica where it is fresh enough, and from the key-value store otherwise. */
 export class JobQueries {
   private readonly waiters = new Set<FreshReplicaWaiter>();
 
@@ -40,19 +40,20 @@
     return { status: 200, body: encodeJobView(id, state, doneTasks, runningTasks) };
   }
 
-  /** What is known of a job that this node has heard of; null: it has not, which proves nothing. */
+  /** What is known of a job that the replica holds; null: it holds none, which proves nothing. */
   lookUpIfKnown(id: string): Promise<JobLookup | null> {
     const final = this.replica.final(id);
     if (final) return Promise.resolve(finishedJobLookup(final));
-    // Until the replica is loaded nothing can be accepted, and what ended can only be looked up.
+    // Until the replica is loaded nothing can be accepted, and finished jobs can only be looked up
+    // in the store.
     if (this.replica.isLoaded && !this.replica.get(jobKey(id))) return Promise.resolve(null);
     return this.checks.check(id, JOB_CHECK_TIMEOUT_MS);
   }
 
   /**
-   * A job as the state service holds it now. What the replica shows of an open job after a watch that
-   * was sent later than the question came is as good as an answer to the question itself, and costs
-   * no request; where changes are seldom, or the job is not in the replica, the service is asked.
+   * A job as the key-value store holds it now. What the replica shows of an open job after a
+   * watch that was sent after the poll came is as good as a request of its own, and costs no
+   * request; where changes are seldom, or the job is not in the replica, the store is asked.
    */
   private async lookUpNewest(id: string): Promise<JobLookup> {
     const before = this.replica.final(id);
@@ -65,7 +66,7 @@
     return this.checks.check(id, JOB_CHECK_TIMEOUT_MS - FRESH_REPLICA_TIMEOUT_MS);
   }
 
-  /** True once a watch that is sent from now on is answered; false: not soon. */
+  /** True once a watch request sent from now on is answered; false: it was not in time. */
   private awaitFreshReplica(): Promise<boolean> {
     return new Promise((resolve) => {
       const waiter: FreshReplicaWaiter = {
@@ -81,7 +82,7 @@
     });
   }
 
-  /** A watch that was sent at this steady time is answered. */
+  /** A watch request that was sent at this steady time is answered. */
   private resolveWaiters(sentAt: number): void {
     for (const waiter of this.waiters) {
       if (waiter.arrivedAt > sentAt) continue;
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -17,7 +17,7 @@
 
 /**
  * What became of a submission: 'exists': there is or was a job with its id; 'unknown': not known in
- * time whether it was committed; 'invalid': the state service can't hold it.
+ * time whether it was committed; 'invalid': the key-value store can't hold it.
  */
 export type SubmissionOutcome = 'accepted' | 'exists' | 'unknown' | 'invalid';
 
@@ -39,7 +39,7 @@
   cancelTimer: () => void;
 }
 
-/** Submissions on their way to the state service, in the order in which they came. */
+/** Submissions on their way to the key-value store, in the order in which they came. */
 export class SubmissionQueue {
   private readonly queue: Submission[] = [];
   private isCommitting = false;
@@ -51,7 +51,7 @@
     return this.queue.length >= MAX_QUEUED_SUBMISSIONS;
   }
 
-  /** Bytes that the job's record takes in the state service. */
+  /** Bytes that the job's record takes in the key-value store. */
   recordBytes(spec: JobSpec): number {
     return bytesOf(this.recordOf(spec));
   }
@@ -89,7 +89,7 @@
     try {
       while (this.queue.length > 0) await this.commitGroup(this.takeGroup());
     } catch (error) {
-      this.options.log.warn({ error: String(error) }, 'submissions not committed');
+      this.options.log.warn({ error: String(error) }, 'group commit of submissions failed');
     } finally {
       this.isCommitting = false;
     }
@@ -134,7 +134,7 @@
     return this.options.committer.commit('submit', guards, changes, isWanted);
   }
 
-  /** Tells the users of a group how its transaction ended. */
+  /** Resolves the submissions of a group by the result of their transaction. */
   private async resolveByResult(group: Submission[], result: CommitResult): Promise<void> {
     if (result.kind === 'done') {
       this.resolveAll(group, 'accepted');
@@ -142,14 +142,14 @@
     } else if (result.kind !== 'invalid') {
       this.resolveAll(group, 'unknown');
     } else if (group.length > 1) {
-      // One job must not take the others down: each is tried on its own, and then told.
+      // One job must not take the others down: each is tried on its own.
       for (const one of group) await this.commitGroup([one]);
     } else {
       this.resolveAll(group, result.unsure ? 'unknown' : 'invalid');
     }
   }
 
-  /** What is left to commit of a group after these keys were found otherwise than its guards say. */
+  /** What is left to commit of a group after its guards failed on these keys. */
   private withoutExistingJobs(group: Submission[], failed: Set<string>): Submission[] {
     const exists = ({ spec }: Submission): boolean =>
       failed.has(jobKey(spec.id)) || failed.has(finalKey(spec.id));
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -24,10 +24,10 @@
 
 const machineTypesUnknown = (): HttpReply => temporaryError(503, 'machine types not known yet');
 
-/** What submissions are answered with. */
+/** What the handler of submissions works with. */
 export interface SubmissionsOptions {
   teams: readonly Team[];
-  /** Bytes that the state service takes for one job's record. */
+  /** Bytes that the key-value store takes for one job's record. */
   valueBytes: number;
   replica: StoreReplica;
   checks: JobChecks;
@@ -35,7 +35,7 @@
   queue: SubmissionQueue;
 }
 
-/** Takes submissions; nothing is called accepted before the state service holds it. */
+/** Takes submissions; none is confirmed before the key-value store holds it. */
 export class Submissions {
   constructor(private readonly options: SubmissionsOptions) {}
 
@@ -45,8 +45,9 @@
     if (!json.ok) return errorReply(400, json.error);
     const id = submissionId(json.value);
     if (id === null) return errorReply(400, 'ref: must look like j-000412');
-    // A known id is answered first, whatever else the body says. What has ended stays so; of what
-    // has not, this node may not have heard the end yet, and must not give an older answer.
+    // A known id is answered first, whatever else the body says. A finished job stays finished; the
+    // end of another may not have reached this replica yet, and the answer must not be an older
+    // one.
     const lookup = await this.options.queries.lookUpIfKnown(id);
     if (lookup?.kind === 'found') return stateReply(id, lookup.job.state);
     if (!this.options.replica.isLoaded) return stillStarting();
@@ -58,21 +59,23 @@
     return reason === null ? this.accept(parsed.value) : this.refuse(id, 422, reason);
   }
 
-  /** Why a job can't be accepted if it is new, or TYPES_UNKNOWN; null: it can be. */
+  /** Why a job can't be accepted if it is new, or MACHINE_TYPES_UNKNOWN; null: it can be. */
   private refusalReason(spec: JobSpec): string | null {
     const { teams, replica, queue, valueBytes } = this.options;
     const reason = reasonNeverRunnable(spec, teams, readCatalog(replica));
     if (reason !== null) return reason;
-    // Accepted it could never be written, and its user would be told to come back for ever.
+    // Its record could never be written, and its user would be told to retry for ever.
     return queue.recordBytes(spec) > valueBytes ? RECORD_TOO_LARGE : null;
   }
 
-  /** Refuses a submission for good. Its job may have been accepted before, which must be ruled out. */
+  /**
+   * Refuses a submission for good. Its job may have been accepted before, which must be ruled out.
+   */
   private refuse(id: string, status: 400 | 422, error: string): Promise<HttpReply> {
     return this.unlessKnown(id, () => errorReply(status, error));
   }
 
-  /** The state of the job if the state service holds it; this reply if it is proven absent. */
+  /** The state of the job if the key-value store holds it; this reply if it is proven absent. */
   private async unlessKnown(
     id: string,
     replyOf: (proof: AbsenceProof) => HttpReply,
@@ -88,7 +91,7 @@
     if (queue.isFull) return temporaryError(429, 'too many submissions');
     const outcome = await queue.commit(spec);
     if (outcome === 'accepted') return stateReply(spec.id, 'queued', 201);
-    // The state service may have taken the job before its limits became smaller.
+    // The key-value store may have taken the job before its limits became smaller.
     if (outcome === 'invalid') return this.refuse(spec.id, 422, RECORD_TOO_LARGE);
     if (outcome === 'exists') return this.unlessKnown(spec.id, notCommittedInTime);
     return notCommittedInTime();
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -19,7 +19,7 @@
   teams: readonly Team[];
   /** Changes that one transaction may hold. */
   transactionOps: number;
-  /** Bytes that the state service takes for one job's record. */
+  /** Bytes that the key-value store takes for one job's record. */
   valueBytes: number;
   /** ms between two checking transactions: what comes meanwhile shares the next. */
   checkMs: number;
@@ -32,9 +32,9 @@
   onCommitted: CommitListener;
 }
 
-/** Serves users. Nothing is told to one before the state service holds it. */
+/** Serves users. No change is confirmed before the key-value store holds it. */
 export class UserRequests {
-  /** Answers to submissions by status, for whoever watches the program. */
+  /** Number of replies to submissions by status, for the log of requests. */
   readonly submissionReplyCounts = new Map<number, number>();
   private readonly replica: StoreReplica;
   private readonly submissions: Submissions;
@@ -65,7 +65,7 @@
     return reply;
   }
 
-  /** Answers a question for the state of a job. */
+  /** Answers a poll for the state of a job. */
   poll(id: string): Promise<HttpReply> {
     return this.queries.poll(id);
   }
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -1,4 +1,4 @@
-/** Creates and removes the parts, the leader and the fleet as this node gains and loses roles. */
+/** Creates and removes shards, leader and autoscaler as this controller gains and loses roles. */
 import { roleKey } from '../../storage/keys.js';
 import type { Supply } from '../../storage/rate-limiter.js';
 import { Autoscaler } from '../autoscaling/autoscaler.js';
@@ -8,18 +8,20 @@
 import { LEADER, shardRole, type HeldRole } from '../election/role-election.js';
 import type { ControllerServices } from './controller-services.js';
 
-/** What is called when there is work to do. */
+/** Called when there is work to do. */
 export interface ActiveRolesCallbacks {
-  /** A part has something to do. */
+  /** A shard has something to do. */
   readonly onShardWork: () => void;
-  /** This node has become the leader. */
+  /** This controller has become the leader. */
   readonly onLeadershipGained: () => void;
 }
 
-/** The parts, and the leader with its fleet, that act while this node owns their roles. */
+/**
+ * The shards, and the leader with its autoscaler, that act while this controller holds their roles.
+ */
 export class ActiveRoles {
   readonly shards = new Map<string, Shard>();
-  /** The terms in which the parts act. */
+  /** The terms in which the shards act. */
   private readonly shardTerms = new Map<string, number>();
   private activeLeader: Leader | null = null;
   private leaderTerm = 0;
@@ -30,12 +32,12 @@
     private readonly callbacks: ActiveRolesCallbacks,
   ) {}
 
-  /** The leader; null: another node leads, or none. */
+  /** The leader; null: another controller leads, or none. */
   get leader(): Leader | null {
     return this.activeLeader;
   }
 
-  /** Passes a changed key of the replica on; `affectsParts`: a part may have something to do. */
+  /** Passes a changed key of the replica on; `affectsShards`: a shard may have something to do. */
   handleKeyChange(key: string): { affectsShards: boolean } {
     let affectsShards = false;
     for (const shard of this.shards.values()) {
@@ -45,7 +47,7 @@
     return { affectsShards };
   }
 
-  /** Creates and removes what acts in roles, so that it matches the roles that this node owns. */
+  /** Creates and removes what acts in roles, to match the roles that this controller holds. */
   sync(): void {
     for (const [number, member] of this.services.members.entries()) {
       this.syncShard(member.node, number);
@@ -61,13 +63,15 @@
     return election;
   }
 
-  /** One round of the leader; notifies the parts for which something urgent was written. */
+  /**
+   * One scheduling cycle; notifies the holders of shards for which something urgent was written.
+   */
   async reconcileLeader(): Promise<void> {
     const written = await this.activeLeader?.reconcile();
     for (const shard of written ?? []) this.services.holderNotifier.notify(shardRole(shard));
   }
 
-  /** One round of the fleet. */
+  /** One pass of the autoscaler. */
   async reconcileAutoscaler(): Promise<void> {
     if (this.activeLeader && this.autoscaler)
       await this.autoscaler.reconcile(this.activeLeader.snapshot);
@@ -77,13 +81,13 @@
     const { log, election } = this.services;
     const heldRole = election.heldRole(shardRole(name));
     if (!heldRole) {
-      if (this.shards.delete(name)) log.info({ shard: name }, 'part given up');
+      if (this.shards.delete(name)) log.info({ shard: name }, 'shard released');
       return;
     }
     if (this.shards.has(name) && this.shardTerms.get(name) === heldRole.term) return;
     this.shards.set(name, this.createShard(name, number, heldRole));
     this.shardTerms.set(name, heldRole.term);
-    log.info({ shard: name, term: heldRole.term }, 'part taken');
+    log.info({ shard: name, term: heldRole.term }, 'shard acquired');
   }
 
   private createShard(name: string, number: number, heldRole: HeldRole): Shard {
@@ -130,7 +134,7 @@
     const { log, election } = this.services;
     const heldRole = election.heldRole(LEADER);
     if (!heldRole) {
-      if (this.activeLeader) log.info({}, 'leadership given up');
+      if (this.activeLeader) log.info({ term: this.leaderTerm }, 'leadership lost');
       this.activeLeader = null;
       this.autoscaler = null;
       return;
@@ -141,7 +145,7 @@
     const writer = this.createLeaderWriter(term);
     this.activeLeader = this.createLeader(term, writer);
     this.autoscaler = this.createAutoscaler(term, writer);
-    log.info({ term }, 'leading');
+    log.info({ term }, 'leadership acquired');
     this.callbacks.onLeadershipGained();
   }
 
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -13,33 +13,33 @@
   readonly name: string;
   readonly clock: Clock;
   readonly log: Log;
-  /** One round; when it fails, the failure is logged and the loop goes on. */
+  /** One pass; when it fails, the failure is logged and the loop goes on. */
   readonly reconcile: () => Promise<void>;
-  /** Processor time of a round in ms: the pause before the next leaves most of it to reports. */
+  /** CPU time of the last pass in ms: the pause before the next leaves most of it to heartbeats. */
   readonly lastCycleCpuMs?: () => number;
-  /** ms between two rounds when nothing wakes the loop. */
+  /** ms between two passes when nothing wakes the loop. */
   readonly intervalMs?: () => number;
 }
 
-/** A periodic loop; its rounds never overlap. */
+/** A periodic loop; its passes never overlap. */
 export class ControlLoop {
   private cancelTimer: (() => void) | null = null;
   private isRunning = false;
   private isStopped = false;
-  /** Woken since the last round began. */
+  /** Woken since the last pass began. */
   private hasPendingWake = false;
-  /** The next round is scheduled after the gathering delay already. */
+  /** The next pass is scheduled after the coalescing delay already. */
   private isScheduledSoon = false;
 
   constructor(private readonly options: ControlLoopOptions) {}
 
-  /** Runs the next round after a delay, in place of what was scheduled. */
+  /** Runs the next pass after a delay, in place of what was scheduled. */
   schedule(delayMs: number): void {
     this.cancelTimer?.();
     this.cancelTimer = this.options.clock.after(delayMs, () => void this.run());
   }
 
-  /** Runs a round soon; changes that follow one another closely share one. */
+  /** Runs a pass soon; changes that follow one another closely share one. */
   wake(): void {
     this.hasPendingWake = true;
     if (this.isRunning || this.isScheduledSoon || this.isStopped) return;
@@ -47,7 +47,7 @@
     this.schedule(this.coalesceMs());
   }
 
-  /** Begins no further round. */
+  /** Begins no further pass. */
   stop(): void {
     this.isStopped = true;
   }
@@ -68,7 +68,7 @@
     try {
       await reconcile();
     } catch (error) {
-      log.error({ loop: name, error: String((error as Error).stack ?? error) }, 'round failed');
+      log.error({ loop: name, error: String((error as Error).stack ?? error) }, 'reconcile failed');
     }
     this.isRunning = false;
     this.isScheduledSoon = this.hasPendingWake;
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -1,4 +1,7 @@
-/** One controller without its sockets: it connects the services, the loops and the entry points. */
+/**
+ * One controller without its sockets: it connects the services, the control loops and the
+ * endpoints.
+ */
 import {
   AUTOSCALER_INTERVAL_MS,
   LEADER_COALESCE_MS,
@@ -28,7 +31,7 @@
 
 export type { Environment } from '../../protocol/environment.js';
 
-/** The periodic loops of a node. */
+/** The periodic loops of a controller. */
 interface ControlLoops {
   readonly election: ControlLoop;
   readonly shards: ControlLoop;
@@ -36,14 +39,14 @@
   readonly autoscaler: ControlLoop;
 }
 
-/** What a node is created from. */
+/** What a controller is created from. */
 export interface ControllerCoreOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
-  /** Identifies this process among all that ever ran as this node. */
+  /** Identifies this process among all that ever ran as this controller. */
   readonly incarnation: string;
-  /** Creates failure detection; without it the state service's word alone decides. */
+  /** Creates failure detection; without it the key-value store alone decides. */
   readonly createDetection?: CreateDetection;
 }
 
@@ -108,7 +111,7 @@
     replica.onChange((keys) => this.handleReplicaChange(keys));
   }
 
-  /** Begins to follow the state service and to run the loops. */
+  /** Begins to follow the key-value store and to run the loops. */
   start(): void {
     void this.replica.follow();
     const { autoscaler, leader, shards, election } = this.loops;
@@ -116,7 +119,7 @@
     this.detection?.start();
   }
 
-  /** Ends the loops and the watch of the state service. */
+  /** Ends the loops and the watch of the key-value store. */
   stop(): void {
     const { autoscaler, leader, shards, election } = this.loops;
     for (const loop of [election, shards, leader, autoscaler]) loop.stop();
@@ -124,29 +127,30 @@
     this.replica.stop();
   }
 
-  /** This node's replica of what the state service holds. */
+  /** This controller's replica of the key-value store. */
   get replica(): StoreReplica {
     return this.services.replica;
   }
 
-  /** Failure detection between the nodes; null: it is off. */
+  /** Failure detection between the controllers; null: it is off. */
   get detection(): DetectionService | null {
     return this.services.detection;
   }
 
-  /** The parts that this node owns. */
+  /** The shards that this controller holds. */
   get heldShards(): ReadonlyMap<string, Shard> {
     return this.activeRoles.shards;
   }
 
-  /** The leader; null: another node leads, or none. */
+  /** The leader; null: another controller leads, or none. */
   get leader(): Leader | null {
     return this.activeRoles.leader;
   }
 
   /**
-   * Whether users' requests can be answered here, or through this node by a peer. In an outage that
-   * all nodes share it stays true, since a node taken out is only let back in late.
+   * Whether users' requests can be answered here, or through this controller by a peer. In an
+   * outage that all controllers share it stays true, since one taken out of service is only let
+   * back in late.
    */
   get isReady(): boolean {
     return this.userEndpoint.isReady;
@@ -157,7 +161,9 @@
     return this.services.environment.clock.now() - this.replica.knownCurrentAt;
   }
 
-  /** The node's metrics in the Prometheus text format; their library is loaded on first use. */
+  /**
+   * The controller's metrics in the Prometheus text format; their library is loaded on first use.
+   */
   async metrics(): Promise<HttpReply> {
     if (!this.readMetrics) {
       const { createMetricsReader } = await import('./metrics.js');
@@ -166,7 +172,7 @@
     return { status: 200, body: await this.readMetrics(), type: 'text/plain; version=0.0.4' };
   }
 
-  /** Serves a user's request; `about`: the id of the job, or '' in a submission. */
+  /** Serves a user's request; `jobId`: '' in a submission. */
   handleUserRequest(
     operation: UserRequest['operation'],
     jobId: string,
@@ -175,12 +181,12 @@
     return this.userEndpoint.handle({ operation, jobId, body });
   }
 
-  /** Serves a worker's report. */
+  /** Serves a worker's heartbeat. */
   handleHeartbeat(body: string | null): Promise<HttpReply> {
     return this.heartbeatEndpoint.handle(body);
   }
 
-  /** Handles a peer's message; `answer` sends one back to it. */
+  /** Handles a peer's message; `respond` sends one back to it. */
   receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
     this.peerEndpoint.receive(message, respond);
   }
@@ -192,11 +198,11 @@
       new ControlLoop({ ...options, clock: environment.clock, log });
     return {
       election: loop({
-        name: 'roles',
+        name: 'election',
         reconcile: () => this.reconcileElection(),
         intervalMs: () => ELECTION_INTERVAL_MS,
       }),
-      shards: loop({ name: 'parts', reconcile: () => this.reconcileShards() }),
+      shards: loop({ name: 'shards', reconcile: () => this.reconcileShards() }),
       leader: loop({
         name: 'leader',
         reconcile: () => activeRoles.reconcileLeader(),
@@ -205,21 +211,21 @@
         intervalMs: () => (this.leader ? LOOP_INTERVAL_MS : STANDBY_INTERVAL_MS),
       }),
       autoscaler: loop({
-        name: 'fleet',
+        name: 'autoscaler',
         reconcile: () => activeRoles.reconcileAutoscaler(),
         intervalMs: () => (this.leader ? AUTOSCALER_INTERVAL_MS : STANDBY_INTERVAL_MS),
       }),
     };
   }
 
-  /** One round of the roles, and new terms for those that run out of numbers. */
+  /** One pass of the election, and new terms for roles that run out of numbers. */
   private async reconcileElection(): Promise<void> {
     const { election } = this.services;
     await election.reconcile();
     for (const role of this.activeRoles.rolesNeedingTermRenewal()) await election.renewTerm(role);
   }
 
-  /** One round of each part, one after the other, and what is due periodically beside them. */
+  /** One pass of each shard, one after the other, and what is due periodically beside them. */
   private async reconcileShards(): Promise<void> {
     this.requestLog.writeIfDue();
     this.detection?.writeIfDue();
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -1,4 +1,6 @@
-/** Creates the services that all modules of a node share, in the order of their dependencies. */
+/**
+ * Creates the services that all modules of a controller share, in the order of their dependencies.
+ */
 import { CHECK_RATE_SHARE } from '../../constants/api.js';
 import { WATCH_GRACE_SHARE } from '../../constants/election.js';
 import { WATCH_HOLD_MS, WATCH_SHARE, WATCH_SPACING_MS } from '../../constants/storage.js';
@@ -23,12 +25,12 @@
 } from '../failure-detection/detection-service.js';
 import { HolderNotifier } from './holder-notifier.js';
 
-/** What a node is created from. */
+/** What a controller is created from. */
 export interface ControllerServicesOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
-  /** Identifies this process among all that ever ran as this node. */
+  /** Identifies this process among all that ever ran as this controller. */
   readonly incarnation: string;
   /** Creates failure detection; null: it is off. */
   readonly createDetection: CreateDetection;
@@ -36,11 +38,11 @@
   readonly detectionEvents: Pick<DetectionServiceOptions, 'onSteppedDown' | 'onChanged'>;
 }
 
-/** The services that the modules of a node share. */
+/** The services that the modules of a controller share. */
 export interface ControllerServices extends ControllerServicesOptions {
-  /** The state service; the outcome of every request to it is noted for `reachability`. */
+  /** The outcome of every request to the store is noted for `reachability`. */
   readonly keyValueStore: KeyValueStore;
-  /** All nodes of the cluster, by name. */
+  /** All controllers of the cluster, by name. */
   readonly members: readonly Member[];
   /** Uniform in [0, 1). */
   readonly random: () => number;
@@ -61,7 +63,7 @@
 >;
 type ElectionServices = Omit<ControllerServices, 'userRequests'>;
 
-/** Creates the services of a node. */
+/** Creates the services of a controller. */
 export function createControllerServices(options: ControllerServicesOptions): ControllerServices {
   const store = createStoreServices(options);
   const detection = createDetection(store, () => election);
@@ -78,7 +80,7 @@
   return { ...withElection, userRequests: createUserRequests(withElection) };
 }
 
-/** ms between requests of all members that take `share` of the state service's limit. */
+/** ms between requests of all members that take `share` of the key-value store's limit. */
 function requestSpacingMs({ peers, storeRps }: Settings, share: number): number {
   const memberCount = peers.length + 1;
   return (1000 * memberCount) / (storeRps * share);
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -1,4 +1,4 @@
-/** A controller as a process runs it: the node with its servers, clients and links. */
+/** A controller as a process runs it: its core with servers, clients and peer links. */
 
 import { randomUUID } from 'node:crypto';
 import type { Server } from 'node:http';
@@ -43,7 +43,7 @@
 /** Content type of one JSON object a line. */
 const NDJSON = 'application/x-ndjson';
 
-/** Sockets that the node's clients and its server may take. */
+/** Sockets for direct calls to workers, and for the server's connections. */
 interface SocketBudget {
   direct: number;
   connections: number;
@@ -117,7 +117,7 @@
   };
 }
 
-/** The services around a node, over real sockets, and what is to be closed in the end. */
+/** The core's environment over real sockets, and the clients to be closed in the end. */
 function connectEnvironment(
   settings: Settings,
   directSockets: number,
@@ -172,7 +172,7 @@
       settings.listen,
       createRoutes(node),
       serverLimits(connections),
-      (error) => log.error({ error: String(error) }, 'request failed'),
+      (error) => log.error({ error: String(error) }, 'HTTP request handler failed'),
     );
     const peerOptions = createPeerOptions(node);
     const peers = await listenPeers(settings.peerListen, peerOptions);
@@ -180,11 +180,11 @@
     for (const peer of settings.peers) {
       links.set(peer.node, new PeerLink(peer.address, peerOptions));
     }
-    log.info({ node: settings.node, incarnation }, 'started');
+    log.info({ node: settings.node, incarnation }, 'controller started');
     return new Controller(node, links, [http, peers], clients);
   }
 
-  /** Ends the node's work and closes all sockets. */
+  /** Stops the core and closes all sockets. */
   stop(): void {
     this.node.stop();
     for (const link of this.links.values()) link.close();
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves workers' reports: here, or by sending the worker or its report to the part's owner. */
+/** Serves workers' heartbeats: here, or by sending worker or heartbeat to the shard's holder. */
 import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
 import { parseJson, type Parsed } from '../../protocol/user-codec.js';
@@ -15,9 +15,9 @@
 import type { PeerRelay } from './peer-relay.js';
 import { unavailable } from '../api/http-replies.js';
 
-/** What the entry works with. */
+/** What the endpoint works with. */
 export interface HeartbeatEndpointOptions {
-  /** Name of this node. */
+  /** Name of this controller. */
   readonly controllerName: string;
   readonly clock: Clock;
   readonly members: readonly Member[];
@@ -26,14 +26,16 @@
   readonly peerRelay: PeerRelay;
 }
 
-/** The entry point of workers' reports. */
+/** The endpoint of workers' heartbeats. */
 export class HeartbeatEndpoint {
   /** Machines that were redirected lately, and when. */
   private readonly redirectedAt = new Map<string, number>();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
-  /** Answers a report, redirects the worker to the owner of its part, or relays the report there. */
+  /**
+   * Answers a heartbeat, redirects its worker to the shard's holder, or relays the heartbeat there.
+   */
   async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return { status: 400, body: { error: parsed.error } };
@@ -50,7 +52,8 @@
     if (lastRedirectedAt === undefined || now - lastRedirectedAt > REDIRECT_RETRY_MS) {
       return { status: 421, body: encodeRedirect(holder) };
     }
-    // Back so soon after a redirect: it can't reach the owner, but perhaps this node can.
+    // Back so soon after a redirect: the worker can't reach the holder, but perhaps this controller
+    // can.
     const relayed = await peerRelay.request(holder, {
       operation: 'heartbeat',
       jobId: '',
@@ -59,7 +62,7 @@
     return relayed ?? unavailable('no owner acts');
   }
 
-  /** Answers a report that a peer relayed; null: it is invalid, or not for this node. */
+  /** Answers a heartbeat that a peer relayed; null: it is invalid, or not for this controller. */
   handleRelayed(text: string): HttpReply | null {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return null;
@@ -75,7 +78,7 @@
     }
   }
 
-  /** Null: this node may not answer for the part. */
+  /** Null: this controller may not answer for the shard. */
   private replyAsHolder(shard: string, heartbeat: Heartbeat): HttpReply | null {
     const { activeRoles, election } = this.options;
     const heldRole = election.heldRole(shardRole(shard));
--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -1,4 +1,4 @@
-/** Notifies the owners of roles that the state service holds something new for them. */
+/** Notifies the holders of roles that the key-value store has something new for them. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
 import { LEADER, shardRole, type RoleElection } from '../election/role-election.js';
@@ -6,7 +6,7 @@
 
 /** What a notifier works with. */
 export interface HolderNotifierOptions {
-  /** Name of this node. */
+  /** Name of this controller. */
   readonly controllerName: string;
   readonly environment: Environment;
   readonly election: RoleElection;
@@ -17,7 +17,7 @@
 export class HolderNotifier {
   constructor(private readonly options: HolderNotifierOptions) {}
 
-  /** Notifies the owner of a role, unless it is this node or there is none. */
+  /** Notifies the holder of a role, unless it is this controller or there is none. */
   notify(role: string, cancelled?: CancelledJob): void {
     const { environment, controllerName, replica, election } = this.options;
     const holder = election.holderOf(role);
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Notifies the leader, and the owners of the parts that hold the jobs. `over`: the only job was
-   * cancelled; it has so many tasks.
+   * Notifies the leader, and the holders of the shards that the jobs are assigned to.
+   * `cancellation`: the only job was cancelled; it has so many tasks.
    */
   notifyOfJobs(jobs: readonly string[], cancellation?: { tasks: number }): void {
     const shards = new Set<string>();
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -11,21 +11,21 @@
 
 type RelayMessage = Extract<PeerMessage, { kind: 'relay' }>;
 
-/** What the entry works with. */
+/** What the endpoint works with. */
 export interface PeerEndpointOptions {
   readonly replica: StoreReplica;
   readonly peerRelay: PeerRelay;
   readonly userEndpoint: UserEndpoint;
   readonly heartbeatEndpoint: HeartbeatEndpoint;
-  /** Null: failure detection is off, and its messages are passed over. */
+  /** Null: failure detection is off, and its messages are ignored. */
   readonly detection: DetectionService | null;
 }
 
-/** The entry point of peers' messages. */
+/** The endpoint of peers' messages. */
 export class PeerEndpoint {
   constructor(private readonly options: PeerEndpointOptions) {}
 
-  /** Handles a message; `answer` sends one back to its sender. */
+  /** Handles a message; `respond` sends one back to its sender. */
   receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
     const { detection, peerRelay, replica } = this.options;
     switch (message.kind) {
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Applies a cancellation that a peer had confirmed, so that it is final: an owner that can't reach
-   * the state service stops the job's tasks now, long before its grace and their leases are over.
+   * Applies a cancellation that a peer had confirmed, so that it is final: a holder that can't
+   * reach the key-value store stops the job's tasks now, long before its grace and their leases
+   * end.
    */
   private applyCancellation({ job, tasks }: CancelledJob, revision: number): void {
     const final: FinalRecord = { state: 'cancelled', tasks };
@@ -63,7 +64,7 @@
     ]);
   }
 
-  /** Null: this node can't answer the relayed request. */
+  /** Null: this controller can't answer the relayed request. */
   private async handleRelayed({ operation, jobId, body }: RelayMessage): Promise<HttpReply | null> {
     const { userEndpoint, heartbeatEndpoint } = this.options;
     if (operation === 'heartbeat') return heartbeatEndpoint.handleRelayed(body);
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -7,7 +7,7 @@
 /** A request to be relayed. */
 export interface RelayRequest {
   readonly operation: RelayOperation;
-  /** Id of the job that is asked about, or ''. */
+  /** Id of the job that the request is about, or ''. */
   readonly jobId: string;
   readonly body: string;
 }
@@ -15,7 +15,7 @@
 /** Replies that say for good that there is no such job, or that it can't be accepted. */
 const REFUSAL_STATUSES: readonly number[] = [400, 404, 422];
 
-/** A question that every version replies to at once: no job has this id. */
+/** A request that every version replies to at once: no job has this id. */
 const PROBE: RelayRequest = { operation: 'poll', jobId: '', body: '' };
 
 /** How peers are asked one after the other. */
@@ -24,17 +24,17 @@
   readonly nextPeerDelayMs: number;
   /** ms after which no reply is waited for any more. */
   readonly timeoutMs: number;
-  /** Whether a reply is good enough; otherwise the next peer is asked. */
+  /** Whether a reply may be passed on; otherwise the next peer is asked. */
   readonly isAcceptable: (reply: HttpReply) => boolean;
 }
 
-/** The requests that were relayed and are not answered yet. */
+/** Relays requests, and matches peers' replies to those that are pending. */
 export class PeerRelay {
   private readonly pendingRequests = new Map<number, (reply: HttpReply | null) => void>();
   private requestCount = 0;
   /** Peers that left a request without a reply, and have not replied since. */
   private readonly unresponsivePeers = new Set<string>();
-  /** Silent peers that are being asked whether they reply again. */
+  /** Unresponsive peers that are being asked whether they reply again. */
   private readonly probedPeers = new Set<string>();
 
   constructor(private readonly environment: Environment) {}
@@ -70,12 +70,14 @@
     });
   }
 
-  /** Peers to which a connection is open, without those that have left a request without a reply. */
+  /**
+   * Peers to which a connection is open, without those that have left a request without a reply.
+   */
   responsivePeers(): string[] {
     return this.environment.connectedPeers().filter((peer) => !this.unresponsivePeers.has(peer));
   }
 
-  /** Asks silent peers whether they reply again, each once at a time. */
+  /** Probes unresponsive peers, each once at a time. */
   probeUnresponsivePeers(): void {
     for (const peer of this.unresponsivePeers) {
       if (this.probedPeers.has(peer)) continue;
@@ -85,9 +87,9 @@
   }
 
   /**
-   * Asks the connected peers one after the other, those that were silent last. The next one is asked
+   * Asks the connected peers one after the other, unresponsive ones last. The next one is asked
    * as soon as one refuses or is slow: it may be suspended, or behind a cut that drops packets.
-   * Null: none gave a good reply in time.
+   * Null: none gave an acceptable reply in time.
    */
   requestFromAny(request: RelayRequest, policy: RelayPolicy): Promise<HttpReply | null> {
     const { clock } = this.environment;
@@ -128,8 +130,8 @@
   }
 
   /**
-   * Handles a peer's reply; one that came too late is ignored. A refusal without a proof counts as no
-   * reply: versions before this one may refuse a job that was accepted.
+   * Handles a peer's reply; one that came too late is ignored. A refusal without a proof counts
+   * as no reply: versions before this one may refuse a job that was accepted.
    */
   receiveReply({ id, status, body, isProven }: Extract<PeerMessage, { kind: 'relayed' }>): void {
     const isUnproven = REFUSAL_STATUSES.includes(status) && !isProven;
--- a/src/coordination/controller/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -1,4 +1,4 @@
-/** Logs periodically how this node uses the state service. */
+/** Logs periodically this controller's requests to the key-value store. */
 import { REQUEST_LOG_INTERVAL_MS } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
@@ -13,7 +13,7 @@
   readonly userRequests: UserRequests;
 }
 
-/** The periodic log of requests to the state service, by purpose. */
+/** The periodic log of requests to the key-value store, by purpose. */
 export class RequestLog {
   private lastLoggedAt = -Infinity;
 
@@ -27,9 +27,6 @@
     this.lastLoggedAt = now;
     const { passed, refusals } = limiter;
     const submissions = Object.fromEntries(userRequests.submissionReplyCounts);
-    log.info(
-      { ...Object.fromEntries(passed), refusals, submissions },
-      'requests to the state service',
-    );
+    log.info({ ...Object.fromEntries(passed), refusals, submissions }, 'key-value store requests');
   }
 }
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves users' requests: here, or through a peer where this node can't. */
+/** Serves users' requests: here, or through a peer where this controller can't. */
 import {
   USER_POLL_TIMEOUT_MS,
   RETRY_AFTER_S,
@@ -23,13 +23,13 @@
 /** A user's request. */
 export interface UserRequest {
   readonly operation: Exclude<RelayOperation, 'heartbeat'>;
-  /** Id of the job that is asked about; '' in a submission. */
+  /** Id of the job that the request is about; '' in a submission. */
   readonly jobId: string;
   /** The body; null: there is none, or it was longer than the limit. */
   readonly body: string | null;
 }
 
-/** What the entry works with. */
+/** What the endpoint works with. */
 export interface UserEndpointOptions {
   readonly environment: Environment;
   readonly userRequests: UserRequests;
@@ -40,14 +40,15 @@
   readonly isAlone: boolean;
 }
 
-/** The entry point of users' requests. */
+/** The endpoint of users' requests. */
 export class UserEndpoint {
   constructor(private readonly options: UserEndpointOptions) {}
 
   /**
-   * Whether users' requests can be answered here, or through this node by a peer. In an outage that
-   * all nodes share it stays true, since a node taken out is only let back in late. A node that has
-   * lost the state service and its peers alone would only keep its users from those that can answer.
+   * Whether users' requests can be answered here, or by a peer through this controller. In an
+   * outage that all controllers share it stays true, since one taken out of service is only let
+   * back in late. A controller that alone has lost the store and its peers would only keep users
+   * from those that can answer.
    */
   get isReady(): boolean {
     const { isAlone, reachability, peerRelay, userRequests } = this.options;
@@ -57,7 +58,7 @@
 
   /**
    * Serves a user, in the time that users wait. A reply that took longer is not sent: this process
-   * may have been suspended meanwhile, and other nodes may have given newer replies.
+   * may have been suspended meanwhile, and other controllers may have given newer replies.
    */
   async handle(request: UserRequest): Promise<HttpReply> {
     const { clock } = this.options.environment;
@@ -72,7 +73,7 @@
     return isOutdated && !isTemporary(reply) ? unavailable('too late') : reply;
   }
 
-  /** Serves a request by this node alone. */
+  /** Serves a request by this controller alone. */
   handleLocally({ operation, jobId, body }: UserRequest): Promise<HttpReply> {
     const { userRequests } = this.options;
     switch (operation) {
@@ -85,14 +86,17 @@
     }
   }
 
-  /** Serves a peer's request. What can't be decided now is told at once: the peer may ask another. */
+  /**
+   * Serves a peer's request. What can't be decided now is refused at once: the peer may try
+   * another.
+   */
   async handleRelayed(request: UserRequest): Promise<HttpReply> {
     const { reachability } = this.options;
     if (request.operation !== 'poll' && !reachability.reachable) return storeUnreachable();
     return this.handleLocally(request);
   }
 
-  /** The reply, or that there is none in time: what is given up is told, not left open. */
+  /** The reply, or 503 after the deadline: a user is answered, not left waiting. */
   private withinDeadline(deadlineMs: number, reply: Promise<HttpReply>): Promise<HttpReply> {
     return new Promise((resolve, reject) => {
       const { clock } = this.options.environment;
@@ -101,7 +105,10 @@
     });
   }
 
-  /** A node that can't reach the state service asks its peers, since one of them may reach it. */
+  /**
+   * A controller that can't reach the key-value store asks its peers, since one of them may reach
+   * it.
+   */
   private async relayOrHandleLocally(request: UserRequest): Promise<HttpReply> {
     const { limiter, reachability, userRequests } = this.options;
     if (!userRequests.isReady || !reachability.reachable) {
@@ -116,8 +123,8 @@
         return storeUnreachable();
       }
     }
-    // A node that is short of writes, usually the leader's, has a peer commit: decisions take
-    // precedence in what it may write, and a submission would wait behind them.
+    // A controller that is short of writes, usually the leader, has a peer commit: its decisions
+    // take precedence in what it may write, and a submission would wait behind them.
     if (request.operation === 'submit' && userRequests.isReady && limiter.supply === 'short') {
       const isAcceptable = ({ status }: HttpReply): boolean => status !== 503;
       const reply = await this.relayToPeers(request, {
--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -80,9 +80,7 @@
     });
     cluster.process(leader).thaw();
     for (const worker of cluster.workers.values()) worker.holdDirectMs = 0;
-    await cluster.until('it sees that', LIMIT_S, () =>
-      logged(cluster, leader, 'leadership given up'),
-    );
+    await cluster.until('it sees that', LIMIT_S, () => logged(cluster, leader, 'leadership lost'));
     await cluster.until('its part returns', LIMIT_S, () => {
       return cluster.tenure(`part-${leader}`)?.owner === leader;
     });
