--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import { Cancellations } from './cancellations.js';
-import type { CommitListener } from './job-answers.js';
+import type { CommitListener } from './commit-listener.js';
 import { JobChecks } from './job-checks.js';
 import { JobQueries } from './job-queries.js';
 import { SubmissionQueue } from './submission-queue.js';
@@ -19,7 +19,7 @@
   teams: readonly Team[];
   /** Changes that one transaction may hold. */
   transactionOps: number;
-  /** Bytes that the state service takes for one job's record. */
+  /** Bytes that the key-value store takes for one job's record. */
   valueBytes: number;
   /** ms between two checking transactions: what comes meanwhile shares the next. */
   checkMs: number;
@@ -32,10 +32,10 @@
   onCommitted: CommitListener;
 }
 
-/** Serves users. Nothing is told to one before the state service holds it. */
+/** Serves users. No change is confirmed before the key-value store holds it. */
 export class UserRequests {
-  /** Answers to submissions by status, for whoever watches the program. */
-  readonly answers = new Map<number, number>();
+  /** Number of replies to submissions by status, for the log of requests. */
+  readonly submissionReplyCounts = new Map<number, number>();
   private readonly replica: StoreReplica;
   private readonly submissions: Submissions;
   private readonly queries: JobQueries;
@@ -51,18 +51,21 @@
   }
 
   /** The replica is loaded, so that requests can be answered. */
-  get ready(): boolean {
+  get isReady(): boolean {
     return this.replica.isLoaded;
   }
 
   /** Answers a submission with this body; null: the body was too long to be read. */
   async submit(text: string | null): Promise<HttpReply> {
     const reply = await this.submissions.submit(text);
-    this.answers.set(reply.status, (this.answers.get(reply.status) ?? 0) + 1);
+    this.submissionReplyCounts.set(
+      reply.status,
+      (this.submissionReplyCounts.get(reply.status) ?? 0) + 1,
+    );
     return reply;
   }
 
-  /** Answers a question for the state of a job. */
+  /** Answers a poll for the state of a job. */
   poll(id: string): Promise<HttpReply> {
     return this.queries.poll(id);
   }
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -1,5 +1,9 @@
 /** Runs one kind of work periodically, and soon after it is woken. */
-import { LOOP_GATHER_MS, LOOP_MS, LOOP_REST } from '../../constants/controller.js';
+import {
+  LOOP_COALESCE_MS,
+  LOOP_INTERVAL_MS,
+  REST_PER_CPU_TIME,
+} from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 
@@ -9,65 +13,65 @@
   readonly name: string;
   readonly clock: Clock;
   readonly log: Log;
-  /** One round; when it fails, the failure is logged and the loop goes on. */
+  /** One pass; when it fails, the failure is logged and the loop goes on. */
   readonly reconcile: () => Promise<void>;
-  /** Processor time of a round in ms: the pause before the next leaves most of it to reports. */
+  /** CPU time of the last pass in ms: the pause before the next leaves most of it to heartbeats. */
   readonly lastCycleCpuMs?: () => number;
-  /** ms between two rounds when nothing wakes the loop. */
-  readonly idleMs?: () => number;
+  /** ms between two passes when nothing wakes the loop. */
+  readonly intervalMs?: () => number;
 }
 
-/** A periodic loop; its rounds never overlap. */
+/** A periodic loop; its passes never overlap. */
 export class ControlLoop {
   private cancelTimer: (() => void) | null = null;
-  private running = false;
-  private stopped = false;
-  /** Woken since the last round began. */
-  private woken = false;
-  /** The next round is scheduled after the gathering delay already. */
-  private scheduledSoon = false;
+  private isRunning = false;
+  private isStopped = false;
+  /** Woken since the last pass began. */
+  private hasPendingWake = false;
+  /** The next pass is scheduled after the coalescing delay already. */
+  private isScheduledSoon = false;
 
   constructor(private readonly options: ControlLoopOptions) {}
 
-  /** Runs the next round after a delay, in place of what was scheduled. */
+  /** Runs the next pass after a delay, in place of what was scheduled. */
   schedule(delayMs: number): void {
     this.cancelTimer?.();
     this.cancelTimer = this.options.clock.after(delayMs, () => void this.run());
   }
 
-  /** Runs a round soon; changes that follow one another closely share one. */
+  /** Runs a pass soon; changes that follow one another closely share one. */
   wake(): void {
-    this.woken = true;
-    if (this.running || this.scheduledSoon || this.stopped) return;
-    this.scheduledSoon = true;
-    this.schedule(this.gatherMs());
+    this.hasPendingWake = true;
+    if (this.isRunning || this.isScheduledSoon || this.isStopped) return;
+    this.isScheduledSoon = true;
+    this.schedule(this.coalesceMs());
   }
 
-  /** Begins no further round. */
+  /** Begins no further pass. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
-  private gatherMs(): number {
+  private coalesceMs(): number {
     const costMs = this.options.lastCycleCpuMs?.() ?? 0;
-    return Math.max(LOOP_GATHER_MS, costMs * LOOP_REST);
+    return Math.max(LOOP_COALESCE_MS, costMs * REST_PER_CPU_TIME);
   }
 
   private async run(): Promise<void> {
-    if (this.stopped) return;
+    if (this.isStopped) return;
     this.cancelTimer?.();
     this.cancelTimer = null;
-    this.running = true;
-    this.woken = false;
-    this.scheduledSoon = false;
-    const { idleMs, log, name, reconcile } = this.options;
+    this.isRunning = true;
+    this.hasPendingWake = false;
+    this.isScheduledSoon = false;
+    const { intervalMs, log, name, reconcile } = this.options;
     try {
       await reconcile();
     } catch (error) {
-      log.error({ loop: name, error: String((error as Error).stack ?? error) }, 'round failed');
+      log.error({ loop: name, error: String((error as Error).stack ?? error) }, 'reconcile failed');
     }
-    this.running = false;
-    this.scheduledSoon = this.woken;
-    this.schedule(this.woken ? this.gatherMs() : (idleMs?.() ?? LOOP_MS));
+    this.isRunning = false;
+    this.isScheduledSoon = this.hasPendingWake;
+    this.schedule(this.hasPendingWake ? this.coalesceMs() : (intervalMs?.() ?? LOOP_INTERVAL_MS));
   }
 }
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves workers' reports: here, or by sending the worker or its report to the part's owner. */
+/** Serves workers' heartbeats: here, or by sending worker or heartbeat to the shard's holder. */
 import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
 import { parseJson, type Parsed } from '../../protocol/user-codec.js';
@@ -13,50 +13,57 @@
 import { shardRole, type RoleElection } from '../election/role-election.js';
 import type { ActiveRoles } from './active-roles.js';
 import type { PeerRelay } from './peer-relay.js';
-import { unavailable } from './unavailable-reply.js';
+import { unavailable } from '../api/http-replies.js';
 
-/** What the entry works with. */
+/** What the endpoint works with. */
 export interface HeartbeatEndpointOptions {
-  /** Name of this node. */
-  readonly node: string;
+  /** Name of this controller. */
+  readonly controllerName: string;
   readonly clock: Clock;
   readonly members: readonly Member[];
-  readonly roles: RoleElection;
+  readonly election: RoleElection;
   readonly activeRoles: ActiveRoles;
-  readonly relay: PeerRelay;
+  readonly peerRelay: PeerRelay;
 }
 
-/** The entry point of workers' reports. */
+/** The endpoint of workers' heartbeats. */
 export class HeartbeatEndpoint {
   /** Machines that were redirected lately, and when. */
   private readonly redirectedAt = new Map<string, number>();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
-  /** Answers a report, redirects the worker to the owner of its part, or relays the report there. */
-  async heartbeat(text: string | null): Promise<HttpReply> {
+  /**
+   * Answers a heartbeat, redirects its worker to the shard's holder, or relays the heartbeat there.
+   */
+  async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return { status: 400, body: { error: parsed.error } };
     const { machine, zone } = parsed.value;
-    const { clock, members, node, relay, roles } = this.options;
+    const { clock, members, controllerName, peerRelay, election } = this.options;
     const shard = shardOf(machine, zone, members);
     const reply = this.replyAsHolder(shard, parsed.value);
     if (reply) return reply;
-    const owner = roles.holderOf(shardRole(shard));
-    if (owner === null || owner === node) return unavailable('no owner acts');
+    const holder = election.holderOf(shardRole(shard));
+    if (holder === null || holder === controllerName) return unavailable('no owner acts');
     const now = clock.now();
-    const before = this.redirectedAt.get(machine);
+    const lastRedirectedAt = this.redirectedAt.get(machine);
     this.redirectedAt.set(machine, now);
-    if (before === undefined || now - before > REDIRECT_RETRY_MS) {
-      return { status: 421, body: encodeRedirect(owner) };
+    if (lastRedirectedAt === undefined || now - lastRedirectedAt > REDIRECT_RETRY_MS) {
+      return { status: 421, body: encodeRedirect(holder) };
     }
-    // Back so soon after a redirect: it can't reach the owner, but perhaps this node can.
-    const relayed = await relay.request(owner, { ask: 'heartbeat', about: '', text: text ?? '' });
+    // Back so soon after a redirect: the worker can't reach the holder, but perhaps this controller
+    // can.
+    const relayed = await peerRelay.request(holder, {
+      operation: 'heartbeat',
+      jobId: '',
+      body: text ?? '',
+    });
     return relayed ?? unavailable('no owner acts');
   }
 
-  /** Answers a report that a peer relayed; null: it is invalid, or not for this node. */
-  replyToRelayed(text: string): HttpReply | null {
+  /** Answers a heartbeat that a peer relayed; null: it is invalid, or not for this controller. */
+  handleRelayed(text: string): HttpReply | null {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return null;
     const { machine, zone } = parsed.value;
@@ -71,12 +78,12 @@
     }
   }
 
-  /** Null: this node may not answer for the part. */
+  /** Null: this controller may not answer for the shard. */
   private replyAsHolder(shard: string, heartbeat: Heartbeat): HttpReply | null {
-    const { activeRoles, roles } = this.options;
-    const owned = roles.heldRole(shardRole(shard));
+    const { activeRoles, election } = this.options;
+    const heldRole = election.heldRole(shardRole(shard));
     const activeShard = activeRoles.shards.get(shard);
-    if (!owned || !activeShard || !roles.isReplicaCurrent) return null;
+    if (!heldRole || !activeShard || !election.isReplicaCurrent) return null;
     const answer = activeShard.handleHeartbeat(heartbeat);
     if (!answer.ok) return unavailable('not for this node');
     return { status: 200, body: encodeHeartbeatAnswer(answer.fencingToken, answer.commands) };
--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -1,4 +1,4 @@
-/** Notifies the owners of roles that the state service holds something new for them. */
+/** Notifies the holders of roles that the key-value store has something new for them. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
 import { LEADER, shardRole, type RoleElection } from '../election/role-election.js';
@@ -6,10 +6,10 @@
 
 /** What a notifier works with. */
 export interface HolderNotifierOptions {
-  /** Name of this node. */
-  readonly node: string;
+  /** Name of this controller. */
+  readonly controllerName: string;
   readonly environment: Environment;
-  readonly roles: RoleElection;
+  readonly election: RoleElection;
   readonly replica: StoreReplica;
 }
 
@@ -17,27 +17,31 @@
 export class HolderNotifier {
   constructor(private readonly options: HolderNotifierOptions) {}
 
-  /** Notifies the owner of a role, unless it is this node or there is none. */
+  /** Notifies the holder of a role, unless it is this controller or there is none. */
   notify(role: string, cancelled?: CancelledJob): void {
-    const { environment, node, replica, roles } = this.options;
-    const owner = roles.holderOf(role);
-    if (owner === null || owner === node) return;
-    const poke: PeerMessage = { kind: 'poke', node, revision: replica.newestRevision };
-    environment.sendToPeer(owner, cancelled ? { ...poke, cancelled } : poke);
+    const { environment, controllerName, replica, election } = this.options;
+    const holder = election.holderOf(role);
+    if (holder === null || holder === controllerName) return;
+    const notification: PeerMessage = {
+      kind: 'poke',
+      node: controllerName,
+      revision: replica.newestRevision,
+    };
+    environment.sendToPeer(holder, cancelled ? { ...notification, cancelled } : notification);
   }
 
   /**
-   * Notifies the leader, and the owners of the parts that hold the jobs. `over`: the only job was
-   * cancelled; it has so many tasks.
+   * Notifies the leader, and the holders of the shards that the jobs are assigned to.
+   * `cancellation`: the only job was cancelled; it has so many tasks.
    */
-  notifyOfJobs(jobs: readonly string[], over?: { tasks: number }): void {
+  notifyOfJobs(jobs: readonly string[], cancellation?: { tasks: number }): void {
     const shards = new Set<string>();
     for (const job of jobs) {
       for (const assignment of this.options.replica.assignmentsOf(job))
         shards.add(assignment.shard);
     }
     const [job = ''] = jobs;
-    const cancelled = over && { job, tasks: over.tasks };
+    const cancelled = cancellation && { job, tasks: cancellation.tasks };
     this.notify(LEADER, cancelled);
     for (const shard of shards) this.notify(shardRole(shard), cancelled);
   }
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -11,49 +11,50 @@
 
 type RelayMessage = Extract<PeerMessage, { kind: 'relay' }>;
 
-/** What the entry works with. */
+/** What the endpoint works with. */
 export interface PeerEndpointOptions {
   readonly replica: StoreReplica;
-  readonly relay: PeerRelay;
+  readonly peerRelay: PeerRelay;
   readonly userEndpoint: UserEndpoint;
   readonly heartbeatEndpoint: HeartbeatEndpoint;
-  /** Null: failure detection is off, and its messages are passed over. */
+  /** Null: failure detection is off, and its messages are ignored. */
   readonly detection: DetectionService | null;
 }
 
-/** The entry point of peers' messages. */
+/** The endpoint of peers' messages. */
 export class PeerEndpoint {
   constructor(private readonly options: PeerEndpointOptions) {}
 
-  /** Handles a message; `answer` sends one back to its sender. */
-  receive(message: PeerMessage, answer: (message: PeerMessage) => void): void {
-    const { detection, relay, replica } = this.options;
+  /** Handles a message; `respond` sends one back to its sender. */
+  receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
+    const { detection, peerRelay, replica } = this.options;
     switch (message.kind) {
       case 'poke':
         if (message.cancelled) this.applyCancellation(message.cancelled, message.revision);
         replica.pollSoon(message.revision);
         return;
       case 'relay':
-        void this.replyTo(message).then((reply) => {
+        void this.handleRelayed(message).then((reply) => {
           if (!reply) return;
           const { status, body } = reply;
-          const text = JSON.stringify(body);
-          answer({ kind: 'relayed', id: message.id, status, body: text, isProven: true });
+          const encodedBody = JSON.stringify(body);
+          respond({ kind: 'relayed', id: message.id, status, body: encodedBody, isProven: true });
         });
         return;
       case 'relayed':
-        relay.settle(message);
+        peerRelay.receiveReply(message);
         return;
       case 'detector':
       case 'stepDown':
       case 'steppedDown':
-        detection?.receive(message, answer);
+        detection?.receive(message, respond);
     }
   }
 
   /**
-   * Applies a cancellation that a peer had confirmed, so that it is final: an owner that can't reach
-   * the state service stops the job's tasks now, long before its grace and their leases are over.
+   * Applies a cancellation that a peer had confirmed, so that it is final: a holder that can't
+   * reach the key-value store stops the job's tasks now, long before its grace and their leases
+   * end.
    */
   private applyCancellation({ job, tasks }: CancelledJob, revision: number): void {
     const final: FinalRecord = { state: 'cancelled', tasks };
@@ -63,10 +64,10 @@
     ]);
   }
 
-  /** Null: this node can't answer the relayed request. */
-  private async replyTo({ ask, about, text }: RelayMessage): Promise<HttpReply | null> {
+  /** Null: this controller can't answer the relayed request. */
+  private async handleRelayed({ operation, jobId, body }: RelayMessage): Promise<HttpReply | null> {
     const { userEndpoint, heartbeatEndpoint } = this.options;
-    if (ask === 'heartbeat') return heartbeatEndpoint.replyToRelayed(text);
-    return userEndpoint.serveRelayed({ ask, about, text });
+    if (operation === 'heartbeat') return heartbeatEndpoint.handleRelayed(body);
+    return userEndpoint.handleRelayed({ operation, jobId, body });
   }
 }
--- a/src/coordination/controller/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -1,5 +1,5 @@
-/** Logs periodically how this node uses the state service. */
-import { USE_LOG_MS } from '../../constants/controller.js';
+/** Logs periodically this controller's requests to the key-value store. */
+import { REQUEST_LOG_INTERVAL_MS } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { Clock } from '../../transport/clock.js';
@@ -13,9 +13,9 @@
   readonly userRequests: UserRequests;
 }
 
-/** The periodic log of requests to the state service, by purpose. */
+/** The periodic log of requests to the key-value store, by purpose. */
 export class RequestLog {
-  private loggedAt = -Infinity;
+  private lastLoggedAt = -Infinity;
 
   constructor(private readonly options: RequestLogOptions) {}
 
@@ -23,13 +23,13 @@
   writeIfDue(): void {
     const { clock, limiter, log, userRequests } = this.options;
     const now = clock.now();
-    if (now - this.loggedAt < USE_LOG_MS) return;
-    this.loggedAt = now;
+    if (now - this.lastLoggedAt < REQUEST_LOG_INTERVAL_MS) return;
+    this.lastLoggedAt = now;
     const { acquiredCounts, refusals } = limiter;
-    const submissions = Object.fromEntries(userRequests.answers);
+    const submissions = Object.fromEntries(userRequests.submissionReplyCounts);
     log.info(
       { ...Object.fromEntries(acquiredCounts), refusals, submissions },
-      'requests to the state service',
+      'key-value store requests',
     );
   }
 }
