--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -2,7 +2,8 @@
 import { POLL_LIMIT_MS } from '../../constants/api.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
-import { parseJson, parseSubmission, submissionId } from '../../protocol/user-codec.js';
+import { parseSubmission, submissionId } from '../../protocol/user-codec.js';
+import { parseJson } from '../../protocol/validation.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { HttpReply } from '../../transport/http-server.js';
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -23,7 +23,7 @@
 import { HttpCloudApi } from '../../protocol/cloud-api.js';
 import { decodePeer, encodePeer } from '../../protocol/peer-messages.js';
 import type { Settings } from '../../protocol/settings.js';
-import { HttpKeyValueStore } from '../../protocol/key-value-store.js';
+import { HttpKeyValueStore } from '../../protocol/http-key-value-store.js';
 import { systemClock } from '../../transport/clock.js';
 import { HttpWorkerApi } from '../../protocol/worker-api.js';
 import { HttpClient } from '../../transport/http-client.js';
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,7 +1,7 @@
 /** Serves workers' reports: here, or by sending the worker or its report to the part's owner. */
 import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
-import { parseJson, type Parsed } from '../../protocol/user-codec.js';
+import { parseJson, type Parsed } from '../../protocol/validation.js';
 import {
   encodeRedirect,
   encodeHeartbeatAnswer,
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -1,8 +1,9 @@
-/** The operators' own settings, from any number of files; docs/operations.md explains each. */
+/** The operators' settings, from any number of files; docs/operations.md explains each. */
 
 import * as v from 'valibot';
 import { MEMBER_TTL_MS } from '../constants/election.js';
-import { amount, checkFile, positive, readToml, SettingsError } from './settings-file.js';
+import { checkFile, readToml, SettingsError } from './settings-file.js';
+import { amount, positive } from './validation.js';
 
 const placementSchema = v.object({
   alpha: v.optional(amount, 2),
@@ -19,7 +20,7 @@
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-/** Strict: a misspelt key would leave detection at a default that nobody chose. */
+/** Strict: a misspelt key would silently leave detection at a default. */
 const suspicionSchema = v.strictObject({
   enabled: v.optional(v.boolean(), true),
   probe_interval_s: v.optional(positive, 1),
@@ -53,23 +54,23 @@
   maxMachines: number;
 }
 
-/** How controllers watch one another. Times in ms. */
+/** Failure detection between controllers. Times in ms. */
 export interface SuspicionSettings {
   readonly probeIntervalMs: number;
   readonly probeTimeoutMs: number;
   readonly suspicionLeastMs: number;
   readonly suspicionMostMs: number;
-  /** Independent witnesses that confirm a failure; null: by the number of members. */
+  /** Independent witnesses that confirm a failure; null: derived from the number of members. */
   readonly quorum: number | null;
-  /** How long a takeover waits for confirmation before the state service's word alone decides. */
+  /** How long a failover waits for confirmation before the key-value store alone decides. */
   readonly confirmWithinMs: number;
-  /** How long a suspected owner's part gets no new work. */
+  /** How long the shard of a suspected holder gets no new work. */
   readonly holdNewWorkMs: number;
-  /** Records that are kept in memory. */
+  /** Detection records kept in memory. */
   readonly history: number;
 }
 
-/** What operators set. */
+/** The operators' settings. */
 export interface OperatorSettings {
   placement: PlacementSettings;
   fleet: FleetSettings;
@@ -78,7 +79,7 @@
 
 type SuspicionFile = v.InferOutput<typeof suspicionSchema>;
 
-/** What no schema says: relations between fields, and to the lease of a member. */
+/** Checks what the schema can't: relations between fields, and to the lease of a member. */
 function checkSuspicion(file: string, raw: SuspicionFile, memberCount: number): void {
   const fail = (key: string, reason: string): never => {
     throw new SettingsError(file, `suspicion.${key}: ${reason}`);
@@ -118,7 +119,7 @@
 
 type Sections = Record<string, unknown>;
 
-/** All sections of all files; each file is checked by itself, so that a fault names its file. */
+/** All sections of all files; each file is validated by itself, so that a fault names its file. */
 function mergeFiles(files: readonly string[], memberCount: number): Sections {
   const sections: Sections = {};
   for (const file of files) {
--- a/src/protocol/settings-file.ts
+++ b/src/protocol/settings-file.ts
@@ -1,14 +1,10 @@
-/** One settings file: read as TOML and checked against a schema. */
+/** Reads one settings file as TOML and validates it against a schema. */
 
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
-import * as v from 'valibot';
+import type * as v from 'valibot';
 import { MothbankError } from '../transport/errors.js';
-
-/** A finite number above zero. */
-export const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-/** A finite number that is not negative. */
-export const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
+import { validate } from './validation.js';
 
 /** Settings that can't be used; the message is one line that names file and field. */
 export class SettingsError extends MothbankError {
@@ -36,14 +32,13 @@
   }
 }
 
-/** The content as the schema has it; throws `SettingsError` at the first fault. */
+/** The content as the schema has it; throws `SettingsError` for its first fault. */
 export function checkFile<Schema extends v.GenericSchema>(
   file: string,
   schema: Schema,
   raw: unknown,
 ): v.InferOutput<Schema> {
-  const result = v.safeParse(schema, raw);
-  if (result.success) return result.output;
-  const issue = result.issues[0];
-  throw new SettingsError(file, `${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
+  const parsed = validate(schema, raw, 'file');
+  if (parsed.ok) return parsed.value;
+  throw new SettingsError(file, parsed.error);
 }
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,82 +1,18 @@
-/** Reads and checks the settings: the file that the platform hands over, and the operators' own. */
+/** The settings of a controller: from the platform's file and the operators' files. */
 
-import * as v from 'valibot';
-import { SHARDS_PER_TERM } from '../constants/election.js';
 import { GANG_PEER_S, GANG_WAIT_S } from '../constants/gangs.js';
-import { MIN_VALUE_KB } from '../constants/protocol.js';
 import {
   readOperatorSettings,
   type FleetSettings,
   type PlacementSettings,
   type SuspicionSettings,
 } from './operator-settings.js';
-import { amount, checkFile, positive, readToml, SettingsError } from './settings-file.js';
+import { readPlatformFile, type PlatformParams } from './platform-settings.js';
 
 export { SettingsError } from './settings-file.js';
 export type { SuspicionSettings } from './operator-settings.js';
 
-const address = v.pipe(v.string(), v.regex(/^[^:]+:\d{1,5}$/, 'must be ADDRESS:PORT'));
-
-/** The limits of the state service. Names in these schemas are those of the files. */
-const storeLimitsSchema = {
-  rps: positive,
-  write_rps: positive,
-  value_kb: v.pipe(v.number(), v.finite(), v.minValue(MIN_VALUE_KB)),
-  txn_ops: v.pipe(v.number(), v.integer(), v.minValue(2)),
-};
-
-const platformSchema = v.object({
-  node_name: v.pipe(v.string(), v.minLength(1)),
-  site: v.pipe(v.string(), v.minLength(1)),
-  front: address,
-  cluster_listen: address,
-  members: v.optional(
-    v.array(v.object({ node_name: v.string(), site: v.string(), peer_addr: address })),
-    [],
-  ),
-  services: v.object({ cloud: address, state: address }),
-  params: v.object({
-    zones: v.array(v.string()),
-    skew_ms: v.optional(amount, 0),
-    teams: v.optional(
-      v.array(
-        v.object({
-          name: v.string(),
-          cpus: amount,
-          cpus_max: amount,
-          gpus: v.optional(amount, 0),
-          gpus_max: v.optional(amount, 0),
-        }),
-      ),
-      [],
-    ),
-    objectives: v.optional(
-      v.array(
-        v.looseObject({
-          kind: v.string(),
-          class: v.optional(v.string()),
-          within_s: v.optional(amount),
-        }),
-      ),
-      [],
-    ),
-    workers: v.object({
-      report_s: positive,
-      lease_s: positive,
-      cancel_s: positive,
-      gang_wait_s: v.optional(positive),
-      gang_peer_s: v.optional(positive),
-    }),
-    state: v.object({
-      ...storeLimitsSchema,
-      next: v.optional(v.partial(v.object(storeLimitsSchema)), {}),
-    }),
-    cloud: v.object({ rps: positive, list_lag_s: amount }),
-    resources: v.object({ cores: positive, mem_mb: positive, fd_limit: positive }),
-  }),
-});
-
-/** A team's share of the cluster: what it is owed, and the most that it may use. */
+/** A team's fair share of the cluster, and its quota (`Max`). */
 export interface Team {
   name: string;
   cpus: number;
@@ -85,7 +21,7 @@
   gpusMax: number;
 }
 
-/** All settings of one controller, checked, in the program's names and units. */
+/** All settings of one controller, validated, in the program's names and units. */
 export interface Settings {
   node: string;
   zone: string;
@@ -102,11 +38,11 @@
   heartbeatIntervalS: number;
   leaseS: number;
   cancelS: number;
-  /** Seconds for which a gang's task waits for the others. */
+  /** Seconds for which a task of a gang waits for the others. */
   gangWaitS: number;
-  /** Seconds within which a gang's tasks notice the end of another, and within which all are told to stop. */
+  /** Seconds within which tasks of a gang notice the end of another, and within which all get a stop. */
   gangPeerS: number;
-  /** The state service's limits: of the present ones and the announced ones the stricter. */
+  /** The key-value store's limits: the stricter of the present and the announced ones. */
   storeRps: number;
   storeWriteRps: number;
   valueBytes: number;
@@ -120,26 +56,7 @@
   suspicion: SuspicionSettings | null;
 }
 
-type PlatformFile = v.InferOutput<typeof platformSchema>;
-type Params = PlatformFile['params'];
-
-/** What no schema says: relations between fields. */
-function checkRelations(file: string, raw: PlatformFile): void {
-  const { workers } = raw.params;
-  if (workers.lease_s >= workers.cancel_s) {
-    throw new SettingsError(file, 'params.workers.cancel_s: must be above lease_s');
-  }
-  const names = [raw.node_name, ...raw.members.map((member) => member.node_name)];
-  if (new Set(names).size !== names.length) {
-    throw new SettingsError(file, 'members.node_name: a name stands twice');
-  }
-  // Attempts carry the number of the part that made them, and the leader's number beside them.
-  if (names.length >= SHARDS_PER_TERM) {
-    throw new SettingsError(file, `members: more than ${SHARDS_PER_TERM - 1} controllers`);
-  }
-}
-
-function readStartWithin(objectives: Params['objectives']): Record<string, number> {
+function readStartWithin(objectives: PlatformParams['objectives']): Record<string, number> {
   const startWithinS: Record<string, number> = {};
   for (const objective of objectives) {
     if (objective.kind === 'wait' && objective.class && objective.within_s !== undefined) {
@@ -149,7 +66,7 @@
   return startWithinS;
 }
 
-function readTeams(teams: Params['teams']): Team[] {
+function readTeams(teams: PlatformParams['teams']): Team[] {
   return teams.map((team) => ({
     name: team.name,
     cpus: team.cpus,
@@ -164,8 +81,8 @@
   'storeRps' | 'storeWriteRps' | 'valueBytes' | 'transactionOps'
 >;
 
-/** Announced limits come into force without notice, so they are kept from the start. */
-function readStoreLimits(state: Params['state']): StoreLimitSettings {
+/** Announced limits come into force without notice, so they are respected from the start. */
+function readStoreLimits(state: PlatformParams['state']): StoreLimitSettings {
   const { next, ...present } = state;
   const stricter = (name: keyof typeof present): number =>
     Math.min(present[name], next[name] ?? Infinity);
@@ -182,7 +99,7 @@
   'heartbeatIntervalS' | 'leaseS' | 'cancelS' | 'gangWaitS' | 'gangPeerS'
 >;
 
-function readWorkers(workers: Params['workers']): WorkerSettings {
+function readWorkers(workers: PlatformParams['workers']): WorkerSettings {
   return {
     heartbeatIntervalS: workers.report_s,
     leaseS: workers.lease_s,
@@ -194,8 +111,7 @@
 
 /** Reads all files; throws `SettingsError` at the first fault. */
 export function readSettings(platformFile: string, operatorFiles: readonly string[]): Settings {
-  const raw = checkFile(platformFile, platformSchema, readToml(platformFile));
-  checkRelations(platformFile, raw);
+  const raw = readPlatformFile(platformFile);
   const { params } = raw;
   const own = readOperatorSettings(operatorFiles, raw.members.length + 1);
   return {
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -1,17 +1,16 @@
-/** The users' wire format: submissions in, job states out. */
+/** The users' wire format: decodes submissions, encodes job states. */
 
 import * as v from 'valibot';
 import { MAX_TASKS } from '../constants/protocol.js';
 import type { JobSpec, JobState, Priority } from './model.js';
+import { amount, positive, validate, type Parsed } from './validation.js';
 
 /** Job ids have this form on the wire. */
 const JOB_ID = /^j-\d{1,18}$/;
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 const label = v.pipe(v.string(), v.minLength(1), v.maxLength(100));
 
-/** Only what may be null may be left out: a job that lacks a field is malformed. */
+/** Only nullable fields may be left out: a job that lacks another field is malformed. */
 const submissionSchema = v.object({
   ref: v.pipe(v.string(), v.regex(JOB_ID, 'must look like j-000412')),
   lane: label,
@@ -59,37 +58,16 @@
   return JOB_ID.test(id);
 }
 
-/** A value that was read, or a one-line reason for the sender why it could not be. */
-export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
-
-/** A body's JSON object; null stands for a body above the limit. */
-export function parseJson(text: string | null): Parsed<Record<string, unknown>> {
-  if (text === null) return { ok: false, error: 'body: longer than 64 KiB' };
-  let value: unknown;
-  try {
-    value = JSON.parse(text);
-  } catch {
-    return { ok: false, error: 'body: not JSON' };
-  }
-  if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-    return { ok: false, error: 'body: not an object' };
-  }
-  return { ok: true, value: value as Record<string, unknown> };
-}
-
-/** The id alone: a known job is answered before anything else of the body is looked at. */
+/** The id alone: a known job is answered before the rest of the body is validated. */
 export function submissionId(body: Record<string, unknown>): string | null {
   return typeof body['ref'] === 'string' && JOB_ID.test(body['ref']) ? body['ref'] : null;
 }
 
 /** The job that a submission describes. */
 export function parseSubmission(body: Record<string, unknown>): Parsed<JobSpec> {
-  const result = v.safeParse(submissionSchema, body);
-  if (!result.success) {
-    const issue = result.issues[0];
-    return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
-  }
-  const wire = result.output;
+  const parsed = validate(submissionSchema, body, 'body');
+  if (!parsed.ok) return parsed;
+  const wire = parsed.value;
   return {
     ok: true,
     value: {
@@ -117,12 +95,12 @@
   };
 }
 
-/** The answer to a submission or cancellation. */
+/** The response to a submission or cancellation. */
 export function encodeJobState(id: string, state: JobState): unknown {
   return { ref: id, stage: WIRE_STATES[state] };
 }
 
-/** The answer to a poll. */
+/** The response to a poll. */
 export function encodeJobView(id: string, state: JobState, done: number, running: number): unknown {
   return { ref: id, stage: WIRE_STATES[state], done, running };
 }
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -1,7 +1,6 @@
-/** The workers' wire format: reports in, commands out. */
+/** The workers' wire format: decodes heartbeats, encodes commands. */
 
 import * as v from 'valibot';
-import type { Parsed } from './user-codec.js';
 import {
   parseTaskName,
   taskName,
@@ -11,6 +10,7 @@
   type TaskState,
   type Heartbeat,
 } from './model.js';
+import { validate, type Parsed } from './validation.js';
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 
@@ -57,14 +57,11 @@
 };
 const WIRE_VERBS: Record<Command['op'], string> = { start: 'launch', stop: 'halt', forget: 'reap' };
 
-/** The report that a body holds; workers also answer commands with one. */
+/** The heartbeat in a body; workers also answer commands with one. */
 export function parseHeartbeat(body: Record<string, unknown>): Parsed<Heartbeat> {
-  const result = v.safeParse(heartbeatSchema, body);
-  if (!result.success) {
-    const issue = result.issues[0];
-    return { ok: false, error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
-  }
-  const wire = result.output;
+  const parsed = validate(heartbeatSchema, body, 'body');
+  if (!parsed.ok) return parsed;
+  const wire = parsed.value;
   const tasks: TaskStatus[] = [];
   for (const entry of wire.larvae) {
     const task = parseTaskName(entry.larva);
@@ -99,12 +96,12 @@
   }));
 }
 
-/** The answer to a report: our token and the commands for the worker. */
+/** The response to a heartbeat: the shard's fencing token and the commands for the worker. */
 export function encodeHeartbeatAnswer(fencingToken: number, commands: Command[]): unknown {
   return { mandate: fencingToken, calls: encodeCommands(commands) };
 }
 
-/** Commands sent straight to a worker, for the session that the sender knows of. */
+/** Commands sent directly to a worker, for the agent epoch that the sender knows. */
 export function encodeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
@@ -113,7 +110,7 @@
   return { mandate: fencingToken, flight: agentEpoch, calls: encodeCommands(commands) };
 }
 
-/** The answer of a node that does not own the worker's part; null: the owner is unknown. */
+/** The response of a controller that does not hold the worker's shard; null: its holder is unknown. */
 export function encodeRedirect(node: string | null): unknown {
   return node === null ? {} : { hive: node };
 }
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { neverRuns } from '../../src/coordination/api/admission.js';
-import { parseJson, parseSubmission } from '../../src/protocol/user-codec.js';
+import { parseSubmission } from '../../src/protocol/user-codec.js';
+import { parseJson } from '../../src/protocol/validation.js';
 import { TEAMS, TYPES } from '../world/settings.js';
 
 const good = {
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -1,7 +1,8 @@
 /** Answers of the state service that lack what they must have: nothing may be concluded from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HttpKeyValueStore, type KeyValueStore } from '../../src/protocol/key-value-store.js';
+import { HttpKeyValueStore } from '../../src/protocol/http-key-value-store.js';
+import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { HttpAnswer, HttpClient } from '../../src/transport/http-client.js';
 
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -5,7 +5,7 @@
 import { HttpCloudApi } from '../../src/protocol/cloud-api.js';
 import { encodeDetector } from '../../src/protocol/detector-codec.js';
 import { encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
-import { HttpKeyValueStore } from '../../src/protocol/key-value-store.js';
+import { HttpKeyValueStore } from '../../src/protocol/http-key-value-store.js';
 import { encodeJobState, encodeJobView } from '../../src/protocol/user-codec.js';
 import {
   encodeDirectCommands,
