--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -104,7 +104,7 @@
   };
 }
 
-function bodyOf(fields: Fields): DetectorBody | null {
+function decodeBody(fields: Fields): DetectorBody | null {
   const kind = KINDS[fields.number(MESSAGE.kind)];
   const sequence = fields.number(MESSAGE.sequence);
   const target = fields.text(MESSAGE.target);
@@ -128,7 +128,7 @@
   }
 }
 
-function decode(bytes: Uint8Array): DetectorMessage | null {
+function decodeMessage(bytes: Uint8Array): DetectorMessage | null {
   const reader = Reader.create(bytes);
   const fields = new Fields();
   const updates: MemberUpdate[] = [];
@@ -137,7 +137,7 @@
     if (tag === delimited(MESSAGE.update)) updates.push(readUpdate(reader));
     else fields.read(reader, tag);
   }
-  const body = bodyOf(fields);
+  const body = decodeBody(fields);
   if (!body) return null;
   return {
     cluster: fields.text(MESSAGE.cluster),
@@ -153,7 +153,7 @@
 export function decodeDetector(bytes: Uint8Array): DetectorMessage | null {
   if (bytes.length > MAX_DETECTOR_MESSAGE_BYTES) return null;
   try {
-    return decode(bytes);
+    return decodeMessage(bytes);
   } catch {
     return null;
   }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,7 +1,7 @@
 /** The types of the service's domain. The wire's names for them stay in this layer's codecs. */
 
 /** From the least to the greatest. */
-export const PRIORITIES = ['low', 'normal', 'high', 'production'] as const;
+const PRIORITIES = ['low', 'normal', 'high', 'production'] as const;
 /** How urgent a job is. */
 export type Priority = (typeof PRIORITIES)[number];
 
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -46,7 +46,7 @@
 }
 
 /** What a relayed request asks; `about` is the job's id where there is one. */
-export const ASKS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
+const ASKS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
 /** The kind of a relayed request. */
 export type Ask = (typeof ASKS)[number];
 
@@ -128,7 +128,7 @@
 }
 
 /** Field values by their number; fields of other types than this version uses are passed over. */
-function readFields(reader: protobuf.Reader, end: number): Record<number, number | string> {
+function decodeFields(reader: protobuf.Reader, end: number): Record<number, number | string> {
   const fields: Record<number, number | string> = {};
   while (reader.pos < end) {
     const tag = reader.uint32();
@@ -148,7 +148,7 @@
   const kind = reader.uint32() >>> WIRE_TYPE_BITS;
   if (kind === DETECTOR) return { kind: 'detector', payload: reader.bytes() };
   const end = reader.uint32() + reader.pos;
-  const fields = readFields(reader, end);
+  const fields = decodeFields(reader, end);
   const text = (field: number): string => String(fields[field] ?? '');
   const integer = (field: number): number => Number(fields[field] ?? 0);
   switch (kind) {
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -8,23 +8,23 @@
 /** Job ids have this form on the wire. */
 const JOB_ID = /^j-\d{1,18}$/;
 
-const label = v.pipe(v.string(), v.minLength(1), v.maxLength(100));
+const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(100));
 
 /** Only nullable fields may be left out: a job that lacks another field is malformed. */
 const submissionSchema = v.object({
   ref: v.pipe(v.string(), v.regex(JOB_ID, 'must look like j-000412')),
-  lane: label,
-  crew: label,
+  lane: shortText,
+  crew: shortText,
   shape: v.picklist(['sweep', 'standing', 'group']),
   rank: v.picklist(['production', 'urgent', 'normal', 'best_effort']),
   larvae: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(MAX_TASKS)),
   cores: positive,
   gpus: amount,
   memGb: amount,
-  cocoon: label,
+  cocoon: shortText,
   imageGb: amount,
-  breeds: v.nullish(v.pipe(v.array(label), v.maxLength(1000)), null),
-  grove: v.nullish(label, null),
+  breeds: v.nullish(v.pipe(v.array(shortText), v.maxLength(1000)), null),
+  grove: v.nullish(shortText, null),
   samePlace: v.boolean(),
   apart: v.boolean(),
   windfall: v.boolean(),
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -51,14 +51,14 @@
   }
 
   get supply(): Supply {
-    if (this.shortBudget.left < 0) return 'short';
-    return this.scarceBudget.left < 0 ? 'scarce' : 'plenty';
+    if (this.shortBudget.available < 0) return 'short';
+    return this.scarceBudget.available < 0 ? 'scarce' : 'plenty';
   }
 
   /** Counts use towards `supply`. */
   recordUse(cost: number): void {
-    this.scarceBudget.force(cost);
-    this.shortBudget.force(cost);
+    this.scarceBudget.borrow(cost);
+    this.shortBudget.borrow(cost);
   }
 
   /** ms until so much may be used; a limit that is exhausted grows. */
@@ -86,7 +86,7 @@
   stepBack(): void {
     this.rateChangedAt = this.clock.now();
     this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_AFTER_REFUSAL));
-    this.budget.drain();
+    this.budget.empty();
   }
 
   private setRate(rate: number): void {
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -49,8 +49,8 @@
   /** Waits until one request with so many writes may be sent. Watches and roles never wait. */
   acquire(purpose: Purpose, writes: number): Promise<void> {
     if (purpose === 'watch' || purpose === 'role') {
-      this.requestLimit.budget.force(1);
-      if (writes > 0) this.writeLimit.budget.force(writes);
+      this.requestLimit.budget.borrow(1);
+      if (writes > 0) this.writeLimit.budget.borrow(writes);
       this.count(purpose, writes);
       return Promise.resolve();
     }
--- a/src/transport/budget.ts
+++ b/src/transport/budget.ts
@@ -26,7 +26,7 @@
   }
 
   /** Tokens in the bucket; below 0 where some were borrowed. */
-  get left(): number {
+  get available(): number {
     this.refill();
     return this.tokens;
   }
@@ -38,7 +38,7 @@
   }
 
   /** Takes what must go out at once, borrowing from later requests. */
-  force(cost: number): void {
+  borrow(cost: number): void {
     this.refill();
     this.tokens = Math.max(-this.burst, this.tokens - cost);
   }
@@ -56,7 +56,7 @@
   }
 
   /** The far side says that the limit is reached: what was saved up is gone. */
-  drain(): void {
+  empty(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
   }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -6,34 +6,34 @@
 import { OutcomeUnknownError } from './errors.js';
 
 /** A complete response, whatever its status. */
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   /** Parsed JSON, or null where the body was empty or no JSON. */
   body: unknown;
 }
 
 /** A body that is no JSON counts as none; the status alone then decides. */
-function parseBody(parts: Buffer[]): unknown {
-  if (parts.length === 0) return null;
+function parseBody(chunks: Buffer[]): unknown {
+  if (chunks.length === 0) return null;
   try {
-    return JSON.parse(Buffer.concat(parts).toString());
+    return JSON.parse(Buffer.concat(chunks).toString());
   } catch {
     return null;
   }
 }
 
 /** Collects a response; the first of the two callbacks that is called is the outcome. */
-function readAnswer(
+function readResponse(
   response: http.IncomingMessage,
-  succeed: (answer: HttpAnswer) => void,
+  succeed: (answer: HttpResponse) => void,
   fail: (error: Error) => void,
 ): void {
-  const parts: Buffer[] = [];
-  response.on('data', (part: Buffer) => parts.push(part));
+  const chunks: Buffer[] = [];
+  response.on('data', (chunk: Buffer) => chunks.push(chunk));
   response.on('error', fail);
   response.on('aborted', () => fail(new Error('connection ended')));
   response.on('end', () => {
-    succeed({ status: response.statusCode ?? 0, body: parseBody(parts) });
+    succeed({ status: response.statusCode ?? 0, body: parseBody(chunks) });
   });
 }
 
@@ -55,24 +55,24 @@
   }
 
   /** Sends one request; rejects with `NoAnswer` where no whole response comes within the timeout. */
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
       const request = this.open(method, path, payload);
-      const stopTimer = this.clock.after(timeoutMs, () => {
+      const cancelTimer = this.clock.after(timeoutMs, () => {
         request.destroy(new Error('timed out'));
       });
       const fail = (error: Error): void => {
-        stopTimer();
+        cancelTimer();
         const reason = `${method} ${path.split('?')[0]}: ${error.message}`;
         reject(new OutcomeUnknownError(reason, { cause: error }));
       };
-      const succeed = (answer: HttpAnswer): void => {
-        stopTimer();
+      const succeed = (answer: HttpResponse): void => {
+        cancelTimer();
         resolve(answer);
       };
       request.on('error', fail);
-      request.on('response', (response) => readAnswer(response, succeed, fail));
+      request.on('response', (response) => readResponse(response, succeed, fail));
       request.end(payload);
     });
   }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -25,7 +25,7 @@
 }
 
 /** What a route gets of a request. */
-export interface HttpRequest {
+interface HttpRequest {
   /** The part of the path that a `:id` stands for, or ''. */
   id: string;
   /** The body as text; null where it was longer than the limit. */
@@ -68,7 +68,7 @@
 }
 
 /** A part of a path as text; what can't be decoded is taken as it stands. */
-function decodePart(part: string): string {
+function decodeSegment(part: string): string {
   if (!part.includes('%')) return part;
   try {
     return decodeURIComponent(part);
@@ -159,7 +159,7 @@
     const [group, parameters] = match as [PathRoutes, Record<string, string>];
     const found = group.find((route) => route.method === method);
     if (!found) return { status: 405, body: { error: 'method not allowed' } };
-    return { found, id: decodePart(parameters['id'] ?? '') };
+    return { found, id: decodeSegment(parameters['id'] ?? '') };
   }
 
   private async answer(route: Route, id: string, incoming: IncomingMessage): Promise<HttpReply> {
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -63,7 +63,7 @@
   onFrame(frame: Buffer, answer: (frame: Uint8Array) => void): void;
 }
 
-function attach(socket: net.Socket, options: PeerLinkOptions): void {
+function readFrames(socket: net.Socket, options: PeerLinkOptions): void {
   const reader = new FrameReader(options.maxFrameBytes);
   socket.setNoDelay(true);
   socket.on('data', (part: Buffer) => {
@@ -107,7 +107,7 @@
     socket.on('connect', () => {
       this.isOpen = true;
     });
-    attach(socket, this.options);
+    readFrames(socket, this.options);
     socket.on('error', () => undefined);
     socket.on('close', () => {
       this.isOpen = false;
@@ -140,7 +140,7 @@
     const server = net.createServer((socket) => {
       socket.on('error', () => undefined);
       socket.setTimeout(options.retryMs * INCOMING_SILENT_RETRIES, () => socket.destroy());
-      attach(socket, options);
+      readFrames(socket, options);
     });
     server.on('error', reject);
     server.listen(port, host, () => resolve(server));
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -4,10 +4,10 @@
 import { HttpKeyValueStore } from '../../src/protocol/http-key-value-store.js';
 import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
-import type { HttpAnswer, HttpClient } from '../../src/transport/http-client.js';
+import type { HttpResponse, HttpClient } from '../../src/transport/http-client.js';
 
 /** A client that gets this answer to everything. */
-const answering = (answer: HttpAnswer): HttpClient =>
+const answering = (answer: HttpResponse): HttpClient =>
   ({ call: () => Promise.resolve(answer) }) as unknown as HttpClient;
 
 interface Row {
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -12,7 +12,7 @@
   encodeRedirect,
   encodeHeartbeatAnswer,
 } from '../../src/protocol/worker-codec.js';
-import type { HttpAnswer, HttpClient } from '../../src/transport/http-client.js';
+import type { HttpResponse, HttpClient } from '../../src/transport/http-client.js';
 import { banditForms, metricForms, recordForms, type Forms } from './written-records.js';
 
 const hexOf = (bytes: Uint8Array): string => Buffer.from(bytes).toString('hex');
@@ -114,9 +114,9 @@
 }
 
 /** A client that notes each request, and answers with what it was given. */
-function notingClient(requests: string[], answers: Record<string, HttpAnswer>): HttpClient {
+function notingClient(requests: string[], answers: Record<string, HttpResponse>): HttpClient {
   const client = {
-    call: (method: string, path: string, body: unknown): Promise<HttpAnswer> => {
+    call: (method: string, path: string, body: unknown): Promise<HttpResponse> => {
       requests.push(`${method} ${path} ${JSON.stringify(body) ?? ''}`.trimEnd());
       const found = Object.entries(answers).find(([prefix]) => path.startsWith(prefix));
       return Promise.resolve(found?.[1] ?? { status: 200, body: {} });
