--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -1,17 +1,17 @@
-/** The client of the cloud: the catalogue of machine types, rentals and returns. */
+/** The client of the cloud: catalogue of machine types, scale-out (rentals) and scale-in (returns). */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import type { HttpClient } from '../transport/http-client.js';
 import type { ListedMachine, MachineType } from './model.js';
 
 /**
- * What became of a rental request: machines, none for lack of capacity, or neither for now
- * because the cloud is busy or limits requests.
+ * The outcome of a rental request: machines, none for lack of capacity, or to be retried later, since
+ * the cloud is busy or limits requests.
  */
 export type RentResult =
   { kind: 'rented'; machines: string[] } | { kind: 'noCapacity' } | { kind: 'later' };
 
-/** A rental request. Sent again under the same `request`, it rents nothing twice. */
+/** A rental request, idempotent by `request`: a repeat under the same one rents nothing twice. */
 export interface Rental {
   request: string;
   type: string;
@@ -20,12 +20,12 @@
   count: number;
 }
 
-/** What the program needs of the cloud; tests put a stand-in here. */
+/** What the program needs of the cloud; tests pass a stand-in. */
 export interface CloudApi {
-  /** Null: the cloud did not answer usefully; try later. */
+  /** Null: the cloud gave no usable response; to be retried later. */
   types(): Promise<MachineType[] | null>;
   rent(rental: Rental): Promise<RentResult>;
-  /** True: the machines and everything on them are gone. */
+  /** True: the machines are returned, with everything on them. */
   returnMachines(machines: string[]): Promise<boolean>;
   list(after: string): Promise<{ machines: ListedMachine[]; more: boolean } | null>;
 }
@@ -82,7 +82,7 @@
   };
 }
 
-/** The cloud over HTTP; the wire's names stay in here. */
+/** The cloud over HTTP; the wire's names stay in this module. */
 export class HttpCloudApi implements CloudApi {
   constructor(
     private readonly http: HttpClient,
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -68,7 +68,7 @@
   return writer.finish();
 }
 
-/** The fields of a message or an update as they were read; the last one of a number counts. */
+/** The decoded fields of a message or an update; the last one of a number counts. */
 class Fields {
   private readonly texts = new Map<number, string>();
   private readonly numbers = new Map<number, number>();
@@ -81,7 +81,7 @@
     return this.numbers.get(field) ?? 0;
   }
 
-  /** Reads one field; fields of other types than this version uses are passed over. */
+  /** Reads one field; fields of wire types that this version does not use are skipped. */
   read(reader: protobuf.Reader, tag: number): void {
     const field = tag >>> WIRE_TYPE_BITS;
     if (tag === varint(field)) this.numbers.set(field, Number(reader.uint64()));
@@ -149,7 +149,7 @@
   };
 }
 
-/** Null: it is too long, broken, or of a kind that this version does not know. */
+/** Null: too long, malformed, or of a kind that this version does not know. */
 export function decodeDetector(bytes: Uint8Array): DetectorMessage | null {
   if (bytes.length > MAX_DETECTOR_MESSAGE_BYTES) return null;
   try {
--- a/src/protocol/environment.ts
+++ b/src/protocol/environment.ts
@@ -1,11 +1,12 @@
-/** What a controller needs from its surroundings. */
+/** A controller's external dependencies. */
+
 import type { CloudApi } from './cloud-api.js';
 import type { PeerMessage } from './peer-messages.js';
 import type { KeyValueStore } from './key-value-store.js';
 import type { WorkerApi } from './worker-api.js';
 import type { Clock } from '../transport/clock.js';
 
-/** The clock and the services that a node uses; tests pass simulated ones. */
+/** The clock and the services that a controller uses; tests pass simulated ones. */
 export interface Environment {
   readonly clock: Clock;
   readonly keyValueStore: KeyValueStore;
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,6 +1,6 @@
-/** The types of the service's domain. The wire's names for them stay in this layer's codecs. */
+/** The domain's types. The wire's names for them stay in this layer's codecs. */
 
-/** From the least to the greatest. */
+/** In ascending order. */
 const PRIORITIES = ['low', 'normal', 'high', 'production'] as const;
 /** How urgent a job is. */
 export type Priority = (typeof PRIORITIES)[number];
@@ -10,7 +10,7 @@
   id: string;
   class: string;
   team: string;
-  /** `gang`: all tasks run together or none does. */
+  /** `gang`: scheduled as a whole, all tasks run together or none does. */
   kind: 'array' | 'service' | 'gang';
   priority: Priority;
   tasks: number;
@@ -30,7 +30,7 @@
   deadlineS: number | null;
 }
 
-/** The states that users are told of. */
+/** The states of a job that users see. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** A type of machine in the cloud's catalogue. */
@@ -60,7 +60,7 @@
 export type ExitCause =
   'done' | 'stopped' | 'error' | 'noRoom' | 'busy' | 'unknown' | 'peerLost' | 'timedOut';
 
-/** A task as a worker reports it. */
+/** A task's status in a heartbeat. */
 export interface TaskStatus {
   task: TaskRef;
   attempt: number;
@@ -68,7 +68,7 @@
   cause: ExitCause | null;
 }
 
-/** A worker's report of its machine and of all tasks on it. */
+/** A worker's heartbeat: its machine and all tasks on it. */
 export interface Heartbeat {
   machine: string;
   address: string;
@@ -82,7 +82,7 @@
   tasks: TaskStatus[];
 }
 
-/** An order to a worker about one task. */
+/** A command to a worker for one task. */
 export interface Command {
   op: 'start' | 'stop' | 'forget';
   task: TaskRef;
@@ -106,7 +106,7 @@
   return `${task.job}/${task.index}`;
 }
 
-/** The task that a name stands for; null: it is no task name. */
+/** The task that a name denotes; null: it is no task name. */
 export function parseTaskName(name: string): TaskRef | null {
   const slash = name.lastIndexOf('/');
   if (slash < 1) return null;
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -13,21 +13,21 @@
 const { Reader, Writer } = protobuf;
 
 /**
- * What controllers tell one another. All of it is a hint or a service between nodes; no decision
- * rests on it that the state service would not allow.
+ * A message between controllers: a hint, or a request on another's behalf. No decision rests on one
+ * that the key-value store would not allow.
  */
 export type PeerMessage =
-  /** There is something new; `cancelled`: a job that was called off by this revision. */
+  /** There are changes up to this revision; `cancelled`: a job that was cancelled by it. */
   | { kind: 'poke'; node: string; revision: number; cancelled?: CancelledJob }
   /** A worker's or user's request that the sender can't serve itself. */
   | { kind: 'relay'; id: number; ask: Ask; about: string; text: string }
-  /** `isProven`: a refusal rests on a proof that the job is absent; older versions don't say so. */
+  /** `isProven`: a refusal rests on a proof that the job is absent; older versions don't send it. */
   | { kind: 'relayed'; id: number; status: number; body: string; isProven: boolean }
-  /** A message of the failure detector, as its own codec has it. */
+  /** A message of the failure detector, encoded by its own codec. */
   | { kind: 'detector'; payload: Uint8Array }
-  /** The sender sees that the receiver's registration has ended, and asks it to give a role up. */
+  /** The sender sees that the receiver's registration has expired, and asks it to step down. */
   | ({ kind: 'stepDown' } & RoleTenure)
-  /** The sender acts and answers no more under this term, and takes nothing up under it. */
+  /** The sender has stepped down: it neither acts nor answers under this term any more. */
   | ({ kind: 'steppedDown' } & RoleTenure);
 
 /** A role that a process held under a term. `node`: the sender of the message. */
@@ -35,7 +35,7 @@
   node: string;
   role: string;
   term: number;
-  /** Tells the process that holds or held the role from others of the same node. */
+  /** Distinguishes the process that holds or held the role from others of the same controller. */
   incarnation: string;
 }
 
@@ -45,7 +45,7 @@
   tasks: number;
 }
 
-/** What a relayed request asks; `about` is the job's id where there is one. */
+/** Kinds of relayed requests, by their number on the wire; `about` is the job's id, if any. */
 const ASKS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
 /** The kind of a relayed request. */
 export type Ask = (typeof ASKS)[number];
@@ -93,14 +93,14 @@
   writer.uint32(delimited(4)).string(tenure.incarnation);
 }
 
-/** Its payload is written as it is: it has a codec of its own. */
+/** The payload is written as it is: the failure detector has its own codec. */
 function encodeDetectorFrame({ payload }: Message<'detector'>): Uint8Array {
   const writer = Writer.create().fork();
   writer.uint32(delimited(DETECTOR)).bytes(payload);
   return writer.ldelim().finish();
 }
 
-/** A message as a frame, led by its length. */
+/** A message as a frame, prefixed with its length. */
 export function encodePeer(message: PeerMessage): Uint8Array {
   if (message.kind === 'detector') return encodeDetectorFrame(message);
   const writer = Writer.create();
@@ -127,7 +127,7 @@
   return writer.finish();
 }
 
-/** Field values by their number; fields of other types than this version uses are passed over. */
+/** Field values by number; fields of wire types that this version does not use are skipped. */
 function decodeFields(reader: protobuf.Reader, end: number): Record<number, number | string> {
   const fields: Record<number, number | string> = {};
   while (reader.pos < end) {
@@ -141,7 +141,7 @@
   return fields;
 }
 
-/** Null for a message of a kind that this version does not know. Throws on broken ones. */
+/** Null for a kind that this version does not know. Throws for malformed frames. */
 export function decodePeer(frame: Uint8Array): PeerMessage | null {
   const reader = Reader.create(frame);
   if (reader.len === 0) return null;
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -1,4 +1,4 @@
-/** The client of workers: commands sent without waiting for the next report. */
+/** The client of workers: commands sent directly, without waiting for the next heartbeat. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import { HttpClient } from '../transport/http-client.js';
@@ -6,18 +6,18 @@
 import type { Command, Heartbeat } from './model.js';
 import { encodeDirectCommands, parseHeartbeat } from './worker-codec.js';
 
-/** What became of commands sent straight to a worker. */
+/** The outcome of commands sent directly to a worker. */
 export interface DirectResult {
   executed: boolean;
-  /** The worker's report after it. */
+  /** The worker's heartbeat after it. */
   heartbeat: Heartbeat;
 }
 
-/** Sends commands straight to workers; tests put a stand-in here. */
+/** Sends commands directly to workers; tests pass a stand-in. */
 export interface WorkerApi {
-  /** No further call should be made now: what waits goes out when others are answered. */
+  /** No further call should be made now: the rest is sent once responses have come. */
   readonly full: boolean;
-  /** Throws where no readable answer came: the commands may still be carried out. */
+  /** Throws where no valid response came: the commands may still be executed. */
   command(
     address: string,
     fencingToken: number,
@@ -29,7 +29,7 @@
 /** Workers over HTTP, on a bounded number of kept connections. */
 export class HttpWorkerApi implements WorkerApi {
   private readonly clients = new Map<string, HttpClient>();
-  /** Addresses with a call under way, one each. */
+  /** Addresses with a call in flight, one each. */
   private readonly calling = new Set<string>();
 
   constructor(
@@ -47,7 +47,7 @@
     let client = this.clients.get(address);
     if (client) this.clients.delete(address);
     else client = new HttpClient(address, this.clock, 1);
-    // Kept in the order of use; the one unused for longest makes room.
+    // In the order of use: the least recently used client is evicted.
     this.clients.set(address, client);
     for (const [oldest, unused] of this.clients) {
       if (this.clients.size <= this.maxClients) break;
--- a/src/transport/budget.ts
+++ b/src/transport/budget.ts
@@ -2,7 +2,7 @@
 
 import type { Clock } from './clock.js';
 
-/** A token bucket that keeps this process within its share of a limit of requests a second. */
+/** A token bucket that keeps this process within its share of a rate limit. */
 export class Budget {
   private tokens: number;
   private refilledAt: number;
@@ -25,37 +25,37 @@
     this.refilledAt = now;
   }
 
-  /** Tokens in the bucket; below 0 where some were borrowed. */
+  /** Tokens in the bucket; below 0 where some are borrowed. */
   get available(): number {
     this.refill();
     return this.tokens;
   }
 
-  /** Changes the rate from now on; what was saved up stays. */
+  /** Changes the rate from now on; tokens in the bucket stay. */
   setRate(perSecond: number): void {
     this.refill();
     this.perSecond = perSecond;
   }
 
-  /** Takes what must go out at once, borrowing from later requests. */
+  /** Takes tokens for what must be sent at once, borrowing from later requests. */
   borrow(cost: number): void {
     this.refill();
     this.tokens = Math.max(-this.burst, this.tokens - cost);
   }
 
-  /** Milliseconds until `cost` is there; 0: it may be spent now. */
+  /** Milliseconds until `cost` tokens are available; 0: they may be spent now. */
   waitFor(cost: number): number {
     this.refill();
     const needed = Math.min(cost, this.burst);
     return this.tokens >= needed ? 0 : Math.ceil(((needed - this.tokens) / this.perSecond) * 1000);
   }
 
-  /** Takes tokens that `waitFor` said are there. */
+  /** Takes tokens that `waitFor` said are available. */
   spend(cost: number): void {
     this.tokens -= cost;
   }
 
-  /** The far side says that the limit is reached: what was saved up is gone. */
+  /** The service refused a request: no tokens are left. */
   empty(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -2,9 +2,9 @@
 
 /** Time as the program sees it; tests put simulated time in its place. */
 export interface Clock {
-  /** Steady time in ms from an arbitrary start; drifts by the protocol's bound. */
+  /** Steady (monotonic) time in ms from an arbitrary start; drifts by the protocol's bound. */
   now(): number;
-  /** Time of day in ms, right only within the settings' bound. */
+  /** Wall-clock time in ms, right only within the settings' bound. */
   wall(): number;
   /** Calls back once after a delay in ms; the result cancels it. */
   after(delayMs: number, callback: () => void): () => void;
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -16,7 +16,7 @@
   await Promise.all(Array.from({ length: workers }, worker));
 }
 
-/** Runs one piece of work at a time: a call while another one runs is skipped. */
+/** Runs one piece of work at a time: a call while another runs is skipped. */
 export class SingleFlight {
   private running = false;
 
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,4 +1,4 @@
-/** The errors of the program: each has a code, and says what is known of the failed operation. */
+/** The program's errors: each has a code and says what is known of the failed operation's outcome. */
 
 /**
  * `notExecuted`: it had no effect and never will have one. `unknown`: it may have had one, or may
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -8,11 +8,11 @@
 /** A complete response, whatever its status. */
 export interface HttpResponse {
   status: number;
-  /** Parsed JSON, or null where the body was empty or no JSON. */
+  /** Parsed JSON, or null where the body was empty or not JSON. */
   body: unknown;
 }
 
-/** A body that is no JSON counts as none; the status alone then decides. */
+/** A body that is not JSON counts as none: the status alone then decides. */
 function parseBody(chunks: Buffer[]): unknown {
   if (chunks.length === 0) return null;
   try {
@@ -22,7 +22,7 @@
   }
 }
 
-/** Collects a response; the first of the two callbacks that is called is the outcome. */
+/** Collects a response; the first callback that is called decides the outcome. */
 function readResponse(
   response: http.IncomingMessage,
   succeed: (answer: HttpResponse) => void,
@@ -37,7 +37,7 @@
   });
 }
 
-/** JSON over HTTP/1.1 to one address, on connections that are kept. */
+/** JSON over HTTP/1.1 to one address, on keep-alive connections. */
 export class HttpClient {
   private readonly agent: http.Agent;
   private readonly host: string;
@@ -54,7 +54,7 @@
     this.agent = new http.Agent({ keepAlive: true, maxSockets });
   }
 
-  /** Sends one request; rejects with `NoAnswer` where no whole response comes within the timeout. */
+  /** Sends one request; rejects with `OutcomeUnknownError` without a complete response in time. */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
@@ -85,7 +85,7 @@
     return http.request({ agent, host, port, method, path, headers });
   }
 
-  /** Ends all connections; requests under way fail. */
+  /** Closes all connections; requests in flight fail. */
   close(): void {
     this.agent.destroy();
   }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -15,7 +15,7 @@
 import { PatternRouter } from 'hono/router/pattern-router';
 import { parseAddress } from './address.js';
 
-/** What a route answers. */
+/** A route's response. */
 export interface HttpReply {
   status: number;
   body: unknown;
@@ -36,7 +36,7 @@
 export interface Route {
   method: 'GET' | 'POST';
   path: string;
-  /** Its connections stay open however many there are. */
+  /** Its connections stay open longer than those of other routes, up to `full`. */
   keepsConnection?: boolean;
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
@@ -45,9 +45,9 @@
 export interface ServerLimits {
   bodyBytes: number;
   connections: number;
-  /** More connections than this: those of other routes end with their answer. */
+  /** Above this many connections, those of other routes close after their response. */
   crowded: number;
-  /** More connections than this: all end with their answer, so that others find one in turn. */
+  /** Above this many, all close after their response, so that waiting clients get one in turn. */
   full: number;
   keepAliveMs: number;
 }
@@ -55,7 +55,7 @@
 /** Milliseconds in which a client must have sent a request's headers. */
 const HEADERS_TIMEOUT_MS = 15_000;
 
-/** Any method, in the words of Hono's routers. */
+/** Hono's name for any method. */
 const ANY_METHOD = 'ALL';
 
 /** The routes of one path. */
@@ -67,7 +67,7 @@
   return end < 0 ? target : target.slice(0, end);
 }
 
-/** A part of a path as text; what can't be decoded is taken as it stands. */
+/** A path segment as text; one that can't be decoded is taken as it is. */
 function decodeSegment(part: string): string {
   if (!part.includes('%')) return part;
   try {
@@ -77,7 +77,7 @@
   }
 }
 
-/** The body as text; null where it is longer than the limit. Rejects where it breaks off. */
+/** The body as text; null where it is longer than the limit. Rejects where it is cut off. */
 function readText(incoming: IncomingMessage, limit: number): Promise<string | null> {
   if (Number(incoming.headers['content-length'] ?? '0') > limit) {
     incoming.resume();
@@ -107,7 +107,7 @@
   outgoing.end(body);
 }
 
-/** Finds the route of each request and sends its answer. */
+/** Finds the route of each request and sends its response. */
 class Dispatcher {
   private readonly router = new PatternRouter<PathRoutes>();
   private openConnections = 0;
@@ -129,7 +129,7 @@
     socket.once('close', () => this.openConnections--);
   }
 
-  /** Answers one request; what fails is answered too, unless its client is gone. */
+  /** Answers one request; a failure is answered too, unless the client is gone. */
   async handle(incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
     try {
       const route = this.findRoute(incoming);
@@ -145,13 +145,13 @@
     }
   }
 
-  /** Whether the connection of a request to this route stays open after its answer. */
+  /** Whether the connection of a request to this route stays open after the response. */
   private mayKeepConnection(route: Route): boolean {
     const { crowded, full } = this.limits;
     return this.openConnections <= (route.keepsConnection ? full : crowded);
   }
 
-  /** The route of a request with the part of its path that stands for `:id`, or why there is none. */
+  /** The route of a request with the `:id` of its path, or the response where there is none. */
   private findRoute(incoming: IncomingMessage): HttpReply | { found: Route; id: string } {
     const { method = '', url = '/' } = incoming;
     const [match] = this.router.match(method, pathOf(url))[0];
@@ -172,7 +172,7 @@
   }
 
   private answerFailure(error: unknown, incoming: IncomingMessage, outgoing: ServerResponse): void {
-    // A client that ended its connection waits for no answer, and is no fault of ours.
+    // A client that closed its connection waits for no response, and is no error of the server.
     if (incoming.destroyed && !incoming.complete) return;
     this.onError(error);
     if (!outgoing.headersSent)
@@ -180,7 +180,7 @@
   }
 }
 
-/** Serves routes with JSON answers; everything unexpected is answered as JSON too. */
+/** Serves routes with JSON responses; unknown paths and failures get JSON too. */
 export function listenHttp(
   address: string,
   routes: Route[],
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -5,20 +5,20 @@
 import type { Clock } from './clock.js';
 import { FrameTooLongError } from './errors.js';
 
-/** Bits that a frame's length may take as a varint: more can't be a length. */
+/** Bits of a frame's length as a varint: with more it can't be a length. */
 const LENGTH_BITS = 35;
-/** Retry pauses after which a silent outgoing connection is given up. */
+/** Retry pauses after which a silent outgoing connection is closed. */
 const SILENT_RETRIES = 5;
-/** Retry pauses after which a silent incoming connection is given up: its other end redials. */
+/** Retry pauses after which a silent incoming connection is closed: the peer reconnects. */
 const INCOMING_SILENT_RETRIES = 30;
 
-/** A frame's length, and how many bytes the length itself takes. */
+/** A frame's length, and the bytes that the prefix itself takes. */
 interface LengthPrefix {
   length: number;
   bytes: number;
 }
 
-/** Null where the bytes end within the length. Throws where they can't be a length. */
+/** Null where the bytes end within the prefix. Throws where they can't be a length. */
 function readLength(bytes: Buffer, maxBytes: number): LengthPrefix | null {
   let length = 0;
   let shift = 0;
@@ -34,7 +34,7 @@
   return null;
 }
 
-/** Cuts a byte stream into frames, each led by its length as a varint (protobuf's delimiting). */
+/** Cuts a byte stream into frames, each prefixed with its length as a varint, as protobuf does. */
 export class FrameReader {
   private buffered: Buffer = Buffer.alloc(0);
 
@@ -55,7 +55,7 @@
   }
 }
 
-/** What outgoing and incoming connections share. */
+/** Options of outgoing and incoming connections. */
 export interface PeerLinkOptions {
   clock: Clock;
   retryMs: number;
@@ -74,13 +74,13 @@
         });
       }
     } catch {
-      // A peer that sends what can't be read loses this connection and nothing else.
+      // A peer that sends malformed frames loses this connection and nothing else.
       socket.destroy();
     }
   });
 }
 
-/** One outgoing connection to a peer, made again when it breaks. Frames are only ever hints. */
+/** One outgoing connection to a peer, reconnected when it breaks. Frames may be lost. */
 export class PeerLink {
   private socket: net.Socket | null = null;
   private isOpen = false;
@@ -102,7 +102,7 @@
     if (this.isClosed) return;
     const socket = net.connect(parseAddress(this.address));
     this.socket = socket;
-    // A connection that hangs behind a cut is given up, so that a new one finds the peer again.
+    // A connection that hangs in a network partition is closed, so that a new one reaches the peer.
     socket.setTimeout(this.options.retryMs * SILENT_RETRIES, () => socket.destroy());
     socket.on('connect', () => {
       this.isOpen = true;
@@ -126,14 +126,14 @@
     return true;
   }
 
-  /** Ends the connection for good. */
+  /** Closes the connection for good. */
   close(): void {
     this.isClosed = true;
     this.socket?.destroy();
   }
 }
 
-/** Takes connections from peers; resolves once the server listens. */
+/** Accepts connections from peers; resolves once the server listens. */
 export function listenPeers(address: string, options: PeerLinkOptions): Promise<net.Server> {
   const { host, port } = parseAddress(address);
   return new Promise((resolve, reject) => {
