--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,7 +1,7 @@
 /** Serves workers' heartbeats: here, or by sending worker or heartbeat to the shard's holder. */
 import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
-import { parseJson, type Parsed } from '../../protocol/user-codec.js';
+import { parseJson, type Parsed } from '../../protocol/validation.js';
 import {
   encodeRedirect,
   encodeHeartbeatAnswer,
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -68,7 +68,7 @@
   return writer.finish();
 }
 
-/** The fields of a message or an update as they were read; the last one of a number counts. */
+/** The decoded fields of a message or an update; the last one of a number counts. */
 class Fields {
   private readonly texts = new Map<number, string>();
   private readonly numbers = new Map<number, number>();
@@ -81,7 +81,7 @@
     return this.numbers.get(field) ?? 0;
   }
 
-  /** Reads one field; fields of other types than this version uses are passed over. */
+  /** Reads one field; fields of wire types that this version does not use are skipped. */
   read(reader: protobuf.Reader, tag: number): void {
     const field = tag >>> WIRE_TYPE_BITS;
     if (tag === varint(field)) this.numbers.set(field, Number(reader.uint64()));
@@ -104,7 +104,7 @@
   };
 }
 
-function bodyOf(fields: Fields): DetectorBody | null {
+function decodeBody(fields: Fields): DetectorBody | null {
   const kind = KINDS[fields.number(MESSAGE.kind)];
   const sequence = fields.number(MESSAGE.sequence);
   const target = fields.text(MESSAGE.target);
@@ -128,7 +128,7 @@
   }
 }
 
-function decode(bytes: Uint8Array): DetectorMessage | null {
+function decodeMessage(bytes: Uint8Array): DetectorMessage | null {
   const reader = Reader.create(bytes);
   const fields = new Fields();
   const updates: MemberUpdate[] = [];
@@ -137,7 +137,7 @@
     if (tag === delimited(MESSAGE.update)) updates.push(readUpdate(reader));
     else fields.read(reader, tag);
   }
-  const body = bodyOf(fields);
+  const body = decodeBody(fields);
   if (!body) return null;
   return {
     cluster: fields.text(MESSAGE.cluster),
@@ -149,11 +149,11 @@
   };
 }
 
-/** Null: it is too long, broken, or of a kind that this version does not know. */
+/** Null: too long, malformed, or of a kind that this version does not know. */
 export function decodeDetector(bytes: Uint8Array): DetectorMessage | null {
   if (bytes.length > MAX_DETECTOR_MESSAGE_BYTES) return null;
   try {
-    return decode(bytes);
+    return decodeMessage(bytes);
   } catch {
     return null;
   }
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -1,12 +1,13 @@
 /** Answers of the state service that lack what they must have: nothing may be concluded from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HttpKeyValueStore, type KeyValueStore } from '../../src/protocol/key-value-store.js';
+import { HttpKeyValueStore } from '../../src/protocol/http-key-value-store.js';
+import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
-import type { HttpAnswer, HttpClient } from '../../src/transport/http-client.js';
+import type { HttpResponse, HttpClient } from '../../src/transport/http-client.js';
 
 /** A client that gets this answer to everything. */
-const answering = (answer: HttpAnswer): HttpClient =>
+const answering = (answer: HttpResponse): HttpClient =>
   ({ call: () => Promise.resolve(answer) }) as unknown as HttpClient;
 
 interface Row {
