--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -1,5 +1,6 @@
 /** Writes the stored records of machines: their state, and the removal of old records. */
-import { GONE_KEEP_MS } from '../../constants/autoscaling.js';
+
+import { RETURNED_RECORD_RETENTION_MS } from '../../constants/autoscaling.js';
 import { MACHINES, machineKey } from '../../storage/keys.js';
 import type { MachineRecord, MachineState } from '../../storage/records.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
@@ -20,28 +21,28 @@
 export class MachineRecords {
   constructor(private readonly context: AutoscalingContext) {}
 
-  /** Records `state` for the machines, except those whose changes were refused as invalid. */
+  /** Records `state` for the machines, except those whose changes were rejected as invalid. */
   async recordState(
     machines: readonly MachineIdentity[],
     state: MachineState,
   ): Promise<RecordOutcome> {
     const { rejectedChangeBackoff, transactionOps, writer } = this.context;
-    const due = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
-    const names = due.map((machine) => machine.name);
+    const writable = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
+    const names = writable.map((machine) => machine.name);
     let start = 0;
-    while (start < due.length) {
+    while (start < writable.length) {
       const size = rejectedChangeBackoff.together(names.slice(start), transactionOps);
-      const group = due.slice(start, start + size);
+      const group = writable.slice(start, start + size);
       start += group.length;
       const { guards, changes } = this.stateTransaction(group, state);
       const result = await writer.commit('leader', guards, changes);
       for (const { name } of group) {
-        if (result.kind === 'invalid') rejectedChangeBackoff.add(name);
+        if (result.kind === 'rejected') rejectedChangeBackoff.add(name);
         else rejectedChangeBackoff.clear(name);
       }
       if (result.kind !== 'done') return 'incomplete';
     }
-    return due.length === machines.length ? 'written' : 'incomplete';
+    return writable.length === machines.length ? 'written' : 'incomplete';
   }
 
   /** What one transaction guards and changes to record `state` for a group of machines. */
@@ -70,15 +71,16 @@
     const wall = clock.wall();
     const changes: Change[] = [];
     const guards: Guard[] = [];
-    for (const [key, held] of replica.below<MachineRecord>(MACHINES)) {
-      if (held.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
-      if (wall - held.value.at < GONE_KEEP_MS || changes.length >= transactionOps) continue;
-      guards.push({ key, revision: held.revision });
+    for (const [key, stored] of replica.below<MachineRecord>(MACHINES)) {
+      if (stored.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
+      if (wall - stored.value.at < RETURNED_RECORD_RETENTION_MS || changes.length >= transactionOps)
+        continue;
+      guards.push({ key, revision: stored.revision });
       changes.push({ key, remove: true });
     }
     if (changes.length === 0 || rejectedChangeBackoff.has(MACHINES)) return;
     const result = await writer.commit('leader', guards, changes);
-    if (result.kind === 'invalid') rejectedChangeBackoff.add(MACHINES);
+    if (result.kind === 'rejected') rejectedChangeBackoff.add(MACHINES);
     else rejectedChangeBackoff.clear(MACHINES);
   }
 }
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -5,14 +5,9 @@
 import { assignmentKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
+import type { ShardZone } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** The machines of one part in one zone. */
-export interface ShardZone {
-  readonly shard: string;
-  readonly zone: string;
-}
-
 /** A chunk record that is not committed yet. */
 export interface NewAssignment {
   readonly key: string;
@@ -44,15 +39,15 @@
   /** Records that assign these tasks to a place, each small enough for one value. */
   create(
     spec: JobSpec,
-    place: ShardZone,
+    shardZone: ShardZone,
     ids: readonly number[],
-    gang: GangFields = {},
+    gangFields: GangFields = {},
   ): NewAssignment[] {
     const assignments: NewAssignment[] = [];
     for (let start = 0; start < ids.length; start += this.tasksPerAssignment) {
       const number = this.numbers.next();
       assignments.push({
-        key: assignmentKey(place.shard, spec.id, number),
+        key: assignmentKey(shardZone.shard, spec.id, number),
         value: {
           ids: writeRanges(ids.slice(start, start + this.tasksPerAssignment)),
           done: '',
@@ -61,8 +56,8 @@
           cpus: spec.cpus,
           gpus: spec.gpus,
           memoryGb: spec.memoryGb,
-          zone: place.zone,
-          ...gang,
+          zone: shardZone.zone,
+          ...gangFields,
         },
       });
     }
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -1,14 +1,14 @@
 /** Finds the places whose machines have room for tasks of a job. */
-import { rankOf, type JobSpec } from '../../protocol/model.js';
+import type { JobSpec } from '../../protocol/model.js';
 import {
-  fitCount,
   isEligible,
   reclaimModesFor,
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
-import { URGENT, shardZoneKey } from '../capacity/priorities.js';
-import type { ShardZone } from './assignment-factory.js';
+import { isUrgent } from '../capacity/priorities.js';
+import { countFittingTasks } from '../capacity/resources.js';
+import { entryOfShardZone, type ShardZone } from '../capacity/shard-zone.js';
 
 /** How many tasks of a job a place has room for. */
 export interface ShardZoneCapacity extends ShardZone {
@@ -23,16 +23,18 @@
     return this.sums.size === 0;
   }
 
-  get free(): ShardZoneCapacity[] {
+  get capacities(): ShardZoneCapacity[] {
     return [...this.sums.values()];
   }
 
-  add({ shard, zone }: ShardZone, count: number): void {
+  add(machine: ShardZone, count: number): void {
     if (count <= 0) return;
-    const key = shardZoneKey(shard, zone);
-    const sum = this.sums.get(key);
-    if (sum) sum.count += count;
-    else this.sums.set(key, { shard, zone, count });
+    const sum = entryOfShardZone(this.sums, machine, ({ shard, zone }) => ({
+      shard,
+      zone,
+      count: 0,
+    }));
+    sum.count += count;
   }
 }
 
@@ -46,15 +48,15 @@
   wanted: number,
   machines: readonly MachineCapacity[],
 ): void {
-  let besideOthers = 0;
-  for (const busy of [true, false]) {
-    if (!busy && besideOthers >= wanted) break;
+  let fittingOnUsedMachines = 0;
+  for (const isInUse of [true, false]) {
+    if (!isInUse && fittingOnUsedMachines >= wanted) break;
     for (const machine of machines) {
-      if (machine.cpus < spec.cpus || machine.tasks > 0 !== busy) continue;
+      if (machine.cpus < spec.cpus || machine.tasks > 0 !== isInUse) continue;
       if (!isEligible(spec, machine)) continue;
-      const count = fitCount(machine, spec);
+      const count = countFittingTasks(machine, spec);
       sums.add(machine, count);
-      if (busy) besideOthers += count;
+      if (isInUse) fittingOnUsedMachines += count;
     }
   }
 }
@@ -69,7 +71,7 @@
     if (!sums.isEmpty) break;
     for (const machine of machines) {
       if (machine.preemptibleCpus <= 0 || !isEligible(spec, machine)) continue;
-      sums.add(machine, fitCount(reclaimableCapacity(machine, mode), spec));
+      sums.add(machine, countFittingTasks(reclaimableCapacity(machine, mode), spec));
     }
   }
 }
@@ -82,6 +84,6 @@
 ): ShardZoneCapacity[] {
   const sums = new CapacitySums();
   addFreeCapacity(sums, spec, wanted, machines);
-  if (rankOf(spec.priority) >= URGENT) addReclaimableCapacity(sums, spec, machines);
-  return sums.free;
+  if (isUrgent(spec)) addReclaimableCapacity(sums, spec, machines);
+  return sums.capacities;
 }
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -1,45 +1,51 @@
 /**
- * Room that a gang may claim for its team's guarantee: other teams' arrays, as far as these teams
- * run beyond their own guarantees. This is the one case in which work stops work of equal priority.
+ * Capacity that a gang may reclaim for its team's guarantee: arrays of other teams, as far as these
+ * teams run beyond their own guarantees. Only here does work preempt work of equal priority.
  */
-import { CLAIMS_MS } from '../../constants/gangs.js';
+import { RECLAIM_RECOUNT_MS } from '../../constants/gangs.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Clock } from '../../transport/clock.js';
-import { fitCount, isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
-import type { Share } from './gang-plan.js';
-import { shardZoneKey } from '../capacity/priorities.js';
+import type { MachineCapacity } from '../capacity/machine-capacity.js';
+import type { Resources } from '../capacity/resources.js';
+import type { GangShare } from './gang-plan.js';
+import { gangCapacityByShardZone, type GangCapacity } from './gang-shard-zones.js';
 
-/** Where a gang finds room by a claim, and how many CPUs it may stop of each team for it. */
-export interface FairShareClaim {
-  share: Share;
-  reclaim: Record<string, number>;
+/** Where a gang fits by reclaiming capacity, and how many CPUs of each team it may preempt. */
+export interface ReclaimPlan {
+  readonly share: GangShare;
+  readonly reclaim: Record<string, number>;
 }
 
-/** What stopping some arrays would free on one machine. */
+/** CPUs that a team runs beyond its guarantee. */
+interface TeamExcess {
+  readonly team: string;
+  readonly cpus: number;
+}
+
+/** What preempting a team's arrays would free on one machine. */
 interface Reclaimable {
   cpus: number;
   memoryGb: number;
 }
 
-/** A place where a gang may go. */
-interface CandidatePlace {
-  shard: string;
-  zone: string;
-  /** Tasks of the gang that have free room. */
-  free: number;
-  /** Tasks that have room once other teams' arrays are stopped, those with free room included. */
-  claimable: number;
+function totalCpus(excesses: readonly TeamExcess[]): number {
+  return excesses.reduce((sum, { cpus }) => sum + cpus, 0);
+}
+
+/** CPUs that a gang lacks in a shard zone. */
+function missingCpus(spec: JobSpec, { immediate }: GangCapacity): number {
+  return Math.max(0, spec.tasks - immediate) * spec.cpus;
 }
 
-/** Finds such room; its counts are valid for a moment, less what was claimed since. */
+/** Finds such capacity. Its counts are valid for a moment, less what was reclaimed since. */
 export class FairShareReclaim {
   private countedAt = -Infinity;
   /** CPUs that each team runs beyond its guarantee. */
-  private readonly excess = new Map<string, number>();
-  /** What stopping arrays of each team would free, by machine. */
-  private readonly machines = new Map<string, Map<string, Reclaimable>>();
+  private readonly excessCpus = new Map<string, number>();
+  /** What preempting the arrays of each team would free, by machine and team. */
+  private readonly reclaimableByMachine = new Map<string, Map<string, Reclaimable>>();
 
   constructor(
     private readonly teams: ReadonlyMap<string, Team>,
@@ -47,96 +53,91 @@
     private readonly clock: Clock,
   ) {}
 
-  /** A place where all of the gang fits once such arrays are stopped; null: there is none. */
-  find(spec: JobSpec, machines: readonly MachineCapacity[]): FairShareClaim | null {
+  /** A shard zone in which all of the gang fits once such arrays are preempted; null: none. */
+  find(spec: JobSpec, machines: readonly MachineCapacity[]): ReclaimPlan | null {
     this.refresh();
-    const excess = [...this.excess].filter(([team]) => team !== spec.team);
-    const claimableCpus = excess.reduce((sum, [, cpus]) => sum + cpus, 0);
-    if (claimableCpus < spec.cpus) return null;
-    const teams = new Set(excess.map(([team]) => team));
-    let best: CandidatePlace | null = null;
-    for (const place of this.places(spec, machines, teams)) {
-      const missing = Math.max(0, spec.tasks - place.free);
-      if (place.claimable < spec.tasks || missing * spec.cpus > claimableCpus) continue;
-      if (best === null || place.free > best.free) best = place;
+    const excesses = this.excessesOfOtherTeams(spec.team);
+    const reclaimableCpus = totalCpus(excesses);
+    if (reclaimableCpus < spec.cpus) return null;
+    const teams = new Set(excesses.map(({ team }) => team));
+    const capacities = gangCapacityByShardZone(spec, machines, (machine) =>
+      this.withoutArraysOf(teams, machine),
+    );
+    let best: GangCapacity | null = null;
+    for (const candidate of capacities.values()) {
+      if (candidate.afterReclaim < spec.tasks) continue;
+      if (missingCpus(spec, candidate) > reclaimableCpus) continue;
+      if (best === null || candidate.immediate > best.immediate) best = candidate;
     }
     if (best === null) return null;
     const { shard, zone } = best;
-    const reclaim = this.claimCpus(excess, Math.max(0, spec.tasks - best.free) * spec.cpus);
+    const reclaim = this.deductExcess(excesses, missingCpus(spec, best));
     return { share: { shard, zone, count: spec.tasks }, reclaim };
   }
 
-  private places(
-    spec: JobSpec,
-    machines: readonly MachineCapacity[],
-    teams: ReadonlySet<string>,
-  ): Iterable<CandidatePlace> {
-    const places = new Map<string, CandidatePlace>();
-    for (const machine of machines) {
-      if (!isEligible(spec, machine)) continue;
-      const { shard, zone } = machine;
-      const key = shardZoneKey(shard, zone);
-      const place = places.get(key) ?? { shard, zone, free: 0, claimable: 0 };
-      places.set(key, place);
-      const free = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
-      place.free += fitCount(free, spec);
-      for (const [team, { cpus, memoryGb }] of this.machines.get(machine.name) ?? []) {
-        if (!teams.has(team)) continue;
-        free.cpus += cpus;
-        free.memoryGb += memoryGb;
-      }
-      place.claimable += fitCount(free, spec);
+  private excessesOfOtherTeams(ownTeam: string): TeamExcess[] {
+    const excesses = [...this.excessCpus].map(([team, cpus]) => ({ team, cpus }));
+    return excesses.filter(({ team }) => team !== ownTeam);
+  }
+
+  /** What is free on a machine once the arrays of these teams are preempted there. */
+  private withoutArraysOf(teams: ReadonlySet<string>, machine: MachineCapacity): Resources {
+    const free = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
+    for (const [team, { cpus, memoryGb }] of this.reclaimableByMachine.get(machine.name) ?? []) {
+      if (!teams.has(team)) continue;
+      free.cpus += cpus;
+      free.memoryGb += memoryGb;
     }
-    return places.values();
+    return free;
   }
 
-  /** Claims CPUs of what the teams run beyond their guarantees, the largest excess first. */
-  private claimCpus(excess: [string, number][], cpus: number): Record<string, number> {
-    const claimed: Record<string, number> = {};
-    let left = cpus;
-    for (const [team, most] of excess.sort(([, a], [, b]) => b - a)) {
-      const count = Math.min(left, most);
+  /** Deducts CPUs from what the teams run beyond their guarantees, the largest excess first. */
+  private deductExcess(excesses: readonly TeamExcess[], cpus: number): Record<string, number> {
+    const deducted: Record<string, number> = {};
+    let remaining = cpus;
+    for (const excess of [...excesses].sort((a, b) => b.cpus - a.cpus)) {
+      const count = Math.min(remaining, excess.cpus);
       if (count <= 0) break;
-      claimed[team] = count;
-      this.excess.set(team, most - count);
-      left -= count;
+      deducted[excess.team] = count;
+      this.excessCpus.set(excess.team, excess.cpus - count);
+      remaining -= count;
     }
-    return claimed;
+    return deducted;
   }
 
   /** Counts anew when the counts are no longer valid. */
   private refresh(): void {
     const now = this.clock.now();
-    if (now - this.countedAt < CLAIMS_MS) return;
+    if (now - this.countedAt < RECLAIM_RECOUNT_MS) return;
     this.countedAt = now;
     this.countExcess();
-    this.countMachines();
+    this.countReclaimable();
   }
 
   private countExcess(): void {
-    this.excess.clear();
-    for (const { team, placedCount: liveCount, cpus } of this.replica.assignments()) {
-      this.excess.set(team, (this.excess.get(team) ?? 0) + liveCount * cpus);
+    this.excessCpus.clear();
+    for (const { team, placedCount, cpus } of this.replica.assignments()) {
+      this.excessCpus.set(team, (this.excessCpus.get(team) ?? 0) + placedCount * cpus);
     }
-    for (const [team, cpus] of this.excess) {
-      const beyond = cpus - (this.teams.get(team)?.cpus ?? 0);
-      if (beyond > 0) this.excess.set(team, beyond);
-      else this.excess.delete(team);
+    for (const [team, cpus] of this.excessCpus) {
+      const excess = cpus - (this.teams.get(team)?.cpus ?? 0);
+      if (excess > 0) this.excessCpus.set(team, excess);
+      else this.excessCpus.delete(team);
     }
   }
 
-  private countMachines(): void {
-    this.machines.clear();
+  private countReclaimable(): void {
+    this.reclaimableByMachine.clear();
     for (const assignment of this.replica.assignments()) {
-      if (!this.excess.has(assignment.team)) continue;
+      if (!this.excessCpus.has(assignment.team)) continue;
       if (this.replica.job(assignment.job)?.spec.kind !== 'array') continue;
       for (const name of assignment.machines) {
-        const teams = this.machines.get(name) ?? new Map<string, Reclaimable>();
-        this.machines.set(name, teams);
-        const found = teams.get(assignment.team) ?? { cpus: 0, memoryGb: 0 };
-        found.cpus += assignment.cpus;
-        found.memoryGb += assignment.memoryGb;
-        teams.set(assignment.team, found);
+        const byTeam = this.reclaimableByMachine.get(name) ?? new Map<string, Reclaimable>();
+        this.reclaimableByMachine.set(name, byTeam);
+        const reclaimable = byTeam.get(assignment.team) ?? { cpus: 0, memoryGb: 0 };
+        reclaimable.cpus += assignment.cpus;
+        reclaimable.memoryGb += assignment.memoryGb;
+        byTeam.set(assignment.team, reclaimable);
       }
     }
   }
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -90,7 +90,7 @@
     const { log, options, tasks } = this.context;
     log.info({ shard: options.shard, result }, 'assignments not committed');
     for (const { assignment } of written) {
-      if (result.kind === 'invalid') this.withheld.add(assignment.key);
+      if (result.kind === 'rejected') this.withheld.add(assignment.key);
       tasks.reload(assignment);
     }
   }
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -1,6 +1,6 @@
 /** Decides when a shard's shares of gangs start, when they stop, and when they return to the leader. */
 
-import { GANG_HOLD_MS, GANG_RESERVE_MS } from '../../constants/gangs.js';
+import { GANG_RESERVATION_TIMEOUT_MS, GANG_PLACED_TIMEOUT_MS } from '../../constants/gangs.js';
 import { UNPLACED_RELEASE_MS } from '../../constants/shard.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -81,7 +81,7 @@
     const isPlacedHere = assignment.waitingTasks.size === 0;
     assignment.fullyPlacedAt = isPlacedHere ? (assignment.fullyPlacedAt ?? now) : null;
     const isLate =
-      assignment.fullyPlacedAt !== null && now - assignment.fullyPlacedAt >= GANG_RESERVE_MS;
+      assignment.fullyPlacedAt !== null && now - assignment.fullyPlacedAt >= GANG_PLACED_TIMEOUT_MS;
     if (!assignment.hasFailed && isLate && !this.isFullyPlaced(assignment)) {
       assignment.hasFailed = true;
       log.info({ job: assignment.job }, 'gang reservation timed out');
@@ -151,7 +151,8 @@
   /** Returns a share that has waited for machines for its time; infeasible ones wait less. */
   private returnOverdue(assignment: Assignment, spec: JobSpec, now: number): void {
     const isUrgent = rankOf(spec.priority) >= URGENT;
-    const patienceMs = isUrgent || assignment.isInfeasible ? UNPLACED_RELEASE_MS : GANG_HOLD_MS;
+    const patienceMs =
+      isUrgent || assignment.isInfeasible ? UNPLACED_RELEASE_MS : GANG_RESERVATION_TIMEOUT_MS;
     const [first] = assignment.waitingTasks;
     if (first && now - first.waitingSince >= patienceMs) this.returnWaitingTasks(assignment);
   }
--- a/src/coordination/shard/gang-preemption.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -1,19 +1,19 @@
 /** Judges whether a gang may be preempted, by what the stop would cost it. */
-import { GANG_LOSS_S, SHARED_STOP_MS } from '../../constants/gangs.js';
+import { GANG_MAX_LOST_PROGRESS_S, GANG_STOP_PROPAGATION_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Assignment } from '../shard-state/tasks.js';
 import type { Machine } from '../shard-state/machine.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /** What the judgement reads. */
-type GangPreemptionContext = Pick<
+type GangStopCostContext = Pick<
   ShardContext,
   'options' | 'gangs' | 'machines' | 'replica' | 'clock'
 >;
 
 /** Weighs a stop of a gang for other work. */
-export class GangPreemption {
-  constructor(private readonly context: GangPreemptionContext) {}
+export class GangStopCost {
+  constructor(private readonly context: GangStopCostContext) {}
 
   /**
    * Whether a stop of the gang for other work is worth what it costs. Its progress is saved only if
@@ -24,14 +24,14 @@
     const spec = jobSpec(this.context, assignment.job);
     if (spec === null) return true;
     if (this.isReachable(assignment, spec)) return true;
-    return this.progressAtRiskS(assignment, spec) <= GANG_LOSS_S;
+    return this.progressAtRiskS(assignment, spec) <= GANG_MAX_LOST_PROGRESS_S;
   }
 
   /** Whether a stop reaches all tasks of the gang in time. */
   private isReachable(assignment: Assignment, spec: JobSpec): boolean {
     const { gangs, machines, options } = this.context;
     const isShared = assignment.tasks.size < spec.tasks;
-    if (isShared && options.gangPeerS * 1000 < SHARED_STOP_MS) return false;
+    if (isShared && options.gangPeerS * 1000 < GANG_STOP_PROPAGATION_MS) return false;
     return [...gangs.machinesOf(assignment.job)].every((name) =>
       this.hearsCalls(machines.all.get(name)),
     );
--- a/src/coordination/shard/holder-records.ts
+++ b/src/coordination/shard/holder-records.ts
@@ -44,7 +44,7 @@
     for (const { key } of changes) guards.push({ key, revision: replica.revisionOf(key) });
     const result = await committer.commit(purpose, guards, changes, isHolder);
     for (const { key } of changes) {
-      if (result.kind === 'invalid') this.rejected.add(key);
+      if (result.kind === 'rejected') this.rejected.add(key);
       else this.rejected.clear(key);
     }
     return result.kind === 'done';
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -1,10 +1,10 @@
 /** Creates a shard's scheduler with what its bandit has learned. */
-import { KEPT_FROM_MS } from '../../constants/gangs.js';
-import { BEGIN_WITHIN_S } from '../../constants/leader.js';
+import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
+import { START_OVERDUE_S } from '../../constants/leader.js';
 import { ARMS } from '../../storage/keys.js';
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
 import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.js';
-import { GangPreemption } from './gang-preemption.js';
+import { GangStopCost } from './gang-stop-cost.js';
 import type { ReservedGang } from './reserved-gang.js';
 import { machineTypeNames, type ShardContext } from './shard-context.js';
 
@@ -48,7 +48,7 @@
 
   private schedulerOptions(): SchedulerOptions {
     const { jobFailureBackoff, options, replica } = this.context;
-    const gangPreemption = new GangPreemption(this.context);
+    const gangStopCost = new GangStopCost(this.context);
     return {
       number: options.number,
       term: options.term,
@@ -58,7 +58,7 @@
       waitsLong: (id) => this.waitsLong(id),
       nextGang: () => this.reservation.next(),
       pauses: (id) => jobFailureBackoff.isPaused(id),
-      mayStopGang: (assignment) => gangPreemption.mayStop(assignment),
+      mayStopGang: (assignment) => gangStopCost.mayStop(assignment),
       gangWaitS: options.gangWaitS,
     };
   }
@@ -66,14 +66,14 @@
   /** Whether a job waited long to begin and none of its tasks has ended yet. */
   private beganLate(job: string): boolean {
     const { replica } = this.context;
-    if (!this.isOlderThan(job, BEGIN_WITHIN_S * 1000)) return false;
+    if (!this.isOlderThan(job, START_OVERDUE_S * 1000)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.done === 0);
   }
 
   /** Whether nothing of a job runs long after it came. */
   private waitsLong(job: string): boolean {
     const { replica } = this.context;
-    if (!this.isOlderThan(job, KEPT_FROM_MS)) return false;
+    if (!this.isOlderThan(job, ARRAY_USES_RESERVED_AFTER_MS)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.placedCount === 0);
   }
 
