--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -8,8 +8,6 @@
 import { TaskIndex } from './task-index.js';
 import { TaskTransitions, type Placement } from './task-transitions.js';
 
-export type { Assignment, Task } from './assignment.js';
-
 /** A task of the shard together with its assignment. */
 export interface AssignedTask {
   assignment: Assignment;
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -7,8 +7,7 @@
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { ShardContext } from './shard-context.js';
 import type { Piece } from '../shard-state/assignment-pieces.js';
-import { uncommittedMachines } from '../shard-state/assignment.js';
-import type { Assignment } from '../shard-state/tasks.js';
+import { uncommittedMachines, type Assignment } from '../shard-state/assignment.js';
 
 /** An assignment on its way to the key-value store; no pieces: it is removed. */
 export interface WrittenAssignment {
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -5,7 +5,7 @@
 import { AssignmentTransaction, type WrittenAssignment } from './assignment-transaction.js';
 import { WriteSchedule } from './write-schedule.js';
 import type { ShardContext } from './shard-context.js';
-import type { Assignment } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
 
 /** What the writer tells its shard. */
 export interface AssignmentWriterCallbacks {
--- a/src/coordination/shard/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -1,5 +1,5 @@
 /** Withdraws the tasks of jobs that are over. */
-import type { Assignment } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /**
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -7,7 +7,8 @@
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { URGENT } from '../capacity/priorities.js';
-import type { Assignment, Tasks } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
+import type { Tasks } from '../shard-state/tasks.js';
 
 /** The workers' times for gangs. */
 export interface GangTimes {
--- a/src/coordination/shard/gang-stop-cost.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -1,7 +1,7 @@
 /** Judges whether a gang may be preempted, by what the stop would cost it. */
 import { GANG_MAX_LOST_PROGRESS_S, GANG_STOP_PROPAGATION_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
-import type { Assignment } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
 import type { Machine } from '../shard-state/machine.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -2,7 +2,8 @@
 import type { TaskStatus, Heartbeat } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { HeartbeatFreshness } from '../shard-state/machine-heartbeats.js';
-import type { Task, AssignedTask } from '../shard-state/tasks.js';
+import type { Task } from '../shard-state/assignment.js';
+import type { AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -3,7 +3,8 @@
 import type { Command, TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
-import type { Task, AssignedTask } from '../shard-state/tasks.js';
+import type { Task } from '../shard-state/assignment.js';
+import type { AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -9,7 +9,8 @@
 import type { Clock } from '../../transport/clock.js';
 import type { GangShares } from './gang-shares.js';
 import type { Machines } from '../shard-state/machines.js';
-import type { Assignment, Tasks } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
+import type { Tasks } from '../shard-state/tasks.js';
 import type { CostLearning } from './cost-learning.js';
 import type { JobFailureBackoff } from './job-failure-backoff.js';
 
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -7,7 +7,7 @@
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
-import type { Assignment } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
 
 /** Orders the changed assignments by urgency and holds back those that may share later writes. */
 export class WriteSchedule {
