--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -170,12 +170,8 @@
     target.isEmpty = false;
     const { type, name } = target.machine;
     cycle.countTask(type);
-    const context = this.choice.context(spec, type, cycle.taskCounts);
+    const banditContext = this.choice.context(spec, type, cycle.taskCounts);
     const attempt = assignment.record.attempt ?? this.attempts.next();
-    this.dependencies.tasks.place(assignment, task, {
-      machine: name,
-      attempt,
-      banditContext: context,
-    });
+    this.dependencies.tasks.place(assignment, task, { machine: name, attempt, banditContext });
   }
 }
--- a/src/coordination/shard/gang-preemption.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -1,19 +1,19 @@
 /** Judges whether a gang may be preempted, by what the stop would cost it. */
 import { GANG_MAX_LOST_PROGRESS_S, GANG_STOP_PROPAGATION_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
-import type { Assignment } from '../shard-state/tasks.js';
+import type { Assignment } from '../shard-state/assignment.js';
 import type { Machine } from '../shard-state/machine.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /** What the judgement reads. */
-type GangPreemptionContext = Pick<
+type GangStopCostContext = Pick<
   ShardContext,
   'options' | 'gangs' | 'machines' | 'replica' | 'clock'
 >;
 
 /** Weighs a stop of a gang for other work. */
-export class GangPreemption {
-  constructor(private readonly context: GangPreemptionContext) {}
+export class GangStopCost {
+  constructor(private readonly context: GangStopCostContext) {}
 
   /**
    * Whether a stop of the gang for other work is worth what it costs. Its progress is saved only if
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -4,7 +4,7 @@
 import { ARMS } from '../../storage/keys.js';
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
 import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.js';
-import { GangPreemption } from './gang-preemption.js';
+import { GangStopCost } from './gang-stop-cost.js';
 import type { ReservedGang } from './reserved-gang.js';
 import { machineTypeNames, type ShardContext } from './shard-context.js';
 
@@ -48,7 +48,7 @@
 
   private schedulerOptions(): SchedulerOptions {
     const { jobFailureBackoff, options, replica } = this.context;
-    const gangPreemption = new GangPreemption(this.context);
+    const gangStopCost = new GangStopCost(this.context);
     return {
       number: options.number,
       term: options.term,
@@ -58,7 +58,7 @@
       waitsLong: (id) => this.waitsLong(id),
       nextGang: () => this.reservation.next(),
       pauses: (id) => jobFailureBackoff.isPaused(id),
-      mayStopGang: (assignment) => gangPreemption.mayStop(assignment),
+      mayStopGang: (assignment) => gangStopCost.mayStop(assignment),
       gangWaitS: options.gangWaitS,
     };
   }
