--- a/packages/detection-report/src/history-files.ts
+++ b/packages/detection-report/src/history-files.ts
@@ -25,7 +25,7 @@
   return (isCompressed ? gunzipSync(bytes) : bytes).toString();
 }
 
-/** Records that several files share, as a log and an export of one node do, count once. */
+/** Records that several files share, as a log and an export of one controller do, count once. */
 function distinct(records: readonly DetectionRecord[]): DetectionRecord[] {
   const byText = new Map(records.map((record) => [JSON.stringify(record), record]));
   return [...byText.values()].sort((a, b) => a.at - b.at);
--- a/packages/detection-report/src/probe-quantiles.ts
+++ b/packages/detection-report/src/probe-quantiles.ts
@@ -1,4 +1,4 @@
-/** Quantiles of probe times, from sketches that can be merged over nodes. */
+/** Quantiles of probe times, from sketches that can be merged over controllers. */
 
 import { DDSketch } from '@datadog/sketches-js';
 import { PROBE_TIME_LEAST_MS, QUANTILES, SKETCH_ACCURACY } from './constants.js';
--- a/packages/detection-report/src/records.ts
+++ b/packages/detection-report/src/records.ts
@@ -1,4 +1,4 @@
-/** Records of failure detection as nodes log and export them. */
+/** Records of failure detection as controllers log and export them. */
 
 import * as v from 'valibot';
 
@@ -52,11 +52,11 @@
 
 /** One record; `at`: time of day in ms. */
 export type DetectionRecord = v.InferOutput<typeof line>['detection'];
-/** A change of a member's state as one node saw it. */
+/** A change of a member's state as one controller saw it. */
 export type TransitionRecord = Extract<DetectionRecord, { type: 'transition' }>;
-/** What a node decided about a role. */
+/** What a controller decided about a role. */
 export type DecisionRecord = Extract<DetectionRecord, { type: 'decision' }>;
-/** Round-trip times of one node's probes of another. */
+/** Round-trip times of one controller's probes of another. */
 export type ProbeTimesRecord = Extract<DetectionRecord, { type: 'probeTimes' }>;
 
 /** What lines of a file hold, and the numbers of those that can't be read. */
--- a/packages/detection-report/src/report.ts
+++ b/packages/detection-report/src/report.ts
@@ -1,4 +1,4 @@
-/** One self-contained HTML page about the failure detection of several nodes. */
+/** One self-contained HTML page about the failure detection of several controllers. */
 
 import { parseHTML } from 'linkedom';
 import { QUANTILES, TABLE_ROWS } from './constants.js';
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -182,7 +182,7 @@
     const { clock, timing } = this.options;
     const now = clock.now();
     const latenessMs = now - this.tickDueAt;
-    // What came while this process stood still is unread yet: its silence was this member's own.
+    // What came while this process was paused is unread yet: its silence was this member's own.
     if (this.health.lagged(latenessMs)) this.probes.extend(latenessMs);
     this.probes.advance();
     this.helped.advance();
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -88,7 +88,7 @@
     }
   }
 
-  /** This process stood still so long: answers may wait unread, and get the time to be read. */
+  /** This process was paused so long: answers may wait unread, and get the time to be read. */
   extend(byMs: number): void {
     for (const probe of this.pending.values()) {
       probe.failsAt += byMs;
--- a/test/api/accepted-job-lookups.test.ts
+++ b/test/api/accepted-job-lookups.test.ts
@@ -1,4 +1,4 @@
-/** An accepted job is never told to be absent, or refused, whatever this node had heard of it. */
+/** An accepted job is never answered as absent, or refused, whatever this controller had seen of it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CHECK_QUEUE } from '../../src/constants/api.js';
@@ -10,12 +10,13 @@
 
 const JOB = 'j-000412';
 
-/** The record of a job that another node accepted. */
+/** The record of a job that another controller accepted. */
 const recordOf = (id: string): { spec: JobSpec; at: number } => ({ spec: { ...SPEC, id }, at: 0 });
 
-// Checks of one job shared a transaction with one guard: the last one's. Where the node heard of the job
-// between two checks, the guard said that the job is there, and the first was told that it is absent.
-test('forgotten: a node hears of an accepted job between two requests about it', async () => {
+// Checks of one job shared a transaction with one guard: the last one's. Where the controller heard
+// of the job between two checks, the guard said that the job is there, and the first was told that
+// it is absent.
+test('forgotten: a controller hears of an accepted job between two requests about it', async () => {
   const wrong: string[] = [];
   const orders = REQUESTS.flatMap((first) =>
     REQUESTS.map((second): [UserAsk, UserAsk] => [first, second]),
@@ -41,7 +42,7 @@
 
 type UserNode = Awaited<ReturnType<typeof userNode>>;
 
-/** What the state service says, and what no node may conclude from it. */
+/** What the key-value store says, and what no controller may conclude from it. */
 interface Answer {
   name: string;
   /** What is prepared before the job is asked about. */
@@ -51,7 +52,7 @@
   isLogged?: true;
 }
 
-/** Another node accepted the job, and this one has not heard of it. */
+/** Another controller accepted the job, and this one has not heard of it. */
 function accept({ state, replica }: UserNode): void {
   replica.stop();
   state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
@@ -105,7 +106,7 @@
     expected: UNSURE,
   },
   {
-    name: 'values that have become too small for it',
+    name: 'a limit on values that has become too small for it',
     prepare: (node) => {
       accept(node);
       // An end still fits.
@@ -124,7 +125,7 @@
   },
 ];
 
-test('forgotten: nothing is absent that an answered transaction does not say to be', async () => {
+test('forgotten: a job counts as absent only if an answered transaction says so', async () => {
   const wrong: string[] = [];
   for (const { name, prepare, expected, isLogged } of ANSWERS) {
     for (const ask of REQUESTS) {
@@ -139,9 +140,9 @@
   assert.deepEqual(wrong, []);
 });
 
-// A node that was restarted knows no ends. Each question about one took a transaction and two reads, one job
-// after the other: of those that came together most were answered 503.
-test('forgotten: many questions about ended jobs at a node that has heard of none', async () => {
+// A controller that was restarted knows no ends. Each question about one took a transaction and two
+// reads, one job after the other: of those that came together most were answered 503.
+test('forgotten: many questions about ended jobs at a controller that has heard of none', async () => {
   const jobs = Array.from({ length: 40 }, (_, number) => `j-${String(700_000 + number)}`);
   const node = await userNode({ checkMs: 375, rps: 27 });
   node.replica.stop();
@@ -158,7 +159,7 @@
   assert.ok(Math.max(...answers.map(({ ms }) => ms)) < 2000);
 });
 
-test('forgotten: whom a full queue turns away is answered the next time', async () => {
+test('forgotten: a request that a full queue rejects is answered the next time', async () => {
   const node = await userNode();
   node.state.answerMs = 1000;
   const ask = (): Promise<number[]> =>
@@ -181,7 +182,7 @@
   for (const { status } of await node.settle(...second)) assert.equal(status, 404);
 });
 
-test('forgotten: checks that are refused for now go again, with those that came since', async () => {
+test('forgotten: checks that are refused for now are retried, with those that came since', async () => {
   const node = await userNode();
   node.state.limits = { rps: 0.1, writeRps: 0.1 };
   const first = node.request('poll', JOB);
@@ -197,8 +198,8 @@
   assert.ok(node.state.refusals > 0);
 });
 
-// The guard held before the end; the node has heard of the end when the answer comes.
-test('forgotten: an end that comes before the answer to a check is told', async () => {
+// The guard held before the end; the controller has heard of the end when the answer comes.
+test('forgotten: an end that comes before the answer to a check is returned', async () => {
   for (const ask of ['repeat', 'malformed', 'unfit'] as const) {
     const node = await userNode();
     node.state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
--- a/test/api/degraded-controllers.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -1,4 +1,4 @@
-/** Nodes that take users and can't decide alone: each request is answered in its time, by whoever can. */
+/** Controllers that serve users and can't decide alone: each request is answered in time, by one that can. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Reply } from '../world/jobs.js';
@@ -11,7 +11,7 @@
 
 interface UnableNode {
   name: string;
-  /** What node n0 loses. */
+  /** What controller n0 loses. */
   lose: (world: World) => void;
   /** Its peers answer for it. */
   isServed: boolean;
@@ -28,9 +28,9 @@
 };
 
 const UNABLE: UnableNode[] = [
-  { name: 'the state service', lose: refused, isServed: true, isReady: [true, true] },
+  { name: 'the key-value store', lose: refused, isServed: true, isReady: [true, true] },
   {
-    name: 'the state service, while its first peer stands still',
+    name: 'the key-value store, while its first peer is paused',
     lose: (world) => {
       refused(world);
       world.freeze('n1', 60);
@@ -39,7 +39,7 @@
     isReady: [true, true],
   },
   {
-    name: 'the state service, while a peer drops what it is sent',
+    name: 'the key-value store, while a peer drops what it is sent',
     lose: (world) => {
       refused(world);
       world.dropped.add('n0>n1');
@@ -48,7 +48,7 @@
     isReady: [true, true],
   },
   {
-    name: 'the state service and its peers',
+    name: 'the key-value store and its peers',
     lose: (world) => {
       refused(world);
       cutPeers(world);
@@ -57,7 +57,7 @@
     isReady: [false, false],
   },
   {
-    name: 'the state service and its peers, unnoticed',
+    name: 'the key-value store and its peers, unnoticed',
     lose: (world) => {
       refused(world);
       for (const peer of others) world.dropped.add(`n0>${peer}`);
@@ -66,7 +66,7 @@
     isReady: [false, false],
   },
   {
-    name: 'the state service and its peers, and nothing answers',
+    name: 'the key-value store and its peers, and nothing answers',
     lose: (world) => {
       world.state.hanging.add('n0');
       for (const peer of others) world.dropped.add(`n0>${peer}`);
@@ -77,7 +77,7 @@
   },
   { name: 'its peers', lose: cutPeers, isServed: true, isReady: [true, true] },
   {
-    name: 'the state service, as all do',
+    name: 'the key-value store, as all do',
     lose: (world) => {
       world.state.outage = true;
     },
@@ -95,10 +95,10 @@
   return answered;
 }
 
-// Peers were asked one after the other, each for 2.5 s: behind one that stood still no poll was answered
-// in the 2 s that users wait. And a node that had lost the state service and its peers went on taking
+// Peers were asked one after the other, each for 2.5 s: behind one that was paused no poll was answered
+// in the 2 s that users wait. And a controller that had lost the key-value store and its peers went on taking
 // users, whose every question failed as long as it lasted.
-test('unable nodes: each request is answered in time, and users are only taken if one can be', async () => {
+test('degraded controllers: each request is answered in time, and users are accepted only if one can be', async () => {
   const wrong: string[] = [];
   for (const { name, lose, isServed, isReady, submittedMs = CHANGE_MS } of UNABLE) {
     const world = new World(41);
@@ -144,7 +144,7 @@
   assert.deepEqual(wrong, []);
 });
 
-test('unable nodes: a controller without others stays ready in an outage', async () => {
+test('degraded controllers: a single controller stays ready in an outage', async () => {
   const world = new World(42, [['n0', 'a']]);
   await world.run(7);
   world.state.outage = true;
@@ -152,8 +152,8 @@
   assert.equal(world.nodes.get('n0')?.node.ready, true);
 });
 
-// What it found out before speaks of a moment that has passed: the job may have been accepted since.
-test('unable nodes: a node that stood still tells nothing of before', async () => {
+// What it read before the pause may be out of date: the job may have been accepted since.
+test('degraded controllers: a controller that was paused gives no answer from before the pause', async () => {
   const world = new World(43);
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
@@ -163,7 +163,7 @@
     world.submit('j-000011', {}, 'n0', { crew: 'nobody' }),
     world.cancel('j-000012'),
   ];
-  // Its questions to the state service are under way.
+  // Its questions to the key-value store are under way.
   await world.clock.run(world.clock.now() + 18);
   world.freeze('n0', 20);
   await world.run(25);
@@ -171,7 +171,7 @@
   assert.deepEqual(statuses, [503, 503, 503, 503]);
 });
 
-test('unable nodes: a node is ready again once a peer replies again', async () => {
+test('degraded controllers: a controller is ready again once a peer replies again', async () => {
   const world = new World(44);
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
--- a/test/api/job-answers.test.ts
+++ b/test/api/job-answers.test.ts
@@ -1,4 +1,4 @@
-/** What users are told of jobs: ends that are not known yet, and those that are. */
+/** Answers about jobs: ends that are not known yet, and those that are. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf as stage } from '../world/jobs.js';
@@ -23,9 +23,9 @@
   }
 });
 
-// A retry is answered from the state service too: a node that has not heard of the end told its user
+// A retry is answered from the key-value store too: a controller that has not heard of the end told its user
 // that the job waits, after another had confirmed the cancellation.
-test('a node that has not heard of the end gives no older answer, nor one that stood still', async () => {
+test('a controller that has not heard of the end gives no older answer, nor one that was paused', async () => {
   const world = new World(17);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
@@ -44,7 +44,7 @@
   await world.run(5);
   await settled(world, world.submit('j-000002', { tasks: 1, service: true, spot: false }));
   await world.run(2);
-  // Asked before it stands still, answered after: whatever it found out then is old.
+  // Asked before the pause, answered after it: whatever it read then is stale.
   const pending = world.poll('j-000002');
   await world.clock.run(world.clock.now() + 100);
   world.freeze('n0', 10);
@@ -55,7 +55,7 @@
   assert.equal(stage(await settled(world, world.poll('j-000002'))), 'withdrawn');
 });
 
-test('an owner that hears nothing new stops answering before a cancellation is due', async () => {
+test('an owner without news from the store stops answering before a cancellation is due', async () => {
   const world = new World(8, [
     ['n0', 'a'],
     ['n1', 'b'],
--- a/test/api/mistaken-requests.test.ts
+++ b/test/api/mistaken-requests.test.ts
@@ -43,7 +43,7 @@
   { name: 'a deadline as text', raw: { duskS: 'noon' }, status: 400 },
 ];
 
-test('odd requests: each gets what the protocol says, many at once', async () => {
+test('mistaken requests: each gets what the protocol says, many at once', async () => {
   const world = new World(1);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
@@ -60,12 +60,12 @@
   assert.deepEqual(world.broken, []);
 });
 
-test('odd requests: repeats, also with faults, and cancellations of what is done', async () => {
+test('mistaken requests: repeats, also with faults, and cancellations of what is done', async () => {
   const world = new World(2);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
   const at = names(world);
-  // The same submission through all nodes at once: accepted once, known to the others.
+  // The same submission through all controllers at once: accepted once, known to the others.
   const first = at.map((node) => world.submit('j-000001', { tasks: 2, runS: 30 }, node));
   const statuses = await Promise.all(first.map(async (one) => (await settled(world, one)).status));
   assert.deepEqual(statuses.sort(), [200, 200, 201]);
@@ -91,7 +91,7 @@
   assert.deepEqual(world.broken, []);
 });
 
-test('odd requests: nothing is accepted before the machine types are known', async () => {
+test('mistaken requests: nothing is accepted before the machine types are known', async () => {
   const world = new World(3);
   world.catalog = false;
   await world.run(7);
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -1,4 +1,4 @@
-/** Submissions: what is malformed, and what can never run. */
+/** Submissions: which are malformed, and which can never run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { neverRuns } from '../../src/coordination/api/admission.js';
@@ -28,7 +28,7 @@
   duskS: 900.0,
 };
 
-test('submissions: what is malformed is told by its field', () => {
+test('submissions: a malformed one is rejected with the name of its field', () => {
   const cases: [string, Record<string, unknown> | string, string | null][] = [
     ['as it should be', good, null],
     ['unknown fields', { ...good, more: 1 }, null],
--- a/test/autoscaling/controller-load.test.ts
+++ b/test/autoscaling/controller-load.test.ts
@@ -1,4 +1,4 @@
-/** What keeps the controllers evenly busy: who leads, and in which zones machines are rented. */
+/** What keeps the controllers evenly loaded: who leads, and in which zones the fleet scales out. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { byControllerLoad, type Offer } from '../../src/coordination/autoscaling/offers.js';
@@ -18,7 +18,7 @@
 ];
 
 // The only controller of its zone serves all of its machines; leading as well, it fell behind.
-test('nodes that share their zone lead before one that is alone in its zone', () => {
+test('controllers that share their zone lead before one that is alone in its zone', () => {
   assert.equal(orderForLeader(LEADER, MEMBERS, MEMBERS)[2], 'n1');
   const alone = MEMBERS.filter(({ node }) => node === 'n1');
   assert.deepEqual(orderForLeader(LEADER, alone, MEMBERS), ['n1']);
@@ -26,7 +26,7 @@
   assert.deepEqual([...orderForLeader(LEADER, oneZone, oneZone)].sort(), ['n0', 'n1', 'n2']);
 });
 
-test('a part goes to nodes of its home zone first', () => {
+test('a shard goes to controllers of its home zone first', () => {
   for (const [preferredOwner, last] of [
     [{ node: 'n0', zone: 'a' }, 'n1'],
     [{ node: 'n2', zone: 'a' }, 'n1'],
@@ -38,7 +38,7 @@
 });
 
 for (const seed of [1, 2, 3]) {
-  test(`all nodes start at once: one that shares its zone leads, seed ${seed}`, async () => {
+  test(`all controllers start at once: one that shares its zone leads, seed ${seed}`, async () => {
     const world = new World(seed, [
       ['n0', 'a'],
       ['n1', 'b'],
@@ -51,7 +51,7 @@
   });
 }
 
-test('the only node that is up leads after a moment, wherever it is', async () => {
+test('the only controller that is up leads after a moment, wherever it is', async () => {
   const world = new World(4, [
     ['n0', 'a'],
     ['n1', 'b'],
--- a/test/autoscaling/headroom.test.ts
+++ b/test/autoscaling/headroom.test.ts
@@ -1,4 +1,4 @@
-/** Room that is kept free for urgent work: while there is work, and not for ever after. */
+/** Headroom that is kept free for urgent work: while there is work, and not for ever after. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FLEET } from '../world/settings.js';
--- a/test/capacity/machine-inventory.test.ts
+++ b/test/capacity/machine-inventory.test.ts
@@ -58,9 +58,9 @@
   return { replica, inventory, count, revision };
 }
 
-// Each round of the leader decoded the records of the whole fleet anew: an eighth of its processor
-// time on a small controller, in one stretch that held up the reports of workers.
-test('a round decodes only the records that changed, and lists 4,000 machines', () => {
+// Each pass of the leader decoded the records of the whole fleet anew: an eighth of its processor
+// time on a small controller, in one stretch that delayed the heartbeats of workers.
+test('a pass decodes only the records that changed, and lists 4,000 machines', () => {
   const { replica, inventory, count, revision } = largeFleet();
   const pages = MACHINES / PER_SHARD / 2;
   for (let round = 0; round < 5; round++) {
@@ -77,7 +77,7 @@
   assert.equal(count.reads, pages + 1, 'and once more when it changes');
 });
 
-test('a machine that drains or is gone is not counted, whatever its part says', () => {
+test('a machine that drains or is gone is not counted, whatever its shard says', () => {
   const { replica, inventory, revision } = largeFleet();
   const record: MachineRecord = { state: 'drain', type: 'small', zone: 'a', spot: false, at: 0 };
   assert.ok(inventory.machines().has(nameOf(1)));
--- a/test/cluster/accepted-jobs-large.test.ts
+++ b/test/cluster/accepted-jobs-large.test.ts
@@ -1,7 +1,10 @@
-/** The same as the small sweep with 1,500 machines, whose records take many pages and whose reports never end. */
+/**
+ * The same as the small sweep with 1,500 machines, whose records take many pages and whose
+ * heartbeats never end.
+ */
 import { test } from 'node:test';
 import { LARGE, FAULTS, sweep } from '../world/fault-sweep.js';
 
 for (const trouble of FAULTS.filter(({ name }) => name.startsWith('all end in'))) {
-  test(`forgotten: close looks: 1,500 machines: ${trouble.name}`, () => sweep(trouble, 3, LARGE));
+  test(`forgotten: close polling: 1,500 machines: ${trouble.name}`, () => sweep(trouble, 3, LARGE));
 }
--- a/test/cluster/accepted-jobs-sweep.test.ts
+++ b/test/cluster/accepted-jobs-sweep.test.ts
@@ -1,4 +1,4 @@
-/** Users look at all nodes right after each answer, under all kinds of trouble: nothing is forgotten. */
+/** Users poll all controllers right after each answer, under all kinds of faults: nothing is forgotten. */
 import { test } from 'node:test';
 import { SMALL, FAULTS, sweep } from '../world/fault-sweep.js';
 
@@ -6,7 +6,7 @@
 
 for (const trouble of FAULTS) {
   for (const seed of SEEDS) {
-    test(`forgotten: close looks: ${trouble.name} (seed ${seed})`, () =>
+    test(`forgotten: close polling: ${trouble.name} (seed ${seed})`, () =>
       sweep(trouble, seed, SMALL));
   }
 }
--- a/test/cluster/controller-faults.test.ts
+++ b/test/cluster/controller-faults.test.ts
@@ -1,12 +1,12 @@
-/** The rules hold through troubles of controllers and of the state service. */
+/** The invariants hold through faults of controllers and of the key-value store. */
 import { test } from 'node:test';
 import { playCase, type RuleCase } from '../world/fault-case.js';
 import { WATCHFUL } from '../world/suspicion.js';
 
 const CASES: RuleCase[] = [
-  { name: 'a quiet day', trouble: (world) => world.run(20) },
+  { name: 'no fault', trouble: (world) => world.run(20) },
   {
-    name: 'a node killed and started again',
+    name: 'a controller killed and started again',
     trouble: async (world) => {
       world.kill('n1');
       await world.run(4);
@@ -15,7 +15,7 @@
     },
   },
   {
-    name: 'a node killed and started again at once',
+    name: 'a controller killed and started again at once',
     trouble: async (world) => {
       world.kill('n0');
       await world.run(0.2);
@@ -24,7 +24,7 @@
     },
   },
   {
-    name: 'a node that stays dead',
+    name: 'a controller that is not restarted',
     trouble: async (world) => {
       world.kill('n2');
       await world.run(70);
@@ -33,7 +33,7 @@
     },
   },
   {
-    name: 'all nodes killed in a state outage',
+    name: 'all controllers killed in an outage of the key-value store',
     trouble: async (world) => {
       world.state.outage = true;
       await world.run(10);
@@ -46,7 +46,7 @@
     },
   },
   {
-    name: 'a node that only the state service refuses',
+    name: 'a controller that only the key-value store refuses',
     trouble: async (world) => {
       world.state.refused.add('n1');
       await world.run(60);
@@ -62,7 +62,7 @@
     },
   },
   {
-    name: 'a node with its workers but without state service and peers',
+    name: 'a controller with its workers but without key-value store and peers',
     trouble: async (world) => {
       world.state.refused.add('n0');
       for (const [peer] of world.members) if (peer !== 'n0') world.cuts.add(`n0>${peer}`);
@@ -73,7 +73,7 @@
     },
   },
   {
-    name: 'nodes that stand still for seconds, for most of their grace and beyond it',
+    name: 'controllers that are paused for seconds, for most of their grace and beyond it',
     trouble: async (world) => {
       for (const [at, seconds] of [6, 18, 40].entries()) {
         void world.submit(`j-10000${at}`, { service: true, spot: false, tasks: 2 });
@@ -86,7 +86,7 @@
     },
   },
   {
-    name: 'nodes back at once in the middle of an election, with late transactions',
+    name: 'controllers back at once in the middle of an election, with late transactions',
     trouble: async (world) => {
       world.state.late.set('n0', 4000);
       world.kill('n2');
@@ -107,7 +107,8 @@
 
 for (const one of CASES) {
   for (const seed of [1, 2]) {
-    test(`rules hold and work gets done: ${one.name} (seed ${seed})`, () => playCase(one, seed));
+    test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
+      playCase(one, seed));
   }
-  test(`rules hold with failure detection: ${one.name}`, () => playCase(one, 3, WATCHFUL));
+  test(`invariants hold with failure detection: ${one.name}`, () => playCase(one, 3, WATCHFUL));
 }
--- a/test/cluster/gang-rules-restarts.test.ts
+++ b/test/cluster/gang-rules-restarts.test.ts
@@ -9,7 +9,7 @@
   // --- Restarts ------------------------------------------------------------------------------
   {
     rule: 'restart',
-    name: 'one place: no task starts in another zone while an old one is not proven gone',
+    name: 'one zone: no task starts in another zone while an old one is not proven gone',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (scenario) => {
@@ -17,7 +17,7 @@
       const attempt = await scenario.running({ ...LONG, oneZone: true }, 7);
       const [first, second] = scenario.holders();
       assert.ok(first && second);
-      // Neither is room left in its zone, nor is it heard that its tasks have ended.
+      // No capacity is left in its zone, and no heartbeat tells that its tasks have ended.
       first.hang(20);
       scenario.cut(second);
       world.cloudTrouble = true;
@@ -31,9 +31,9 @@
     },
   },
   {
-    // One share is proven gone at once, the other only when its machine goes on.
+    // One assignment is proven gone at once, the other only when its machine resumes.
     rule: 'restart',
-    name: 'one of two shares hangs: the other waits for the proof of its end before it starts anew',
+    name: 'one of two assignments hangs: the other waits for the proof of its end before it restarts',
     zones: ['a', 'a', 'a', 'a', 'b', 'b', 'b', 'b'],
     act: async (scenario) => {
       const { world } = scenario;
@@ -58,7 +58,7 @@
   // --- One done, all done --------------------------------------------------------------------
   {
     rule: 'done',
-    name: 'all are done, one machine is not heard for 15 s: nothing starts again',
+    name: 'all are done, one machine sends no heartbeats for 15 s: nothing starts again',
     act: async (scenario) => {
       const { world } = scenario;
       await scenario.running(LONG, 25);
@@ -85,7 +85,7 @@
       await world.run(LEASE_S + 16);
       world.cuts.clear();
       await scenario.assertEnded(GANG, 'done', 120);
-      // Its place is free for the next.
+      // Its capacity is free for the next.
       await scenario.accepted(OTHER, { tasks: 4, cpus: 2 });
       await scenario.begins(60, 1, OTHER);
     },
@@ -103,7 +103,7 @@
   },
   {
     rule: 'placement',
-    name: 'one place: not split over two zones though both together have the room',
+    name: 'one zone: not split over two zones though both together have the capacity',
     zones: ['a', 'b'],
     act: async (scenario) => {
       await scenario.accepted(GANG, { ...LONG, oneZone: true });
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -1,4 +1,4 @@
-/** Rules for gangs: members that are lost or late, orderly stops, and owners that are killed. */
+/** Rules for gangs: members that are lost or late, graceful stops, and owners that are killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
@@ -10,7 +10,7 @@
   // --- A member is lost ----------------------------------------------------------------------
   {
     rule: 'waiting',
-    name: 'a member is lost before the start: no task runs twice, all begin under one attempt',
+    name: 'a member is lost before the start: no task runs twice, all start under one attempt',
     act: async (scenario) => {
       const { world } = scenario;
       await scenario.accepted(GANG, LONG);
@@ -30,7 +30,7 @@
   },
   {
     rule: 'failure',
-    name: 'a member is lost after the start: mates_gone for all others, on from the checkpoint',
+    name: 'a member is lost after the start: mates_gone for all others, resumed from the checkpoint',
     act: async (scenario) => {
       const attempt = await scenario.running(LONG, 12);
       const lost = scenario.holder();
@@ -38,7 +38,7 @@
       const others = 4 - lost.tasks.size;
       lost.die();
       await scenario.world.run(GANG_PEER_S + 1);
-      // Who notices first exits with mates_gone; the controllers may then stop the rest earlier.
+      // The first task to notice exits with mates_gone; the controllers may then stop the rest earlier.
       const ends = scenario.watch.endsOf(GANG, attempt);
       assert.equal(ends.length, others);
       assert.equal(ends[0]?.cause, 'mates_gone');
@@ -63,9 +63,9 @@
   })),
   // --- Not complete in time ------------------------------------------------------------------
   {
-    // One image takes longer than the others wait: they end alone, and so does the attempt.
+    // One image takes longer than the others wait: they exit as `alone`, and the attempt ends.
     rule: 'waiting',
-    name: 'the last image comes too late: the others end alone, and all begin anew together',
+    name: 'the last image comes too late: the others exit as `alone`, and all restart together',
     act: async (scenario) => {
       const { world, watch } = scenario;
       const pass = world.gangs.gather.bind(world.gangs);
@@ -86,16 +86,16 @@
       assert.equal(watch.endsOf(GANG, first).length, 4, 'all of the first attempt have ended');
     },
   },
-  // --- Orderly stops -------------------------------------------------------------------------
+  // --- Graceful stops ------------------------------------------------------------------------
   {
-    rule: 'orderly stop',
-    name: 'shares of several owners: all are told in time, progress is kept',
+    rule: 'graceful stop',
+    name: 'assignments of several owners: all are notified in time, progress is kept',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
     act: async (scenario) => {
       const attempt = await scenario.running({ ...WIDE, checkpointS: 50 }, 20);
-      assert.ok(scenario.owners().size >= 2, 'shares of several owners');
+      assert.ok(scenario.owners().size >= 2, 'assignments of several owners');
       await scenario.accepted(OTHER, URGENT);
       await scenario.begins(30, 1, OTHER);
       const ends = scenario.watch.endsOf(GANG, attempt);
@@ -110,9 +110,9 @@
     },
   },
   {
-    // Only one owner has a reason to stop its share; the others must hear of it in time.
-    rule: 'orderly stop',
-    name: 'one task makes way in one zone: the shares in the other are told in time as well',
+    // Only one owner has a reason to stop its assignment; the others must be notified in time.
+    rule: 'graceful stop',
+    name: 'one task is preempted in one zone: the assignments in the other are notified in time as well',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -135,8 +135,8 @@
   },
   {
     // Most is lost if the next owner stops the rest too late; then the last checkpoint counts.
-    rule: 'orderly stop',
-    name: 'the owner of a share is killed at the first halt: one end for all, no checkpoint is lost',
+    rule: 'graceful stop',
+    name: 'the owner of an assignment is killed at the first halt: one end for all, no checkpoint is lost',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -147,7 +147,7 @@
       await scenario.until('the first halt', 30, () => watch.halts.length > 0);
       const nodes = [...scenario.owners()];
       const [node] = nodes;
-      assert.ok(node && nodes.length >= 2, 'shares of several owners');
+      assert.ok(node && nodes.length >= 2, 'assignments of several owners');
       world.kill(node);
       await world.run(4);
       world.boot(node);
@@ -160,13 +160,17 @@
   {
     // The next owner neither hears those machines nor may it place their tasks elsewhere.
     rule: 'controllers killed',
-    name: 'the owner is killed after it reserved all places, and its starts arrive 9 s later',
+    name: 'the owner is killed after it reserved all placements, and its starts arrive 9 s later',
     zones: ['a', 'a', 'a', 'a', 'a', 'a'],
     act: async (scenario) => {
       const { world } = scenario;
       for (const worker of world.workers.values()) worker.holdDirectMs = 9000;
       await scenario.accepted(GANG, LONG);
-      await scenario.until('all places are reserved', 20, () => scenario.reserved().length === 4);
+      await scenario.until(
+        'all placements are reserved',
+        20,
+        () => scenario.reserved().length === 4,
+      );
       await world.run(0.05);
       assert.equal(world.starts.length, 0);
       const machines = new Set(scenario.reserved());
--- a/test/cluster/gangs-controller-faults.test.ts
+++ b/test/cluster/gangs-controller-faults.test.ts
@@ -31,17 +31,17 @@
   })),
   ...[0, 100, 300, 1200].map((ms): Row => ({
     // Places may be held for a gang of which nothing was started, or only some tasks.
-    name: `a part's owner is killed ${ms} ms after the gang got to the part`,
+    name: `a shard's owner is killed ${ms} ms after the gang got to the shard`,
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
-      await until(world, 'a part holds the gang', 20, () => shardsOf(world, GANG).length > 0);
+      await until(world, 'a shard holds the gang', 20, () => shardsOf(world, GANG).length > 0);
       await world.run(ms / 1000);
       await killOwner(world, GANG);
     },
   })),
   {
     // A stop that reached only some of the tasks must be brought to its end by the next owner.
-    name: "a part's owner is killed while a gang is stopped for an urgent one",
+    name: "a shard's owner is killed while a gang is stopped for an urgent one",
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -60,13 +60,13 @@
     },
   },
   {
-    name: "a part's owner is killed while a cancelled gang is stopped",
+    name: "a shard's owner is killed while a cancelled gang is stopped",
     done: [],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...SAVING });
       await begins(world, GANG, 20);
       const [shard] = shardsOf(world, GANG);
-      assert.ok(shard, 'no part holds the gang');
+      assert.ok(shard, 'no shard holds the gang');
       const node = owner(world, shardRole(shard));
       await cancel(world, GANG, world.members.find(([one]) => one !== node)?.[0]);
       await restart(world, node);
--- a/test/cluster/gangs-machine-faults.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -44,7 +44,7 @@
     },
   })),
   {
-    // Its mates are gone when it goes on: what it holds is of an attempt that is over.
+    // Its peers are gone when it goes on: what it holds is of an attempt that is over.
     name: 'a machine hangs for 12 s in a running gang',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
@@ -56,7 +56,7 @@
     },
   },
   {
-    name: 'a machine hangs for 12 s while its mates gather',
+    name: 'a machine hangs for 12 s while its peers gather',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
@@ -66,8 +66,8 @@
     },
   },
   {
-    // It stays a mate until its lease runs out: the gang runs on, and then ends for all.
-    name: 'a member machine is cut from all nodes for longer than its lease',
+    // It stays a peer until its lease runs out: the gang runs on, and then ends for all.
+    name: 'a member machine is cut from all controllers for longer than its lease',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 60, ...SAVING });
@@ -111,7 +111,7 @@
   },
   {
     // A task that nobody has heard the end of still holds its zone.
-    name: 'one place, its old tasks on machines that nobody hears',
+    name: 'one zone, its old tasks on machines whose heartbeats do not arrive',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (world) => {
--- a/test/cluster/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -1,4 +1,4 @@
-/** Gangs: where they begin, how they wait for room, and how they are stopped. */
+/** Gangs: where they start, how they wait for capacity, and how they are stopped. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -20,7 +20,7 @@
 
 const ROWS: Row[] = [
   {
-    name: 'three tasks in one place begin together',
+    name: 'three tasks in one zone start together',
     act: async (world) => {
       await submit(world, GANG, { tasks: 3, cpus: 2, oneZone: true });
       await begins(world, GANG, 10);
@@ -36,7 +36,7 @@
     },
   },
   {
-    // All must hear of it within the time that mates wait, or what was done is lost.
+    // All must hear of it within the time that peers wait, or what was done is lost.
     name: 'a gang that is stopped for an urgent one saves, and goes on from there',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
@@ -76,8 +76,8 @@
     },
   })),
   {
-    // Each holding half of what it needs, both would wait for ever.
-    name: 'two gangs for one room, each more than half of it',
+    // If each held half of what it needs, both would wait for ever: a deadlock.
+    name: 'two gangs compete for the same capacity, each needing more than half of it',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -92,7 +92,7 @@
     },
   },
   {
-    name: 'larger than the machines of any part',
+    name: 'larger than the machines of any shard',
     zones: ['a', 'a', 'a', 'a', 'a', 'a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { team: 'wide', tasks: 16, cpus: 2, oneZone: true });
@@ -101,7 +101,7 @@
     },
   },
   {
-    name: 'over both zones where the job does not ask for one place',
+    name: 'over both zones where the job does not ask for one zone',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (world) => {
@@ -112,7 +112,7 @@
   },
   {
     // A transaction of the world holds 8 changes; the store refuses a larger one.
-    name: 'larger than one transaction, over many machines and all parts',
+    name: 'larger than one transaction, over many machines and all shards',
     zones: ['a', 'b', 'a', 'b', 'a', 'b', 'a', 'b', 'a', 'b'],
     maxMachines: 10,
     act: async (world) => {
@@ -144,7 +144,7 @@
     },
   },
   {
-    name: 'its team is at its limit by other work: it waits, then runs',
+    name: 'other work uses up its team quota: it waits, then runs',
     zones: ['a', 'a', 'a', 'b', 'b', 'b'],
     done: [GANG, OTHER],
     act: async (world) => {
@@ -157,7 +157,7 @@
     },
   },
   {
-    name: 'an urgent gang stops lower array work for room',
+    name: 'an urgent gang preempts lower-priority arrays',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER, 'j-000003'],
@@ -170,8 +170,8 @@
     },
   },
   {
-    // Room that ends piece by piece must be kept for it, or short work takes every piece.
-    name: 'waits for room while short array work keeps coming, and begins within 60 s',
+    // Capacity that becomes free bit by bit must be reserved for it, or short work takes every bit.
+    name: 'waits for capacity while short arrays keep coming, and starts within 60 s',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG],
@@ -194,7 +194,7 @@
     },
   },
   {
-    // Room kept for a gang that can't begin is kept from others for nothing.
+    // Capacity reserved for a gang that can't start is withheld from others for nothing.
     name: 'arrays behind a gang that can not start soon get done',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
@@ -203,7 +203,7 @@
       const service = { gang: false, service: true, spot: false, urgent: true, spread: true };
       await submit(world, OTHER, { ...service, tasks: 2, cpus: 2 });
       await until(world, 'the service runs', 20, () => world.starts.length >= 2);
-      // The service leaves 6 CPUs in each zone, and no machine can be had in another's place.
+      // The service leaves 6 CPUs in each zone, and the cloud has no further machine.
       world.cloudTrouble = true;
       world.capacity = 0;
       await submit(world, GANG, { tasks: 4, cpus: 2, oneZone: true });
--- a/test/cluster/large-fleet.test.ts
+++ b/test/cluster/large-fleet.test.ts
@@ -9,7 +9,7 @@
 const MACHINES = 4_000;
 const TASKS = 500;
 const SERVICES = 20;
-/** What such a deployment's settings say: more of what the state service takes, and larger teams. */
+/** What such a deployment's settings say: more of what the key-value store takes, and larger teams. */
 const LARGE = {
   teams: [...TEAMS, { name: 'all', cpus: 0, cpusMax: 20_000, gpus: 0, gpusMax: 0 }],
   storeRps: 400,
@@ -20,7 +20,7 @@
 
 const serviceId = (at: number): string => `j-1${String(at).padStart(5, '0')}`;
 
-/** Machines that the parts of all nodes know and call good. */
+/** Machines that the shards of all controllers know and call good. */
 function healthyMachines(world: World): number {
   let count = 0;
   for (const { node } of world.nodes.values()) {
@@ -33,14 +33,14 @@
   return count;
 }
 
-test('4,000 machines report, get work, and keep it when the leader ends and when all do', async () => {
+test('4,000 machines send heartbeats, get work, and keep it when the leader ends and when all do', async () => {
   const world = new World(11, undefined, LARGE);
   world.state.transactionOps = LARGE.transactionOps;
   for (let at = 0; at < MACHINES; at++) {
     world.addMachine('small', at % 2 === 0 ? 'a' : 'b', false, 500);
   }
   await world.run(12);
-  assert.equal(healthyMachines(world), MACHINES, 'all report to their owners');
+  assert.equal(healthyMachines(world), MACHINES, 'all send heartbeats to their owners');
   void world.submit('j-000001', { tasks: TASKS, cpus: 1, runS: 600, team: 'all', spot: false });
   for (let at = 0; at < SERVICES; at++) {
     const service = { service: true, tasks: 1, cpus: 2, urgent: true, team: 'all', spot: false };
--- a/test/cluster/machine-faults.test.ts
+++ b/test/cluster/machine-faults.test.ts
@@ -1,10 +1,10 @@
-/** The rules hold through troubles of machines, reports and commands. */
+/** The invariants hold through faults of machines, heartbeats and commands. */
 import { test } from 'node:test';
 import { playCase, type RuleCase } from '../world/fault-case.js';
 
 const CASES: RuleCase[] = [
   {
-    name: 'a node that no worker reaches',
+    name: 'a controller that no worker reaches',
     trouble: async (world) => {
       for (const name of world.workers.keys()) world.cuts.add(`n0>${name}`);
       await world.run(50);
@@ -35,7 +35,7 @@
     },
   },
   {
-    name: 'reports that arrive late',
+    name: 'heartbeats that arrive late',
     trouble: async (world) => {
       for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 6000;
       await world.run(12);
@@ -44,7 +44,7 @@
     },
   },
   {
-    name: 'a machine that is heard but does not hear',
+    name: 'a machine whose heartbeats arrive but that gets no answers',
     trouble: async (world) => {
       const [first] = world.workers.values();
       if (first) first.deaf = true;
@@ -54,7 +54,7 @@
     },
   },
   {
-    name: 'copies of reports that come late, also after machines died and nodes restarted',
+    name: 'duplicate heartbeats that come late, also after machines died and controllers restarted',
     trouble: async (world) => {
       for (const worker of world.workers.values()) worker.copyAfterMs = [3000, 17_000, 41_000];
       await world.run(20);
@@ -68,7 +68,7 @@
     },
   },
   {
-    // Without the token raised at forgetting, a repeated start runs beside its successor, or after
+    // Without the fencing token raised at forgetting, a repeated start runs beside its successor, or after
     // its job was cancelled.
     name: 'direct calls that were carried out and come once more, long after',
     trouble: async (world) => {
@@ -86,7 +86,7 @@
   {
     name: 'machines that hang and go on, within their lease and beyond it, with late commands',
     trouble: async (world) => {
-      // Nothing is taken back meanwhile, so that only time proves the end of what hangs.
+      // No machine is returned meanwhile, so that only time proves the end of what hangs.
       for (let at = 0; at < 3; at++) world.addMachine('small', at < 2 ? 'a' : 'b', false, 500);
       void world.submit('j-100009', { service: true, spot: false, urgent: true, tasks: 5 });
       await world.run(8);
@@ -104,7 +104,7 @@
     },
   },
   {
-    name: 'machines back at once that count anew',
+    name: 'machines restarted at once, with sequence numbers from one',
     trouble: async (world) => {
       await world.run(10);
       for (const worker of [...world.workers.values()].slice(0, 2)) worker.restart();
@@ -115,6 +115,7 @@
 
 for (const one of CASES) {
   for (const seed of [1, 2]) {
-    test(`rules hold and work gets done: ${one.name} (seed ${seed})`, () => playCase(one, seed));
+    test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
+      playCase(one, seed));
   }
 }
--- a/test/cluster/overlapping-faults-late-writes.test.ts
+++ b/test/cluster/overlapping-faults-late-writes.test.ts
@@ -1,4 +1,4 @@
-/** Meetings: transactions that are carried out late, as chunks come and go. */
+/** Overlapping faults: transactions that are carried out late, as assignments come and go. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ASSIGNMENTS } from '../../src/storage/keys.js';
@@ -17,7 +17,7 @@
 
 const ROWS: Meeting[] = [
   ...[false, true].map((killed) => ({
-    name: `late writes: short tasks in many chunks${killed ? ', leaders killed' : ''}`,
+    name: `late writes: short tasks in many assignments${killed ? ', leaders killed' : ''}`,
     seeds: [1, 2],
     restS: 200,
     script: async (world: World) => {
@@ -33,12 +33,12 @@
     },
   })),
   ...[false, true].map((killed) => ({
-    name: `late writes: tasks given back for lack of room${killed ? ', leaders killed' : ''}`,
+    name: `late writes: tasks returned for lack of capacity${killed ? ', leaders killed' : ''}`,
     zones: ['a', 'b'],
     seeds: [1, 2],
     restS: 200,
     script: async (world: World) => {
-      // Machines that do not hear get nothing: what their part was given goes back, soon if urgent.
+      // Machines that get no answers get no work: what their shard was assigned is returned, soon if urgent.
       world.state.lateShare = 0.3;
       for (let turn = 0; turn < 5; turn++) {
         const [worker] = workersIn(world, turn % 2 ? 'b' : 'a');
@@ -53,9 +53,9 @@
     },
   })),
   {
-    // The first copy of a chunk's creation is held; its repeat is carried out, the chunk is given
+    // The first copy of an assignment's creation is held; its repeat is carried out, the assignment is handed
     // back and removed, and its task runs elsewhere when the first copy arrives.
-    name: 'late writes: the creation of a chunk that was given back meanwhile',
+    name: 'late writes: the creation of an assignment that was returned meanwhile',
     members: [
       ['n0', 'a'],
       ['n1', 'b'],
@@ -68,7 +68,7 @@
       const [first] = world.workers.values();
       assert.ok(first);
       first.deaf = true;
-      // Its start goes unanswered: from then on the part waits for a proof before it places more.
+      // Its start goes unanswered: from then on the shard waits for a proof before it places more.
       await submit(world, 'j-000002', { ...URGENT, tasks: 1 });
       await world.run(2.6);
       let held = '';
@@ -83,14 +83,14 @@
         return 12_000;
       };
       await submit(world, 'j-000003', { tasks: 1, runS: 60, urgent: true });
-      // Room for it elsewhere, and, once it runs there, room in the part of the held chunk.
+      // Capacity for it elsewhere, and, once it runs there, capacity in the shard of the held assignment.
       world.addMachine('small', 'b', false, 5500);
       world.addMachine('small', 'a', false, 11_400);
       await world.run(13);
       first.deaf = false;
       await world.run(5);
       assert.ok(held !== '', 'no creation was held');
-      assert.equal(absent, true, 'the chunk was still there');
+      assert.equal(absent, true, 'the assignment was still there');
     },
   },
 ];
--- a/test/cluster/overlapping-faults-leaders.test.ts
+++ b/test/cluster/overlapping-faults-leaders.test.ts
@@ -1,4 +1,4 @@
-/** Meetings: leaders and other controllers that change, stand alone or are refused. */
+/** Overlapping faults: leaders and other controllers that change, stand alone or are refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nodeKey } from '../../src/storage/keys.js';
@@ -20,7 +20,7 @@
 
 const ROWS: Meeting[] = [
   {
-    name: 'a refused node: its lease ends, and its open watches wait',
+    name: 'a refused controller: its lease expires, and its open watches wait',
     script: async (world) => {
       await submit(world, 'j-000001', { tasks: 3, runS: 60 });
       const [old, key] = [world.leader, nodeKey(world.leader)];
@@ -69,7 +69,7 @@
     },
   },
   {
-    name: 'takeover by a node that is killed and back within 0.3 s',
+    name: 'takeover by a controller that is killed and back within 0.3 s',
     seeds: [1, 2],
     script: async (world) => {
       await load(world);
@@ -87,7 +87,7 @@
     },
   },
   ...[false, true].map((alone) => ({
-    name: `a leader without state service and peers ${alone ? 'alone reaches its workers' : 'has workers and users'}; others cancel`,
+    name: `a leader without key-value store and peers ${alone ? 'alone reaches its workers' : 'has workers and users'}; others cancel`,
     seeds: [1, 2],
     script: async (world: World) => {
       await load(world);
@@ -96,7 +96,7 @@
       for (const name of names(world)) if (name !== old) world.cuts.add(`${old}>${name}`);
       await world.run(1);
       const others = names(world).filter((name) => name !== old);
-      // Nobody else can stop what runs there, and nothing is taken back: only leases end it.
+      // Nobody else can stop what runs there, and no machine is returned: only leases end it.
       if (alone) cutOff(world, others, world.workers.keys());
       world.cloudTrouble = alone;
       for (const id of ['j-000001', 'j-000002', 'j-000003']) {
@@ -114,7 +114,7 @@
     },
   })),
   {
-    name: 'reports held back and copied late, over a handover and back within a second',
+    name: 'heartbeats delayed and duplicated late, across a failover and back within a second',
     seeds: [1, 2],
     script: async (world) => {
       await load(world);
@@ -158,7 +158,7 @@
     },
   },
   {
-    name: 'the state service answers slowly, then refuses the leader, while users cancel and ask',
+    name: 'the key-value store answers slowly, then refuses the leader, while users cancel and ask',
     script: async (world) => {
       await load(world);
       world.state.answerMs = 1200;
@@ -185,9 +185,9 @@
   }
 }
 
-// An owner that the state service refuses answers its workers for a grace; the word of the peer that
+// An owner that the key-value store refuses answers its workers for a grace; the word of the peer that
 // confirmed a cancellation ends the tasks long before.
-test('meeting: what a peer has confirmed stops tasks at once, though the store refuses their owner', async () => {
+test('overlapping faults: what a peer has confirmed stops tasks at once, though the store refuses their owner', async () => {
   const world = new World(1);
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
@@ -197,7 +197,7 @@
   await world.run(12);
   world.boot('n1');
   await world.run(1);
-  // n0 owns the part of zone b, whose node stays away, and hears nothing from the store.
+  // n0 owns the shard of zone b, whose controller stays away, and hears nothing from the store.
   const placed = (): number =>
     [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]).length;
   assert.equal(placed(), 2);
--- a/test/cluster/overlapping-faults-machines.test.ts
+++ b/test/cluster/overlapping-faults-machines.test.ts
@@ -1,4 +1,4 @@
-/** Meetings: machines that are lost, mute or cut off, with limits, bounds and cancellations. */
+/** Overlapping faults: machines that are lost, mute or cut off, with limits, bounds and cancellations. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -18,7 +18,7 @@
 
 const ROWS: Meeting[] = [
   {
-    name: 'a team at its limit: leader killed, machines cut, nothing taken back, a cancellation',
+    name: 'a team at its quota: leader killed, machines cut off, no machine returned, a cancellation',
     seeds: [1, 2],
     script: async (world) => {
       await submit(world, 'j-000001', { ...SERVICE, team: 'blue', tasks: 8 });
@@ -27,7 +27,7 @@
       assert.equal(world.starts.length, 12);
       await submit(world, 'j-000003', { team: 'blue', tasks: 6, runS: 10 });
       world.cloudTrouble = true;
-      // Those with the most tasks: what can't be asked counts under the limit until its lease ends.
+      // Those with the most tasks: what can't be asked counts against the quota until its lease ends.
       const full = [...world.workers.values()].sort((x, y) => y.tasks.size - x.tasks.size);
       cutOff(
         world,
@@ -116,7 +116,7 @@
     },
   },
   {
-    name: 'a zone with its node and workers is cut off for longer than a lease',
+    name: 'a zone with its controller and workers is cut off for longer than a lease',
     seeds: [1, 2],
     zones: ['a', 'a', 'b', 'b'],
     script: async (world) => {
--- a/test/cluster/overlapping-faults-store-outage.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -1,4 +1,7 @@
-/** Meetings: a node that is refused alone, then an outage for all, with cancellations between them. */
+/**
+ * Overlapping faults: a controller that is refused alone, then an outage for all, with
+ * cancellations between them.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
@@ -24,7 +27,7 @@
   jobs?: string[];
 }
 
-/** Refused alone, then jobs are cancelled through another node, then out for all beyond cancel_s. */
+/** Refused alone, then jobs are cancelled through another controller, then out for all beyond cancel_s. */
 const gap =
   ({ endsS, holdMs, hangS, restart, jobs = ['j-000001', 'j-000002', 'j-000003'] }: Gap) =>
   async (world: World): Promise<void> => {
@@ -77,7 +80,7 @@
     },
   ].map(({ what, ...options }) => ({ name: `gap: ${what}`, seeds: [1, 2], script: gap(options) })),
   {
-    name: 'gap: two nodes, each the only one of its zone',
+    name: 'gap: two controllers, each the only one of its zone',
     members: [
       ['n0', 'a'],
       ['n1', 'b'],
--- a/test/cluster/overlapping-faults-workload.test.ts
+++ b/test/cluster/overlapping-faults-workload.test.ts
@@ -1,4 +1,4 @@
-/** Meetings: users and much work: the end of a job, full machines, full teams. */
+/** Overlapping faults: users and much work: the end of a job, full machines, full teams. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
@@ -45,7 +45,7 @@
     },
   },
   {
-    name: 'more work than room, urgent and not, over slow links',
+    name: 'more work than capacity, urgent and not, over slow links',
     restS: 260,
     script: async (world) => {
       world.linkMs = 600;
@@ -59,7 +59,7 @@
     },
   },
   {
-    name: 'services that fill a limit but for a little, while an array of the team waits',
+    name: 'services that almost use up a quota, while an array of the team waits',
     script: async (world) => {
       await submit(world, 'j-000001', { ...URGENT, tasks: 7, cpus: 2 });
       await world.run(60);
@@ -68,7 +68,7 @@
       await world.run(90);
       assert.ok(
         world.starts.some((one) => one.task.startsWith('j-000002/')),
-        'waits though its team is under its limit and machines have room',
+        'waits though its team is under its quota and machines have capacity',
       );
     },
   },
--- a/test/cluster/overload.test.ts
+++ b/test/cluster/overload.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { World } from '../world/world.js';
 
-// Seen in a recorded incident: large jobs that stepped back for smaller ones of their team, which
-// was at its limit all day, never ended.
+// Seen in a recorded incident: large jobs that yielded to smaller ones of their team, which
+// was at its quota all day, never ended.
 test('a large job ends though smaller ones of its team keep coming', async () => {
   const world = new World(11);
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
@@ -21,7 +21,7 @@
 });
 
 // Checked by the users: in a lasting overload the largest jobs must begin within 4 minutes. A job
-// whose deadline is far off would else step back for others until three deadlines have passed.
+// whose deadline is far off would otherwise yield to others until three deadlines have passed.
 test('the largest job begins within 4 minutes of a lasting overload', async () => {
   const world = new World(12);
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
@@ -37,9 +37,9 @@
   assert.deepEqual(world.broken, []);
 });
 
-// Checked by the users: once troubles are over, 75 s without an answered question about an accepted
+// Checked by the users: once faults are over, 75 s without an answered question about an accepted
 // job count as forgotten. After all controllers were killed in an outage, reading the live records
-// and the rush of polls and submissions must fit the state service's limits together.
+// and the rush of polls and submissions must fit the key-value store's limits together.
 test('no job is forgotten after all controllers were killed in an outage', async () => {
   const world = new World(13);
   world.state.limits = { rps: 80, writeRps: 25 };
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -84,9 +84,9 @@
   );
 });
 
-// The leader's sums follow each change of a chunk or a job; here they are compared with sums made
+// The leader's totals follow each change of an assignment or a job; here they are compared with totals made
 // anew after hundreds of random changes.
-test('the sums of the leader are those of the chunks, whatever changes', async () => {
+test('the totals of the leader are those of the assignments, whatever changes', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   const replica = await followedReplica(clock, state);
--- a/test/controller/request-relay.test.ts
+++ b/test/controller/request-relay.test.ts
@@ -3,9 +3,9 @@
 import { settled } from '../world/requests.js';
 import { World } from '../world/world.js';
 
-// A node that alone is refused by the state service, or has not read its keys yet, still serves
+// A controller that alone is refused by the key-value store, or has not read its keys yet, still serves
 // users through its peers, and never with an older answer than theirs.
-test('a node without the state service serves users through a peer', async () => {
+test('a controller without the key-value store serves users through a peer', async () => {
   const world = new World(5);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
@@ -30,8 +30,8 @@
   }
 });
 
-// Versions before this one may refuse a job that was accepted: a node that asks them for its users passes
-// on what they know, and none of their refusals.
+// Versions before this one may refuse a job that was accepted: a controller that asks them for its
+// users passes on what they know, and none of their refusals.
 test('a refusal of a peer is only passed on with its proof', async () => {
   const cases: [string, boolean, number, number, number][] = [
     // [who refuses, with a proof, poll, malformed submission, submission that fits nowhere]
--- a/test/controller/startup.test.ts
+++ b/test/controller/startup.test.ts
@@ -1,4 +1,4 @@
-/** A node that starts: how soon it has read what is stored, and what it can tell before. */
+/** A controller's startup: how soon it has loaded the store, and what it can answer before. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CATALOG, finalKey, jobKey } from '../../src/storage/keys.js';
@@ -23,8 +23,8 @@
   ]);
 }
 
-// An error on any page began the reading anew: of 30 pages with each third refused it never came to an end.
-test('start: a page that fails does not cost those that were read', async () => {
+// An error on any page started the load again: of 30 pages with each third refused it never ended.
+test('startup: a page that fails does not discard those that were read', async () => {
   const cases: [string, (listing: number) => boolean, number][] = [
     ['none fails', () => false, 31],
     ['each third is refused', (listing) => listing % 3 === 0, 47],
@@ -45,7 +45,7 @@
   }
 });
 
-test('start: a reading that took longer than changes are kept begins anew, and ends', async () => {
+test('startup: a load that takes longer than changes are kept starts again, and ends', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   fill(state, 300);
@@ -62,7 +62,7 @@
   assert.equal(state.listings, 6);
 });
 
-test('start: keys that change while pages are read are as they should be in the end', async () => {
+test('startup: keys that change while pages are read are right in the end', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   fill(state, 300);
@@ -87,7 +87,7 @@
   assert.deepEqual(held, stored);
 });
 
-test('start: a reload after missed changes keeps what is there, and nothing else', async () => {
+test('startup: a reload after missed changes keeps the stored keys, and nothing else', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   fill(state, 200);
@@ -120,7 +120,7 @@
   assert.deepEqual(held, stored);
 });
 
-test('start: what has ended or never was is told before all is read, all else 503', async () => {
+test('startup: ended and unknown jobs are answered before all is read, all others with 503', async () => {
   const wrong: string[] = [];
   const expected = { 'j-000001': 503, 'j-900001': 200, 'j-900002': 404 };
   for (const [id, status] of Object.entries(expected)) {
--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -1,4 +1,4 @@
-/** Whose turn it is to take a free role, on a clock that moves on between two readings. */
+/** Which candidate may take a free role, on a clock that advances between two readings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MEMBER_RENEW_MS } from '../../src/constants/election.js';
@@ -33,9 +33,9 @@
   }
 }
 
-// Read in the wrong order, the time for which a role had been free was below zero at the first look,
-// and each takeover waited for the next round, half a second later.
-test('the first choice takes a free role when it first sees it, the second a turn later', () => {
+// Read in the wrong order, the time for which a role had been free was below zero at the first check,
+// and each takeover waited for the next election pass, half a second later.
+test('the first candidate takes a free role when it first sees it, the second one delay later', () => {
   const simulated = new SimClock();
   const { replica } = followingReplica(simulated, new SimKeyValueStore(simulated), 100);
   const looks: string[] = [];
@@ -55,7 +55,7 @@
       rejectedChangeBackoff: new RejectedChangeBackoff(clock),
       startedAt: clock.now(),
     });
-    // Both are starting, so all members are candidates for the lead.
+    // Both are starting, so all members are candidates for leadership.
     const first = turns.isOurTurn('leader', null);
     clock.pass(MEMBER_RENEW_MS);
     const later = turns.isOurTurn('leader', null);
--- a/test/election/failover.test.ts
+++ b/test/election/failover.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { World } from '../world/world.js';
 
-// Seen in the first recorded incident of the larger deployment: the first status of a part's new
-// owner was empty, and the leader returned the part's whole fleet as machines that never came up.
-test('a part that changes hands keeps its machines', async () => {
+// Seen in the first recorded incident of the larger deployment: the first status of a shard's new
+// owner was empty, and the leader returned the shard's whole fleet as machines that never came up.
+test('a shard keeps its machines through a failover', async () => {
   for (const dead of ['n0', 'n1', 'n2']) {
     const world = new World(3);
     for (const zone of ['a', 'a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
@@ -23,7 +23,7 @@
 
 // Several silent machines at once may be dead or only cut off. What stays silent for a lease is
 // returned and replaced; what comes back before keeps its tasks.
-test('of many silent machines the dead ones are returned and the cut ones kept', async () => {
+test('of many silent machines the dead ones are returned and those cut off are kept', async () => {
   const world = new World(21);
   for (let at = 0; at < 6; at++) world.addMachine('small', 'a', false, 500);
   await world.run(8);
--- a/test/election/lease-timing.test.ts
+++ b/test/election/lease-timing.test.ts
@@ -1,13 +1,13 @@
-/** Grace, lease and fence, by the timing of the settings. */
+/** Grace, lease expiry and fencing times, by the timing of the settings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fenceEndsAt, graceMs, leaseMs } from '../../src/coordination/election/lease-timing.js';
 
-test('grace and lease end before a cancellation is due; fences cover every former owner', () => {
+test('grace and lease end before a cancellation is due; fencing times cover every former owner', () => {
   for (const timing of [
     { leaseS: 24, cancelS: 54, skewMs: 1000 },
     { leaseS: 26, cancelS: 51, skewMs: 100 },
-    // Seen with three real processes: with a fixed margin no grace was left and nobody answered.
+    // Seen with three real processes: with a fixed margin no grace was left and no controller answered.
     { leaseS: 6, cancelS: 12, skewMs: 0 },
   ]) {
     const grace = graceMs(timing);
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -1,4 +1,4 @@
-/** Numbers of a term: each once, and a new term in time. */
+/** Numbers of a term: each allocated once, and a new term in time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FENCING_TOKENS_PER_TERM } from '../../src/constants/election.js';
@@ -9,7 +9,7 @@
 import { settled } from '../world/requests.js';
 import { World } from '../world/world.js';
 
-test('a term hands out its numbers once each, and none of the next term', () => {
+test('a term allocates each of its numbers once, and none of the next term', () => {
   const numbers = new TermNumbers(700, 10);
   const given = [1, 2, 3, 4].map(() => numbers.next());
   assert.deepEqual(given, [701, 702, 703, 704]);
@@ -23,10 +23,10 @@
 const termOf = (world: World, role: string): number =>
   (world.state.cells.get(roleKey(role))?.value as RoleRecord).term;
 
-// 4,000 machines use up the attempts of a part's term in some hours; they ran into those of the next
-// part, and a machine that works for weeks into the tokens of the next term.
+// 4,000 machines use up the attempts of a shard's term in some hours; they ran into those of the next
+// shard, and a machine that works for weeks into the fencing tokens of the next term.
 for (const cutS of [0, 10, 40]) {
-  test(`a part goes on under a new term before its numbers end, machines cut off for ${cutS} s`, async () => {
+  test(`a shard goes on under a new term before its numbers end, machines cut off for ${cutS} s`, async () => {
     const world = new World(5);
     for (const zone of ['a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
     await world.run(8);
@@ -37,7 +37,7 @@
     const busy = world.members.find(([name]) => {
       return (world.nodes.get(name)?.node.shards.get(name)?.machines.all.size ?? 0) > 0;
     });
-    const [name = assert.fail('no part has machines')] = busy ?? [];
+    const [name = assert.fail('no shard has machines')] = busy ?? [];
     const owner = world.nodes.get(name)?.node;
     const shard = owner?.shards.get(name);
     const [machine] = shard?.machines.all.values() ?? [];
--- a/test/failure-detection/disabled.test.ts
+++ b/test/failure-detection/disabled.test.ts
@@ -35,7 +35,7 @@
   );
 });
 
-test('nodes without failure detection send nothing of it, and pass over what others send', async () => {
+test('controllers without failure detection send nothing of it, and pass over what others send', async () => {
   for (const [overrides, expected] of [
     [{}, false],
     [WATCHFUL, true],
--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -1,4 +1,4 @@
-/** Nodes that stand still or end, with failure detection between them: when roles are taken. */
+/** Controllers that are paused or end, with failure detection between them: when roles fail over. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -19,7 +19,7 @@
 
 const ROWS: SuspicionRow[] = [
   ...[1, 3].map((seconds) => ({
-    name: `the leader stands still for ${seconds} s`,
+    name: `the leader is paused for ${seconds} s`,
     keepsTerms: true,
     trouble: async ({ world }: WatchfulWorld) => {
       world.freeze(world.leader, seconds);
@@ -27,7 +27,7 @@
     },
   })),
   {
-    name: 'the leader stands still for 5 s: its roles are kept as long as its lease holds',
+    name: 'the leader is paused for 5 s: its roles are kept as long as its lease holds',
     trouble: async ({ world }) => {
       const { leader } = world;
       const before = tenures(world);
@@ -52,7 +52,7 @@
     },
   },
   {
-    name: 'a node is gone for good',
+    name: 'a controller is gone for good',
     reasons: [CONFIRMED],
     trouble: async ({ world }) => {
       world.kill('n2');
@@ -98,7 +98,7 @@
     },
   },
   {
-    name: 'switched on node by node and off again',
+    name: 'switched on controller by controller and off again',
     trouble: async ({ world }) => {
       for (const settings of [{ suspicion: null }, WATCHFUL]) {
         for (const name of nodes(world)) {
@@ -112,7 +112,7 @@
     },
   },
   {
-    name: 'a node without failure detection is judged by the state service alone',
+    name: 'a controller without failure detection is judged by the key-value store alone',
     reasons: ['the holder never answered a probe'],
     trouble: async ({ world, records }) => {
       world.settingsFor = () => ({ suspicion: null });
@@ -145,7 +145,7 @@
   return new Set([...replica.assignmentsOf(job)].map(({ shard }) => shard));
 };
 
-test("suspicion: a suspected owner's part gets nothing new, keeps what it runs, and not for long", async () => {
+test("suspicion: a suspected owner's shard gets no new work, keeps what it runs, and only for a while", async () => {
   const { world } = await watchfulWorld(3);
   const machines = [...world.workers.keys()];
   world.freeze('n2', 5);
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -1,4 +1,4 @@
-/** Nodes that lose one another or the state service, with failure detection: when roles are taken. */
+/** Controllers that lose one another or the key-value store, with failure detection: when roles fail over. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { RoleTenure } from '../../src/protocol/peer-messages.js';
@@ -12,7 +12,7 @@
 
 const nodes = (world: World): string[] => world.members.map(([name]) => name);
 
-/** What names another tenure than n1's of its part, or is sent by no member. */
+/** What names another term than n1's of its shard, or is sent by no member. */
 const FOREIGN = [{ term: 7 }, { incarnation: 'x' }, { node: 'stranger' }];
 
 function refusesToStepDown(world: World, requests: Partial<RoleTenure>[]): void {
@@ -25,7 +25,7 @@
 
 const ROWS: SuspicionRow[] = [
   {
-    name: 'peers can not reach each other, the state service reaches all',
+    name: 'peers can not reach each other, the key-value store reaches all',
     keepsTerms: true,
     trouble: async ({ world }) => {
       for (const name of nodes(world)) split(world, [name]);
@@ -36,7 +36,7 @@
     },
   },
   {
-    name: 'two zones can not reach each other, the state service reaches both',
+    name: 'two zones can not reach each other, the key-value store reaches both',
     keepsTerms: true,
     trouble: async ({ world }) => {
       split(world, ['n2']);
@@ -46,7 +46,7 @@
     },
   },
   {
-    name: 'a split, the state service reaches one half',
+    name: 'a split, the key-value store reaches one half',
     reasons: [CONFIRMED],
     restarts: 8,
     trouble: async ({ world }) => {
@@ -60,7 +60,7 @@
     },
   },
   {
-    name: 'a split, the state service reaches nobody',
+    name: 'a split, the key-value store reaches nobody',
     keepsTerms: true,
     trouble: async ({ world }) => {
       split(world, ['n2']);
@@ -72,11 +72,11 @@
     },
   },
   {
-    name: 'a node that the state service alone refuses stands down',
+    name: 'a controller that the key-value store alone refuses steps down',
     reasons: [STEPPED_DOWN],
     trouble: async ({ world, steppedDown }) => {
       world.state.refused.add('n1');
-      // By now it would stand down, if it were asked for its own tenure by a member.
+      // By now it would step down, if it were asked for its own term by a member.
       await world.run(4);
       refusesToStepDown(world, FOREIGN);
       await world.run(36);
@@ -88,7 +88,7 @@
     },
   },
   {
-    name: 'the answer of a node that stood down is lost: the wait ends',
+    name: 'the answer of a controller that stepped down is lost: the wait ends',
     reasons: [STORE_ONLY_POLICY],
     trouble: async ({ world }) => {
       world.onPeerMessage = (message) =>
@@ -101,7 +101,7 @@
     },
   },
   {
-    name: 'back as a new process that the state service refuses',
+    name: 'back as a new process that the key-value store refuses',
     reasons: [REPLACED],
     trouble: async ({ world }) => {
       world.kill('n1');
@@ -114,7 +114,7 @@
     },
   },
   {
-    name: 'a node that loses its registration again and again leaves its part with another',
+    name: 'a controller that loses its registration again and again leaves its shard with another',
     trouble: async ({ world }) => {
       const owners: string[] = [];
       for (let turn = 0; turn < 4; turn++) {
@@ -131,7 +131,7 @@
     },
   },
   {
-    name: 'what one node sends another is lost',
+    name: 'what one controller sends another is lost',
     keepsTerms: true,
     trouble: async ({ world }) => {
       world.lostOneWay.add('n0>n1');
@@ -141,11 +141,11 @@
     },
   },
   {
-    name: 'a node that stood down and that nobody follows goes on under a new term',
+    name: 'a controller that stepped down and that nobody succeeds goes on under a new term',
     trouble: async ({ world, steppedDown }) => {
       const before = Number(tenures(world)['part-n1']?.split(' ')[1]);
       world.onPeerMessage = (message) => {
-        // From now on the state service serves this node alone.
+        // From now on the key-value store serves this controller alone.
         if (message.kind === 'steppedDown') {
           for (const other of ['n0', 'n2']) world.state.refused.add(other);
           world.state.refused.delete('n1');
@@ -164,7 +164,7 @@
     },
   },
   {
-    name: 'a late request to stand down meets a node that is registered',
+    name: 'a late request to step down reaches a controller that is registered',
     keepsTerms: true,
     trouble: async ({ world }) => {
       refusesToStepDown(world, [{}, ...FOREIGN]);
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -1,4 +1,4 @@
-/** Gangs within their team's guarantee stop arrays that other teams run beyond theirs. */
+/** Gangs within their team's fair share preempt arrays that other teams run beyond theirs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
@@ -26,7 +26,7 @@
   ].map((team) => [team.name, team]),
 );
 
-/** One machine of part p with this much free, and arrays of blue on it. */
+/** One machine of shard p with this much free, and arrays of blue on it. */
 const machine = (cpus: number, zone = 'a'): MachineCapacity => ({
   name: 'm-1',
   shard: 'p',
@@ -54,7 +54,7 @@
   } as unknown as StoreReplica;
 }
 
-test('a claim stops no more than what other teams run beyond their guarantees', () => {
+test('a claim preempts no more than what other teams run beyond their fair shares', () => {
   const cases: {
     name: string;
     team?: string;
@@ -64,8 +64,8 @@
     zone?: string;
     want: Record<string, number> | null;
   }[] = [
-    { name: 'enough beyond the guarantee', tasks: 8, want: { blue: 4 } },
-    { name: 'some room is free', tasks: 6, free: 2, want: { blue: 2 } },
+    { name: 'enough beyond the fair share', tasks: 8, want: { blue: 4 } },
+    { name: 'some capacity is free', tasks: 6, free: 2, want: { blue: 2 } },
     { name: 'too little beyond it', tasks: 7, want: null },
     { name: 'all within it', tasks: 4, want: null },
     { name: 'its own team', team: 'red', tasks: 14, want: null },
@@ -101,7 +101,7 @@
   cause: null,
 });
 
-test('a part stops just the arrays that a claim allows, and only at once', async () => {
+test('a shard preempts only the arrays that a claim allows, and only at once', async () => {
   const cases: {
     name: string;
     reclaim?: Record<string, number>;
--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -39,11 +39,11 @@
   arrayMemoryGb: 14,
 };
 
-test('where a gang goes: one part before several, free room before room to come, else nowhere', () => {
+test('gang placement: one shard before several, free capacity before expected capacity, else none', () => {
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
-    ['one part has the room', {}, [machine('p'), machine('q', { cpus: 2 })], 'now p:2'],
+    ['one shard has the capacity', {}, [machine('p'), machine('q', { cpus: 2 })], 'now p:2'],
     [
-      'two parts have it together',
+      'two shards have it together',
       {},
       [machine('p', { cpus: 2 }), machine('q', { cpus: 2 })],
       'now p:1 q:1',
@@ -66,10 +66,10 @@
       [machine('p'), machine('q', { zone: 'b' })],
       'now p:1 q:1',
     ],
-    // CPUs alone counted as room to come, and gangs waited in front of arrays for ever.
+    // When CPUs alone counted as expected capacity, gangs waited in front of arrays for ever.
     ['arrays that end, memory too', {}, [machine('p', FULL)], 'soon p:2'],
     ['CPUs end, memory does not', {}, [machine('p', { ...FULL, arrayMemoryGb: 0 })], 'missing 2'],
-    ['an urgent one may stop them', { priority: 'high' }, [machine('p', FULL)], 'soon p:2'],
+    ['an urgent one may preempt them', { priority: 'high' }, [machine('p', FULL)], 'soon p:2'],
     ['no spot machine', {}, [machine('p', { spot: true })], 'missing 2'],
   ];
   for (const [name, change, machines, want] of cases) {
@@ -81,7 +81,7 @@
   }
 });
 
-test('the part with most ordinary machines keeps room, and what lacks is told by zone', () => {
+test('the shard with most on-demand machines reserves capacity, and shortages are given by zone', () => {
   const fleet = [machine('p'), machine('q'), machine('q'), machine('r', { spot: true })];
   assert.equal(reservingPlace(GANG, fleet), 'q\na');
   assert.deepEqual(missingGangCapacity([GANG], [machine('p')]), []);
@@ -92,35 +92,35 @@
   assert.deepEqual([missing?.spec.zone, missing?.count], ['a', 3]);
 });
 
-test('where a gang goes: machines that fetch its image in time come first, arrays make room first', () => {
+test('gang placement: machines that fetch its image in time come first, arrays are preempted first', () => {
   const urgent: Partial<JobSpec> = { priority: 'high' };
   /** Full of tasks that rank lower and are no arrays: of a gang, say. */
   const gangs = { ...FULL, arrayCpus: 0, arrayMemoryGb: 0 };
   const slow = { type: 'slow' };
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
     [
-      'a quick type, though another has more room',
+      'a type that fetches quickly, though another has more capacity',
       {},
       [machine('p', { ...slow, cpus: 16, memoryGb: 64 }), machine('q')],
       'now q',
     ],
     [
-      'a slow one, where no other has room',
+      'a slow one, where no other has capacity',
       {},
       [machine('p', slow), machine('q', { cpus: 0 })],
       'now p',
     ],
-    // A slow fetch takes less time than arrays do to end, and more than they do to be stopped.
+    // A slow fetch takes less time than arrays need to end, and more than it takes to preempt them.
     ['a slow one before arrays end', {}, [machine('p', slow), machine('q', FULL)], 'now p'],
     [
-      'arrays are stopped before a slow fetch',
+      'arrays are preempted before a slow fetch',
       urgent,
       [machine('p', slow), machine('q', FULL)],
       'soon q',
     ],
-    // Urgent gangs stopped normal ones that had just begun, where there was more of them.
+    // Urgent gangs preempted normal ones that had just started, where there were more of them.
     [
-      'arrays are stopped before gangs',
+      'arrays are preempted before gangs',
       urgent,
       [
         machine('p', { ...gangs, preemptibleCpus: 16, preemptibleMemoryGb: 64 }),
@@ -128,7 +128,7 @@
       ],
       'soon q',
     ],
-    ['gangs are stopped where there are no arrays', urgent, [machine('p', gangs)], 'soon p'],
+    ['gangs are preempted where there are no arrays', urgent, [machine('p', gangs)], 'soon p'],
   ];
   const hints = { lastPlace: null, fetchesInTime: (type: string) => type !== 'slow' };
   for (const [name, change, machines, want] of cases) {
--- a/test/leader/team-quota-reserve.test.ts
+++ b/test/leader/team-quota-reserve.test.ts
@@ -1,4 +1,4 @@
-/** How much of its team's limit lower work may use, beside what is reserved for urgent work. */
+/** How much of its team's quota lower-priority work may use, beside the reserve for urgent work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { STARVED_MS } from '../../src/constants/leader.js';
@@ -22,7 +22,7 @@
   overdue: false,
 };
 
-/** How many tasks are allowed with so many CPUs left of the limit, after so long without any. */
+/** How many tasks are allowed with so many CPUs left of the quota, after so long without any. */
 function allowedTasks(remaining: number, starvedMs: number): number {
   let allowed = 0;
   const history = new AssignmentHistory();
@@ -48,12 +48,12 @@
   return allowed;
 }
 
-test('lower work leaves the reserve alone, but for a share of what starves because of it', () => {
+test('lower-priority work leaves the reserve alone, except for a share of jobs starved by it', () => {
   const cases: [string, number, number, number][] = [
-    ['the reserve is left alone', 10, 0, 6],
-    ['nothing but the reserve is left', 3, 0, 0],
-    // A quarter of its tasks was all that a starved job got, however much room there was.
-    ['starved, though there is room beside the reserve', 10, STARVED_MS + 1, 6],
+    ['the reserve stays untouched', 10, 0, 6],
+    ['only the reserve is left', 3, 0, 0],
+    // A starved job got only a quarter of its tasks, however much capacity there was.
+    ['starved, though there is quota left beside the reserve', 10, STARVED_MS + 1, 6],
     ['starved because of the reserve', 3, STARVED_MS + 1, 2],
     ['starved, and little is left at all', 1, STARVED_MS + 1, 1],
   ];
--- a/test/loopback/cloud-front.ts
+++ b/test/loopback/cloud-front.ts
@@ -1,8 +1,8 @@
-/** The cloud's protocol over HTTP, in front of the stand-in of the simulated world. */
+/** The cloud's protocol over HTTP, in front of the simulated key-value store. */
 import type { SimCloud } from '../world/cloud.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
 
-/** Answers requests of all nodes. */
+/** Answers requests of all controllers. */
 export async function answerForCloud(
   cloud: SimCloud,
   { method, path, query, body }: FrontRequest,
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -1,4 +1,4 @@
-/** Built controllers as processes, against stand-ins of state service, cloud and workers over HTTP. */
+/** Built controllers as processes, against a simulated key-value store, cloud and workers over HTTP. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import net from 'node:net';
 import { tmpdir } from 'node:os';
@@ -46,7 +46,7 @@
 
 /**
  * Ports of controllers lie below those that the system gives to outgoing connections (from 32,768 on): one of
- * these could be taken by another test between the look for it and the start of the controller.
+ * these could be taken by another test between the search for it and the start of the controller.
  */
 const FIRST_PORT = 20_000;
 const PORT_COUNT = 12_000;
@@ -136,12 +136,12 @@
     return this.process(name).log;
   }
 
-  /** Holder and term of a role, as the state service has them. */
+  /** Holder and term of a role, as the key-value store has them. */
   tenure(role: string): RoleRecord | null {
     return (this.state.cells.get(roleKey(role))?.value as RoleRecord | undefined) ?? null;
   }
 
-  /** Each breach of a rule. */
+  /** Each violation of an invariant. */
   get broken(): string[] {
     return this.invariants.broken;
   }
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -34,7 +34,7 @@
     return this.child !== null && this.child.exitCode !== null;
   }
 
-  /** It stands still, while all clocks run. */
+  /** It is paused, while all clocks run. */
   freeze(): void {
     this.child?.kill('SIGSTOP');
   }
--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -1,4 +1,4 @@
-/** Real controllers on loopback: frozen, thawed and cut from the state service, with failure detection. */
+/** Real controllers on loopback: frozen, thawed and cut from the key-value store, with failure detection. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { nodeKey } from '../../src/storage/keys.js';
@@ -14,7 +14,7 @@
 /** s; invariants are checked, not speed: beside load all of this takes far longer. */
 const LIMIT_S = 120;
 const TASKS = 12;
-/** ms for which orders of the leader are on their way. */
+/** ms for which commands of the leader are on their way. */
 const LATE_MS = 20_000;
 
 async function withCluster(play: (cluster: LoopbackCluster) => Promise<void>): Promise<void> {
@@ -68,7 +68,7 @@
     const leader = cluster.tenure('leader')?.owner ?? '';
     const other = MEMBERS.find(([name]) => name !== leader)?.[0] ?? '';
     await startWork(cluster, other);
-    // Its next transaction and all direct orders are on their way for longer than a takeover takes.
+    // Its next transaction and all direct commands are on their way for longer than a takeover takes.
     cluster.state.late.set(leader, LATE_MS);
     for (const worker of cluster.workers.values()) worker.holdDirectMs = LATE_MS;
     void cluster.submit('j-000003', { tasks: 2, runS: 2, spot: false, team: 'blue' }, other);
@@ -83,7 +83,7 @@
     await cluster.until('it sees that', LIMIT_S, () =>
       logged(cluster, leader, 'leadership given up'),
     );
-    await cluster.until('its part returns', LIMIT_S, () => {
+    await cluster.until('its shard returns', LIMIT_S, () => {
       return cluster.tenure(`part-${leader}`)?.owner === leader;
     });
     const why = MEMBERS.flatMap(([name]) => cluster.log(name)).filter(({ detection }) => {
@@ -130,8 +130,8 @@
 
 test('loopback', { concurrency: true }, async (t) => {
   await Promise.all([
-    t.test('a frozen leader is taken over; thawed, its orders are refused', frozenLeader),
-    t.test('a controller that pauses for two seconds keeps its roles', pausedLeader),
-    t.test('a controller that the state service alone refuses stands down', refusedLeader),
+    t.test('a frozen leader is replaced; thawed, its commands are refused', frozenLeader),
+    t.test('a controller that is paused for two seconds keeps its roles', pausedLeader),
+    t.test('a controller that the key-value store alone refuses steps down', refusedLeader),
   ]);
 });
--- a/test/loopback/state-front.ts
+++ b/test/loopback/state-front.ts
@@ -1,4 +1,4 @@
-/** The state service's protocol over HTTP, in front of the stand-in of the simulated world. */
+/** The key-value store's protocol over HTTP, in front of the simulated key-value store. */
 import {
   StoreRejectedError,
   type Change,
@@ -26,7 +26,7 @@
     ? { key: remove, remove: true }
     : { key: put ?? '', value: v, ...(perch === undefined ? {} : { lease: perch }) };
 
-/** Answers the requests of one node. */
+/** Answers the requests of one controller. */
 export class StateFront {
   private readonly api: KeyValueStore;
 
--- a/test/packages/detection-report.test.ts
+++ b/test/packages/detection-report.test.ts
@@ -20,7 +20,7 @@
 const run = (...args: string[]): { status: number | null; stderr: string; stdout: string } =>
   spawnSync(process.execPath, [CLI, 'detections', ...args], { encoding: 'utf8', cwd: folder });
 
-/** The histories of three nodes, of which one was frozen beyond its lease. */
+/** The histories of three controllers, of which one was frozen beyond its lease. */
 async function histories(): Promise<string[]> {
   const { world } = await watchfulWorld(1);
   world.freeze(world.leader, 12);
@@ -28,7 +28,7 @@
   return [...world.nodes.values()].map(({ node }) => node.detection?.export() ?? '');
 }
 
-test('detections: one self-contained report of the histories of several nodes', async () => {
+test('detections: one self-contained report of the histories of several controllers', async () => {
   const [first = '', second = '', third = ''] = await histories();
   const log = `${'{"level":30,"msg":"started"}\n'}not JSON\n${first}`;
   const files = [write('n0.log', log), write('n1.gz', gzipSync(second)), write('n2', third)];
--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -13,7 +13,7 @@
   name: string;
   members?: number;
   trouble: (network: DetectorNetwork) => Promise<void>;
-  /** States that each member may take for any other, from the trouble on. */
+  /** States that each member may take for any other, from the fault on. */
   allowed: Record<string, MemberState[]>;
   /** States that some observer must have seen, and how all look in the end. */
   seen?: Record<string, MemberState[]>;
--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -1,4 +1,4 @@
-/** Ranges, reports and peer messages, as they are written and read. */
+/** Task ranges, heartbeats and peer messages, as they are written and read. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
@@ -6,7 +6,7 @@
 import { countRanges, readRanges, writeRanges } from '../../src/storage/ranges.js';
 import { FrameReader } from '../../src/transport/peer-link.js';
 
-test('ranges are written and read', () => {
+test('task ranges are written and read', () => {
   const cases: [number[], string][] = [
     [[], ''],
     [[3], '3'],
@@ -24,7 +24,7 @@
   }
 });
 
-test('reports and their answers', () => {
+test('heartbeats and their answers', () => {
   const heartbeat = {
     moth: 'm-000231',
     endpoint: '10.1.0.232:9000',
@@ -71,7 +71,7 @@
   );
 });
 
-test('peer messages survive any cutting of the stream', () => {
+test('peer messages survive any fragmentation of the stream', () => {
   const messages: PeerMessage[] = [
     { kind: 'poke', node: 'n1', revision: 2 ** 40 },
     { kind: 'relay', id: 7, ask: 'cancel', about: 'j-000001', text: 'ä'.repeat(300) },
--- a/test/run.ts
+++ b/test/run.ts
@@ -1,5 +1,5 @@
-// Runs all tests below this folder. Those listed in KNOWN-RED.txt at the root are passed over and printed; any other
-// failure fails the run, and so does a listed test that passes by now.
+// Runs all tests below this folder. Those listed in KNOWN-RED.txt at the root are passed over and
+// printed; any other failure fails the run, and so does a listed test that passes by now.
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { run } from 'node:test';
--- a/test/scheduling/scheduling-sums.test.ts
+++ b/test/scheduling/scheduling-sums.test.ts
@@ -1,4 +1,4 @@
-/** The sums behind placing: the bandit, what may be late, and the parts of machines. */
+/** Calculations behind placement: the bandit, deadlines in overload, and the shards of machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Bandit } from '../../src/coordination/scheduling/bandit.js';
@@ -43,7 +43,7 @@
   for (const one of small) assert.ok(JSON.stringify(one).length <= 320);
 });
 
-test('overload: as many claims as possible stay in time', () => {
+test('overload: as many claims as possible meet their deadlines', () => {
   const claim = (work: number, dueS: number, runS = 1) => ({ work, runS, dueS });
   const cases: [ReturnType<typeof claim>[], number, number[]][] = [
     [[claim(10, 10), claim(10, 20)], 1, []],
@@ -61,7 +61,7 @@
   assert.equal(fitCount({ cpus: 4, gpus: 0, memoryGb: 16 }, { cpus: 1, gpus: 0, memoryGb: 5 }), 3);
 });
 
-test('a machine belongs to a part of its own zone, and always to the same one', () => {
+test('a machine belongs to a shard of its own zone, and always to the same one', () => {
   const members = [
     { node: 'n0', zone: 'a' },
     { node: 'n1', zone: 'a' },
--- a/test/shard/assignment-splitting.test.ts
+++ b/test/shard/assignment-splitting.test.ts
@@ -1,4 +1,4 @@
-/** Chunks that one value has no room for are split with their tasks as they are. */
+/** Assignments too large for one value are split with their tasks as they are. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -14,7 +14,7 @@
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, cell]) => [key, cell.value as AssignmentRecord]);
 
-/** Each task stands in one chunk only, and each chunk says of its own tasks only. */
+/** Each task stands in one assignment only, and each assignment says of its own tasks only. */
 function checkAssignments(state: SimKeyValueStore, tasks: number): void {
   const ids: number[] = [];
   for (const [key, record] of assignmentsOf(state)) {
@@ -32,7 +32,7 @@
   );
 }
 
-/** What a machine reports of all tasks when so many of them, the first, are done. */
+/** A machine's heartbeat of all tasks when the first `done` of them are done. */
 const heartbeatsOf = (tasks: number, done: number): TaskStatus[] =>
   Array.from({ length: tasks }, (_, at) => ({
     task: { job: JOB, index: at },
@@ -41,8 +41,8 @@
     cause: at < done ? 'done' : null,
   }));
 
-test('a chunk stored larger is split with its tasks as they are, and nothing starts again', async () => {
-  // Changes in one transaction, and whether the first end is enough to write the chunk at all.
+test('an assignment stored larger is split with its tasks as they are, and nothing starts again', async () => {
+  // Changes in one transaction, and whether the first end is enough to write the assignment at all.
   for (const [transactionOps, tasks, atOnce] of [
     [4, 130, true],
     [8, 130, true],
@@ -92,7 +92,7 @@
   }
 });
 
-test('a split whose answer is lost is carried on from what the state service holds', async () => {
+test('a split whose answer is lost is carried on from what the key-value store holds', async () => {
   const live: AssignmentRecord['live'] = {};
   for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
   const world = await shardFixture({
--- a/test/shard/gang-shard.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -9,7 +9,7 @@
 const SAVE_S = 2;
 const LIVE: AssignmentRecord['live'] = { '0': ['m-1', ATTEMPT], '1': ['m-1', ATTEMPT] };
 
-/** A part that takes over its share of a gang, as a former owner stored it. */
+/** A shard that takes over its assignment of a gang, as a former owner stored it. */
 async function takeOver(
   change: Partial<AssignmentRecord>,
   tasks = 2,
@@ -46,13 +46,13 @@
       ? `stop ${one.task.index} ${one.graceS}`
       : `${one.op} ${one.task.index} of ${one.attempt === ATTEMPT ? 'the old' : 'another'} attempt`,
   );
-/** Everything that the part told its machine by itself. */
+/** All direct commands of the shard to its machine. */
 const sent = (world: TakenOver): string[] => world.sent.flatMap(({ commands }) => wire(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
     // The former owner knew that task 1 had ended: its attempt can be placed no more.
-    name: 'a share of which one task has no place any more ends, and goes back',
+    name: 'an assignment of which one task has lost its placement ends, and is returned',
     check: async () => {
       const world = await takeOver({ live: { '0': ['m-1', ATTEMPT] } });
       world.heartbeat({}, [task(0, 'running')]);
@@ -65,7 +65,7 @@
     },
   },
   {
-    name: 'a share whose stop has begun is stopped to the end, with the time to save',
+    name: 'an assignment whose stop has begun is stopped completely, with the time to save',
     check: async () => {
       const world = await takeOver({ stopping: true }, 4, {});
       const both = [task(0, 'running'), task(1, 'running')];
@@ -75,8 +75,8 @@
     },
   },
   {
-    // Placed on a machine that has lost it, it would start beside mates that are gone.
-    name: 'nothing starts in a share whose stop has begun elsewhere',
+    // Placed on a machine that has lost it, it would start beside peers that are gone.
+    name: 'nothing starts in an assignment whose stop has begun elsewhere',
     check: async () => {
       const world = await takeOver({}, 4, { stopping: true });
       const commands = wire(world.heartbeat());
@@ -85,7 +85,7 @@
     },
   },
   ...(['timedOut', 'peerLost', 'error', 'noRoom', 'stopped'] as const).map((cause) => ({
-    name: `a task exits with ${cause}: the other is stopped, nothing starts again, all goes back`,
+    name: `a task exits with ${cause}: the other is stopped, nothing starts again, all is returned`,
     check: async () => {
       const world = await takeOver({});
       world.heartbeat({}, [task(0, 'gathering'), task(1, 'gathering')]);
@@ -101,7 +101,7 @@
   })),
   {
     // Mates that have saved wait only some seconds for the last halt.
-    name: 'other parts are told of a stop at once, before ends are gathered',
+    name: 'other shards are notified of a stop at once, before ends are gathered',
     check: async () => {
       const world = await takeOver({}, 4, {});
       world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
@@ -124,4 +124,4 @@
   },
 ];
 
-for (const { name, check } of ROWS) test(`gang in a part: ${name}`, check);
+for (const { name, check } of ROWS) test(`gang in a shard: ${name}`, check);
--- a/test/shard/gang-shares.test.ts
+++ b/test/shard/gang-shares.test.ts
@@ -13,7 +13,7 @@
   type ShardFixture,
 } from '../world/shard-fixture.js';
 
-/** A part with its share of a gang; `other`: the share of another part. */
+/** A shard with its assignment of a gang; `other`: the assignment of another shard. */
 async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
@@ -49,8 +49,8 @@
     },
   },
   {
-    // Tasks that start early hold their places, and end alone when the rest does not come.
-    name: 'none starts before all are reserved, here and in other parts',
+    // Tasks that start early occupy their machines, and exit as `alone` when the rest does not come.
+    name: 'none starts before all are reserved, here and in other shards',
     check: async () => {
       const world = await gang(4, {});
       world.heartbeat();
@@ -84,11 +84,11 @@
       );
       world.heartbeat({}, [shown(0, 'exited'), shown(1, 'exited')]);
       await world.reconcile(6000);
-      assert.equal(world.stored(), undefined, 'goes back to the leader');
+      assert.equal(world.stored(), undefined, 'is returned to the leader');
     },
   },
   {
-    name: 'what another part stops is stopped here too, with the time to save',
+    name: 'what another shard stops is stopped here too, with the time to save',
     check: async () => {
       const live = {
         '2': ['m-8', GANG_ATTEMPT],
@@ -110,8 +110,8 @@
     },
   },
   {
-    // Arrays that queue in a part would take each place that falls free, one by one, for ever.
-    name: 'room that falls free is kept for a gang that waits, from arrays behind it',
+    // Arrays that queue in a shard would take each machine slot that becomes free, one by one, for ever.
+    name: 'capacity that becomes free is reserved for a waiting gang, ahead of arrays behind it',
     check: async () => {
       const world = await gang(2);
       const busy = { ...SPEC, id: 'j-000002', tasks: 3 };
@@ -140,7 +140,7 @@
         state,
         cause: state === 'exited' ? 'done' : null,
       });
-      // One place is free: too few for the gang, enough for a task behind it.
+      // One slot is free: too few for the gang, enough for a task behind it.
       world.heartbeat({}, [other(0), other(1), other(2)]);
       await world.reconcile();
       const behind = (): number =>
@@ -156,4 +156,4 @@
   },
 ];
 
-for (const { name, check } of ROWS) test(`gang share: ${name}`, check);
+for (const { name, check } of ROWS) test(`gang assignment: ${name}`, check);
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -1,4 +1,4 @@
-/** Decisions of a part by the workers' times for gangs, `gang_wait_s` and `gang_peer_s`. */
+/** Decisions of a shard by the workers' times for gangs, `gang_wait_s` and `gang_peer_s`. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -25,7 +25,7 @@
   cause: state === 'exited' ? 'peerLost' : null,
 });
 
-/** A part with a gang of so many tasks, of which it has two; `other`: the share of another part. */
+/** A shard with a gang of so many tasks, of which it has two; `other`: the assignment of another shard. */
 async function gang(
   tasks: number,
   checkpointS: number,
@@ -44,7 +44,7 @@
   return world;
 }
 
-/** Answers all direct calls so far with a report of these tasks. */
+/** Answers all direct calls so far with a heartbeat of these tasks. */
 function answerCalls(world: ShardFixture, tasks: TaskStatus[]): void {
   world.answer({}, tasks);
   for (const { done } of world.sent.splice(0)) {
@@ -52,7 +52,7 @@
   }
 }
 
-/** Runs on for so long, with a report each second; the stops that were sent. */
+/** Runs on for so long, with a heartbeat each second; returns the stops that were sent. */
 async function stopsWithin(
   world: ShardFixture,
   seconds: number,
@@ -68,7 +68,7 @@
   return stops;
 }
 
-test('a gang that gathers until just before its tasks give up is withdrawn as a whole', async () => {
+test('a gang that gathers until just before its tasks give up is stopped as a whole', async () => {
   const cases: [string, TaskStatus['state'][], number, number][] = [
     ['all wait for a task elsewhere', ['gathering', 'gathering'], 34, 2],
     ['not before', ['gathering', 'gathering'], 30, 0],
@@ -87,7 +87,7 @@
   }
 });
 
-test('nobody is stopped before the other parts can know of it', async () => {
+test('nobody is stopped before the other shards can know of it', async () => {
   const live = {
     '2': ['m-8', GANG_ATTEMPT],
     '3': ['m-9', GANG_ATTEMPT],
@@ -104,7 +104,7 @@
   assert.equal(world.stored()?.stopping, true);
 });
 
-test('a gang is stopped for urgent work only where that loses little', async () => {
+test('a gang is preempted for urgent work only where that loses little', async () => {
   const cases: {
     name: string;
     checkpointS: number;
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -16,12 +16,12 @@
 const placed = (world: ShardFixture): string | undefined => world.stored()?.live['0']?.[0];
 
 /**
- * What reports prove and what not. Each row tells what comes from machine m-1, whose task 0 of JOB
- * is to run, and what must follow. `m-2` stands by with room where a row calls `other`.
+ * What heartbeats prove and what not. Each row tells what comes from machine m-1, whose task 0 of JOB
+ * is to run, and what must follow. `m-2` is an idle machine where a row calls `other`.
  */
 const ROWS: { name: string; placed?: boolean; check: (world: ShardFixture) => Promise<void> }[] = [
   {
-    name: 'a machine that never shows our token gets no work',
+    name: 'a machine that never shows our fencing token gets no work',
     check: async (world) => {
       for (let turn = 0; turn < 4; turn++) {
         assert.deepEqual(ops(world.heartbeat({ fencingToken: 0 })), []);
@@ -34,13 +34,13 @@
     },
   },
   {
-    name: 'one that stops hearing gets no more work until it shows the newest token',
+    name: 'one that stops receiving answers gets no more work until it shows the newest fencing token',
     check: async (world) => {
       world.heartbeat();
       await world.reconcile();
       world.sent[0]?.fail();
       await world.reconcile();
-      // Its next session shows that its lease ran out although it was answered.
+      // Its next agent epoch shows that its lease ran out although it was answered.
       world.heartbeat({ agentEpoch: 2 });
       world.heartbeat({ machine: 'm-2' });
       await world.reconcile();
@@ -48,7 +48,7 @@
     },
   },
   {
-    name: 'one whose session ended although it was answered gets no work until it shows a new token',
+    name: 'one whose agent epoch ended although it was answered gets no work until it shows a new fencing token',
     check: async (world) => {
       world.heartbeat();
       world.heartbeat({ agentEpoch: 2 });
@@ -60,7 +60,7 @@
     },
   },
   {
-    name: 'one that reports for long without hearing is no longer answered, and its tasks move',
+    name: 'one that sends heartbeats for long without receiving answers is no longer answered, and its tasks move',
     placed: true,
     check: async (world) => {
       let answered = 0;
@@ -74,7 +74,7 @@
     },
   },
   {
-    name: 'a copy of a report of a returned machine brings nothing back',
+    name: 'a duplicate heartbeat of a returned machine brings nothing back',
     check: async (world) => {
       const value: MachineRecord = { state: 'gone', type: 'small', zone: 'a', spot: false, at: 0 };
       world.state.change([{ key: machineKey('m-1'), value }]);
@@ -85,7 +85,7 @@
     },
   },
   {
-    name: 'a copy of a report to a machine forgotten meanwhile is no proof that it hears us',
+    name: 'a duplicate heartbeat of a machine forgotten meanwhile is no proof that it receives answers',
     check: async (world) => {
       world.heartbeat({ sequence: 50 });
       await world.reconcile(0);
@@ -117,7 +117,7 @@
     },
   },
   {
-    name: 'copies of older reports renew no sign of life',
+    name: 'duplicates of older heartbeats renew no liveness',
     check: async (world) => {
       world.heartbeat({ sequence: 50 });
       await world.reconcile();
@@ -133,7 +133,7 @@
     },
   },
   {
-    name: 'a machine back at once that counts anew is heard again, and its task starts again',
+    name: 'a machine restarted at once, with sequence numbers from one, is accepted again, and its task starts again',
     check: async (world) => {
       world.heartbeat({ sequence: 500 });
       await world.reconcile();
@@ -152,7 +152,7 @@
     },
   },
   {
-    name: 'forgetting an attempt makes every earlier direct start powerless, without new doubt',
+    name: 'forgetting an attempt fences every earlier direct start, without a new uncertainty',
     check: async (world) => {
       world.heartbeat();
       await world.reconcile();
@@ -191,7 +191,7 @@
 
 // Answers to calls renew no lease: a machine that reaches no controller loses its tasks though it
 // answers every call, and what was started there went on being lost.
-test('hearing: a machine whose reports don’t come counts as silent though it answers calls', async () => {
+test('heartbeats: a machine whose heartbeats do not arrive counts as silent though it answers direct calls', async () => {
   const world = await shardFixture();
   world.heartbeat();
   await world.reconcile();
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -37,7 +37,7 @@
   assert.equal(world.sent.length, 0);
 });
 
-test('absence proves an end only to the owner whose token the worker has shown', async () => {
+test('absence proves an end only to the owner whose fencing token the worker has shown', async () => {
   const world = await shardFixture({ placed: true });
   await world.cancel();
   world.heartbeat({ fencingToken: 3 });
@@ -48,7 +48,7 @@
   assert.equal(world.stored(), undefined);
 });
 
-test('an older report proves nothing', async () => {
+test('an older heartbeat proves nothing', async () => {
   const world = await shardFixture({ placed: true });
   world.heartbeat({ sequence: 9 }, [running(77)]);
   await world.cancel();
@@ -99,7 +99,7 @@
   assert.deepEqual(ops(world.heartbeat({ fencingToken: TOKEN + 1 }, [ended(attempt)])), ['forget']);
 });
 
-test('tasks on a machine that never spoke to the new owner wait for the fence', async () => {
+test('tasks on a machine that never sent the new owner a heartbeat wait for the fencing time', async () => {
   const world = await shardFixture({ placed: true });
   await world.clock.run(56_000);
   await world.reconcile();
@@ -109,7 +109,7 @@
   assert.deepEqual(world.stored()?.live, {});
 });
 
-test('services of a little-used machine move to another that has room and their image', async () => {
+test('services of a little-used machine move to another that has capacity and their image', async () => {
   const world = await shardFixture({ placed: true, spec: { kind: 'service' } });
   const job: JobRecord = { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 0 };
   const assignment = { ...world.stored(), ids: '0-2', live: { '0': ['m-2', 7], '1': ['m-2', 8] } };
@@ -159,9 +159,9 @@
   }
 });
 
-// Seen on the grown deployments: a chunk placed on more machines than a transaction may guard was
+// Seen on the grown deployments: an assignment placed on more machines than a transaction may guard was
 // refused as malformed, again and again, and none of its tasks ever started.
-test('a chunk on more machines than one transaction can guard is written in pieces', async () => {
+test('an assignment on more machines than one transaction can guard is written in pieces', async () => {
   const world = await shardFixture({ ids: '0-39', spec: { tasks: 40 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
@@ -174,8 +174,8 @@
 });
 
 // Seen on the one-zone site grown: the first tasks of a job that had waited long were the newest on
-// their machines, so urgent work stopped them first, again and again.
-test('urgent work stops the newest lower work, but not the first tasks of a job that waited', async () => {
+// their machines, so urgent work preempted them first, again and again.
+test('urgent work preempts the newest lower-priority work, but not the first tasks of a job that waited', async () => {
   for (const waited of [false, true]) {
     const world = await shardFixture({
       spec: { tasks: 4 },
@@ -205,8 +205,8 @@
 });
 
 // Seen on the earlier two-zone site: a start that waited for stopped work to leave its machine was
-// sent only with the machine's next report, which cost urgent work half a second and more.
-test('a start that waited for stopped work follows the answer to the stop', async () => {
+// sent only with the machine's next heartbeat, which cost urgent work half a second and more.
+test('a start that waited for preempted work follows the answer to the stop', async () => {
   const world = await shardFixture({ spec: { tasks: 4 }, ids: '0-3' });
   world.heartbeat();
   await world.reconcile();
@@ -236,9 +236,9 @@
   assert.deepEqual(ops(world.sent.at(-1)?.commands ?? []), ['start']);
 });
 
-// A placement may be committed only while its job is there: a part that has not heard yet of a
+// A placement may be committed only while its job is there: a shard that has not heard yet of a
 // cancellation started tasks after it had been confirmed.
-test('a job that was called off is not placed, though its part has not heard of it', async () => {
+test('a cancelled job is not placed, though its shard has not seen the cancellation', async () => {
   const world = await shardFixture();
   world.heartbeat();
   // Gone from the store, and no watch tells of it.
--- a/test/stand-ins/gang-saves.test.ts
+++ b/test/stand-ins/gang-saves.test.ts
@@ -1,4 +1,4 @@
-/** The stand-in for gangs: halts, what they save, and what the judge sees. */
+/** Simulated gangs: halts, what they save, and what the invariant checker reports. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
@@ -7,7 +7,7 @@
 
 const ROWS: Row[] = [
   {
-    name: 'all told with grace: they save, exit together, and the next attempt goes on from there',
+    name: 'all stopped with grace: they save, exit together, and the next attempt resumes from there',
     job: { checkpointS: 5, saveS: 3, runS: 12 },
     act: async ({ world, call, start, all, progress }) => {
       start(0, 1, 2);
@@ -27,7 +27,7 @@
     },
   },
   {
-    name: 'the last is told late but in time: saved, progress as at the first halt',
+    name: 'the last is stopped late but in time: saved, progress as at the first halt',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
     act: async ({ world, call, start, all, progress }) => {
       start(0, 1, 2);
@@ -43,7 +43,7 @@
     },
   },
   {
-    name: 'one is not told in time: it exits with mates_gone and the save fails',
+    name: 'one is not stopped in time: it exits with mates_gone and the save fails',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
     act: async ({ world, call, start, all, progress }) => {
       start(0, 1, 2);
@@ -124,8 +124,8 @@
     },
   },
   {
-    // The judge of the gang tests must see what it is there for.
-    name: 'the judge sees two machines with one task, and waiting tasks in two zones',
+    // The invariant checker of the gang tests must see what it is there for.
+    name: 'the invariant checker reports two machines with one task, and waiting tasks in two zones',
     job: { oneZone: true },
     act: async ({ world, call, start }) => {
       start(0, 1);
@@ -140,7 +140,7 @@
     },
   },
   {
-    name: 'the judge sees two attempts that run at once',
+    name: 'the invariant checker reports two attempts that run at once',
     act: async ({ world, worker, call, start }) => {
       start(0, 1, 2);
       await world.run(2);
@@ -155,7 +155,7 @@
     },
   },
   {
-    name: 'the judge sees a gang that is called done before it is',
+    name: 'the invariant checker reports a gang that is called done before it is',
     act: async ({ world, start }) => {
       start(0, 1, 2);
       await world.run(5);
@@ -170,5 +170,5 @@
 ];
 
 for (const row of ROWS) {
-  test(`the stand-in for gangs: ${row.name}`, () => playCommanded(row));
+  test(`simulated gangs: ${row.name}`, () => playCommanded(row));
 }
--- a/test/stand-ins/gang-starts.test.ts
+++ b/test/stand-ins/gang-starts.test.ts
@@ -1,4 +1,4 @@
-/** The stand-in for gangs: waiting, the common start, and tasks that are lost. */
+/** Simulated gangs: waiting, the common start, and tasks that are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
@@ -28,7 +28,7 @@
     },
   },
   {
-    name: 'waiting tasks are on their machines, and count for the limits',
+    name: 'waiting tasks are on their machines, and count against quotas',
     job: { cpus: 4, team: 'blue', tasks: 4 },
     act: async ({ world, worker, start }) => {
       start(0, 1, 2, 3);
@@ -36,13 +36,13 @@
       assert.equal([...worker(0).onMachine()].length, 0);
       await world.run(1);
       assert.equal([...worker(0).onMachine()].length, 1);
-      // The team's limit is 12.
+      // The team's quota is 12.
       assert.deepEqual(world.broken, ['quota blue 16']);
       world.broken.length = 0;
     },
   },
   {
-    name: 'a waiting task holds its place: another start on its machine is refused',
+    name: 'a waiting task occupies its machine: another start there is refused',
     job: { cpus: 3 },
     act: async ({ world, worker, call, start, seen }) => {
       start(0);
@@ -54,7 +54,7 @@
     },
   },
   {
-    name: 'never complete: alone, each after its own wait',
+    name: 'never complete: each exits as `alone` after its own wait',
     act: async ({ world, call, start, all }) => {
       start(0);
       await world.run(10);
@@ -90,7 +90,7 @@
     },
   },
   {
-    name: 'a waiting task disappears: the rest wait on, a replacement of the attempt completes them',
+    name: 'a waiting task disappears: the rest go on waiting, a replacement of the attempt completes them',
     act: async ({ world, worker, call, start, seen }) => {
       start(0, 1);
       await world.run(3);
@@ -104,7 +104,7 @@
     },
   },
   {
-    name: 'a machine that hangs while the last image comes joins when it goes on',
+    name: 'a machine that hangs while the last image comes joins when it resumes',
     act: async ({ world, worker, start, all }) => {
       start(0, 1);
       await world.run(2);
@@ -131,7 +131,7 @@
     },
   },
   {
-    name: 'a machine hangs for 12 s: its mates go in time, it follows when it goes on',
+    name: 'a machine hangs for 12 s: its peers exit in time, it follows when it resumes',
     act: async ({ world, worker, start, all, progress }) => {
       start(0, 1, 2);
       await world.run(4);
@@ -156,7 +156,7 @@
     },
   },
   {
-    name: 'a machine cut from the controllers stays a mate',
+    name: 'a machine cut from the controllers stays a peer',
     act: async ({ world, worker, start, all }) => {
       start(0, 1, 2);
       await world.run(2);
@@ -168,5 +168,5 @@
 ];
 
 for (const row of ROWS) {
-  test(`the stand-in for gangs: ${row.name}`, () => playCommanded(row));
+  test(`simulated gangs: ${row.name}`, () => playCommanded(row));
 }
--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -1,4 +1,7 @@
-/** The judge of the simulated world notes each form of a forgotten job: a fault is put in for each. */
+/**
+ * The invariant checker of the simulated cluster notes each form of a forgotten job: a fault is put
+ * in for each.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Reply } from '../world/jobs.js';
@@ -59,14 +62,14 @@
   },
   { name: 'all polls fail for 100 s', tamper: allPolls, forS: 100, expected: null },
   {
-    name: 'all polls fail for 80 s after all troubles',
+    name: 'all polls fail for 80 s after all faults',
     tamper: allPolls,
     forS: 80,
     isOver: true,
     expected: /^forgotten j-00000[12]: no question answered for 75 s/,
   },
   {
-    name: 'all nodes are down for 80 s after all troubles',
+    name: 'all controllers are down for 80 s after all faults',
     begin: (world) => {
       for (const name of names(world)) world.kill(name);
     },
@@ -86,7 +89,7 @@
   },
 ];
 
-test('judge: each form of a forgotten job is noted, and nothing else', async () => {
+test('invariant checker: each form of a forgotten job is noted, and nothing else', async () => {
   for (const { name, tamper, begin, forS, isOver, expected } of FAULTS) {
     const world = new World(51);
     for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
--- a/test/storage/late-store-answers.test.ts
+++ b/test/storage/late-store-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers of the state service that come later than the watch which tells of something newer. */
+/** Answers of the key-value store that come later than the watch which tells of something newer. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobKey } from '../../src/storage/keys.js';
@@ -34,7 +34,7 @@
 
 // A read, or the answer to a write, that came after the watch had told of the removal brought the key
 // back for good: a leader then assigned tasks of a job that was over, and all others waited behind it.
-test('late values: what the watch has told to be removed does not come back', async () => {
+test('late values: a key that the watch reported as removed does not come back', async () => {
   for (const { name, written, late, isWatched, expected } of LATE) {
     const clock = new SimClock();
     const state = new SimKeyValueStore(clock);
@@ -51,7 +51,7 @@
   }
 });
 
-test('late values: jobs run while the answer to the acceptance of one that is over is on its way', async () => {
+test('late values: jobs run while the answer to the acceptance of an ended one is delayed', async () => {
   const world = new World(31, [['n0', 'a'], ['n1', 'a']]); // prettier-ignore
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers of the state service that lack what they must have: nothing may be concluded from them. */
+/** Answers of the key-value store without required fields: nothing may be concluded from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HttpKeyValueStore, type KeyValueStore } from '../../src/protocol/key-value-store.js';
@@ -47,7 +47,7 @@
 ];
 
 // A page that could not be read was taken for an empty list of all keys: every job would have been absent.
-test('state service: an answer that lacks what it must have is none', async () => {
+test('key-value store: an answer without a required field is an error', async () => {
   for (const { name, body, request } of ROWS) {
     const client = answering({ status: 200, body });
     await assert.rejects(
@@ -58,7 +58,7 @@
   }
 });
 
-test('state service: whole answers are read', async () => {
+test('key-value store: complete answers are read', async () => {
   const of = (status: number, body: unknown): KeyValueStore => {
     const client = answering({ status, body });
     return new HttpKeyValueStore(client, client, 1000);
--- a/test/storage/multi-value-records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -1,4 +1,4 @@
-/** Arms, the catalogue and the status that one value has no room for. */
+/** Bandit arms, catalogues and machine status too large for one value. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readCatalog, writeCatalog } from '../../src/storage/catalog.js';
@@ -37,7 +37,7 @@
   return bandit;
 }
 
-/** What the version before does with each key below a part's arms. */
+/** What the version before does with each key below a shard's arms. */
 function restoreOld(types: string[], record: ArmRecord): number[][] | null {
   if (record.types.join() !== types.join()) return null;
   const size = 21 + 2 * types.length;
@@ -68,7 +68,7 @@
 }
 
 // A matrix that one value could not hold was cut to its diagonal, or thrown away.
-test('arms of twenty classes and three types come back whole from values of 2 KiB', () => {
+test('arms of twenty classes and three types are restored completely from values of 2 KiB', () => {
   const bandit = learned();
   const other = new Bandit(ARM_TYPES, 2, 2);
   const lossy = new Bandit(ARM_TYPES, 2, 2);
@@ -104,7 +104,7 @@
 
 // --- Catalogue ---------------------------------------------------------------------------------
 
-test('a catalogue larger than a value is read whole, and what it no longer needs goes', async () => {
+test('a catalogue larger than a value is read completely, and records it no longer needs are removed', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   state.valueBytes = SMALL;
@@ -139,8 +139,8 @@
   return pages;
 };
 
-// Missing from all shards for a moment, a machine looks to the leader like one that never came up.
-test('a status written larger is taken apart, and no machine is missing in between', async () => {
+// A machine missing from all pieces for a moment appears to the leader like one that never came up.
+test('a machine status stored larger is split, and no machine is missing in between', async () => {
   for (const transactionOps of [2, 8]) {
     const machines: StatusRecord['machines'] = {};
     for (let at = 0; at < 80; at++) machines[`m-${100000 + at}`] = ['small', 'a', 0, 'ok'];
@@ -150,11 +150,11 @@
       held: [{ key: statusKey('p', 0), value: { machines } }],
     });
     assert.ok(bytes({ machines }) > SMALL);
-    // The last of them report on, the first stay where they were.
+    // The last of them go on with heartbeats, the first stay where they were.
     world.heartbeat();
     const from = world.state.log.length;
     await world.reconcile(8000);
-    // After each single change, not only after each round.
+    // After each single change, not only after each pass.
     const held = new Map<string, string[]>([[statusKey('p', 0), Object.keys(machines)]]);
     const written = world.state.log
       .slice(from)
--- a/test/storage/rate-limiter.test.ts
+++ b/test/storage/rate-limiter.test.ts
@@ -1,10 +1,10 @@
-/** The members' share of the state service's limits. */
+/** The members' share of the key-value store's limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimiter, type Purpose } from '../../src/storage/rate-limiter.js';
 import { SimClock } from '../world/clock.js';
 
-test('the state service: members share its limits, and one uses what the others leave', async () => {
+test('the key-value store: members share its rate limits, and one may use what the others leave', async () => {
   // [members that ask, least and most requests a second that pass all together]
   const cases: [string, number, number, number][] = [
     ['all ask', 5, 60, 104],
@@ -42,8 +42,8 @@
   }
 });
 
-test('the state service: what a node wrote lately says how scarce writes are', async () => {
-  // [writes a second of this node, what it is told]; its equal share is 10 a second.
+test('the key-value store: recent writes of a controller tell how scarce writes are', async () => {
+  // [writes a second of this controller, what it is told]; its equal share is 10 a second.
   const cases: [number, string][] = [
     [2, 'plenty'],
     [7, 'scarce'],
@@ -60,13 +60,13 @@
   }
 });
 
-// A check waited behind writes that there was no room for, as long as decisions had some to make: each
-// question about a job that this node had to look up failed all the while.
-test('the state service: checks pass while decisions use up the writes, or all requests', async () => {
+// A check waited behind writes above the rate limit, as long as decisions had some to make: each
+// question about a job that this controller had to look up failed all the while.
+test('the key-value store: checks pass while decisions use up the writes, or all requests', async () => {
   // [requests and writes a second that decisions ask for, writes of each]
   const cases: [string, number, number][] = [
-    ['more writes than there is room for', 8, 8],
-    ['more requests than there is room for', 60, 0],
+    ['more writes than the rate limit allows', 8, 8],
+    ['more requests than the rate limit allows', 60, 0],
   ];
   for (const [name, rate, cost] of cases) {
     const clock = new SimClock();
@@ -92,7 +92,7 @@
   }
 });
 
-test('the state service: writes keep their order, and pass over nothing that waits before them', async () => {
+test('the key-value store: writes keep their order, and overtake nothing that waits before them', async () => {
   const clock = new SimClock();
   const limiter = new RateLimiter(clock, { rps: 80, writeRps: 10, transactionOps: 8 }, 1);
   const order: string[] = [];
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -22,8 +22,8 @@
   return { ...store, state, errors, committer: new Committer(store) };
 }
 
-// A 400 taken for a conflict was tried again for ever, unchanged.
-test('an invalid transaction is told once and not tried again; an ended lease is a conflict', async () => {
+// A 400 treated as a conflict was retried for ever, unchanged.
+test('an invalid transaction is logged once and not retried; an expired lease is a conflict', async () => {
   const put = (key: string, bytes = 10): Change => ({ key, value: 'x'.repeat(bytes) });
   const many = <T>(count: number, make: (at: number) => T): T[] =>
     Array.from({ length: count }, (_, at) => make(at));
@@ -61,7 +61,7 @@
   }
 });
 
-test('what was in an invalid transaction pauses longer each time, and then goes alone', async () => {
+test('changes of an invalid transaction back off longer each time, and then go alone', async () => {
   const clock = new SimClock();
   const rejectedChangeBackoff = new RejectedChangeBackoff(clock);
   assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 2), 2);
@@ -108,7 +108,7 @@
     duskS: null,
   });
 
-/** The requests of users at a node that believes in these limits. */
+/** The requests of users at a controller that believes in these limits. */
 function userRequestsOn(
   {
     clock,
@@ -134,8 +134,8 @@
   });
 }
 
-test('submissions that fit no value get 422, and take none of the others down', async () => {
-  // Bytes that the node takes a value for, and those that the state service takes.
+test('submissions too large for a value get 422, and make none of the others fail', async () => {
+  // Bytes that the controller takes a value for, and those that the key-value store takes.
   for (const [believed, real] of [
     [2048, 2048],
     [8192, 2048],
--- a/test/upgrade/assignment-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -1,4 +1,4 @@
-/** Chunks that go to and fro between this version and the one in production. */
+/** Assignments that go to and fro between this version and the one in production. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -20,7 +20,7 @@
   name: string;
   tasks: number;
   transactionOps: number;
-  /** Writes a second that the state service takes; null: any. */
+  /** Writes a second that the key-value store takes; null: any. */
   writeRps: number | null;
   gang: boolean;
   /** Its pieces fit into one transaction before many of its tasks have ended. */
@@ -35,7 +35,7 @@
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, { value }]) => [key, value as Stored]);
 
-/** After each transaction each task is in one chunk, neither lost nor doubled. */
+/** After each transaction each task is in one assignment, neither lost nor doubled. */
 function assertWhole(log: Written, before: Map<string, unknown>, tasks: number): void {
   const held = new Map(before);
   const revisions = [...new Set(log.map((one) => one.revision))];
@@ -55,7 +55,7 @@
   }
 }
 
-/** This version as the owner of what is stored; `run` must leave every task in one chunk. */
+/** This version as the owner of what is stored; `run` must leave every task in one assignment. */
 async function ownedByThisVersion(
   { tasks, transactionOps, writeRps, gang }: Crossing,
   stored: Map<string, unknown>,
@@ -84,7 +84,7 @@
   return new Map(assignmentsOf(world.state));
 }
 
-/** Each machine reports its tasks; of those in `done` it says that they are. */
+/** Each machine sends a heartbeat of its tasks; those in `done` are reported as done. */
 function reportAll(world: ShardFixture, placements: Placements, done: ReadonlySet<number>): void {
   for (const machine of MACHINES) {
     const tasks: TaskStatus[] = [...placements]
@@ -195,6 +195,6 @@
   },
 ];
 
-test('a chunk stored larger than the announced limits crosses versions, and no task is lost', async (t) => {
+test('an assignment stored larger than the announced limits crosses versions, and no task is lost', async (t) => {
   for (const row of CROSSINGS) await t.test(row.name, () => playCrossing(row));
 });
--- a/test/upgrade/older-records.test.ts
+++ b/test/upgrade/older-records.test.ts
@@ -70,7 +70,7 @@
     },
   },
   {
-    name: 'a chunk of 89f79d3 is no share of a gang',
+    name: 'an assignment of 89f79d3 does not belong to a gang',
     records: {
       [ASSIGNMENT_1]: {
         ids: '0-3,7',
@@ -97,7 +97,7 @@
     },
   },
   {
-    name: 'shares of a gang keep their attempt, and that it ends',
+    name: 'assignments of a gang keep their attempt, and that it is being stopped',
     records: {
       [ASSIGNMENT_1]: { ids: '0', done: '', live: {}, ...KIND, attempt: ATTEMPT, ...LATER },
       [`mb/live/chunk/q/${JOB}/3000002`]: {
@@ -123,7 +123,7 @@
     },
   },
   {
-    name: 'a chunk that was taken apart counts with all its pieces',
+    name: 'an assignment that was split counts with all its pieces',
     records: {
       [ASSIGNMENT_1]: { ids: '0-1', done: '0', live: {}, ...KIND },
       [`${ASSIGNMENT_1}.1`]: { ids: '2', done: '', live: { '2': ['m-2', ATTEMPT] }, ...KIND },
@@ -148,7 +148,7 @@
     },
   },
   {
-    name: "the leader's word on a machine, and none",
+    name: "the leader's decision on a machine, and none",
     records: {
       'mb/live/machine/m-1': {
         ...{ state: 'rented', type: 'small', zone: 'a', spot: false, at: 5 },
@@ -168,7 +168,7 @@
     },
   },
   {
-    name: "all shards of a part's status, and machines that leave",
+    name: "all shards of a shard's status, and machines that leave",
     records: {
       'mb/live/status/p/0': { machines: { 'm-1': ['small', 'a', 0, 'ok'] }, ...LATER },
       'mb/live/status/p/1': {
@@ -216,7 +216,7 @@
     },
   },
   {
-    name: 'a node that is there keeps its roles',
+    name: 'a controller that is there keeps its roles',
     records: {
       'mb/live/role/leader': role('n1'),
       'mb/live/node/n1': { incarnation: 'n1-before', ...LATER },
--- a/test/upgrade/peer-messages.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -4,7 +4,7 @@
 import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
 
 /*
- * The frames between nodes as older versions read and write them. Both versions have no schema file:
+ * The frames between controllers as older versions read and write them. Both versions have no schema file:
  * these are the field numbers and types in their src/protocol/peer-messages.ts.
  */
 type Schema = Record<string, Record<string, { id: number; type: string }>>;
--- a/test/upgrade/upgrade.test.ts
+++ b/test/upgrade/upgrade.test.ts
@@ -22,7 +22,7 @@
 
 /*
  * What the version before this one takes of each record, as it reads it: it checks nothing, so a
- * field that it uses and does not find would be wrong sums, or an exception in the middle of a round.
+ * field that it uses and does not find would be wrong sums, or an exception in the middle of a pass.
  */
 const fields = (value: unknown, names: Record<string, string>): boolean =>
   Object.entries(names).every(([name, type]) => {
@@ -195,7 +195,7 @@
 const LOWERED = { valueBytes: 2048, transactionOps: 4 };
 
 test('a new version takes over what the old one left, and writes what the old one reads', async () => {
-  // Live tasks in one chunk, the limits that the settings tell of, and when they come into force.
+  // Live tasks in one assignment, the limits that the settings tell of, and when they come into force.
   const cases: [string, number, Pick<Settings, 'valueBytes' | 'transactionOps'>, number][] = [
     ['in force from the start', 130, LOWERED, 0],
     ['in force in the middle of it', 130, LOWERED, 31],
@@ -227,7 +227,7 @@
             assert.equal(
               seen.get(`${job}/${id}`),
               undefined,
-              `${name}: ${job}/${id} in two chunks`,
+              `${name}: ${job}/${id} in two assignments`,
             );
             seen.set(`${job}/${id}`, key);
           }
@@ -245,7 +245,7 @@
     };
     await run(20);
     void world.submit('j-000003', { team: 'blue', spot: false });
-    // A task fails, so that the chunk has to be written anew; others end.
+    // A task fails, so that the assignment has to be written anew; others end.
     const end = (task: string, cause: string): void => {
       for (const worker of world.workers.values()) {
         const one = worker.tasks.get(task);
@@ -279,7 +279,7 @@
       assert.equal(held.term, TERM + 1, `${name}: ${role}`);
     }
     const apart = world.state.log.some(({ key }) => /chunk\/.*\.\d+$/.test(key));
-    assert.equal(apart, limits.valueBytes < 4096, `${name}: the chunk was split`);
+    assert.equal(apart, limits.valueBytes < 4096, `${name}: the assignment was split`);
     let arms = 0;
     for (const { key, value, removed } of world.state.log.slice(from)) {
       if (removed) continue;
--- a/test/upgrade/written-records.test.ts
+++ b/test/upgrade/written-records.test.ts
@@ -39,7 +39,7 @@
 
 const WRITES: WriteRow[] = [
   {
-    name: 'nodes with ordinary jobs, gangs, cancellations, and machines that come and go',
+    name: 'controllers with ordinary jobs, gangs, cancellations, and machines that come and go',
     kinds: [
       ...['mb/live/job/j-N', 'mb/final/j-N', 'mb/live/chunk', 'mb/live/machine/m-N'],
       ...['mb/live/status', 'mb/live/role/leader', 'mb/live/node/nN', 'mb/live/arm'],
@@ -65,7 +65,7 @@
     },
   },
   {
-    name: 'a share of a gang that ends with the others',
+    name: 'an assignment of a gang that ends with the others',
     kinds: ['mb/live/chunk'],
     write: async () => {
       const share = { ...ASSIGNMENT, done: '', attempt: 7 };
@@ -91,7 +91,7 @@
     },
   },
   {
-    name: 'arms that one value has no room for',
+    name: 'arms too large for one value',
     kinds: ['mb/live/arm', 'mb/live/arm+N'],
     write: async () => {
       const overrides = {
@@ -117,7 +117,7 @@
     },
   },
   {
-    name: 'a status that one value has no room for',
+    name: 'a machine status too large for one value',
     kinds: ['mb/live/status'],
     write: async () => {
       const machines = Object.fromEntries(
@@ -141,7 +141,7 @@
     },
   },
   {
-    name: 'a catalogue that one value has no room for',
+    name: 'a catalogue too large for one value',
     kinds: ['mb/live/catalog', 'mb/live/catalog/N'],
     write: async () => {
       const clock = new SimClock();
--- a/test/world/answered-polls.ts
+++ b/test/world/answered-polls.ts
@@ -1,30 +1,30 @@
-/** Notes which questions about accepted jobs are answered: a job of which nothing can be learned is forgotten. */
+/** Records which polls of accepted jobs are answered: a job whose state cannot be learned is forgotten. */
 
-/** ms for which each question about a job may fail while most others get answers. */
+/** ms for which every poll of a job may fail while most others are answered. */
 const FAILING_MS = 90_000;
-/** ms after all troubles without an answered question, however others fare. */
+/** ms without an answered poll after the end of all faults, however others fare. */
 const SILENT_MS = 75_000;
 
-/** The outcome of one question. */
+/** The outcome of one poll. */
 interface Outcome {
   id: string;
   at: number;
   isAnswered: boolean;
 }
 
-/** The questions that users ask about accepted jobs. */
+/** The polls that users make of accepted jobs. */
 export class Questions {
   private readonly outcomes: Outcome[] = [];
-  /** When the first of the questions failed that were not answered since, by job. */
+  /** When the first of the polls failed that were not answered since, by job. */
   private readonly failingSince = new Map<string, number>();
   private overAt: number | null = null;
 
-  /** All troubles are over. */
+  /** All faults are over. */
   faultsOver(at: number): void {
     this.overAt = at;
   }
 
-  /** A question about an accepted job was answered or not; returns the breaches that this shows. */
+  /** A poll of an accepted job was answered or not; returns the violations that this shows. */
   asked(id: string, isAnswered: boolean, at: number): string[] {
     this.outcomes.push({ id, at, isAnswered });
     if (isAnswered) {
@@ -38,7 +38,7 @@
       breaches.push(`forgotten ${id}: each question failed for 90 s`);
     }
     if (this.overAt !== null && at - Math.max(since, this.overAt) >= SILENT_MS) {
-      breaches.push(`forgotten ${id}: no question answered for 75 s after all troubles`);
+      breaches.push(`forgotten ${id}: no question answered for 75 s after all faults`);
     }
     return breaches;
   }
--- a/test/world/api-fixture.ts
+++ b/test/world/api-fixture.ts
@@ -1,4 +1,4 @@
-/** One node's handlers of users' requests on their own, with the state service behind them. */
+/** One controller's handlers of users' requests on their own, with the key-value store behind them. */
 import { UserRequests } from '../../src/coordination/api/user-requests.js';
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG } from '../../src/storage/keys.js';
@@ -25,13 +25,13 @@
 export interface UserNodeOptions {
   /** ms between two checking transactions. */
   checkMs?: number;
-  /** Requests and writes a second that this node may use. */
+  /** Requests and writes a second that this controller may use. */
   rps?: number;
-  /** Changes the state service before the node reads it. */
+  /** Changes the key-value store before the controller reads it. */
   prepare?: (state: SimKeyValueStore) => void;
 }
 
-/** The handlers of users' requests of one node, whose replica follows the state service. */
+/** The handlers of users' requests of one controller, whose replica follows the key-value store. */
 export async function userNode({ checkMs = 300, rps = 100, prepare }: UserNodeOptions = {}) {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
--- a/test/world/clock.ts
+++ b/test/world/clock.ts
@@ -1,4 +1,4 @@
-// Loaded ahead: the part imports it late, in real time, which would make simulated time vary.
+// Loaded ahead: the shard imports it lazily, in real time, which would make simulated time vary.
 import '../../src/coordination/scheduling/bandit.js';
 import type { Clock } from '../../src/transport/clock.js';
 
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud of the simulated world: rents machines and takes them back. */
+/** The cloud of the simulated cluster: rents machines and takes them back. */
 import type { CloudApi } from '../../src/protocol/cloud-api.js';
 import type { ListedMachine } from '../../src/protocol/model.js';
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
@@ -6,7 +6,7 @@
 import { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
-/** Machines that are rented, and the troubles that renting may have. */
+/** Machines that are rented, and the faults that renting may have. */
 export class SimCloud {
   /** Machines that the cloud still has; 0 refuses. */
   capacity = 20;
@@ -21,7 +21,7 @@
 
   constructor(private readonly world: SimulationHost) {}
 
-  /** The cloud as a node sees it. */
+  /** The cloud as a controller sees it. */
   api(): CloudApi {
     return {
       types: () =>
--- a/test/world/commanded-gang.ts
+++ b/test/world/commanded-gang.ts
@@ -7,7 +7,10 @@
 /** The job of the gang. */
 export const JOB = 'j-000001';
 
-/** A gang of three on three machines, commanded by the test: the controllers answer reports and no more. */
+/**
+ * A gang of three on three machines, commanded by the test: the controllers answer heartbeats and
+ * no more.
+ */
 export async function commandGang(job: Partial<SimJob>) {
   const world = new World(1, [['n0', 'a']]);
   world.kill('n0');
@@ -28,7 +31,10 @@
   const start = (...indices: number[]): void => {
     for (const index of indices) assert.equal(call(index, 'launch', index), 200);
   };
-  /** What machine `at` reports of its task: "state", with cause and "stored" if there are any. */
+  /**
+   * The state of its task in the heartbeats of machine `at`: "state", with cause and "stored" if
+   * there are any.
+   */
   const seen = (at: number): string => {
     const reply = JSON.parse(worker(at).command(1, 1, []).body) as {
       larvae: { stage: string; cause?: string; stored?: boolean }[];
--- a/test/world/detector-network.ts
+++ b/test/world/detector-network.ts
@@ -24,7 +24,7 @@
   message: DetectorMessage;
 }
 
-/** What waits for a member that stands still. */
+/** What waits for a member that is paused. */
 interface Held {
   timers: (() => void)[];
   messages: (() => void)[];
@@ -88,7 +88,7 @@
     this.detectors.delete(name);
   }
 
-  /** A member's event loop stands still: what comes waits until it goes on. */
+  /** A member's event loop is paused: what comes waits until it goes on. */
   hold(name: string, seconds: number): void {
     const waiting: Held = { timers: [], messages: [] };
     this.held.set(name, waiting);
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -1,4 +1,4 @@
-/** What a node of the simulated world reaches: time, state service, cloud, workers and peers. */
+/** What a controller of the simulated cluster reaches: time, key-value store, cloud, workers and peers. */
 import type { Environment } from '../../src/coordination/controller/controller-node.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
@@ -9,12 +9,12 @@
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { World } from './world.js';
 
-/** ms that messages between nodes take. */
+/** ms that messages between controllers take. */
 const PEER_MS = 2;
 /** ms after which a direct call without an answer has failed. */
 const DIRECT_LIMIT_MS = 2000;
 
-/** Commands from a node to a machine, without waiting for its next report. */
+/** Commands from a controller to a machine, without waiting for its next heartbeat. */
 interface DirectCall {
   address: string;
   fencingToken: number;
@@ -24,7 +24,7 @@
 
 type Guarded = <T>(call: Promise<T>) => Promise<T>;
 
-/** The outside of a node. What comes while it stands still waits; a dead one gets nothing more. */
+/** The environment of a controller. What comes while it is paused waits; a stopped one gets nothing more. */
 export function environmentOf(world: World, name: string, isDead: () => boolean): Environment {
   const guarded: Guarded = (call) =>
     new Promise((resolve, reject) => {
--- a/test/world/fault-case.ts
+++ b/test/world/fault-case.ts
@@ -1,11 +1,11 @@
-/** Cases of one trouble in the simulated world, and how they are judged. */
+/** Cases of one fault in the simulated cluster, and their final checks. */
 import assert from 'node:assert/strict';
 import type { Settings } from '../../src/protocol/settings.js';
 import { stageOf as stage } from './jobs.js';
 import { settled } from './requests.js';
 import { World } from './world.js';
 
-/** A world with some machines, jobs of both teams and a trouble; the rules must hold throughout. */
+/** A world with some machines, jobs of both teams and a fault; the rules must hold throughout. */
 export interface RuleCase {
   name: string;
   trouble: (world: World) => Promise<void>;
--- a/test/world/fault-sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -1,18 +1,18 @@
-/** Users who look at all nodes right after each answer, under all kinds of trouble. */
+/** Users who poll all controllers right after each answer, under all kinds of faults. */
 import assert from 'node:assert/strict';
 import { stageOf } from './jobs.js';
 import { settled } from './requests.js';
 import { Users } from './users.js';
 import { World, type Members } from './world.js';
 
-/** A trouble of users who look closely. */
+/** A fault while users poll closely. */
 export interface Fault {
   name: string;
-  /** Begins the trouble, and ends it by the time that all are over. */
+  /** Begins the fault, and ends it by the time that all are over. */
   begin: (world: World) => void;
 }
 
-/** s at which each trouble begins and ends, and the jobs have come. */
+/** s at which each fault begins and ends, and the jobs have come. */
 const BEGINS_S = 10;
 const ENDS_S = 55;
 const during = (world: World, begin: () => void, end: () => void): void => {
@@ -134,7 +134,7 @@
 /** How large a world is, and how many jobs come. */
 export interface Size {
   members?: Members;
-  /** What the state service takes in a second. */
+  /** What the key-value store takes in a second. */
   rps: number;
   writeRps: number;
   machines: number;
@@ -169,7 +169,7 @@
   restS: 100,
 };
 
-/** Plays a trouble by this seed: nothing may be forgotten, and every end stays. */
+/** Plays a fault by this seed: nothing may be forgotten, and every end stays. */
 export async function sweep({ begin }: Fault, seed: number, size: Size): Promise<void> {
   const world = new World(seed, size.members, {
     storeRps: size.rps,
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -1,4 +1,4 @@
-/** Rules of the operators' page on gangs, played in the simulated world: the rows' common steps. */
+/** Rules of the operators' page on gangs, played in the simulated cluster: the rows' common steps. */
 import assert from 'node:assert/strict';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
@@ -10,13 +10,13 @@
 import type { SimWorker } from './worker.js';
 import type { World } from './world.js';
 
-/** s after which the tasks of a machine that nobody hears have ended. */
+/** s after which the tasks of a machine without heartbeats have ended. */
 export const LEASE_S = 24;
 /** Four tasks on two machines, or more, of which each can save. */
 export const LONG: Partial<SimJob> = { tasks: 4, cpus: 2, runS: 30, ...SAVING };
 /** A gang of the other team, wide enough for the machines of two zones. */
 export const WIDE: Partial<SimJob> = { team: 'blue', tasks: 6, cpus: 2, runS: 60, ...SAVING };
-/** What others make way for. */
+/** A gang that preempts others. */
 export const URGENT: Partial<SimJob> = { tasks: 4, cpus: 2, urgent: true, runS: 15 };
 
 /** A gang under one rule, what happens to it, and the jobs that must get done. */
@@ -89,12 +89,12 @@
     return script.holder(this.world, id);
   }
 
-  /** Cuts a machine from all nodes. */
+  /** Cuts a machine from all controllers. */
   cut(worker: SimWorker): void {
     for (const [node] of this.world.members) this.world.cuts.add(`${node}>${worker.machine.name}`);
   }
 
-  /** The nodes that own parts with shares of a job. */
+  /** The controllers that own shards with shares of a job. */
   owners(id = GANG): Set<string> {
     const owners = new Set<string>();
     for (const key of this.world.state.cells.keys()) {
@@ -106,7 +106,7 @@
     return owners;
   }
 
-  /** The machine of each task of a job that has one, by what the state service holds. */
+  /** The machine of each task of a job that has one, by what the key-value store holds. */
   reserved(id = GANG): string[] {
     return [...this.world.state.cells].flatMap(([key, cell]) =>
       readAssignmentKey(key)?.job === id
@@ -115,7 +115,7 @@
     );
   }
 
-  /** Attempts under which a job's tasks were ever handed out to parts. */
+  /** Attempts under which a job's tasks were ever handed out to shards. */
   attempts(id = GANG): Set<number | undefined> {
     const attempts = new Set<number | undefined>();
     for (const { key, value, removed } of this.world.state.log) {
@@ -141,7 +141,7 @@
     assert.ok(Math.abs(ranS - (runS - savedS)) <= 1, `ran ${ranS} s, saved ${savedS} s`);
   }
 
-  /** All is over: the state at every node, nothing left on machines nor in the store. */
+  /** All is over: the state at every controller, nothing left on machines nor in the store. */
   async assertEnded(id: string, state: string, limitS: number): Promise<void> {
     let stage = '';
     for (let passed = 0; passed < limitS && stage !== state; passed += 2) {
--- a/test/world/gang-script.ts
+++ b/test/world/gang-script.ts
@@ -1,4 +1,4 @@
-/** Gangs in the simulated world: the steps of their scripts, and how they must end. */
+/** Gangs in the simulated cluster: the steps of their scripts, and the checks of their ends. */
 import assert from 'node:assert/strict';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
@@ -25,7 +25,7 @@
   zones?: string[];
   maxMachines?: number;
   act: (world: World) => Promise<void>;
-  /** Jobs that must get done, asked at every node; default: the gang. */
+  /** Jobs that must get done, asked at every controller; default: the gang. */
   done?: string[];
 }
 
@@ -93,34 +93,34 @@
   return first.worker;
 }
 
-/** The node that holds a role. */
+/** The controller that holds a role. */
 export function owner(world: World, role: string): string {
   const record = world.state.cells.get(roleKey(role))?.value as { owner: string } | undefined;
   assert.ok(record, `nobody holds ${role}`);
   return record.owner;
 }
 
-/** The parts that hold something of a job. */
+/** The shards that hold something of a job. */
 export const shardsOf = (world: World, id: string): string[] =>
   [...world.state.cells.keys()]
     .map(readAssignmentKey)
     .flatMap((assignment) => (assignment?.job === id ? [assignment.shard] : []));
 
-/** Kills the node that owns a part with tasks of the job; it is back 4 s later. */
+/** Kills the controller that owns a shard with tasks of the job; it is back 4 s later. */
 export async function killOwner(world: World, id: string): Promise<void> {
   const [shard] = shardsOf(world, id);
-  assert.ok(shard, `no part holds ${id}`);
+  assert.ok(shard, `no shard holds ${id}`);
   await restart(world, owner(world, shardRole(shard)));
 }
 
-/** Kills a node; it is back 4 s later. */
+/** Kills a controller; it is back 4 s later. */
 export async function restart(world: World, node: string): Promise<void> {
   world.kill(node);
   await world.run(4);
   world.boot(node);
 }
 
-/** All is over: the state at every node, and nothing of it left on machines or in the store. */
+/** All is over: the state at every controller, and nothing of it left on machines or in the store. */
 export async function ends(
   world: World,
   ids: string[],
@@ -135,7 +135,7 @@
     }
   }
   assert.deepEqual([...waiting], [], `not ${state} within ${limitS} s`);
-  // Ends are written and forgotten in groups; machines that hung must report first.
+  // Ends are written and forgotten in groups; machines that hung must send a heartbeat first.
   await world.run(60);
   for (const id of ids) {
     for (const [node] of world.members) {
--- a/test/world/gang-watch.ts
+++ b/test/world/gang-watch.ts
@@ -28,7 +28,7 @@
 
 const jobOf = (task: string): string => task.split('/')[0] ?? '';
 
-/** Records what happens to gang tasks on their machines, and judges what must hold at any time. */
+/** Records what happens to gang tasks on their machines, and checks what must hold at any time. */
 export class GangWatch {
   readonly halts: Halt[] = [];
   readonly ends: End[] = [];
--- a/test/world/gang.ts
+++ b/test/world/gang.ts
@@ -9,7 +9,7 @@
   worker: SimWorker;
   name: string;
   task: Task;
-  /** It notices a lost mate so long after: each one at its own moment, all within the limit. */
+  /** It notices a lost peer so long after: each one at its own moment, all within the limit. */
   noticeMs: number;
 }
 
@@ -27,7 +27,7 @@
 
 const jobOf = (name: string): string => name.split('/')[0] ?? '';
 
-/** What the tasks of gangs do among themselves: gather, run, lose a mate, save and end together. */
+/** What the tasks of gangs do among themselves: gather, run, lose a peer, save and end together. */
 export class SimGangs {
   /** Progress of each job that outlives its attempt, in ms. */
   readonly saved = new Map<string, number>();
@@ -68,7 +68,7 @@
     for (const { worker, task, since } of this.waiting) {
       if (worker.hungMs === 0 && now - since >= GANG_WAIT_S * 1000) worker.end(task, 'alone');
     }
-    // What hung while the last mate came joins now.
+    // What hung while the last peer came joins now.
     for (const { name, task } of this.waiting) this.join(jobOf(name), task.attempt);
     this.runs = this.runs.filter((run) => this.step(run, now));
     this.ticking = this.runs.length > 0 || this.waiting.length > 0;
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -1,4 +1,4 @@
-/** The judge of the simulated world: notes each breach of the rules. */
+/** The invariant checker of the simulated cluster: records each violation of an invariant. */
 import { stageOf, type Reply, type SimJob } from './jobs.js';
 import { Questions } from './answered-polls.js';
 import { TEAMS } from './settings.js';
@@ -6,18 +6,18 @@
 import type { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
-/** What users ask of nodes. */
+/** What users ask of controllers. */
 export type RequestKind = 'submit' | 'cancel' | 'poll';
 
 const isEnd = (stage: string): boolean => stage === 'done' || stage === 'withdrawn';
 
-/** Judges what nodes tell users, and what runs where. */
+/** Checks what controllers answer users, and what runs where. */
 export class InvariantChecker {
-  /** Each breach of a rule, and by what. */
+  /** Each violation of an invariant, and by what. */
   readonly broken: string[] = [];
   /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
   readonly startsAfterCancel: string[] = [];
-  /** Jobs that a node called accepted, and the ends that nodes told of jobs, with the time. */
+  /** Jobs that a controller called accepted, and the ends that controllers told of jobs, with the time. */
   readonly accepted = new Set<string>();
   readonly told = new Map<string, { stage: string; at: number }>();
   /** Jobs whose users asked to cancel them. */
@@ -39,7 +39,7 @@
     this.noteQuestion(kind, id, false);
   }
 
-  /** All troubles are over: from now on each job is answered for, and none waits without need. */
+  /** All faults are over: from now on each job is answered for, and none waits without need. */
   faultsOver(): void {
     const now = this.world.clock.now();
     this.questions.faultsOver(now);
@@ -57,7 +57,7 @@
     this.broken.push(...this.waitingJobs.check());
   }
 
-  /** What a node tells a user: ends stay, accepted jobs stay known, `done` means done. */
+  /** What a controller tells a user: ends stay, accepted jobs stay known, `done` means done. */
   replied(kind: RequestKind, id: string, requestedAt: number, reply: Reply): void {
     const now = this.world.clock.now();
     const known = this.accepted.has(id);
--- a/test/world/jobs.ts
+++ b/test/world/jobs.ts
@@ -1,6 +1,6 @@
-/** Jobs of the simulated world: what is known of them, how they are sent, and what is answered. */
+/** Jobs of the simulated cluster: what is known of them, how they are sent, and what is answered. */
 
-/** An answer of a node to a user. */
+/** An answer of a controller to a user. */
 export interface Reply {
   status: number;
   body: unknown;
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -20,7 +20,7 @@
   lease: number | null;
 }
 
-/** A stand-in for the state service: consistent, with leases, watches, outages and late requests. */
+/** A simulated key-value store: consistent, with leases, watches, outages and late requests. */
 export class SimKeyValueStore {
   readonly cells = new Map<string, Cell>();
   readonly log: { key: string; value: unknown; revision: number; removed: boolean }[] = [];
@@ -29,9 +29,9 @@
   revision = 1;
   /** Nobody is served. */
   outage = false;
-  /** These nodes get 503. */
+  /** These controllers get 503. */
   readonly refused = new Set<string>();
-  /** These nodes get no answer. */
+  /** These controllers get no answer. */
   readonly hanging = new Set<string>();
   /** Requests and writes a second that are served, with bursts of one second's worth. */
   limits: { rps: number; writeRps: number } | null = null;
@@ -50,7 +50,7 @@
   valueBytes = 8192;
   /** Transactions that were refused with 400, by their keys. */
   readonly invalid: string[][] = [];
-  /** The next transactions of these nodes are carried out this much later, unanswered. */
+  /** The next transactions of these controllers are carried out this much later, unanswered. */
   readonly late = new Map<string, number>();
   /** ms after which a transaction is carried out, unanswered; null: at once. */
   hold: (node: string, changes: Change[]) => number | null = () => null;
@@ -58,7 +58,7 @@
   answerMs = 5;
   /** ms that the answer to a transaction takes longer, after it was carried out. */
   answerLateMs: (node: string, changes: Change[]) => number = () => 0;
-  /** What a node is told of a transaction that was looked at in time. */
+  /** The answer to a transaction that was evaluated in time. */
   answerOf: (result: CompareAndSwapResult) => CompareAndSwapResult = (result) => result;
   /** Changes that watches may still ask for. */
   changesKept = 10_000;
@@ -180,7 +180,7 @@
     );
   }
 
-  /** The service as one node reaches it. */
+  /** The service as one controller reaches it. */
   api(node: string): KeyValueStore {
     const { clock } = this;
     const served = async (writes = 0): Promise<void> => {
--- a/test/world/older-readability.ts
+++ b/test/world/older-readability.ts
@@ -3,7 +3,7 @@
 import { OLDER } from './older-versions.js';
 import type { SimKeyValueStore } from './key-value-store.js';
 
-/** What the state service was told, in order. */
+/** The changes written to the key-value store, in order. */
 export type Written = SimKeyValueStore['log'];
 
 /** Both older versions read all that was written. */
@@ -15,7 +15,7 @@
   }
 }
 
-/** A chunk that all versions take. */
+/** An assignment that all versions take. */
 export const ASSIGNMENT = {
   ...{ ids: '0-3', done: '1', live: { '0': ['m-1', 7] } },
   ...{ team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' },
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -1,4 +1,4 @@
-/** Records that older versions have left, and nodes that start with them. */
+/** Records that older versions have left, and controllers that start with them. */
 import type { StoreReplica } from '../../src/storage/store-replica.js';
 import { SimClock } from './clock.js';
 import { JOB } from './shard-fixture.js';
@@ -17,7 +17,7 @@
 export const put = (state: SimKeyValueStore, records: Records): void =>
   state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
 
-/** What a node holds of these records. */
+/** What a controller holds of these records. */
 export async function replicaOf(records: Records): Promise<StoreReplica> {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
@@ -27,7 +27,7 @@
   return replica;
 }
 
-/** A node that starts with what others left behind. */
+/** A controller that starts with what others left behind. */
 export async function started(records: Records, members: [string, string][]): Promise<World> {
   const world = new World(4, members, { placement: { alpha: 2, penalty: 2, snapshotS: 5 } });
   for (const [name] of members) world.kill(name);
@@ -64,11 +64,11 @@
   saveS: 0,
   deadlineS: null,
 };
-/** What a chunk says of its job's tasks. */
+/** What an assignment says of its job's tasks. */
 export const KIND = { team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' };
-/** What a replica says of a chunk of this kind. */
+/** What a replica says of an assignment of this kind. */
 export const SUMMARY = { shard: 'p', job: JOB, ...KIND };
-/** The key of the first chunk of the job. */
+/** The key of the first assignment of the job. */
 export const ASSIGNMENT_1 = `mb/live/chunk/p/${JOB}/3000001`;
 /** The term of the roles that are left. */
 export const TERM = 3;
@@ -85,13 +85,13 @@
 /** A as a new arm has it, but for this class's own cell: it is all that 89f79d3 would keep of it. */
 const diagonal = (own: number): number[][] =>
   Array.from({ length: 21 + 2 * TYPES.length }, (_, at) => [at, at, at === 0 ? own : 1]);
-/** What a part has learned of a type, with one class of work. */
+/** What a shard has learned of a type, with one class of work. */
 export const ARM = { classes: ['work/1/0'], types: ['small'], a: diagonal(9), b: [[0, -0.5]] };
 /** A catalogue of types that differ in their names only. */
 export const typesNamed = (...names: string[]): object[] =>
   names.map((name) => ({ ...TYPES[0], name, ...LATER }));
 
-/** What a node has learned after some tasks of a class that these records know. */
+/** What a controller has learned after some tasks of a class that these records know. */
 export async function learnedOn(records: Records) {
   const world = await started(records, [['n0', 'a']]);
   await world.run(10);
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -1,4 +1,4 @@
-/** Meetings of two troubles in the simulated world: their scripts' steps, and how they are judged. */
+/** Two overlapping faults in the simulated cluster: the steps of the scripts, and the final checks. */
 import assert from 'node:assert/strict';
 import type { TestContext } from 'node:test';
 import { stageOf, type Reply, type SimJob } from './jobs.js';
@@ -6,14 +6,14 @@
 import type { SimWorker } from './worker.js';
 import { World, type Members } from './world.js';
 
-/** Two troubles that meet. After every one the rules must hold, and all work must get done. */
+/** Two faults that overlap. After each case the invariants must hold, and all work must get done. */
 export interface Meeting {
   name: string;
   members?: Members;
   /** Zones of the machines that are up from the start. */
   zones?: string[];
   seeds?: number[];
-  /** s from the end of the script until everything is looked at. */
+  /** s from the end of the script until everything is checked. */
   restS?: number;
   script: (world: World) => Promise<void>;
 }
@@ -24,14 +24,14 @@
 /** A service that goes before others. */
 export const URGENT: Partial<SimJob> = { ...SERVICE, urgent: true };
 
-/** The names of all nodes. */
+/** The names of all controllers. */
 export const names = (world: World): string[] => world.members.map(([name]) => name);
 
 /** The workers of a zone. */
 export const workersIn = (world: World, zone: string): SimWorker[] =>
   [...world.workers.values()].filter((one) => one.machine.zone === zone);
 
-/** Submits a job, at the first node that is up unless told otherwise; it must be accepted. */
+/** Submits a job, at the first controller that is up unless told otherwise; it must be accepted. */
 export async function submit(
   world: World,
   id: string,
@@ -43,7 +43,7 @@
   assert.equal(reply.status, 201, `${id}: ${JSON.stringify(reply.body)}`);
 }
 
-/** Asks until it is confirmed, as users do; each time the next node that is up. */
+/** Asks until it is confirmed, as users do; each time the next controller that is up. */
 export async function cancel(
   world: World,
   id: string,
@@ -69,7 +69,7 @@
   await world.run(14);
 }
 
-/** The state service is out for all; what runs meanwhile is given by the seconds passed. */
+/** The key-value store is out for all; what runs meanwhile is given by the seconds passed. */
 export async function outage(
   world: World,
   seconds: number,
@@ -81,7 +81,7 @@
   world.state.endOutage();
 }
 
-/** These nodes and these machines no longer reach each other. */
+/** These controllers and these machines no longer reach each other. */
 export function cutOff(world: World, nodes: string[], machines: Iterable<string>): void {
   for (const machine of machines) for (const node of nodes) world.cuts.add(`${node}>${machine}`);
 }
--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -1,4 +1,4 @@
-/** A replica of what the simulated state service holds. */
+/** A replica of what the simulated key-value store holds. */
 import type { Log } from '../../src/storage/log.js';
 import { RateLimiter } from '../../src/storage/rate-limiter.js';
 import { StoreReplica } from '../../src/storage/store-replica.js';
@@ -6,11 +6,11 @@
 import { silent } from './settings.js';
 import type { SimKeyValueStore } from './key-value-store.js';
 
-/** Node that the replica is of. */
+/** Controller that the replica is of. */
 const NODE = 'p';
 
 /**
- * A replica that follows the state service, with all it is made of; `rps`: requests and writes a
+ * A replica that follows the key-value store, with all it is made of; `rps`: requests and writes a
  * second. It holds what is stored once simulated time has run on a little.
  */
 export function followingReplica(
--- a/test/world/requests.ts
+++ b/test/world/requests.ts
@@ -1,7 +1,7 @@
 /** Users' requests in simulated time. */
 import type { World } from './world.js';
 
-/** ms between two looks whether a request is answered. */
+/** ms between two checks whether a request is answered. */
 const TURN_MS = 50;
 
 /** Lets simulated time run until a request is answered, but no longer than so many turns. */
--- a/test/world/settings.ts
+++ b/test/world/settings.ts
@@ -1,4 +1,4 @@
-/** What the simulated world is set to: its machine types, teams, fleet and the nodes' settings. */
+/** What the simulated cluster is set to: its machine types, teams, fleet and the controllers' settings. */
 import type { MachineType } from '../../src/protocol/model.js';
 import type { Settings } from '../../src/protocol/settings.js';
 import type { Log } from '../../src/storage/log.js';
@@ -29,7 +29,7 @@
   },
 ];
 
-/** The teams of all nodes. */
+/** The teams of all controllers. */
 export const TEAMS = [
   { name: 'red', cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 0 },
   { name: 'blue', cpus: 8, cpusMax: 12, gpus: 0, gpusMax: 0 },
@@ -40,7 +40,7 @@
 /** What operators would set for the world's fleet. */
 export const FLEET = { idleS: 30, headroomCpus: 0, spot: true, maxMachines: 8 };
 
-/** Settings of a node; `all` lists the members with their zones. */
+/** Settings of a controller; `all` lists the members with their zones. */
 export function settingsOf(node: string, zone: string, all: [string, string][]): Settings {
   return {
     node,
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -1,4 +1,4 @@
-/** One part on its own, with its state service, and what machines report to it. */
+/** One shard on its own, with its key-value store, and the heartbeats of its machines. */
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG, assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
 import type { AssignmentRecord, JobRecord } from '../../src/storage/records.js';
@@ -13,7 +13,7 @@
 /** The only job there is from the start. */
 export const JOB = 'j-000001';
 const TERM = 5;
-/** The token of the part's term. */
+/** The fencing token of the shard's term. */
 export const TOKEN = TERM * FENCING_TOKENS_PER_TERM;
 
 /** The spec of that job. */
@@ -40,7 +40,7 @@
   deadlineS: null,
 };
 
-/** A chunk of two tasks of that job's kind, of which none is placed. */
+/** An assignment of two tasks of that job's kind, of which none is placed. */
 export const PLAIN_ASSIGNMENT: AssignmentRecord = {
   ids: '0-1',
   done: '',
@@ -56,7 +56,7 @@
 /** The same as a share of a gang. */
 export const GANG_SHARE: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
-/** What differs from the default: one task of one job, with room for all changes at once. */
+/** What differs from the default: one task of one job, with limits that allow all changes at once. */
 interface ShardFixtureOptions {
   /** A former owner placed the task. */
   placed?: boolean;
@@ -73,7 +73,7 @@
   held?: { key: string; value: unknown }[];
 }
 
-/** Stores what is there from the start: the role, the catalogue, a job and its only chunk. */
+/** Stores what is there from the start: the role, the catalogue, a job and its only assignment. */
 function fill(state: SimKeyValueStore, clock: SimClock, options: ShardFixtureOptions): void {
   const assignment: AssignmentRecord = {
     ids: options.ids ?? '0',
@@ -101,7 +101,7 @@
   ]);
 }
 
-/** One part on its own, with its state service. */
+/** One shard on its own, with its key-value store. */
 export async function shardFixture(options: ShardFixtureOptions = {}) {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
@@ -209,13 +209,13 @@
   cause: 'done',
 });
 
-/** What machines are told to do, in order. */
+/** The commands sent to machines, in order. */
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
 
-/** A part on its own, and what a test sees and does of it. */
+/** A shard on its own, and what a test sees and does of it. */
 export type ShardFixture = Awaited<ReturnType<typeof shardFixture>>;
 
-/** A report of machine m-1, the first of its first session unless told otherwise. */
+/** A heartbeat of machine m-1, the first of its first agent epoch unless told otherwise. */
 export const heartbeatOf = (change: Partial<Heartbeat>): Heartbeat => ({
   machine: 'm-1',
   address: '10.0.0.1:9',
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -6,7 +6,7 @@
 import type { SimWorker } from './worker.js';
 import type { Answer } from './worker-wire.js';
 
-/** A node, as workers reach it. */
+/** A controller, as workers reach it. */
 export interface HeartbeatTarget {
   readonly node: { heartbeat(body: string): Promise<Answer> };
 }
@@ -21,15 +21,15 @@
   readonly completed: Set<string>;
   readonly gangs: SimGangs;
   readonly overrides: Partial<Settings>;
-  /** ms that messages between nodes and workers take each way. */
+  /** ms that messages between controllers and workers take each way. */
   readonly linkMs: number;
-  /** ms after its last answered report at which a worker ends its tasks. */
+  /** ms after its last answered heartbeat at which a worker ends its tasks. */
   readonly workerLeaseMs: number;
   /** A whole number below `most`. */
   chance(most: number): number;
-  /** Runs what comes for a node, when it can. */
+  /** Runs what comes for a controller, when it can. */
   at(node: string, run: () => void): void;
-  /** Whether a node and a machine can't reach each other. */
+  /** Whether a controller and a machine can't reach each other. */
   cut(node: string, machine: string): boolean;
   /** The address of the machine of this number. */
   addressOf(machine: number): string;
--- a/test/world/sizes.ts
+++ b/test/world/sizes.ts
@@ -3,5 +3,5 @@
 /** Bytes of a value that is small for the records under test, so that they need several. */
 export const SMALL = 2048;
 
-/** Bytes that a value takes in the state service. */
+/** Bytes that a value takes in the key-value store. */
 export const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- a/test/world/suspicion.ts
+++ b/test/world/suspicion.ts
@@ -1,4 +1,4 @@
-/** The simulated world with failure detection between its nodes, and what was decided there. */
+/** The simulated cluster with failure detection between its controllers, and what was decided there. */
 import assert from 'node:assert/strict';
 import type { DetectionRecord } from '../../src/coordination/failure-detection/detection-records.js';
 import { readOperatorSettings } from '../../src/protocol/operator-settings.js';
@@ -16,15 +16,15 @@
 /** Tasks of the work that runs in it. */
 const TASKS = 18;
 
-/** A world and the records of all its nodes. */
+/** A world and the records of all its controllers. */
 export interface WatchfulWorld {
   world: World;
   records: DetectionRecord[];
-  /** What was logged as stood down: the node and the role. */
+  /** Logged step-downs: the controller and the role. */
   steppedDown: string[];
 }
 
-/** A world whose nodes detect failures, with machines and work of both teams running. */
+/** A world whose controllers detect failures, with machines and work of both teams running. */
 export async function watchfulWorld(seed: number, members?: Members): Promise<WatchfulWorld> {
   const records: DetectionRecord[] = [];
   const steppedDown: string[] = [];
@@ -45,11 +45,11 @@
   return { world, records, steppedDown };
 }
 
-/** A trouble, and what must come of it. */
+/** A fault, and what must come of it. */
 export interface SuspicionRow {
   name: string;
   trouble: (watched: WatchfulWorld) => Promise<void>;
-  /** Nobody's term changes over the trouble. */
+  /** Nobody's term changes over the fault. */
   keepsTerms?: boolean;
   /** Reasons for which roles were taken, and none but these. */
   reasons?: string[];
@@ -77,7 +77,7 @@
   assert.ok(world.starts.length <= most, `seed ${seed}: a task had to start again`);
 }
 
-/** Nodes of two groups can't reach each other. */
+/** Controllers of two groups can't reach each other. */
 export function split(world: World, left: readonly string[]): void {
   for (const one of left) {
     for (const [other] of world.members)
--- a/test/world/users.ts
+++ b/test/world/users.ts
@@ -1,4 +1,4 @@
-/** Users who submit, ask, repeat and cancel, and look at all nodes right after each answer. */
+/** Users who submit, poll, retry and cancel, and poll all controllers right after each answer. */
 import type { SimJob, Reply } from './jobs.js';
 import { stageOf } from './jobs.js';
 import type { World } from './world.js';
@@ -11,7 +11,7 @@
 const RETRY_MS = 1000;
 /** ms for which users go on trying. */
 const TRY_FOR_MS = 60_000;
-/** ms within which a user looks at all nodes. */
+/** ms within which a user polls all controllers. */
 const LOOK_MS = 80;
 
 /** Changes of a submission that is sent again: as it was, lacking a field, and fitting nowhere. */
@@ -76,7 +76,7 @@
     return false;
   }
 
-  /** Polls and repeats of all kinds at all nodes, within some milliseconds. */
+  /** Polls and repeats of all kinds at all controllers, within some milliseconds. */
   private async look(id: string, job: Partial<SimJob>): Promise<void> {
     const looks = this.world.members.flatMap(([node]) =>
       [0, 1, 2].map(async () => {
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -1,4 +1,4 @@
-/** Finds jobs that wait though a machine has room for them and their team is under its limit. */
+/** Finds jobs that wait though a machine has capacity for them and their team is under its quota. */
 import type { SimJob } from './jobs.js';
 import type { InvariantChecker } from './invariant-checker.js';
 import { TEAMS, TYPES } from './settings.js';
@@ -14,7 +14,7 @@
   cpus: ReadonlyMap<string, number>;
 }
 
-/** The jobs that wait without need once all troubles are over. */
+/** The jobs that wait without need once all faults are over. */
 export class WaitingJobs {
   private isWatching = false;
   /** Since when each job waits in front of free machines. */
--- a/test/world/worker-wire.ts
+++ b/test/world/worker-wire.ts
@@ -1,4 +1,4 @@
-/** What nodes and the stand-in for a worker say to each other, by the wire's names. */
+/** Messages between controllers and the simulated worker, by the wire's names. */
 
 /** A command to a machine. */
 export interface WireCommand {
@@ -8,13 +8,13 @@
   settleS?: number;
 }
 
-/** What a node answers a report. */
+/** A controller's answer to a heartbeat. */
 export interface Answer {
   status: number;
   body: unknown;
 }
 
-/** The body of an answer: commands to a machine of its own, or the node to report to. */
+/** The body of an answer: commands to a machine of its own, or the controller to send heartbeats to. */
 export interface WireAnswer {
   mandate?: number;
   calls?: WireCommand[];
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the worker of a machine. */
+/** The simulated worker of a machine. */
 import type { SimJob } from './jobs.js';
 import { TYPES } from './settings.js';
 import { bodyOf, type Answer, type WireAnswer, type WireCommand } from './worker-wire.js';
@@ -9,22 +9,22 @@
   state: 'pulling' | 'gathering' | 'running' | 'exited';
   cause?: string;
   cpus: number;
-  /** Gang tasks, told to stop with grace: when it has saved its part. It reports `running` till it exits. */
+  /** Gang tasks, told to stop with grace: when its progress is saved. It reports `running` until it exits. */
   savedAt?: number;
   /** Its progress was saved when it was stopped. */
   stored?: boolean;
 }
 
-/** ms between two reports when nothing changes. */
+/** ms between two heartbeats when nothing changes. */
 const HEARTBEAT_MS = 3000;
-/** ms after which a report that was not taken goes to the next node. */
+/** ms after which a heartbeat that was not accepted goes to the next controller. */
 const RETRY_MS = 1000;
-/** ms after which a report without an answer has failed. */
+/** ms after which a heartbeat without an answer has failed. */
 const ANSWER_LIMIT_MS = 4000;
 /** ms that a machine takes to fetch an image. */
 const IMAGE_MS = 1000;
 
-/** A stand-in for a machine's worker: reports, leases, tokens, sessions and commands. */
+/** A simulated worker of a machine: heartbeats, leases, fencing tokens, agent epochs and commands. */
 export class SimWorker {
   readonly tasks = new Map<string, Task>();
   private agentEpoch = 1;
@@ -37,15 +37,15 @@
   holdDirectMs = 0;
   /** Direct calls that were carried out are delivered once more so much later. */
   repeatDirectMs: number[] = [];
-  /** Reports sent from now on are held back this long, and their answers are lost. */
+  /** Heartbeats sent from now on are held back this long, and their answers are lost. */
   holdHeartbeatsMs = 0;
-  /** Its reports arrive, but answers and commands do not reach it. */
+  /** Its heartbeats arrive, but answers and commands do not reach it. */
   deaf = false;
-  /** Its reports reach no controller; direct calls reach it. */
+  /** Its heartbeats reach no controller; direct calls reach it. */
   mute = false;
-  /** Copies of its reports come once more so much later, at any node. */
+  /** Duplicates of its heartbeats arrive this much later, at any controller. */
   copyAfterMs: number[] = [];
-  /** Orders with a token that is older than one seen before: none of them was carried out. */
+  /** Commands and answers that were rejected because their fencing token is older than one seen before. */
   staleOrders = 0;
   private reporting = false;
   private hungUntil = 0;
@@ -65,7 +65,7 @@
     this.tick();
   }
 
-  /** The machine is back at once, without memory of sessions, tokens and tasks. */
+  /** The machine is back at once, without memory of agent epochs, fencing tokens and tasks. */
   restart(): void {
     this.tasks.clear();
     this.agentEpoch = 1;
@@ -86,7 +86,7 @@
     }
   }
 
-  /** A direct call: carried out if token and session match, perhaps late. */
+  /** A direct call: carried out if fencing token and agent epoch match, perhaps late. */
   command(
     fencingToken: number,
     agentEpoch: number,
@@ -101,7 +101,7 @@
     return { status: match ? 200 : 409, body: this.heartbeatBody() };
   }
 
-  /** Hangs: no reports, direct calls are carried out when it goes on; its lease runs out as ever. */
+  /** Hangs: no heartbeats, direct calls are carried out when it goes on; its lease runs out as ever. */
   hang(seconds: number): void {
     this.hungUntil = this.world.clock.now() + seconds * 1000;
   }
@@ -173,7 +173,7 @@
     if (agentEpoch === this.agentEpoch) this.take(parsed, sentAt);
   }
 
-  /** An answer to a report of this session: the lease is renewed, unless its token is older. */
+  /** The answer to a heartbeat of this agent epoch renews the lease, unless its fencing token is older. */
   private take(answer: WireAnswer | null, sentAt: number): void {
     const fencingToken = answer?.mandate ?? -1;
     if (fencingToken < this.fencingToken) {
@@ -186,7 +186,7 @@
     for (const command of answer?.calls ?? []) this.execute(command);
   }
 
-  /** Sends a report to a node, with its copies; null: no answer in time. */
+  /** Sends a heartbeat to a controller, with its duplicates; null: no answer in time. */
   private send(name: string, body: string): Promise<Answer | null> {
     const { world } = this;
     const held = this.holdHeartbeatsMs;
@@ -238,7 +238,7 @@
     if (!job) return;
     const task: Task = { attempt: command.try, state: 'pulling', cpus: job.cpus };
     this.tasks.set(command.larva, task);
-    // What fetches or waits for its gang holds its place as well.
+    // Tasks that fetch their image or wait for their gang occupy the machine as well.
     const held = [...this.tasks.values()].filter((one) => one.state !== 'exited');
     const free = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
     if (held.reduce((sum, one) => sum + one.cpus, 0) > free + 1e-6) {
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -1,4 +1,4 @@
-/** The simulated world: controllers, workers, cloud and state service in simulated time. */
+/** The simulated cluster: controllers, workers, cloud and key-value store in simulated time. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { ControllerNode } from '../../src/coordination/controller/controller-node.js';
@@ -19,10 +19,10 @@
 import type { SimulationHost } from './simulation-host.js';
 import type { SimWorker } from './worker.js';
 
-/** Names and zones of the nodes. */
+/** Names and zones of the controllers. */
 export type Members = [string, string][];
 
-/** Controllers, workers, cloud and state service in simulated time, and a judge of the rules. */
+/** Controllers, workers, cloud and key-value store in simulated time, and a checker of the invariants. */
 export class World implements SimulationHost {
   readonly clock = new SimClock();
   readonly state;
@@ -35,25 +35,25 @@
   /** When all tasks of a gang ran together. */
   readonly gangStarts: { job: string; attempt: number; at: number }[] = [];
   readonly gangs: SimGangs = new SimGangs(this);
-  /** Pairs "x>y" that can't reach each other; x and y are node or machine names. */
+  /** Pairs "x>y" that can't reach each other; x and y are controller or machine names. */
   readonly cuts = new Set<string>();
-  /** What becomes of a message between nodes on its way. */
+  /** What becomes of a message between controllers on its way. */
   onPeerMessage: (message: PeerMessage) => PeerMessage = (message) => message;
-  /** A fault put in on purpose: what a user gets in place of a node's reply. */
+  /** A fault put in on purpose: what a user gets in place of a controller's reply. */
   tamper: (kind: RequestKind, id: string, reply: Reply) => Reply = (_kind, _id, reply) => reply;
-  /** Pairs "x>y" of nodes whose connection stays open, while nothing that they send arrives. */
+  /** Pairs "x>y" of controllers whose connection stays open, while nothing that they send arrives. */
   readonly dropped = new Set<string>();
-  /** Pairs "x>y" of nodes: what x sends y is lost, while what y sends x arrives. */
+  /** Pairs "x>y" of controllers: what x sends y is lost, while what y sends x arrives. */
   readonly lostOneWay = new Set<string>();
-  /** What the settings of one node say otherwise, from its next start on. */
+  /** What the settings of one controller say otherwise, from its next start on. */
   settingsFor: (node: string) => Partial<Settings> = () => this.overrides;
-  /** Where a node logs. */
+  /** Where a controller logs. */
   private readonly logOf: (node: string) => Log;
-  /** ms that messages between nodes and workers take each way. */
+  /** ms that messages between controllers and workers take each way. */
   linkMs = 1;
   readonly workerLeaseMs = 24_000;
   private readonly invariants = new InvariantChecker(this);
-  /** What waits for nodes that stand still. */
+  /** What waits for controllers that are paused. */
   private readonly frozen = new Map<string, (() => void)[]>();
   private incarnations = 0;
   private readonly random;
@@ -65,7 +65,7 @@
       ['n1', 'a'],
       ['n2', 'b'],
     ],
-    /** What the nodes' settings say otherwise. */
+    /** What the controllers' settings say otherwise. */
     readonly overrides: Partial<Settings> = {},
     logOf: (node: string) => Log = () => silent,
   ) {
@@ -80,9 +80,9 @@
     return uniformInt(this.random, 0, most - 1);
   }
 
-  // --- Nodes ---------------------------------------------------------------------------------
+  // --- Controllers -------------------------------------------------------------------------------
 
-  /** A node stands still while clocks run on: what comes for it meanwhile is handled on waking. */
+  /** A controller is paused while clocks run on: what comes for it meanwhile is handled on waking. */
   freeze(name: string, seconds: number): void {
     const held: (() => void)[] = [];
     this.frozen.set(name, held);
@@ -93,14 +93,14 @@
     });
   }
 
-  /** Runs what comes for a node, when it can. */
+  /** Runs what comes for a controller, when it can. */
   at(name: string, run: () => void): void {
     const held = this.frozen.get(name);
     if (held) held.push(run);
     else run();
   }
 
-  /** Starts a node, as a new incarnation. */
+  /** Starts a controller, as a new incarnation. */
   boot(name: string): void {
     this.frozen.delete(name);
     const zone = this.members.find(([one]) => one === name)?.[1] ?? 'a';
@@ -125,22 +125,22 @@
     });
   }
 
-  /** The node that holds the leader's role, by the state service. */
+  /** The controller that holds the leader's role, by the key-value store. */
   get leader(): string {
     return (this.state.cells.get(roleKey('leader'))?.value as RoleRecord | undefined)?.owner ?? '';
   }
 
-  /** A node is gone at once. */
+  /** A controller is gone at once. */
   kill(name: string): void {
     this.nodes.get(name)?.kill();
   }
 
-  /** Whether two nodes, or a node and a machine, can't reach each other. */
+  /** Whether two controllers, or a controller and a machine, can't reach each other. */
   cut(x: string, y: string): boolean {
     return this.cuts.has(`${x}>${y}`) || this.cuts.has(`${y}>${x}`);
   }
 
-  /** Whether what two nodes send each other is lost, though they are connected. */
+  /** Whether what two controllers send each other is lost, though they are connected. */
   drops(x: string, y: string): boolean {
     return this.dropped.has(`${x}>${y}`) || this.dropped.has(`${y}>${x}`);
   }
@@ -214,13 +214,13 @@
     );
   }
 
-  /** Asks a node to cancel a job. */
+  /** Asks a controller to cancel a job. */
   cancel(id: string, at = 'n0'): Promise<Reply> {
     this.invariants.cancelRequested(id);
     return this.request('cancel', id, null, at);
   }
 
-  /** Asks a node for the state of a job. */
+  /** Asks a controller for the state of a job. */
   poll(id: string, at = 'n0'): Promise<Reply> {
     return this.request('poll', id, null, at);
   }
@@ -243,9 +243,9 @@
     });
   }
 
-  // --- The judge -----------------------------------------------------------------------------
+  // --- The invariant checker ---------------------------------------------------------------------
 
-  /** Each breach of a rule. */
+  /** Each violation of an invariant. */
   get broken(): string[] {
     return this.invariants.broken;
   }
@@ -255,17 +255,17 @@
     return this.invariants.startsAfterCancel;
   }
 
-  /** Jobs that a node called accepted. */
+  /** Jobs that a controller called accepted. */
   get accepted(): Set<string> {
     return this.invariants.accepted;
   }
 
-  /** The ends that nodes told of jobs, with the time. */
+  /** The ends that controllers told of jobs, with the time. */
   get told(): Map<string, { stage: string; at: number }> {
     return this.invariants.told;
   }
 
-  /** Tells the judge that all troubles are over. */
+  /** Tells the invariant checker that all faults are over. */
   faultsOver(): void {
     this.invariants.faultsOver();
   }
@@ -282,7 +282,7 @@
     this.invariants.started(worker, task);
   }
 
-  /** Runs on, judging as it goes. */
+  /** Runs on, checking invariants every simulated second. */
   async run(seconds: number): Promise<void> {
     const until = this.clock.now() + seconds * 1000;
     while (this.clock.now() < until) {
