--- a/test/api/accepted-job-lookups.test.ts
+++ b/test/api/accepted-job-lookups.test.ts
@@ -6,7 +6,11 @@
 import type { CompareAndSwapResult } from '../../src/protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../src/storage/keys.js';
 import { SPEC } from '../world/shard-fixture.js';
-import { REQUESTS, userNode, type UserAsk } from '../world/api-fixture.js';
+import {
+  REQUESTS,
+  userRequestsFixture,
+  type UserRequestKind,
+} from '../world/user-requests-fixture.js';
 
 const JOB = 'j-000412';
 
@@ -19,10 +23,10 @@
 test('forgotten: a controller hears of an accepted job between two requests about it', async () => {
   const wrong: string[] = [];
   const orders = REQUESTS.flatMap((first) =>
-    REQUESTS.map((second): [UserAsk, UserAsk] => [first, second]),
+    REQUESTS.map((second): [UserRequestKind, UserRequestKind] => [first, second]),
   );
   for (const [first, second] of orders) {
-    const node = await userNode();
+    const node = await userRequestsFixture();
     // The transaction of another job holds the next one back, so that both checks share it.
     const other = node.request('poll', 'j-000001');
     await node.clock.run(node.clock.now() + 50);
@@ -40,14 +44,14 @@
   assert.deepEqual(wrong, []);
 });
 
-type UserNode = Awaited<ReturnType<typeof userNode>>;
+type UserNode = Awaited<ReturnType<typeof userRequestsFixture>>;
 
 /** What the key-value store says, and what no controller may conclude from it. */
 interface Answer {
   name: string;
   /** What is prepared before the job is asked about. */
   prepare: (node: UserNode) => void;
-  expected: Record<UserAsk, number>;
+  expected: Record<UserRequestKind, number>;
   /** The operators are told of an error, by a repeated submission. */
   isLogged?: true;
 }
@@ -73,7 +77,7 @@
     name: 'a conflict that names no key',
     prepare: (node) => {
       accept(node);
-      node.state.answerOf = namesOnly(() => []);
+      node.state.alterTransactionAnswer = namesOnly(() => []);
     },
     expected: UNSURE,
   },
@@ -81,7 +85,7 @@
     name: 'a conflict that names another key',
     prepare: (node) => {
       accept(node);
-      node.state.answerOf = namesOnly(() => [jobKey('j-000009')]);
+      node.state.alterTransactionAnswer = namesOnly(() => [jobKey('j-000009')]);
     },
     expected: UNSURE,
   },
@@ -90,7 +94,7 @@
     prepare: (node) => {
       accept(node);
       node.state.change([{ key: jobKey('j-000001'), value: recordOf('j-000001') }]);
-      node.state.answerOf = namesOnly((failed) => failed.slice(0, 1));
+      node.state.alterTransactionAnswer = namesOnly((failed) => failed.slice(0, 1));
     },
     expected: KNOWN,
   },
@@ -129,7 +133,7 @@
   const wrong: string[] = [];
   for (const { name, prepare, expected, isLogged } of ANSWERS) {
     for (const ask of REQUESTS) {
-      const node = await userNode();
+      const node = await userRequestsFixture();
       prepare(node);
       const other = node.request('poll', 'j-000001');
       const [, reply] = await node.settle(other, node.request(ask, JOB));
@@ -144,7 +148,7 @@
 // reads, one job after the other: of those that came together most were answered 503.
 test('forgotten: many questions about ended jobs at a controller that has heard of none', async () => {
   const jobs = Array.from({ length: 40 }, (_, number) => `j-${String(700_000 + number)}`);
-  const node = await userNode({ checkMs: 375, rps: 27 });
+  const node = await userRequestsFixture({ checkMs: 375, rps: 27 });
   node.replica.stop();
   node.state.answerMs = 150;
   node.state.change(jobs.map((id) => ({ key: finalKey(id), value: { state: 'done', tasks: 1 } })));
@@ -160,7 +164,7 @@
 });
 
 test('forgotten: a request that a full queue rejects is answered the next time', async () => {
-  const node = await userNode();
+  const node = await userRequestsFixture();
   node.state.answerMs = 1000;
   const ask = (): Promise<number[]> =>
     Promise.all(
@@ -183,7 +187,7 @@
 });
 
 test('forgotten: checks that are refused for now are retried, with those that came since', async () => {
-  const node = await userNode();
+  const node = await userRequestsFixture();
   node.state.limits = { rps: 0.1, writeRps: 0.1 };
   const first = node.request('poll', JOB);
   await node.clock.run(node.clock.now() + 340);
@@ -195,16 +199,16 @@
     replies.map(({ status }) => status),
     [404, 404],
   );
-  assert.ok(node.state.refusals > 0);
+  assert.ok(node.state.rateLimitRejections > 0);
 });
 
 // The guard held before the end; the controller has heard of the end when the answer comes.
 test('forgotten: an end that comes before the answer to a check is returned', async () => {
   for (const ask of ['repeat', 'malformed', 'unfit'] as const) {
-    const node = await userNode();
+    const node = await userRequestsFixture();
     node.state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
     await node.clock.run(node.clock.now() + 500);
-    node.state.answerLateMs = () => 1000;
+    node.state.transactionAnswerDelayMs = () => 1000;
     const reply = node.request(ask, JOB);
     await node.clock.run(node.clock.now() + 500);
     const over = { state: 'cancelled', tasks: 1 };
--- a/test/api/degraded-controllers.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -22,9 +22,9 @@
 }
 
 const others = ['n1', 'n2'];
-const refused = (world: World): void => void world.state.refused.add('n0');
+const refused = (world: World): void => void world.store.refusedControllers.add('n0');
 const cutPeers = (world: World): void => {
-  for (const peer of others) world.cuts.add(`n0>${peer}`);
+  for (const peer of others) world.cutLinks.add(`n0>${peer}`);
 };
 
 const UNABLE: UnableNode[] = [
@@ -33,7 +33,7 @@
     name: 'the key-value store, while its first peer is paused',
     lose: (world) => {
       refused(world);
-      world.freeze('n1', 60);
+      world.pause('n1', 60);
     },
     isServed: true,
     isReady: [true, true],
@@ -42,7 +42,7 @@
     name: 'the key-value store, while a peer drops what it is sent',
     lose: (world) => {
       refused(world);
-      world.dropped.add('n0>n1');
+      world.lossyLinks.add('n0>n1');
     },
     isServed: true,
     isReady: [true, true],
@@ -60,7 +60,7 @@
     name: 'the key-value store and its peers, unnoticed',
     lose: (world) => {
       refused(world);
-      for (const peer of others) world.dropped.add(`n0>${peer}`);
+      for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
     isReady: [false, false],
@@ -68,8 +68,8 @@
   {
     name: 'the key-value store and its peers, and nothing answers',
     lose: (world) => {
-      world.state.hanging.add('n0');
-      for (const peer of others) world.dropped.add(`n0>${peer}`);
+      world.store.unansweredControllers.add('n0');
+      for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
     // It takes until its requests are given up, and then those to its peers.
@@ -79,7 +79,7 @@
   {
     name: 'the key-value store, as all do',
     lose: (world) => {
-      world.state.outage = true;
+      world.store.hasOutage = true;
     },
     isServed: false,
     isReady: [true, true],
@@ -134,12 +134,12 @@
       if (ms > POLL_MS) wrong.push(`${name}: later poll after ${ms} ms`);
     }
     if (String(seen) !== String(isReady)) wrong.push(`${name}: ready ${String(seen)}`);
-    world.state.refused.clear();
-    world.state.hanging.clear();
-    world.state.endOutage();
+    world.store.refusedControllers.clear();
+    world.store.unansweredControllers.clear();
+    world.store.endOutage();
     await world.run(10);
     if (!node()) wrong.push(`${name}: not ready again`);
-    assert.deepEqual(world.broken, [], name);
+    assert.deepEqual(world.violations, [], name);
   }
   assert.deepEqual(wrong, []);
 });
@@ -147,7 +147,7 @@
 test('degraded controllers: a single controller stays ready in an outage', async () => {
   const world = new World(42, [['n0', 'a']]);
   await world.run(7);
-  world.state.outage = true;
+  world.store.hasOutage = true;
   await world.run(10);
   assert.equal(world.nodes.get('n0')?.node.ready, true);
 });
@@ -165,7 +165,7 @@
   ];
   // Its questions to the key-value store are under way.
   await world.clock.run(world.clock.now() + 18);
-  world.freeze('n0', 20);
+  world.pause('n0', 20);
   await world.run(25);
   const statuses = (await Promise.all(requests)).map(({ status }) => status);
   assert.deepEqual(statuses, [503, 503, 503, 503]);
@@ -175,12 +175,12 @@
   const world = new World(44);
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
-  world.state.refused.add('n0');
-  for (const peer of others) world.dropped.add(`n0>${peer}`);
+  world.store.refusedControllers.add('n0');
+  for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
   await world.run(3);
   await timed(world, world.poll('j-000009'));
   assert.equal(world.nodes.get('n0')?.node.ready, false);
-  world.dropped.delete('n0>n2');
+  world.lossyLinks.delete('n0>n2');
   await world.run(5);
   assert.equal(world.nodes.get('n0')?.node.ready, true);
   assert.equal((await timed(world, world.poll('j-000009'))).reply.status, 404);
--- a/test/api/job-answers.test.ts
+++ b/test/api/job-answers.test.ts
@@ -2,23 +2,23 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf as stage } from '../world/jobs.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
 test('a cancellation that is not committed is not confirmed, and holds once it is', async () => {
   const world = new World(7);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
-  await settled(world, world.submit('j-000001', { tasks: 1, runS: 200 }));
-  world.state.outage = true;
-  assert.equal((await settled(world, world.cancel('j-000001'))).status, 503);
-  world.state.endOutage();
+  await awaitReply(world, world.submit('j-000001', { tasks: 1, runS: 200 }));
+  world.store.hasOutage = true;
+  assert.equal((await awaitReply(world, world.cancel('j-000001'))).status, 503);
+  world.store.endOutage();
   await world.run(5);
-  assert.equal(stage(await settled(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
+  assert.equal(stage(await awaitReply(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
   for (const [node] of world.members) {
-    assert.equal(stage(await settled(world, world.poll('j-000001', node))), 'withdrawn');
-    assert.equal((await settled(world, world.poll('j-000002', node))).status, 404);
-    const again = await settled(world, world.submit('j-000001', { tasks: 0 }, node));
+    assert.equal(stage(await awaitReply(world, world.poll('j-000001', node))), 'withdrawn');
+    assert.equal((await awaitReply(world, world.poll('j-000002', node))).status, 404);
+    const again = await awaitReply(world, world.submit('j-000001', { tasks: 0 }, node));
     assert.deepEqual([again.status, stage(again)], [200, 'withdrawn']);
   }
 });
@@ -29,30 +29,30 @@
   const world = new World(17);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
-  await settled(world, world.submit('j-000001', { tasks: 1, service: true, spot: false }));
+  await awaitReply(world, world.submit('j-000001', { tasks: 1, service: true, spot: false }));
   await world.run(5);
-  world.state.refused.add('n0');
-  assert.equal(stage(await settled(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
+  world.store.refusedControllers.add('n0');
+  assert.equal(stage(await awaitReply(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
   for (const request of [
     world.submit('j-000001', { tasks: 1, service: true }),
     world.poll('j-000001'),
   ]) {
-    const reply = await settled(world, request);
+    const reply = await awaitReply(world, request);
     assert.ok(reply.status === 503 || stage(reply) === 'withdrawn', JSON.stringify(reply));
   }
-  world.state.refused.clear();
+  world.store.refusedControllers.clear();
   await world.run(5);
-  await settled(world, world.submit('j-000002', { tasks: 1, service: true, spot: false }));
+  await awaitReply(world, world.submit('j-000002', { tasks: 1, service: true, spot: false }));
   await world.run(2);
   // Asked before the pause, answered after it: whatever it read then is stale.
   const pending = world.poll('j-000002');
   await world.clock.run(world.clock.now() + 100);
-  world.freeze('n0', 10);
+  world.pause('n0', 10);
   await world.run(2);
-  await settled(world, world.cancel('j-000002', 'n1'));
+  await awaitReply(world, world.cancel('j-000002', 'n1'));
   await world.run(15);
   assert.equal((await pending).status, 503);
-  assert.equal(stage(await settled(world, world.poll('j-000002'))), 'withdrawn');
+  assert.equal(stage(await awaitReply(world, world.poll('j-000002'))), 'withdrawn');
 });
 
 test('an owner without news from the store stops answering before a cancellation is due', async () => {
@@ -62,28 +62,28 @@
   ]);
   const machine = world.addMachine('small', 'a', false, 500);
   await world.run(8);
-  await settled(world, world.submit('j-000001', { tasks: 1, service: true, spot: false }, 'n1'));
+  await awaitReply(world, world.submit('j-000001', { tasks: 1, service: true, spot: false }, 'n1'));
   await world.run(10);
   assert.equal(world.starts.length, 1);
   assert.equal(world.starts[0]?.machine, machine);
   // Only its owner reaches the machine, and the owner reaches nothing else.
-  world.cuts.add(`n1>${machine}`);
-  world.cuts.add('n0>n1');
-  world.state.refused.add('n0');
-  world.cloudTrouble = true;
-  assert.equal(stage(await settled(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
+  world.cutLinks.add(`n1>${machine}`);
+  world.cutLinks.add('n0>n1');
+  world.store.refusedControllers.add('n0');
+  world.cloudRefusesReturns = true;
+  assert.equal(stage(await awaitReply(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
   await world.run(70);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('a job is done only when its last task is', async () => {
   const world = new World(9);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
-  await settled(world, world.submit('j-000001', { tasks: 6, cpus: 4, runS: 20, team: 'blue' }));
+  await awaitReply(world, world.submit('j-000001', { tasks: 6, cpus: 4, runS: 20, team: 'blue' }));
   for (let turn = 0; turn < 120; turn++) {
     await world.run(1);
-    const poll = await settled(world, world.poll('j-000001', 'n1'));
+    const poll = await awaitReply(world, world.poll('j-000001', 'n1'));
     if (stage(poll) !== 'done') continue;
     assert.equal(world.completed.size, 6);
     return;
--- a/test/api/mistaken-requests.test.ts
+++ b/test/api/mistaken-requests.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
-import { names, submit } from '../world/overlapping-faults.js';
-import { settled } from '../world/requests.js';
+import { controllerNames, submit } from '../world/overlapping-faults.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
 /** What users send by mistake, and what each must get. */
@@ -53,64 +53,66 @@
   await world.run(8);
   const wrong: string[] = [];
   for (const [at, { name, status }] of ODD.entries()) {
-    const reply = await settled(world, replies[at] ?? Promise.reject(new Error('not sent')));
+    const reply = await awaitReply(world, replies[at] ?? Promise.reject(new Error('not sent')));
     if (reply.status !== status) wrong.push(`${name}: ${reply.status} instead of ${status}`);
   }
   assert.deepEqual(wrong, []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('mistaken requests: repeats, also with faults, and cancellations of what is done', async () => {
   const world = new World(2);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
-  const at = names(world);
+  const at = controllerNames(world);
   // The same submission through all controllers at once: accepted once, known to the others.
   const first = at.map((node) => world.submit('j-000001', { tasks: 2, runS: 30 }, node));
-  const statuses = await Promise.all(first.map(async (one) => (await settled(world, one)).status));
+  const statuses = await Promise.all(
+    first.map(async (one) => (await awaitReply(world, one)).status),
+  );
   assert.deepEqual(statuses.sort(), [200, 200, 201]);
   await submit(world, 'j-000002', { tasks: 1, runS: 5 });
   await world.run(15);
   for (const raw of [{}, { larvae: 0 }, { crew: 'nobody' }, { gpus: undefined }]) {
     for (const node of at) {
-      const reply = await settled(world, world.submit('j-000001', {}, node, raw));
+      const reply = await awaitReply(world, world.submit('j-000001', {}, node, raw));
       assert.deepEqual([reply.status, stageOf(reply)], [200, 'running'], JSON.stringify(raw));
-      const over = await settled(world, world.submit('j-000002', {}, node, raw));
+      const over = await awaitReply(world, world.submit('j-000002', {}, node, raw));
       assert.deepEqual([over.status, stageOf(over)], [200, 'done'], JSON.stringify(raw));
     }
   }
   for (const node of at) {
-    const reply = await settled(world, world.cancel('j-000002', node));
+    const reply = await awaitReply(world, world.cancel('j-000002', node));
     assert.deepEqual([reply.status, stageOf(reply)], [200, 'done']);
     for (const request of [world.poll('j-000009', node), world.cancel('j-000009', node)]) {
-      assert.equal((await settled(world, request)).status, 404);
+      assert.equal((await awaitReply(world, request)).status, 404);
     }
   }
   await world.run(60);
-  assert.equal(stageOf(await settled(world, world.poll('j-000001', 'n2'))), 'done');
-  assert.deepEqual(world.broken, []);
+  assert.equal(stageOf(await awaitReply(world, world.poll('j-000001', 'n2'))), 'done');
+  assert.deepEqual(world.violations, []);
 });
 
 test('mistaken requests: nothing is accepted before the machine types are known', async () => {
   const world = new World(3);
-  world.catalog = false;
+  world.cloudHasCatalog = false;
   await world.run(7);
-  for (const node of names(world)) {
+  for (const node of controllerNames(world)) {
     for (const raw of [{}, { breeds: ['g99'] }, { cores: 5 }]) {
-      const reply = await settled(world, world.submit('j-000001', { tasks: 1 }, node, raw));
+      const reply = await awaitReply(world, world.submit('j-000001', { tasks: 1 }, node, raw));
       assert.equal(reply.status, 503, JSON.stringify(raw));
     }
     assert.equal(
-      (await settled(world, world.submit('j-000002', {}, node, { cores: 'x' }))).status,
+      (await awaitReply(world, world.submit('j-000002', {}, node, { cores: 'x' }))).status,
       400,
     );
   }
-  world.catalog = true;
+  world.cloudHasCatalog = true;
   for (let turn = 0; turn < 90 && world.accepted.size === 0; turn++) {
-    await settled(world, world.submit('j-000001', { tasks: 1 }, 'n1'));
+    await awaitReply(world, world.submit('j-000001', { tasks: 1 }, 'n1'));
     await world.run(1);
   }
   await world.run(60);
-  assert.equal(stageOf(await settled(world, world.poll('j-000001'))), 'done');
-  assert.deepEqual(world.broken, []);
+  assert.equal(stageOf(await awaitReply(world, world.poll('j-000001'))), 'done');
+  assert.deepEqual(world.violations, []);
 });
--- a/test/cluster/accepted-jobs-large.test.ts
+++ b/test/cluster/accepted-jobs-large.test.ts
@@ -3,8 +3,9 @@
  * heartbeats never end.
  */
 import { test } from 'node:test';
-import { LARGE, FAULTS, sweep } from '../world/fault-sweep.js';
+import { LARGE, FAULTS, playSweep } from '../world/fault-sweep.js';
 
 for (const trouble of FAULTS.filter(({ name }) => name.startsWith('all end in'))) {
-  test(`forgotten: close polling: 1,500 machines: ${trouble.name}`, () => sweep(trouble, 3, LARGE));
+  test(`forgotten: close polling: 1,500 machines: ${trouble.name}`, () =>
+    playSweep(trouble, 3, LARGE));
 }
--- a/test/cluster/controller-faults.test.ts
+++ b/test/cluster/controller-faults.test.ts
@@ -1,13 +1,13 @@
 /** The invariants hold through faults of controllers and of the key-value store. */
 import { test } from 'node:test';
-import { playCase, type RuleCase } from '../world/fault-case.js';
-import { WATCHFUL } from '../world/suspicion.js';
+import { playFaultCase, type FaultCase } from '../world/fault-case.js';
+import { WITH_FAILURE_DETECTION } from '../world/failure-detection-case.js';
 
-const CASES: RuleCase[] = [
-  { name: 'no fault', trouble: (world) => world.run(20) },
+const CASES: FaultCase[] = [
+  { name: 'no fault', fault: (world) => world.run(20) },
   {
     name: 'a controller killed and started again',
-    trouble: async (world) => {
+    fault: async (world) => {
       world.kill('n1');
       await world.run(4);
       world.boot('n1');
@@ -16,7 +16,7 @@
   },
   {
     name: 'a controller killed and started again at once',
-    trouble: async (world) => {
+    fault: async (world) => {
       world.kill('n0');
       await world.run(0.2);
       world.boot('n0');
@@ -25,7 +25,7 @@
   },
   {
     name: 'a controller that is not restarted',
-    trouble: async (world) => {
+    fault: async (world) => {
       world.kill('n2');
       await world.run(70);
       world.boot('n2');
@@ -34,51 +34,51 @@
   },
   {
     name: 'all controllers killed in an outage of the key-value store',
-    trouble: async (world) => {
-      world.state.outage = true;
+    fault: async (world) => {
+      world.store.hasOutage = true;
       await world.run(10);
       for (const [name] of world.members) world.kill(name);
       await world.run(4);
       for (const [name] of world.members) world.boot(name);
       await world.run(10);
-      world.state.endOutage();
+      world.store.endOutage();
       await world.run(30);
     },
   },
   {
     name: 'a controller that only the key-value store refuses',
-    trouble: async (world) => {
-      world.state.refused.add('n1');
+    fault: async (world) => {
+      world.store.refusedControllers.add('n1');
       await world.run(60);
-      world.state.refused.delete('n1');
+      world.store.refusedControllers.delete('n1');
       await world.run(10);
     },
   },
   {
     name: 'a transaction that is applied late',
-    trouble: async (world) => {
-      for (const [node] of world.members) world.state.late.set(node, 9000);
+    fault: async (world) => {
+      for (const [node] of world.members) world.store.delayNextTransactionMs.set(node, 9000);
       await world.run(40);
     },
   },
   {
     name: 'a controller with its workers but without key-value store and peers',
-    trouble: async (world) => {
-      world.state.refused.add('n0');
-      for (const [peer] of world.members) if (peer !== 'n0') world.cuts.add(`n0>${peer}`);
+    fault: async (world) => {
+      world.store.refusedControllers.add('n0');
+      for (const [peer] of world.members) if (peer !== 'n0') world.cutLinks.add(`n0>${peer}`);
       await world.run(70);
-      world.state.refused.clear();
-      world.cuts.clear();
+      world.store.refusedControllers.clear();
+      world.cutLinks.clear();
       await world.run(10);
     },
   },
   {
     name: 'controllers that are paused for seconds, for most of their grace and beyond it',
-    trouble: async (world) => {
+    fault: async (world) => {
       for (const [at, seconds] of [6, 18, 40].entries()) {
         void world.submit(`j-10000${at}`, { service: true, spot: false, tasks: 2 });
         await world.run(5);
-        world.freeze(`n${at}`, seconds);
+        world.pause(`n${at}`, seconds);
         await world.run(4);
         void world.cancel(`j-10000${at}`, `n${(at + 1) % 3}`);
         await world.run(seconds + 6);
@@ -87,13 +87,13 @@
   },
   {
     name: 'controllers back at once in the middle of an election, with late transactions',
-    trouble: async (world) => {
-      world.state.late.set('n0', 4000);
+    fault: async (world) => {
+      world.store.delayNextTransactionMs.set('n0', 4000);
       world.kill('n2');
       await world.run(6.5);
       for (let turn = 0; turn < 4; turn++) {
         for (const [name] of world.members) {
-          world.state.late.set(name, 3000);
+          world.store.delayNextTransactionMs.set(name, 3000);
           world.kill(name);
           await world.run(0.2);
           world.boot(name);
@@ -108,7 +108,8 @@
 for (const one of CASES) {
   for (const seed of [1, 2]) {
     test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
-      playCase(one, seed));
+      playFaultCase(one, seed));
   }
-  test(`invariants hold with failure detection: ${one.name}`, () => playCase(one, 3, WATCHFUL));
+  test(`invariants hold with failure detection: ${one.name}`, () =>
+    playFaultCase(one, 3, WITH_FAILURE_DETECTION));
 }
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -2,25 +2,32 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
-import { LEASE_S, LONG, URGENT, WIDE, playRule, type Row } from '../world/gang-scenario.js';
-import { GANG, OTHER } from '../world/gang-script.js';
+import {
+  LEASE_S,
+  LONG,
+  URGENT,
+  WIDE,
+  playRule,
+  type GangRuleCase,
+} from '../world/gang-scenario.js';
+import { GANG, OTHER } from '../world/gang-steps.js';
 import type { SimWorker } from '../world/worker.js';
 
-const ROWS: Row[] = [
+const ROWS: GangRuleCase[] = [
   // --- A member is lost ----------------------------------------------------------------------
   {
     rule: 'waiting',
     name: 'a member is lost before the start: no task runs twice, all start under one attempt',
     act: async (scenario) => {
       const { world } = scenario;
-      await scenario.accepted(GANG, LONG);
-      await scenario.until('a task waits', 20, () =>
-        scenario.holders().some((one) => [...one.onMachine()].length > 0 || one.tasks.size > 0),
+      await scenario.submitAccepted(GANG, LONG);
+      await scenario.runUntil('a task waits', 20, () =>
+        scenario.machinesOf().some((one) => [...one.onMachine()].length > 0 || one.tasks.size > 0),
       );
-      scenario.holder().die();
-      await scenario.begins(120);
+      scenario.machineOf().die();
+      await scenario.awaitGangStart(120);
       const [start] = scenario.starts();
-      for (const worker of scenario.holders()) {
+      for (const worker of scenario.machinesOf()) {
         for (const [task, held] of worker.onMachine()) {
           assert.equal(held.attempt, start?.attempt, task);
         }
@@ -32,33 +39,36 @@
     rule: 'failure',
     name: 'a member is lost after the start: mates_gone for all others, resumed from the checkpoint',
     act: async (scenario) => {
-      const attempt = await scenario.running(LONG, 12);
-      const lost = scenario.holder();
+      const attempt = await scenario.submitAndRun(LONG, 12);
+      const lost = scenario.machineOf();
       const diedAt = scenario.world.clock.now();
       const others = 4 - lost.tasks.size;
       lost.die();
       await scenario.world.run(GANG_PEER_S + 1);
       // The first task to notice exits with mates_gone; the controllers may then stop the rest earlier.
-      const ends = scenario.watch.endsOf(GANG, attempt);
+      const ends = scenario.recorder.endsOf(GANG, attempt);
       assert.equal(ends.length, others);
       assert.equal(ends[0]?.cause, 'mates_gone');
-      for (const { task, cause, stored } of ends) {
-        assert.ok(cause === 'mates_gone' || (cause === 'stopped' && !stored), `${task} ${cause}`);
+      for (const { task, cause, isProgressSaved } of ends) {
+        assert.ok(
+          cause === 'mates_gone' || (cause === 'stopped' && !isProgressSaved),
+          `${task} ${cause}`,
+        );
       }
       assert.ok(ends.every(({ at }) => at - diedAt <= GANG_PEER_S * 1000));
       assert.equal(scenario.savedS(), 10);
-      await scenario.begins(120, 2);
-      await scenario.goesOnFrom(10, 30);
+      await scenario.awaitGangStart(120, 2);
+      await scenario.assertResumedFrom(10, 30);
     },
   },
-  ...[12, LEASE_S + 16].map((forS): Row => ({
+  ...[12, LEASE_S + 16].map((forS): GangRuleCase => ({
     rule: 'failure',
     name: `a machine hangs for ${forS} s: its tasks start nowhere while they are on it`,
     act: async (scenario) => {
-      await scenario.running(LONG, 7);
-      scenario.holder().hang(forS);
-      await scenario.begins(120, 2);
-      await scenario.goesOnFrom(5, 30);
+      await scenario.submitAndRun(LONG, 7);
+      scenario.machineOf().hang(forS);
+      await scenario.awaitGangStart(120, 2);
+      await scenario.assertResumedFrom(5, 30);
     },
   })),
   // --- Not complete in time ------------------------------------------------------------------
@@ -67,7 +77,7 @@
     rule: 'waiting',
     name: 'the last image comes too late: the others exit as `alone`, and all restart together',
     act: async (scenario) => {
-      const { world, watch } = scenario;
+      const { world, recorder } = scenario;
       const pass = world.gangs.gather.bind(world.gangs);
       let slow: SimWorker | null = null;
       let first = 0;
@@ -77,13 +87,13 @@
         if (worker === slow && held.attempt === first) held.state = 'pulling';
         else pass(worker, task, held);
       };
-      await scenario.accepted(GANG, LONG);
-      await scenario.begins(GANG_WAIT_S + 60);
+      await scenario.submitAccepted(GANG, LONG);
+      await scenario.awaitGangStart(GANG_WAIT_S + 60);
       const [start] = scenario.starts();
       assert.ok(start && start.attempt > first, 'a new attempt');
-      const causes = new Set(watch.endsOf(GANG, first).map(({ cause }) => cause));
+      const causes = new Set(recorder.endsOf(GANG, first).map(({ cause }) => cause));
       assert.ok(causes.has('alone') || causes.has('stopped'), [...causes].join());
-      assert.equal(watch.endsOf(GANG, first).length, 4, 'all of the first attempt have ended');
+      assert.equal(recorder.endsOf(GANG, first).length, 4, 'all of the first attempt have ended');
     },
   },
   // --- Graceful stops ------------------------------------------------------------------------
@@ -94,19 +104,19 @@
     maxMachines: 4,
     done: [GANG, OTHER],
     act: async (scenario) => {
-      const attempt = await scenario.running({ ...WIDE, checkpointS: 50 }, 20);
-      assert.ok(scenario.owners().size >= 2, 'assignments of several owners');
-      await scenario.accepted(OTHER, URGENT);
-      await scenario.begins(30, 1, OTHER);
-      const ends = scenario.watch.endsOf(GANG, attempt);
+      const attempt = await scenario.submitAndRun({ ...WIDE, checkpointS: 50 }, 20);
+      assert.ok(scenario.ownersOf().size >= 2, 'assignments of several owners');
+      await scenario.submitAccepted(OTHER, URGENT);
+      await scenario.awaitGangStart(30, 1, OTHER);
+      const ends = scenario.recorder.endsOf(GANG, attempt);
       assert.deepEqual(
-        ends.map(({ cause, stored }) => [cause, stored]),
+        ends.map(({ cause, isProgressSaved }) => [cause, isProgressSaved]),
         ends.map(() => ['stopped', true]),
       );
       assert.equal(ends.length, 6);
-      assert.ok(scenario.watch.toldWithinS(GANG, attempt) <= GANG_PEER_S);
+      assert.ok(scenario.recorder.stopSpreadS(GANG, attempt) <= GANG_PEER_S);
       assert.ok(scenario.savedS() >= 20, `saved ${scenario.savedS()} s`);
-      await scenario.goesOnFrom(scenario.savedS(), 60);
+      await scenario.assertResumedFrom(scenario.savedS(), 60);
     },
   },
   {
@@ -118,19 +128,19 @@
     done: [GANG, OTHER],
     act: async (scenario) => {
       const job = { ...WIDE, team: 'wide', tasks: 8, checkpointS: 50 };
-      const attempt = await scenario.running(job, 10);
-      await scenario.accepted(OTHER, { ...URGENT, gang: false, tasks: 1, zone: 'b' });
-      await scenario.until('the urgent task starts', 30, () =>
+      const attempt = await scenario.submitAndRun(job, 10);
+      await scenario.submitAccepted(OTHER, { ...URGENT, gang: false, tasks: 1, zone: 'b' });
+      await scenario.runUntil('the urgent task starts', 30, () =>
         scenario.world.starts.some(({ task }) => task === `${OTHER}/0`),
       );
-      const ends = scenario.watch.endsOf(GANG, attempt);
+      const ends = scenario.recorder.endsOf(GANG, attempt);
       assert.deepEqual(
-        ends.map(({ cause, stored }) => `${cause} ${stored}`),
+        ends.map(({ cause, isProgressSaved }) => `${cause} ${isProgressSaved}`),
         Array.from({ length: 8 }, () => 'stopped true'),
       );
-      assert.ok(scenario.watch.toldWithinS(GANG, attempt) <= GANG_PEER_S);
+      assert.ok(scenario.recorder.stopSpreadS(GANG, attempt) <= GANG_PEER_S);
       assert.ok(scenario.savedS() >= 10, `saved ${scenario.savedS()} s`);
-      await scenario.goesOnFrom(scenario.savedS(), 60);
+      await scenario.assertResumedFrom(scenario.savedS(), 60);
     },
   },
   {
@@ -141,19 +151,19 @@
     maxMachines: 4,
     done: [GANG, OTHER],
     act: async (scenario) => {
-      const { world, watch } = scenario;
-      const attempt = await scenario.running(WIDE, 22);
-      await scenario.accepted(OTHER, URGENT);
-      await scenario.until('the first halt', 30, () => watch.halts.length > 0);
-      const nodes = [...scenario.owners()];
+      const { world, recorder } = scenario;
+      const attempt = await scenario.submitAndRun(WIDE, 22);
+      await scenario.submitAccepted(OTHER, URGENT);
+      await scenario.runUntil('the first halt', 30, () => recorder.stopCommands.length > 0);
+      const nodes = [...scenario.ownersOf()];
       const [node] = nodes;
       assert.ok(node && nodes.length >= 2, 'assignments of several owners');
       world.kill(node);
       await world.run(4);
       world.boot(node);
-      await scenario.begins(90, 1, OTHER);
-      await scenario.begins(120, 2);
-      assert.equal(new Set(watch.endsOf(GANG, attempt).map(({ task }) => task)).size, 6);
+      await scenario.awaitGangStart(90, 1, OTHER);
+      await scenario.awaitGangStart(120, 2);
+      assert.equal(new Set(recorder.endsOf(GANG, attempt).map(({ task }) => task)).size, 6);
       assert.ok(scenario.savedS() >= 20, `saved ${scenario.savedS()} s`);
     },
   },
@@ -164,28 +174,29 @@
     zones: ['a', 'a', 'a', 'a', 'a', 'a'],
     act: async (scenario) => {
       const { world } = scenario;
-      for (const worker of world.workers.values()) worker.holdDirectMs = 9000;
-      await scenario.accepted(GANG, LONG);
-      await scenario.until(
+      for (const worker of world.workers.values()) worker.directDelayMs = 9000;
+      await scenario.submitAccepted(GANG, LONG);
+      await scenario.runUntil(
         'all placements are reserved',
         20,
-        () => scenario.reserved().length === 4,
+        () => scenario.reservedMachines().length === 4,
       );
       await world.run(0.05);
       assert.equal(world.starts.length, 0);
-      const machines = new Set(scenario.reserved());
-      for (const worker of world.workers.values()) worker.mute = machines.has(worker.machine.name);
-      const [node] = scenario.owners();
+      const machines = new Set(scenario.reservedMachines());
+      for (const worker of world.workers.values())
+        worker.losesHeartbeats = machines.has(worker.machine.name);
+      const [node] = scenario.ownersOf();
       assert.ok(node);
       world.kill(node);
       await world.run(4);
       world.boot(node);
       await world.run(10);
       for (const worker of world.workers.values()) {
-        worker.holdDirectMs = 0;
-        worker.mute = false;
+        worker.directDelayMs = 0;
+        worker.losesHeartbeats = false;
       }
-      await scenario.begins(90);
+      await scenario.awaitGangStart(90);
     },
   },
 ];
--- a/test/cluster/gangs-controller-faults.test.ts
+++ b/test/cluster/gangs-controller-faults.test.ts
@@ -5,38 +5,38 @@
 import {
   GANG,
   OTHER,
-  SAVING,
-  begins,
+  WITH_CHECKPOINTS,
+  awaitGangStart,
   cancel,
-  ends,
-  killOwner,
-  owner,
+  assertAllEnded,
+  restartShardOwner,
+  roleHolder,
   shardsOf,
   playGang,
-  restart,
+  restartController,
   submit,
   tasksOf,
-  until,
-  type Row,
-} from '../world/gang-script.js';
+  runUntil,
+  type GangCase,
+} from '../world/gang-steps.js';
 
-const ROWS: Row[] = [
-  ...[100, 300, 600, 1000, 1500, 2000].map((ms): Row => ({
+const ROWS: GangCase[] = [
+  ...[100, 300, 600, 1000, 1500, 2000].map((ms): GangCase => ({
     name: `the leader is killed ${ms} ms after the gang was accepted`,
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, oneZone: true });
       await world.run(ms / 1000);
-      await restart(world, owner(world, LEADER));
+      await restartController(world, roleHolder(world, LEADER));
     },
   })),
-  ...[0, 100, 300, 1200].map((ms): Row => ({
+  ...[0, 100, 300, 1200].map((ms): GangCase => ({
     // Places may be held for a gang of which nothing was started, or only some tasks.
     name: `a shard's owner is killed ${ms} ms after the gang got to the shard`,
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
-      await until(world, 'a shard holds the gang', 20, () => shardsOf(world, GANG).length > 0);
+      await runUntil(world, 'a shard holds the gang', 20, () => shardsOf(world, GANG).length > 0);
       await world.run(ms / 1000);
-      await killOwner(world, GANG);
+      await restartShardOwner(world, GANG);
     },
   })),
   {
@@ -46,31 +46,31 @@
     maxMachines: 4,
     done: [GANG, OTHER],
     act: async (world) => {
-      await submit(world, GANG, { team: 'blue', tasks: 6, cpus: 2, runS: 90, ...SAVING });
-      await begins(world, GANG, 20);
+      await submit(world, GANG, { team: 'blue', tasks: 6, cpus: 2, runS: 90, ...WITH_CHECKPOINTS });
+      await awaitGangStart(world, GANG, 20);
       await world.run(12);
       await submit(world, OTHER, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
-      await until(world, 'the lower gang is told to stop', 30, () =>
+      await runUntil(world, 'the lower gang is told to stop', 30, () =>
         [...tasksOf(world, GANG)].some(
           ({ task }) => task.savedAt !== undefined || task.state === 'exited',
         ),
       );
-      await killOwner(world, GANG);
-      await begins(world, OTHER, 60);
+      await restartShardOwner(world, GANG);
+      await awaitGangStart(world, OTHER, 60);
     },
   },
   {
     name: "a shard's owner is killed while a cancelled gang is stopped",
     done: [],
     act: async (world) => {
-      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...SAVING });
-      await begins(world, GANG, 20);
+      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...WITH_CHECKPOINTS });
+      await awaitGangStart(world, GANG, 20);
       const [shard] = shardsOf(world, GANG);
       assert.ok(shard, 'no shard holds the gang');
-      const node = owner(world, shardRole(shard));
+      const node = roleHolder(world, shardRole(shard));
       await cancel(world, GANG, world.members.find(([one]) => one !== node)?.[0]);
-      await restart(world, node);
-      await ends(world, [GANG], 'withdrawn', 55);
+      await restartController(world, node);
+      await assertAllEnded(world, [GANG], 'withdrawn', 55);
     },
   },
 ];
--- a/test/cluster/gangs-machine-faults.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -4,43 +4,43 @@
 import {
   GANG,
   OTHER,
-  SAVING,
-  begins,
+  WITH_CHECKPOINTS,
+  awaitGangStart,
   cancel,
-  ends,
-  holder,
+  assertAllEnded,
+  machineOf,
   playGang,
-  some,
+  hasTaskInState,
   submit,
   tasksOf,
-  until,
-  type Row,
-} from '../world/gang-script.js';
+  runUntil,
+  type GangCase,
+} from '../world/gang-steps.js';
 
-const ROWS: Row[] = [
-  ...[true, false].map((noticed): Row => ({
+const ROWS: GangCase[] = [
+  ...[true, false].map((noticed): GangCase => ({
     // The tasks that wait must not be left to wait for ever, nor may the lost one run twice.
     name: `a member's machine dies before the start, ${noticed ? 'and the cloud knows' : 'silently'}`,
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 6, cpus: 2 });
-      await until(world, 'a task fetches', 20, () => some(world, GANG, 'pulling'));
-      const worker = holder(world, GANG);
+      await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
+      const worker = machineOf(world, GANG);
       if (noticed) world.removeMachine(worker.machine.name);
       else worker.die();
     },
   })),
-  ...[true, false].map((noticed): Row => ({
+  ...[true, false].map((noticed): GangCase => ({
     name: `a member's machine dies after the start, ${noticed ? 'and the cloud knows' : 'silently'}`,
     zones: ['a', 'a', 'a'],
     act: async (world) => {
-      await submit(world, GANG, { tasks: 6, cpus: 2, runS: 30, ...SAVING });
-      await begins(world, GANG, 20);
+      await submit(world, GANG, { tasks: 6, cpus: 2, runS: 30, ...WITH_CHECKPOINTS });
+      await awaitGangStart(world, GANG, 20);
       await world.run(12);
-      const worker = holder(world, GANG);
+      const worker = machineOf(world, GANG);
       if (noticed) world.removeMachine(worker.machine.name);
       else worker.die();
-      await begins(world, GANG, 120, 2);
+      await awaitGangStart(world, GANG, 120, 2);
     },
   })),
   {
@@ -48,11 +48,11 @@
     name: 'a machine hangs for 12 s in a running gang',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
-      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 30, ...SAVING });
-      await begins(world, GANG, 20);
+      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 30, ...WITH_CHECKPOINTS });
+      await awaitGangStart(world, GANG, 20);
       await world.run(5);
-      holder(world, GANG).hang(12);
-      await begins(world, GANG, 120, 2);
+      machineOf(world, GANG).hang(12);
+      await awaitGangStart(world, GANG, 120, 2);
     },
   },
   {
@@ -60,9 +60,9 @@
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
-      await until(world, 'a task fetches', 20, () => some(world, GANG, 'pulling'));
-      holder(world, GANG).hang(12);
-      await begins(world, GANG, 60);
+      await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
+      machineOf(world, GANG).hang(12);
+      await awaitGangStart(world, GANG, 60);
     },
   },
   {
@@ -70,13 +70,13 @@
     name: 'a member machine is cut from all controllers for longer than its lease',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
-      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 60, ...SAVING });
-      await begins(world, GANG, 20);
+      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 60, ...WITH_CHECKPOINTS });
+      await awaitGangStart(world, GANG, 20);
       await world.run(5);
-      const { name } = holder(world, GANG).machine;
-      for (const [node] of world.members) world.cuts.add(`${node}>${name}`);
+      const { name } = machineOf(world, GANG).machine;
+      for (const [node] of world.members) world.cutLinks.add(`${node}>${name}`);
       await world.run(45);
-      world.cuts.clear();
+      world.cutLinks.clear();
     },
   },
   {
@@ -85,28 +85,34 @@
     zones: ['a', 'a', 'a', 'b'],
     done: [OTHER, 'j-000003'],
     act: async (world) => {
-      for (const worker of world.workers.values()) worker.repeatDirectMs = [4000, 70_000];
-      await submit(world, GANG, { tasks: 4, cpus: 2, urgent: true, runS: 40, ...SAVING });
-      await begins(world, GANG, 20);
-      await submit(world, OTHER, { team: 'blue', tasks: 3, cpus: 2, runS: 30, ...SAVING });
+      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [4000, 70_000];
+      await submit(world, GANG, { tasks: 4, cpus: 2, urgent: true, runS: 40, ...WITH_CHECKPOINTS });
+      await awaitGangStart(world, GANG, 20);
+      await submit(world, OTHER, {
+        team: 'blue',
+        tasks: 3,
+        cpus: 2,
+        runS: 30,
+        ...WITH_CHECKPOINTS,
+      });
       await cancel(world, GANG);
       await submit(world, 'j-000003', { tasks: 4, cpus: 2, urgent: true, runS: 20 });
-      await begins(world, 'j-000003', 60);
+      await awaitGangStart(world, 'j-000003', 60);
       await world.run(5);
-      holder(world, 'j-000003').hang(12);
+      machineOf(world, 'j-000003').hang(12);
       await world.run(80);
-      await ends(world, [GANG], 'withdrawn', 5);
-      for (const worker of world.workers.values()) worker.repeatDirectMs = [];
+      await assertAllEnded(world, [GANG], 'withdrawn', 5);
+      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [];
     },
   },
   {
     name: 'direct calls are held for 9 s, unanswered',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
-      for (const worker of world.workers.values()) worker.holdDirectMs = 9000;
+      for (const worker of world.workers.values()) worker.directDelayMs = 9000;
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       await world.run(25);
-      for (const worker of world.workers.values()) worker.holdDirectMs = 0;
+      for (const worker of world.workers.values()) worker.directDelayMs = 0;
     },
   },
   {
@@ -115,17 +121,23 @@
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (world) => {
-      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 30, oneZone: true, ...SAVING });
-      await begins(world, GANG, 20);
+      await submit(world, GANG, {
+        tasks: 4,
+        cpus: 2,
+        runS: 30,
+        oneZone: true,
+        ...WITH_CHECKPOINTS,
+      });
+      await awaitGangStart(world, GANG, 20);
       await world.run(7);
-      world.cloudTrouble = true;
+      world.cloudRefusesReturns = true;
       const [first, second] = new Set([...tasksOf(world, GANG)].map(({ worker }) => worker));
       assert.ok(first && second);
       first.hang(20);
-      for (const [node] of world.members) world.cuts.add(`${node}>${second.machine.name}`);
+      for (const [node] of world.members) world.cutLinks.add(`${node}>${second.machine.name}`);
       await world.run(35);
-      world.cuts.clear();
-      world.cloudTrouble = false;
+      world.cutLinks.clear();
+      world.cloudRefusesReturns = false;
     },
   },
 ];
--- a/test/cluster/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -4,26 +4,26 @@
 import {
   GANG,
   OTHER,
-  SAVING,
-  begins,
-  begun,
+  WITH_CHECKPOINTS,
+  awaitGangStart,
+  gangStartsOf,
   cancel,
-  ends,
-  holder,
+  assertAllEnded,
+  machineOf,
   playGang,
-  settled,
-  some,
+  awaitReply,
+  hasTaskInState,
   submit,
-  until,
-  type Row,
-} from '../world/gang-script.js';
+  runUntil,
+  type GangCase,
+} from '../world/gang-steps.js';
 
-const ROWS: Row[] = [
+const ROWS: GangCase[] = [
   {
     name: 'three tasks in one zone start together',
     act: async (world) => {
       await submit(world, GANG, { tasks: 3, cpus: 2, oneZone: true });
-      await begins(world, GANG, 10);
+      await awaitGangStart(world, GANG, 10);
     },
   },
   {
@@ -31,7 +31,7 @@
     zones: ['a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 6, cpus: 2 });
-      await begins(world, GANG, 60);
+      await awaitGangStart(world, GANG, 60);
       assert.equal(new Set(world.starts.map((one) => one.machine)).size, 3);
     },
   },
@@ -46,33 +46,33 @@
         ...{ team: 'blue', tasks: 6, cpus: 2, runS: 60 },
         ...{ checkpointS: 50, saveS: 3 },
       });
-      await begins(world, GANG, 20);
+      await awaitGangStart(world, GANG, 20);
       await world.run(20);
       await submit(world, OTHER, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
-      await begins(world, OTHER, 30);
-      const savedMs = world.gangs.saved.get(GANG) ?? 0;
+      await awaitGangStart(world, OTHER, 30);
+      const savedMs = world.gangs.savedProgressMs.get(GANG) ?? 0;
       assert.ok(savedMs >= 15_000, `saved ${savedMs} ms`);
     },
   },
-  ...(['accepted', 'pulling', 'gathering', 'running'] as const).map((moment): Row => ({
+  ...(['accepted', 'pulling', 'gathering', 'running'] as const).map((moment): GangCase => ({
     name: `cancelled when ${moment}: all is gone in time`,
     zones: moment === 'accepted' ? [] : ['a', 'a', 'a'],
     done: [OTHER],
     act: async (world) => {
-      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...SAVING });
+      await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...WITH_CHECKPOINTS });
       if (moment !== 'accepted') {
-        await until(world, 'a task fetches', 20, () => some(world, GANG, 'pulling'));
+        await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
       }
-      if (moment === 'gathering') holder(world, GANG).hang(12);
-      if (moment === 'running') await begins(world, GANG, 20);
+      if (moment === 'gathering') machineOf(world, GANG).hang(12);
+      if (moment === 'running') await awaitGangStart(world, GANG, 20);
       else if (moment !== 'accepted') {
-        await until(world, moment, 20, () => some(world, GANG, moment));
+        await runUntil(world, moment, 20, () => hasTaskInState(world, GANG, moment));
       }
       await cancel(world, GANG, 'n1');
-      await ends(world, [GANG], 'withdrawn', 55);
+      await assertAllEnded(world, [GANG], 'withdrawn', 55);
       // What was held for it is free again.
       await submit(world, OTHER, { tasks: 4, cpus: 2 });
-      await begins(world, OTHER, 60);
+      await awaitGangStart(world, OTHER, 60);
     },
   })),
   {
@@ -86,9 +86,9 @@
         world.submit(GANG, { gang: true, tasks: 5, cpus: 2, runS: 20 }, 'n0'),
         world.submit(OTHER, { gang: true, team: 'blue', tasks: 5, cpus: 2, runS: 20 }, 'n1'),
       ];
-      for (const one of both) assert.equal((await settled(world, one)).status, 201);
-      await begins(world, GANG, 100);
-      await begins(world, OTHER, 100);
+      for (const one of both) assert.equal((await awaitReply(world, one)).status, 201);
+      await awaitGangStart(world, GANG, 100);
+      await awaitGangStart(world, OTHER, 100);
     },
   },
   {
@@ -96,7 +96,7 @@
     zones: ['a', 'a', 'a', 'a', 'a', 'a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { team: 'wide', tasks: 16, cpus: 2, oneZone: true });
-      await begins(world, GANG, 30);
+      await awaitGangStart(world, GANG, 30);
       assert.equal(new Set(world.starts.map((one) => one.machine)).size, 8);
     },
   },
@@ -106,7 +106,7 @@
     maxMachines: 4,
     act: async (world) => {
       await submit(world, GANG, { tasks: 8, cpus: 2 });
-      await begins(world, GANG, 30);
+      await awaitGangStart(world, GANG, 30);
       assert.equal(new Set(world.starts.map((one) => one.machine)).size, 4);
     },
   },
@@ -117,7 +117,7 @@
     maxMachines: 10,
     act: async (world) => {
       await submit(world, GANG, { team: 'wide', tasks: 20, cpus: 2, runS: 20 });
-      await begins(world, GANG, 30);
+      await awaitGangStart(world, GANG, 30);
       assert.equal(new Set(world.starts.map((one) => one.machine)).size, 10);
     },
   },
@@ -137,7 +137,7 @@
         ['cores missing', { ...body, cores: undefined }, 400],
       ];
       for (const [name, sent, status] of cases) {
-        const reply = await settled(world, world.post(sent));
+        const reply = await awaitReply(world, world.post(sent));
         assert.equal(reply.status, status, `${name}: ${JSON.stringify(reply.body)}`);
       }
       await submit(world, GANG, { tasks: 8, cpus: 2 });
@@ -149,11 +149,11 @@
     done: [GANG, OTHER],
     act: async (world) => {
       await submit(world, OTHER, { gang: false, tasks: 16, runS: 30 });
-      await until(world, 'the array runs', 30, () => world.starts.length >= 16);
+      await runUntil(world, 'the array runs', 30, () => world.starts.length >= 16);
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       await world.run(15);
-      assert.equal(begun(world, GANG).length, 0);
-      await begins(world, GANG, 60);
+      assert.equal(gangStartsOf(world, GANG).length, 0);
+      await awaitGangStart(world, GANG, 60);
     },
   },
   {
@@ -164,9 +164,9 @@
     act: async (world) => {
       await submit(world, OTHER, { gang: false, team: 'blue', tasks: 12, runS: 100 });
       await submit(world, 'j-000003', { gang: false, tasks: 4, runS: 100 });
-      await until(world, 'the arrays run', 30, () => world.starts.length >= 16);
+      await runUntil(world, 'the arrays run', 30, () => world.starts.length >= 16);
       await submit(world, GANG, { tasks: 4, cpus: 2, urgent: true });
-      await begins(world, GANG, 15);
+      await awaitGangStart(world, GANG, 15);
     },
   },
   {
@@ -182,15 +182,15 @@
         await submit(world, `j-1000${10 + turn++}`, job);
       };
       for (let at = 0; at < 4; at++) await more();
-      await until(world, 'the arrays run', 30, () => world.starts.length >= 12);
+      await runUntil(world, 'the arrays run', 30, () => world.starts.length >= 12);
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       const since = world.clock.now();
-      while (begun(world, GANG).length === 0) {
+      while (gangStartsOf(world, GANG).length === 0) {
         assert.ok(world.clock.now() - since < 60_000, 'waits for more than 60 s');
         await world.run(3);
         await more();
       }
-      await ends(world, [GANG], 'done', 60);
+      await assertAllEnded(world, [GANG], 'done', 60);
     },
   },
   {
@@ -202,9 +202,9 @@
     act: async (world) => {
       const service = { gang: false, service: true, spot: false, urgent: true, spread: true };
       await submit(world, OTHER, { ...service, tasks: 2, cpus: 2 });
-      await until(world, 'the service runs', 20, () => world.starts.length >= 2);
+      await runUntil(world, 'the service runs', 20, () => world.starts.length >= 2);
       // The service leaves 6 CPUs in each zone, and the cloud has no further machine.
-      world.cloudTrouble = true;
+      world.cloudRefusesReturns = true;
       world.capacity = 0;
       await submit(world, GANG, { tasks: 4, cpus: 2, oneZone: true });
       await world.run(5);
@@ -212,12 +212,12 @@
       for (const id of arrays) {
         await submit(world, id, { gang: false, team: 'blue', tasks: 12, runS: 10 });
       }
-      await ends(world, arrays, 'done', 120);
-      assert.equal(begun(world, GANG).length, 0);
-      world.cloudTrouble = false;
+      await assertAllEnded(world, arrays, 'done', 120);
+      assert.equal(gangStartsOf(world, GANG).length, 0);
+      world.cloudRefusesReturns = false;
       world.capacity = 4;
       await cancel(world, OTHER);
-      await begins(world, GANG, 60);
+      await awaitGangStart(world, GANG, 60);
     },
   },
 ];
--- a/test/cluster/large-fleet.test.ts
+++ b/test/cluster/large-fleet.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { FLEET, TEAMS } from '../world/settings.js';
 import { World } from '../world/world.js';
 
@@ -35,7 +35,7 @@
 
 test('4,000 machines send heartbeats, get work, and keep it when the leader ends and when all do', async () => {
   const world = new World(11, undefined, LARGE);
-  world.state.transactionOps = LARGE.transactionOps;
+  world.store.transactionOps = LARGE.transactionOps;
   for (let at = 0; at < MACHINES; at++) {
     world.addMachine('small', at % 2 === 0 ? 'a' : 'b', false, 500);
   }
@@ -63,10 +63,10 @@
   assert.equal(world.starts.length, begun, 'nothing had to start again');
   for (const [node] of world.members) {
     for (const id of ['j-000001', ...Array.from({ length: SERVICES }, (_, at) => serviceId(at))]) {
-      const reply = await settled(world, world.poll(id, node));
+      const reply = await awaitReply(world, world.poll(id, node));
       assert.deepEqual([reply.status, stageOf(reply)], [200, 'running'], `${id} at ${node}`);
     }
   }
   assert.equal(world.workers.size, MACHINES, 'none was returned');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/cluster/machine-faults.test.ts
+++ b/test/cluster/machine-faults.test.ts
@@ -1,62 +1,63 @@
 /** The invariants hold through faults of machines, heartbeats and commands. */
 import { test } from 'node:test';
-import { playCase, type RuleCase } from '../world/fault-case.js';
+import { playFaultCase, type FaultCase } from '../world/fault-case.js';
 
-const CASES: RuleCase[] = [
+const CASES: FaultCase[] = [
   {
     name: 'a controller that no worker reaches',
-    trouble: async (world) => {
-      for (const name of world.workers.keys()) world.cuts.add(`n0>${name}`);
+    fault: async (world) => {
+      for (const name of world.workers.keys()) world.cutLinks.add(`n0>${name}`);
       await world.run(50);
-      world.cuts.clear();
+      world.cutLinks.clear();
       await world.run(5);
     },
   },
   {
     name: 'machines that lose the network for longer than their lease',
-    trouble: async (world) => {
+    fault: async (world) => {
       const [first, second] = world.workers.keys();
       for (const [node] of world.members) {
-        world.cuts.add(`${node}>${first}`);
-        world.cuts.add(`${node}>${second}`);
+        world.cutLinks.add(`${node}>${first}`);
+        world.cutLinks.add(`${node}>${second}`);
       }
       await world.run(45);
-      world.cuts.clear();
+      world.cutLinks.clear();
       await world.run(30);
     },
   },
   {
     name: 'direct commands that arrive late',
-    trouble: async (world) => {
-      for (const worker of world.workers.values()) worker.holdDirectMs = 9000;
+    fault: async (world) => {
+      for (const worker of world.workers.values()) worker.directDelayMs = 9000;
       await world.run(25);
-      for (const worker of world.workers.values()) worker.holdDirectMs = 0;
+      for (const worker of world.workers.values()) worker.directDelayMs = 0;
       await world.run(30);
     },
   },
   {
     name: 'heartbeats that arrive late',
-    trouble: async (world) => {
-      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 6000;
+    fault: async (world) => {
+      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 6000;
       await world.run(12);
-      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 0;
+      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 0;
       await world.run(30);
     },
   },
   {
     name: 'a machine whose heartbeats arrive but that gets no answers',
-    trouble: async (world) => {
+    fault: async (world) => {
       const [first] = world.workers.values();
-      if (first) first.deaf = true;
+      if (first) first.losesAnswers = true;
       await world.run(80);
-      if (first) first.deaf = false;
+      if (first) first.losesAnswers = false;
       await world.run(20);
     },
   },
   {
     name: 'duplicate heartbeats that come late, also after machines died and controllers restarted',
-    trouble: async (world) => {
-      for (const worker of world.workers.values()) worker.copyAfterMs = [3000, 17_000, 41_000];
+    fault: async (world) => {
+      for (const worker of world.workers.values())
+        worker.heartbeatDuplicatesAfterMs = [3000, 17_000, 41_000];
       await world.run(20);
       const [first] = world.workers.values();
       first?.die();
@@ -64,15 +65,15 @@
       await world.run(1);
       world.boot('n0');
       await world.run(60);
-      for (const worker of world.workers.values()) worker.copyAfterMs = [];
+      for (const worker of world.workers.values()) worker.heartbeatDuplicatesAfterMs = [];
     },
   },
   {
     // Without the fencing token raised at forgetting, a repeated start runs beside its successor, or after
     // its job was cancelled.
     name: 'direct calls that were carried out and come once more, long after',
-    trouble: async (world) => {
-      for (const worker of world.workers.values()) worker.repeatDirectMs = [4000, 70_000];
+    fault: async (world) => {
+      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [4000, 70_000];
       for (let turn = 0; turn < 4; turn++) {
         void world.submit(`j-10000${turn}`, { service: true, spot: false, urgent: true, tasks: 2 });
         await world.run(6);
@@ -80,17 +81,17 @@
         await world.run(2);
       }
       await world.run(60);
-      for (const worker of world.workers.values()) worker.repeatDirectMs = [];
+      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [];
     },
   },
   {
     name: 'machines that hang and go on, within their lease and beyond it, with late commands',
-    trouble: async (world) => {
+    fault: async (world) => {
       // No machine is returned meanwhile, so that only time proves the end of what hangs.
       for (let at = 0; at < 3; at++) world.addMachine('small', at < 2 ? 'a' : 'b', false, 500);
       void world.submit('j-100009', { service: true, spot: false, urgent: true, tasks: 5 });
       await world.run(8);
-      world.cloudTrouble = true;
+      world.cloudRefusesReturns = true;
       for (const [at, worker] of [...world.workers.values()].entries()) {
         if (at < 4) worker.hang([12, 21, 40, 18][at] ?? 12);
       }
@@ -98,14 +99,14 @@
         void world.submit(`j-10000${turn}`, { tasks: 3, runS: 5 });
         await world.run(12);
       }
-      world.cloudTrouble = false;
+      world.cloudRefusesReturns = false;
       void world.cancel('j-100009');
       await world.run(30);
     },
   },
   {
     name: 'machines restarted at once, with sequence numbers from one',
-    trouble: async (world) => {
+    fault: async (world) => {
       await world.run(10);
       for (const worker of [...world.workers.values()].slice(0, 2)) worker.restart();
       await world.run(40);
@@ -116,6 +117,6 @@
 for (const one of CASES) {
   for (const seed of [1, 2]) {
     test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
-      playCase(one, seed));
+      playFaultCase(one, seed));
   }
 }
--- a/test/cluster/overlapping-faults-late-writes.test.ts
+++ b/test/cluster/overlapping-faults-late-writes.test.ts
@@ -5,31 +5,31 @@
 import type { SimJob } from '../world/jobs.js';
 import {
   URGENT,
-  change,
-  playMeeting,
+  restartLeader,
+  playOverlappingFaults,
   submit,
   workersIn,
-  type Meeting,
+  type OverlappingFaultsCase,
 } from '../world/overlapping-faults.js';
 import type { World } from '../world/world.js';
 
 const SHORT: Partial<SimJob> = { tasks: 40, runS: 3 };
 
-const ROWS: Meeting[] = [
+const ROWS: OverlappingFaultsCase[] = [
   ...[false, true].map((killed) => ({
     name: `late writes: short tasks in many assignments${killed ? ', leaders killed' : ''}`,
     seeds: [1, 2],
     restS: 200,
     script: async (world: World) => {
-      world.state.lateShare = 0.3;
+      world.store.lateTransactionShare = 0.3;
       for (let turn = 0; turn < 6; turn++) {
         const job = turn % 2 ? { ...SHORT, team: 'blue', urgent: true } : SHORT;
         void world.submit(`j-00000${turn}`, { ...job, spread: turn === 3 }, `n${turn % 3}`);
         await world.run(5);
-        if (killed && turn % 2) await change(world, turn === 3 ? 8 : 0.3);
+        if (killed && turn % 2) await restartLeader(world, turn === 3 ? 8 : 0.3);
         await world.run(5);
       }
-      world.state.lateShare = 0;
+      world.store.lateTransactionShare = 0;
     },
   })),
   ...[false, true].map((killed) => ({
@@ -39,17 +39,17 @@
     restS: 200,
     script: async (world: World) => {
       // Machines that get no answers get no work: what their shard was assigned is returned, soon if urgent.
-      world.state.lateShare = 0.3;
+      world.store.lateTransactionShare = 0.3;
       for (let turn = 0; turn < 5; turn++) {
         const [worker] = workersIn(world, turn % 2 ? 'b' : 'a');
-        if (worker) worker.deaf = true;
+        if (worker) worker.losesAnswers = true;
         void world.submit(`j-00000${turn}`, { tasks: 6, runS: 15, urgent: true });
         await world.run(10);
-        if (killed && turn % 2) await change(world, 0.3);
-        if (worker) worker.deaf = false;
+        if (killed && turn % 2) await restartLeader(world, 0.3);
+        if (worker) worker.losesAnswers = false;
         await world.run(2);
       }
-      world.state.lateShare = 0;
+      world.store.lateTransactionShare = 0;
     },
   })),
   {
@@ -67,18 +67,18 @@
       await world.run(10);
       const [first] = world.workers.values();
       assert.ok(first);
-      first.deaf = true;
+      first.losesAnswers = true;
       // Its start goes unanswered: from then on the shard waits for a proof before it places more.
       await submit(world, 'j-000002', { ...URGENT, tasks: 1 });
       await world.run(2.6);
       let held = '';
       let absent: boolean | null = null;
-      world.state.hold = (_node, changes) => {
+      world.store.transactionDelayMs = (_node, changes) => {
         const made = changes.find((one) => one.key.includes('/j-000003/') && 'value' in one);
         if (held !== '' || !made?.key.startsWith(ASSIGNMENTS)) return null;
         held = made.key;
         world.clock.after(11_999, () => {
-          absent = !world.state.cells.has(held);
+          absent = !world.store.entries.has(held);
         });
         return 12_000;
       };
@@ -87,7 +87,7 @@
       world.addMachine('small', 'b', false, 5500);
       world.addMachine('small', 'a', false, 11_400);
       await world.run(13);
-      first.deaf = false;
+      first.losesAnswers = false;
       await world.run(5);
       assert.ok(held !== '', 'no creation was held');
       assert.equal(absent, true, 'the assignment was still there');
@@ -97,6 +97,7 @@
 
 for (const row of ROWS) {
   for (const seed of row.seeds ?? [1]) {
-    test(`meeting: ${row.name} (seed ${seed})`, (t) => playMeeting(t, row, seed));
+    test(`overlapping faults: ${row.name} (seed ${seed})`, (t) =>
+      playOverlappingFaults(t, row, seed));
   }
 }
--- a/test/cluster/overlapping-faults-leaders.test.ts
+++ b/test/cluster/overlapping-faults-leaders.test.ts
@@ -6,38 +6,38 @@
 import {
   SERVICE,
   cancel,
-  change,
+  restartLeader,
   cutOff,
-  load,
-  names,
+  submitWorkload,
+  controllerNames,
   outage,
-  playMeeting,
+  playOverlappingFaults,
   submit,
-  type Meeting,
+  type OverlappingFaultsCase,
 } from '../world/overlapping-faults.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
-const ROWS: Meeting[] = [
+const ROWS: OverlappingFaultsCase[] = [
   {
     name: 'a refused controller: its lease expires, and its open watches wait',
     script: async (world) => {
       await submit(world, 'j-000001', { tasks: 3, runS: 60 });
       const [old, key] = [world.leader, nodeKey(world.leader)];
-      assert.ok(world.state.cells.has(key));
+      assert.ok(world.store.entries.has(key));
       let told: unknown = null;
-      void world.state
+      void world.store
         .api(old)
-        .watch('trial/', world.state.revision, 10_000)
+        .watch('trial/', world.store.revision, 10_000)
         .then((result) => (told = result));
       await world.run(0.5);
-      world.state.refused.add(old);
-      world.state.change([{ key: 'trial/x', value: 1 }]);
+      world.store.refusedControllers.add(old);
+      world.store.change([{ key: 'trial/x', value: 1 }]);
       await world.run(8);
       assert.equal(told, null, 'watch answered while refused');
-      assert.equal(world.state.cells.has(key), false, 'lease did not end');
+      assert.equal(world.store.entries.has(key), false, 'lease did not end');
       assert.notEqual(world.leader, old);
-      world.state.refused.clear();
+      world.store.refusedControllers.clear();
       await world.run(1);
       assert.notEqual(told, null);
     },
@@ -46,10 +46,10 @@
     name: 'ten changes of leader in two minutes',
     seeds: [1, 2],
     script: async (world) => {
-      await load(world);
+      await submitWorkload(world);
       for (let turn = 0; turn < 10; turn++) {
-        await change(world, 8);
-        if (turn === 4) await cancel(world, 'j-000002', names(world));
+        await restartLeader(world, 8);
+        if (turn === 4) await cancel(world, 'j-000002', controllerNames(world));
         await world.run(4);
       }
     },
@@ -58,12 +58,12 @@
     name: 'ten changes of leader in two minutes, an outage inside',
     seeds: [1, 2],
     script: async (world) => {
-      await load(world);
+      await submitWorkload(world);
       for (let turn = 0; turn < 10; turn++) {
-        if (turn === 4) world.state.outage = true;
-        if (turn === 7) world.state.endOutage();
-        await change(world, turn % 2 ? 0.3 : 8);
-        if (turn === 3) await cancel(world, 'j-000002', names(world));
+        if (turn === 4) world.store.hasOutage = true;
+        if (turn === 7) world.store.endOutage();
+        await restartLeader(world, turn % 2 ? 0.3 : 8);
+        if (turn === 3) await cancel(world, 'j-000002', controllerNames(world));
         await world.run(turn % 2 ? 11 : 4);
       }
     },
@@ -72,17 +72,17 @@
     name: 'takeover by a controller that is killed and back within 0.3 s',
     seeds: [1, 2],
     script: async (world) => {
-      await load(world);
+      await submitWorkload(world);
       const old = world.leader;
       world.kill(old);
       for (let turn = 0; turn < 200 && world.leader === old; turn++) {
         await world.clock.run(world.clock.now() + 50);
       }
-      await change(world, 0.3);
-      await cancel(world, 'j-000001', names(world));
+      await restartLeader(world, 0.3);
+      await cancel(world, 'j-000001', controllerNames(world));
       world.boot(old);
       await world.run(0.3);
-      await change(world, 0.3);
+      await restartLeader(world, 0.3);
       await world.run(20);
     },
   },
@@ -90,58 +90,59 @@
     name: `a leader without key-value store and peers ${alone ? 'alone reaches its workers' : 'has workers and users'}; others cancel`,
     seeds: [1, 2],
     script: async (world: World) => {
-      await load(world);
+      await submitWorkload(world);
       const old = world.leader;
-      world.state.refused.add(old);
-      for (const name of names(world)) if (name !== old) world.cuts.add(`${old}>${name}`);
+      world.store.refusedControllers.add(old);
+      for (const name of controllerNames(world))
+        if (name !== old) world.cutLinks.add(`${old}>${name}`);
       await world.run(1);
-      const others = names(world).filter((name) => name !== old);
+      const others = controllerNames(world).filter((name) => name !== old);
       // Nobody else can stop what runs there, and no machine is returned: only leases end it.
       if (alone) cutOff(world, others, world.workers.keys());
-      world.cloudTrouble = alone;
+      world.cloudRefusesReturns = alone;
       for (const id of ['j-000001', 'j-000002', 'j-000003']) {
         assert.equal(stageOf(await cancel(world, id, others)), 'withdrawn');
-        const reply = await settled(world, world.poll(id, old));
+        const reply = await awaitReply(world, world.poll(id, old));
         assert.ok(reply.status === 503 || stageOf(reply) === 'withdrawn', JSON.stringify(reply));
       }
       for (let turn = 0; turn < 30; turn++) {
-        await settled(world, world.poll('j-000001', old));
+        await awaitReply(world, world.poll('j-000001', old));
         await world.run(2);
       }
-      world.state.refused.clear();
-      world.cuts.clear();
-      world.cloudTrouble = false;
+      world.store.refusedControllers.clear();
+      world.cutLinks.clear();
+      world.cloudRefusesReturns = false;
     },
   })),
   {
     name: 'heartbeats delayed and duplicated late, across a failover and back within a second',
     seeds: [1, 2],
     script: async (world) => {
-      await load(world);
+      await submitWorkload(world);
       for (const worker of world.workers.values())
-        worker.copyAfterMs = [2000, 9000, 23_000, 40_000];
+        worker.heartbeatDuplicatesAfterMs = [2000, 9000, 23_000, 40_000];
       await world.run(6);
-      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 6000;
+      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 6000;
       await world.run(2);
-      await change(world, 8);
-      for (const worker of world.workers.values()) worker.holdHeartbeatsMs = 0;
+      await restartLeader(world, 8);
+      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 0;
       await world.run(1);
-      await change(world, 0.3);
-      await cancel(world, 'j-000002', names(world));
-      await change(world, 0.6);
+      await restartLeader(world, 0.3);
+      await cancel(world, 'j-000002', controllerNames(world));
+      await restartLeader(world, 0.6);
       await world.run(50);
-      for (const worker of world.workers.values()) worker.copyAfterMs = [];
+      for (const worker of world.workers.values()) worker.heartbeatDuplicatesAfterMs = [];
     },
   },
   {
     name: 'all controllers are away for longer than a lease, after a cancellation',
     seeds: [1, 2],
     script: async (world) => {
-      await load(world);
-      await cancel(world, 'j-000002', names(world));
-      for (const name of names(world)) world.kill(name);
+      await submitWorkload(world);
+      await cancel(world, 'j-000002', controllerNames(world));
+      for (const name of controllerNames(world)) world.kill(name);
       await world.run(40);
-      for (const name of names(world)) world.boot(name);
+      for (const name of controllerNames(world)) world.boot(name);
     },
   },
   {
@@ -151,37 +152,38 @@
       world.capacity = 0;
       await submit(world, 'j-000001', { tasks: 3, cpus: 4, runS: 25 });
       await world.run(15);
-      await change(world, 9);
+      await restartLeader(world, 9);
       await world.run(30);
-      await change(world, 0.3);
+      await restartLeader(world, 0.3);
       await world.run(30);
     },
   },
   {
     name: 'the key-value store answers slowly, then refuses the leader, while users cancel and ask',
     script: async (world) => {
-      await load(world);
-      world.state.answerMs = 1200;
+      await submitWorkload(world);
+      world.store.answerMs = 1200;
       for (const id of ['j-000001', 'j-000002']) {
-        await cancel(world, id, names(world));
-        for (const node of names(world)) {
-          const reply = await settled(world, world.poll(id, node));
+        await cancel(world, id, controllerNames(world));
+        for (const node of controllerNames(world)) {
+          const reply = await awaitReply(world, world.poll(id, node));
           assert.ok(reply.status === 503 || stageOf(reply) === 'withdrawn', JSON.stringify(reply));
         }
       }
-      world.state.refused.add(world.leader);
-      await cancel(world, 'j-000003', names(world));
+      world.store.refusedControllers.add(world.leader);
+      await cancel(world, 'j-000003', controllerNames(world));
       await world.run(4);
       await outage(world, 55);
-      world.state.answerMs = 5;
-      world.state.refused.clear();
+      world.store.answerMs = 5;
+      world.store.refusedControllers.clear();
     },
   },
 ];
 
 for (const row of ROWS) {
   for (const seed of row.seeds ?? [1]) {
-    test(`meeting: ${row.name} (seed ${seed})`, (t) => playMeeting(t, row, seed));
+    test(`overlapping faults: ${row.name} (seed ${seed})`, (t) =>
+      playOverlappingFaults(t, row, seed));
   }
 }
 
@@ -193,7 +195,7 @@
   await world.run(7);
   await submit(world, 'j-000001', { ...SERVICE, zone: 'b', tasks: 2 });
   await world.run(14);
-  for (const node of names(world).slice(1)) world.kill(node);
+  for (const node of controllerNames(world).slice(1)) world.kill(node);
   await world.run(12);
   world.boot('n1');
   await world.run(1);
@@ -201,9 +203,9 @@
   const placed = (): number =>
     [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]).length;
   assert.equal(placed(), 2);
-  world.state.refused.add('n0');
+  world.store.refusedControllers.add('n0');
   assert.equal(stageOf(await cancel(world, 'j-000001', ['n1'])), 'withdrawn');
   await world.run(4);
   assert.equal(placed(), 0);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/cluster/overlapping-faults-machines.test.ts
+++ b/test/cluster/overlapping-faults-machines.test.ts
@@ -5,18 +5,18 @@
   SERVICE,
   URGENT,
   cancel,
-  change,
+  restartLeader,
   cutOff,
-  load,
-  names,
-  playMeeting,
+  submitWorkload,
+  controllerNames,
+  playOverlappingFaults,
   submit,
   workersIn,
-  type Meeting,
+  type OverlappingFaultsCase,
 } from '../world/overlapping-faults.js';
 import type { World } from '../world/world.js';
 
-const ROWS: Meeting[] = [
+const ROWS: OverlappingFaultsCase[] = [
   {
     name: 'a team at its quota: leader killed, machines cut off, no machine returned, a cancellation',
     seeds: [1, 2],
@@ -26,12 +26,12 @@
       await world.run(30);
       assert.equal(world.starts.length, 12);
       await submit(world, 'j-000003', { team: 'blue', tasks: 6, runS: 10 });
-      world.cloudTrouble = true;
+      world.cloudRefusesReturns = true;
       // Those with the most tasks: what can't be asked counts against the quota until its lease ends.
       const full = [...world.workers.values()].sort((x, y) => y.tasks.size - x.tasks.size);
       cutOff(
         world,
-        names(world),
+        controllerNames(world),
         full.slice(0, 2).map((one) => one.machine.name),
       );
       await world.run(1);
@@ -41,12 +41,12 @@
       await cancel(
         world,
         'j-000001',
-        names(world).filter((name) => name !== old),
+        controllerNames(world).filter((name) => name !== old),
       );
       await world.run(60);
       world.boot(old);
-      world.cuts.clear();
-      world.cloudTrouble = false;
+      world.cutLinks.clear();
+      world.cloudRefusesReturns = false;
       await world.run(90);
       assert.ok(
         world.starts.some((one) => one.task.startsWith('j-000003/')),
@@ -60,21 +60,21 @@
     seeds: [1, 2],
     restS: 240,
     script: async (world: World) => {
-      world.cloudTrouble = true;
+      world.cloudRefusesReturns = true;
       await submit(world, 'j-000001', { ...bound, tasks: 8, runS: 40, team: 'blue' });
       await submit(world, 'j-000002', { ...SERVICE, ...bound, tasks: 6 });
       await world.run(16);
       const used = [...world.workers.values()].filter((one) => one.tasks.size > 0);
       cutOff(
         world,
-        names(world),
+        controllerNames(world),
         used.slice(0, 2).map((one) => one.machine.name),
       );
       await world.run(20);
-      await change(world, 8);
+      await restartLeader(world, 8);
       await world.run(30);
-      world.cuts.clear();
-      world.cloudTrouble = false;
+      world.cutLinks.clear();
+      world.cloudRefusesReturns = false;
     },
   })),
   {
@@ -91,12 +91,12 @@
         mute.flatMap((one) => [...one.tasks.keys()].filter((task) => task.startsWith(id)));
       const restart = on('j-000001').filter((task) => task.startsWith('j-000001/'));
       assert.ok(mute.length === 2 && on('j-00000').length > 0);
-      for (const worker of mute) worker.mute = true;
+      for (const worker of mute) worker.losesHeartbeats = true;
       // Only the ends of their leases prove that their tasks are gone.
-      world.cloudTrouble = true;
+      world.cloudRefusesReturns = true;
       await world.run(1);
       const mutedAt = world.clock.now();
-      await cancel(world, 'j-000002', names(world));
+      await cancel(world, 'j-000002', controllerNames(world));
       await world.run(3);
       const ended = mute.flatMap((one) =>
         [...one.onMachine()].filter(([task]) => task.startsWith('j-000002/')),
@@ -111,8 +111,8 @@
           `${task} did not start elsewhere`,
         );
       }
-      for (const worker of mute) worker.mute = false;
-      world.cloudTrouble = false;
+      for (const worker of mute) worker.losesHeartbeats = false;
+      world.cloudRefusesReturns = false;
     },
   },
   {
@@ -120,12 +120,12 @@
     seeds: [1, 2],
     zones: ['a', 'a', 'b', 'b'],
     script: async (world) => {
-      await load(world);
+      await submitWorkload(world);
       await submit(world, 'j-000006', { ...SERVICE, zone: 'b', tasks: 2 });
       await world.run(8);
       const inside = world.members.filter(([, zone]) => zone === 'b').map(([name]) => name);
-      const outside = names(world).filter((name) => !inside.includes(name));
-      for (const name of inside) world.state.refused.add(name);
+      const outside = controllerNames(world).filter((name) => !inside.includes(name));
+      for (const name of inside) world.store.refusedControllers.add(name);
       cutOff(world, inside, [...outside, ...workersIn(world, 'a').map((one) => one.machine.name)]);
       cutOff(
         world,
@@ -136,14 +136,15 @@
       await cancel(world, 'j-000006', outside);
       await cancel(world, 'j-000001', outside);
       await world.run(70);
-      world.cuts.clear();
-      world.state.refused.clear();
+      world.cutLinks.clear();
+      world.store.refusedControllers.clear();
     },
   },
 ];
 
 for (const row of ROWS) {
   for (const seed of row.seeds ?? [1]) {
-    test(`meeting: ${row.name} (seed ${seed})`, (t) => playMeeting(t, row, seed));
+    test(`overlapping faults: ${row.name} (seed ${seed})`, (t) =>
+      playOverlappingFaults(t, row, seed));
   }
 }
--- a/test/cluster/overlapping-faults-store-outage.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -8,12 +8,12 @@
 import {
   URGENT,
   cancel,
-  load,
-  names,
+  submitWorkload,
+  controllerNames,
   outage,
-  playMeeting,
+  playOverlappingFaults,
   submit,
-  type Meeting,
+  type OverlappingFaultsCase,
 } from '../world/overlapping-faults.js';
 import type { World } from '../world/world.js';
 
@@ -31,17 +31,17 @@
 const gap =
   ({ endsS, holdMs, hangS, restart, jobs = ['j-000001', 'j-000002', 'j-000003'] }: Gap) =>
   async (world: World): Promise<void> => {
-    await load(world);
+    await submitWorkload(world);
     const old = world.leader;
-    world.state.refused.add(old);
-    const others = names(world).filter((name) => name !== old);
+    world.store.refusedControllers.add(old);
+    const others = controllerNames(world).filter((name) => name !== old);
     if (holdMs) {
       // Sent just before: these starts are still on their way when their job is cancelled.
-      world.state.refused.clear();
-      for (const worker of world.workers.values()) worker.holdDirectMs = holdMs;
+      world.store.refusedControllers.clear();
+      for (const worker of world.workers.values()) worker.directDelayMs = holdMs;
       await submit(world, 'j-000009', { ...URGENT, tasks: 3 }, others[0]);
       await world.run(0.6);
-      world.state.refused.add(old);
+      world.store.refusedControllers.add(old);
     }
     await world.run(1);
     if (hangS) for (const worker of world.workers.values()) worker.hang(hangS);
@@ -49,21 +49,21 @@
       const reply = await cancel(world, id, others, 2);
       assert.equal(stageOf(reply), 'withdrawn', id);
     }
-    if (endsS < 0) world.state.refused.clear();
+    if (endsS < 0) world.store.refusedControllers.clear();
     const during: Record<number, () => void> = {};
-    if (endsS >= 0 && endsS < 63) during[endsS] = () => world.state.refused.clear();
+    if (endsS >= 0 && endsS < 63) during[endsS] = () => world.store.refusedControllers.clear();
     if (restart) {
       during[20] = () => world.kill(old);
       during[21] = () => world.boot(old);
     }
     await outage(world, 63, during);
     if (endsS >= 63) await world.run(endsS - 63);
-    world.state.refused.clear();
-    for (const worker of world.workers.values()) worker.holdDirectMs = 0;
+    world.store.refusedControllers.clear();
+    for (const worker of world.workers.values()) worker.directDelayMs = 0;
     await world.run(5);
   };
 
-const ROWS: Meeting[] = [
+const ROWS: OverlappingFaultsCase[] = [
   ...[
     { what: 'refusal ends before the outage', endsS: -1 },
     { what: 'refusal ends inside the outage', endsS: 25 },
@@ -91,6 +91,7 @@
 
 for (const row of ROWS) {
   for (const seed of row.seeds ?? [1]) {
-    test(`meeting: ${row.name} (seed ${seed})`, (t) => playMeeting(t, row, seed));
+    test(`overlapping faults: ${row.name} (seed ${seed})`, (t) =>
+      playOverlappingFaults(t, row, seed));
   }
 }
--- a/test/cluster/overlapping-faults-workload.test.ts
+++ b/test/cluster/overlapping-faults-workload.test.ts
@@ -2,10 +2,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
-import { URGENT, names, playMeeting, submit, type Meeting } from '../world/overlapping-faults.js';
-import { settled } from '../world/requests.js';
+import {
+  URGENT,
+  controllerNames,
+  playOverlappingFaults,
+  submit,
+  type OverlappingFaultsCase,
+} from '../world/overlapping-faults.js';
+import { awaitReply } from '../world/await-reply.js';
 
-const ROWS: Meeting[] = [
+const ROWS: OverlappingFaultsCase[] = [
   {
     name: 'cancel, question and repeated submission at the end of the last task',
     seeds: [1, 2],
@@ -23,7 +29,7 @@
         assert.ok(start !== undefined, `${id} has not begun`);
         const moment = start + 20_000 - 900 + at * 300 - world.clock.now();
         world.clock.after(moment, () => {
-          for (const node of names(world)) {
+          for (const node of controllerNames(world)) {
             void world.poll(id, node);
             void world.submit(id, { tasks: 1 }, node);
           }
@@ -34,28 +40,31 @@
       }
       await world.run(25);
       assert.equal(answered, ids.length);
-      const ends = new Set([...world.told.values()].map((one) => one.stage));
+      const ends = new Set([...world.answeredEnds.values()].map((one) => one.stage));
       assert.deepEqual([...ends].sort(), ['done', 'withdrawn']);
       for (const id of ids) {
-        for (const node of names(world)) {
-          const reply = await settled(world, world.submit(id, {}, node));
-          assert.deepEqual([reply.status, stageOf(reply)], [200, world.told.get(id)?.stage]);
+        for (const node of controllerNames(world)) {
+          const reply = await awaitReply(world, world.submit(id, {}, node));
+          assert.deepEqual(
+            [reply.status, stageOf(reply)],
+            [200, world.answeredEnds.get(id)?.stage],
+          );
         }
       }
     },
   },
   {
     name: 'more work than capacity, urgent and not, over slow links',
-    restS: 260,
+    recoveryS: 260,
     script: async (world) => {
-      world.linkMs = 600;
+      world.linkDelayMs = 600;
       for (let at = 0; at < 8; at++) {
         const urgent = at % 2 === 0;
         const job = { tasks: urgent ? 2 : 10, runS: 12, urgent, team: at % 4 < 2 ? 'red' : 'blue' };
         await submit(world, `j-00000${at}`, job);
       }
       await world.run(60);
-      world.linkMs = 1;
+      world.linkDelayMs = 1;
     },
   },
   {
@@ -76,6 +85,7 @@
 
 for (const row of ROWS) {
   for (const seed of row.seeds ?? [1]) {
-    test(`meeting: ${row.name} (seed ${seed})`, (t) => playMeeting(t, row, seed));
+    test(`overlapping faults: ${row.name} (seed ${seed})`, (t) =>
+      playOverlappingFaults(t, row, seed));
   }
 }
--- a/test/cluster/overload.test.ts
+++ b/test/cluster/overload.test.ts
@@ -17,7 +17,7 @@
   const polled = world.poll('j-000001');
   await world.run(1);
   assert.equal(((await polled).body as { stage: string }).stage, 'done');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 // Checked by the users: in a lasting overload the largest jobs must begin within 4 minutes. A job
@@ -34,7 +34,7 @@
   }
   const began = world.starts.find(({ task }) => task.startsWith('j-000001/'));
   assert.ok(began, 'nothing of it began');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 // Checked by the users: once faults are over, 75 s without an answered question about an accepted
@@ -42,7 +42,7 @@
 // and the rush of polls and submissions must fit the key-value store's limits together.
 test('no job is forgotten after all controllers were killed in an outage', async () => {
   const world = new World(13);
-  world.state.limits = { rps: 80, writeRps: 25 };
+  world.store.limits = { rps: 80, writeRps: 25 };
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(6);
   const ids: string[] = [];
@@ -58,22 +58,26 @@
   }
   await world.run(10);
   assert.ok(ids.length > 200, `accepted ${ids.length}`);
-  world.state.outage = true;
+  world.store.hasOutage = true;
   for (const [name] of world.members) world.kill(name);
   await world.run(3);
   for (const [name] of world.members) world.boot(name);
   await world.run(15);
-  world.state.endOutage();
+  world.store.endOutage();
   const unanswered = new Set(ids);
   for (let turn = 0; turn < 15 && unanswered.size > 0; turn++) {
     for (const id of unanswered) {
-      void world.poll(id, `n${world.chance(3)}`).then((reply) => {
+      void world.poll(id, `n${world.randomBelow(3)}`).then((reply) => {
         if (reply.status === 200) unanswered.delete(id);
       });
-      void world.submit(`j-9${turn}${id.slice(2)}`, { tasks: 1, runS: 5 }, `n${world.chance(3)}`);
+      void world.submit(
+        `j-9${turn}${id.slice(2)}`,
+        { tasks: 1, runS: 5 },
+        `n${world.randomBelow(3)}`,
+      );
     }
     await world.run(5);
   }
   assert.deepEqual([...unanswered], []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -18,7 +18,7 @@
 import { SPEC } from '../world/shard-fixture.js';
 import { followingReplica } from '../world/replica.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
-import { TYPES, silent } from '../world/settings.js';
+import { TYPES, silentLog } from '../world/settings.js';
 
 async function followedReplica(clock: SimClock, state: SimKeyValueStore): Promise<StoreReplica> {
   const { replica } = followingReplica(clock, state, 1e6);
@@ -71,7 +71,7 @@
       },
     },
     clock,
-    log: silent,
+    log: silentLog,
     random: () => 0.5,
   });
   for (let turn = 0; turn < 20; turn++) {
--- a/test/controller/request-relay.test.ts
+++ b/test/controller/request-relay.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
 // A controller that alone is refused by the key-value store, or has not read its keys yet, still serves
@@ -9,7 +9,7 @@
   const world = new World(5);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
-  world.state.refused.add('n0');
+  world.store.refusedControllers.add('n0');
   await world.run(4);
   const replyTo = async <T>(request: Promise<T>): Promise<T> => {
     await world.run(1);
@@ -42,8 +42,8 @@
     const world = new World(6);
     world.addMachine('small', 'a', false, 500);
     await world.run(6);
-    await settled(world, world.submit('j-000001', { tasks: 1, runS: 60 }, 'n1'));
-    world.state.refused.add('n0');
+    await awaitReply(world, world.submit('j-000001', { tasks: 1, runS: 60 }, 'n1'));
+    world.store.refusedControllers.add('n0');
     world.onPeerMessage = (message) =>
       message.kind === 'relayed' ? { ...message, isProven } : message;
     await world.run(4);
@@ -53,7 +53,7 @@
         world.submit('j-000010', {}, 'n0', { gpus: undefined }),
         world.submit('j-000011', {}, 'n0', { crew: 'nobody' }),
         world.poll('j-000001', 'n0'),
-      ].map(async (request) => (await settled(world, request)).status),
+      ].map(async (request) => (await awaitReply(world, request)).status),
     );
     assert.deepEqual(statuses, [poll, malformed, unfit, 200], name);
   }
--- a/test/controller/startup.test.ts
+++ b/test/controller/startup.test.ts
@@ -7,7 +7,7 @@
 import { followingReplica } from '../world/replica.js';
 import { TYPES } from '../world/settings.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
-import { REQUESTS, userNode } from '../world/api-fixture.js';
+import { REQUESTS, userRequestsFixture } from '../world/user-requests-fixture.js';
 
 const jobName = (number: number): string => `j-${String(number).padStart(6, '0')}`;
 
@@ -82,7 +82,7 @@
   const { replica } = followingReplica(clock, state, 100);
   await clock.run(40_000);
   assert.ok(replica.isSynced);
-  const stored = [...state.cells.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
+  const stored = [...state.entries.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
   const held = [...replica.below(jobKey(''))].map(([key]) => key).sort();
   assert.deepEqual(held, stored);
 });
@@ -95,7 +95,7 @@
   const { replica } = followingReplica(clock, state, 100);
   await clock.run(3000);
   // Its watches fail while more changes than are kept pass by; then pages are read among further ones.
-  state.refused.add('p');
+  state.refusedControllers.add('p');
   await clock.run(6000);
   for (let turn = 0; turn < 150; turn++) {
     state.change([
@@ -103,8 +103,8 @@
       { key: jobKey(jobName(2000 + turn)), value: { spec: SPEC, at: turn } },
     ]);
   }
-  state.changesKept = 100;
-  state.refused.clear();
+  state.retainedChanges = 100;
+  state.refusedControllers.clear();
   state.refusesListing = (listing) => listing % 2 === 0;
   for (let turn = 0; turn < 40; turn++) {
     await clock.run(clock.now() + 60);
@@ -114,7 +114,7 @@
     ]);
   }
   await clock.run(clock.now() + 10_000);
-  const stored = [...state.cells.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
+  const stored = [...state.entries.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
   const held = [...replica.below(jobKey(''))].map(([key]) => key).sort();
   assert.ok(replica.isSynced);
   assert.deepEqual(held, stored);
@@ -125,7 +125,7 @@
   const expected = { 'j-000001': 503, 'j-900001': 200, 'j-900002': 404 };
   for (const [id, status] of Object.entries(expected)) {
     for (const ask of REQUESTS) {
-      const node = await userNode({
+      const node = await userRequestsFixture({
         prepare: (state) => {
           fill(state, 10);
           state.change([{ key: finalKey('j-900001'), value: { state: 'cancelled', tasks: 1 } }]);
--- a/test/election/failover.test.ts
+++ b/test/election/failover.test.ts
@@ -17,7 +17,7 @@
     await world.run(40);
     assert.deepEqual([...world.workers.keys()], before, `machines after ${dead} died`);
     assert.equal(world.starts.length, starts, 'no task had to start again');
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   }
 });
 
@@ -33,15 +33,15 @@
   await world.run(30);
   const [cut1 = '', cut2 = '', dead1 = '', dead2 = ''] = world.workers.keys();
   for (const [node] of world.members) {
-    for (const machine of [cut1, cut2]) world.cuts.add(`${node}>${machine}`);
+    for (const machine of [cut1, cut2]) world.cutLinks.add(`${node}>${machine}`);
   }
   for (const machine of [dead1, dead2]) world.workers.get(machine)?.die();
   await world.run(18);
-  world.cuts.clear();
+  world.cutLinks.clear();
   await world.run(60);
   const there = [cut1, cut2, dead1, dead2].map((machine) => world.workers.has(machine));
   assert.deepEqual(there, [true, true, false, false]);
   const running = [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]);
   assert.equal(running.length, 12);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -6,7 +6,7 @@
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { roleKey } from '../../src/storage/keys.js';
 import type { RoleRecord } from '../../src/storage/records.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
 test('a term allocates each of its numbers once, and none of the next term', () => {
@@ -21,7 +21,7 @@
 });
 
 const termOf = (world: World, role: string): number =>
-  (world.state.cells.get(roleKey(role))?.value as RoleRecord).term;
+  (world.store.entries.get(roleKey(role))?.value as RoleRecord).term;
 
 // 4,000 machines use up the attempts of a shard's term in some hours; they ran into those of the next
 // shard, and a machine that works for weeks into the fencing tokens of the next term.
@@ -30,7 +30,7 @@
     const world = new World(5);
     for (const zone of ['a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
     await world.run(8);
-    await settled(world, world.submit('j-000001', { tasks: 8, runS: 400, team: 'blue' }));
+    await awaitReply(world, world.submit('j-000001', { tasks: 8, runS: 400, team: 'blue' }));
     await world.run(30);
     const starts = world.starts.length;
     assert.equal(starts, 8);
@@ -47,10 +47,11 @@
     while (!shard.needsTermRenewal) shard.machines.raiseFencingToken(machine);
     assert.ok(machine.fencingOffset < FENCING_TOKENS_PER_TERM);
     for (const [node] of world.members) {
-      for (const worker of world.workers.keys()) if (cutS > 0) world.cuts.add(`${node}>${worker}`);
+      for (const worker of world.workers.keys())
+        if (cutS > 0) world.cutLinks.add(`${node}>${worker}`);
     }
     await world.run(cutS);
-    world.cuts.clear();
+    world.cutLinks.clear();
     await world.run(20);
     const after = roles.map((role) => termOf(world, role));
     const expected = roles.map((role, at) => (before[at] ?? 0) + Number(role === shardRole(name)));
@@ -58,7 +59,7 @@
     const renewed = owner?.shards.get(name);
     assert.ok(renewed && renewed !== shard && !renewed.needsTermRenewal);
     await world.run(60);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
     if (cutS < 20) assert.equal(world.starts.length, starts, 'nothing had to start again');
   });
 }
--- a/test/failure-detection/disabled.test.ts
+++ b/test/failure-detection/disabled.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
-import { WATCHFUL } from '../world/suspicion.js';
+import { WITH_FAILURE_DETECTION } from '../world/failure-detection-case.js';
 import { World } from '../world/world.js';
 
 const here = dirname(fileURLToPath(import.meta.url));
@@ -38,7 +38,7 @@
 test('controllers without failure detection send nothing of it, and pass over what others send', async () => {
   for (const [overrides, expected] of [
     [{}, false],
-    [WATCHFUL, true],
+    [WITH_FAILURE_DETECTION, true],
   ] as const) {
     const world = new World(1, undefined, overrides);
     const kinds = new Set<PeerMessage['kind']>();
@@ -51,6 +51,6 @@
     const { node } = world.nodes.get('n0') ?? assert.fail();
     node.receive({ kind: 'detector', payload: Buffer.from('ffff', 'hex') }, () => assert.fail());
     assert.equal(node.detection?.counts.dropped.malformed, expected ? 1 : undefined);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   }
 });
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -2,7 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { RoleTenure } from '../../src/protocol/peer-messages.js';
-import { playRow, split, tenures, type SuspicionRow } from '../world/suspicion.js';
+import {
+  playSuspicionCase,
+  partition,
+  roleTerms,
+  type SuspicionCase,
+} from '../world/failure-detection-case.js';
 import type { World } from '../world/world.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
@@ -23,25 +28,25 @@
   }
 }
 
-const ROWS: SuspicionRow[] = [
+const ROWS: SuspicionCase[] = [
   {
     name: 'peers can not reach each other, the key-value store reaches all',
     keepsTerms: true,
-    trouble: async ({ world }) => {
-      for (const name of nodes(world)) split(world, [name]);
+    fault: async ({ world }) => {
+      for (const name of nodes(world)) partition(world, [name]);
       await world.run(60);
       assert.equal(world.starts.length >= 18, true, `${world.starts.length} tasks started`);
-      world.cuts.clear();
+      world.cutLinks.clear();
       await world.run(10);
     },
   },
   {
     name: 'two zones can not reach each other, the key-value store reaches both',
     keepsTerms: true,
-    trouble: async ({ world }) => {
-      split(world, ['n2']);
+    fault: async ({ world }) => {
+      partition(world, ['n2']);
       await world.run(60);
-      world.cuts.clear();
+      world.cutLinks.clear();
       await world.run(10);
     },
   },
@@ -49,116 +54,116 @@
     name: 'a split, the key-value store reaches one half',
     reasons: [CONFIRMED],
     restarts: 8,
-    trouble: async ({ world }) => {
-      split(world, ['n2']);
-      world.state.refused.add('n2');
+    fault: async ({ world }) => {
+      partition(world, ['n2']);
+      world.store.refusedControllers.add('n2');
       await world.run(60);
-      assert.doesNotMatch(Object.values(tenures(world)).join(), /n2/);
-      world.cuts.clear();
-      world.state.refused.clear();
+      assert.doesNotMatch(Object.values(roleTerms(world)).join(), /n2/);
+      world.cutLinks.clear();
+      world.store.refusedControllers.clear();
       await world.run(20);
     },
   },
   {
     name: 'a split, the key-value store reaches nobody',
     keepsTerms: true,
-    trouble: async ({ world }) => {
-      split(world, ['n2']);
-      world.state.outage = true;
+    fault: async ({ world }) => {
+      partition(world, ['n2']);
+      world.store.hasOutage = true;
       await world.run(25);
-      world.state.endOutage();
-      world.cuts.clear();
+      world.store.endOutage();
+      world.cutLinks.clear();
       await world.run(20);
     },
   },
   {
     name: 'a controller that the key-value store alone refuses steps down',
     reasons: [STEPPED_DOWN],
-    trouble: async ({ world, steppedDown }) => {
-      world.state.refused.add('n1');
+    fault: async ({ world, steppedDown }) => {
+      world.store.refusedControllers.add('n1');
       // By now it would step down, if it were asked for its own term by a member.
       await world.run(4);
       refusesToStepDown(world, FOREIGN);
       await world.run(36);
       assert.ok(steppedDown.includes('n1 part-n1'), steppedDown.join());
-      assert.doesNotMatch(Object.values(tenures(world)).join(), /n1 /);
-      world.state.refused.clear();
+      assert.doesNotMatch(Object.values(roleTerms(world)).join(), /n1 /);
+      world.store.refusedControllers.clear();
       await world.run(20);
-      assert.match(tenures(world)['part-n1'] ?? '', /^n1 /);
+      assert.match(roleTerms(world)['part-n1'] ?? '', /^n1 /);
     },
   },
   {
     name: 'the answer of a controller that stepped down is lost: the wait ends',
     reasons: [STORE_ONLY_POLICY],
-    trouble: async ({ world }) => {
+    fault: async ({ world }) => {
       world.onPeerMessage = (message) =>
         message.kind === 'steppedDown' ? { ...message, role: 'lost' } : message;
-      world.state.refused.add('n1');
+      world.store.refusedControllers.add('n1');
       await world.run(40);
-      assert.doesNotMatch(Object.values(tenures(world)).join(), /n1 /);
-      world.state.refused.clear();
+      assert.doesNotMatch(Object.values(roleTerms(world)).join(), /n1 /);
+      world.store.refusedControllers.clear();
       await world.run(20);
     },
   },
   {
     name: 'back as a new process that the key-value store refuses',
     reasons: [REPLACED],
-    trouble: async ({ world }) => {
+    fault: async ({ world }) => {
       world.kill('n1');
-      world.state.refused.add('n1');
+      world.store.refusedControllers.add('n1');
       world.boot('n1');
       await world.run(12);
-      assert.doesNotMatch(Object.values(tenures(world)).join(), /n1 /);
-      world.state.refused.clear();
+      assert.doesNotMatch(Object.values(roleTerms(world)).join(), /n1 /);
+      world.store.refusedControllers.clear();
       await world.run(20);
     },
   },
   {
     name: 'a controller that loses its registration again and again leaves its shard with another',
-    trouble: async ({ world }) => {
+    fault: async ({ world }) => {
       const owners: string[] = [];
       for (let turn = 0; turn < 4; turn++) {
-        world.state.refused.add('n1');
+        world.store.refusedControllers.add('n1');
         await world.run(12);
-        world.state.refused.clear();
+        world.store.refusedControllers.clear();
         await world.run(8);
-        owners.push(tenures(world)['part-n1']?.split(' ')[0] ?? '');
+        owners.push(roleTerms(world)['part-n1']?.split(' ')[0] ?? '');
       }
       assert.equal(owners[0], 'n1');
       for (const owner of owners.slice(1)) assert.notEqual(owner, 'n1');
       await world.run(150);
-      assert.match(tenures(world)['part-n1'] ?? '', /^n1 /);
+      assert.match(roleTerms(world)['part-n1'] ?? '', /^n1 /);
     },
   },
   {
     name: 'what one controller sends another is lost',
     keepsTerms: true,
-    trouble: async ({ world }) => {
-      world.lostOneWay.add('n0>n1');
+    fault: async ({ world }) => {
+      world.oneWayLossyLinks.add('n0>n1');
       await world.run(40);
-      world.lostOneWay.clear();
+      world.oneWayLossyLinks.clear();
       await world.run(5);
     },
   },
   {
     name: 'a controller that stepped down and that nobody succeeds goes on under a new term',
-    trouble: async ({ world, steppedDown }) => {
-      const before = Number(tenures(world)['part-n1']?.split(' ')[1]);
+    fault: async ({ world, steppedDown }) => {
+      const before = Number(roleTerms(world)['part-n1']?.split(' ')[1]);
       world.onPeerMessage = (message) => {
         // From now on the key-value store serves this controller alone.
         if (message.kind === 'steppedDown') {
-          for (const other of ['n0', 'n2']) world.state.refused.add(other);
-          world.state.refused.delete('n1');
+          for (const other of ['n0', 'n2']) world.store.refusedControllers.add(other);
+          world.store.refusedControllers.delete('n1');
         }
         return message;
       };
-      world.state.refused.add('n1');
+      world.store.refusedControllers.add('n1');
       await world.run(14);
       world.onPeerMessage = (message) => message;
-      world.state.refused.clear();
+      world.store.refusedControllers.clear();
       await world.run(10);
       assert.ok(steppedDown.includes('n1 part-n1'));
-      const [owner, term] = tenures(world)['part-n1']?.split(' ') ?? [];
+      const [owner, term] = roleTerms(world)['part-n1']?.split(' ') ?? [];
       assert.equal(owner, 'n1');
       assert.ok(Number(term) > before);
     },
@@ -166,7 +171,7 @@
   {
     name: 'a late request to step down reaches a controller that is registered',
     keepsTerms: true,
-    trouble: async ({ world }) => {
+    fault: async ({ world }) => {
       refusesToStepDown(world, [{}, ...FOREIGN]);
       await world.run(10);
     },
@@ -175,6 +180,6 @@
 
 for (const row of ROWS) {
   test(`suspicion: ${row.name}`, async () => {
-    for (const seed of [1, 2]) await playRow(row, seed);
+    for (const seed of [1, 2]) await playSuspicionCase(row, seed);
   });
 }
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -10,7 +10,7 @@
 import { SimClock } from '../world/clock.js';
 import {
   PLAIN_ASSIGNMENT,
-  GANG_SHARE,
+  GANG_ASSIGNMENT,
   JOB,
   SPEC,
   shardFixture,
@@ -130,7 +130,7 @@
     });
     world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
     await world.clock.run(world.clock.now() + 300);
-    const share = { ...GANG_SHARE, ...(reclaim && { reclaim }) };
+    const share = { ...GANG_ASSIGNMENT, ...(reclaim && { reclaim }) };
     world.state.change([{ key: assignmentKey('p', JOB, 1), value: share }]);
     await world.clock.run(world.clock.now() + 300 + lateMs);
     const tasks = [0, 1, 2].map(arrayTask);
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -20,11 +20,11 @@
 import { ControllerProcess, type LogLine } from './controller-process.js';
 import { HttpFront, send, type FrontReply, type FrontRequest } from './http-front.js';
 import { CANCEL_S, LEASE_S, platformSettings } from './platform-settings.js';
-import { StateFront } from './state-front.js';
+import { KeyValueStoreFront } from './key-value-store-front.js';
 
-const REPORT_TIMEOUT_MS = 4_000;
+const HEARTBEAT_TIMEOUT_MS = 4_000;
 const USER_TIMEOUT_MS = 5_000;
-const TURN_MS = 100;
+const CHECK_EVERY_MS = 100;
 /** Machines that can have an address. */
 const MACHINES = 24;
 
@@ -51,7 +51,7 @@
 const FIRST_PORT = 20_000;
 const PORT_COUNT = 12_000;
 /** Ports that clusters of this process have been given. */
-const givenPorts = new Set<number>();
+const allocatedPorts = new Set<number>();
 let nextPort = process.pid % PORT_COUNT;
 
 function canListen(port: number): Promise<boolean> {
@@ -65,8 +65,8 @@
 async function freePort(): Promise<number> {
   for (let tries = 0; tries < PORT_COUNT; tries++) {
     const port = FIRST_PORT + (nextPort++ % PORT_COUNT);
-    if (givenPorts.has(port)) continue;
-    givenPorts.add(port);
+    if (allocatedPorts.has(port)) continue;
+    allocatedPorts.add(port);
     if (await canListen(port)) return port;
   }
   throw new Error('no port is free');
@@ -82,10 +82,10 @@
   readonly completed = new Set<string>();
   readonly gangs: SimGangs = new SimGangs(this);
   readonly overrides = {};
-  readonly linkMs = 0;
+  readonly linkDelayMs = 0;
   readonly workerLeaseMs = LEASE_S * 1000;
   readonly starts: { task: string; machine: string }[] = [];
-  readonly state = new SimKeyValueStore(stoppableClock);
+  readonly store = new SimKeyValueStore(stoppableClock);
   readonly cloud: SimCloud = new SimCloud(this);
   private readonly invariants = new InvariantChecker(this);
   private readonly processes = new Map<string, ControllerProcess>();
@@ -102,7 +102,7 @@
         name,
         {
           node: {
-            heartbeat: (body) => this.call(name, 'POST', '/checkin', body, REPORT_TIMEOUT_MS),
+            heartbeat: (body) => this.call(name, 'POST', '/checkin', body, HEARTBEAT_TIMEOUT_MS),
           },
         },
       ]),
@@ -137,30 +137,30 @@
   }
 
   /** Holder and term of a role, as the key-value store has them. */
-  tenure(role: string): RoleRecord | null {
-    return (this.state.cells.get(roleKey(role))?.value as RoleRecord | undefined) ?? null;
+  roleRecord(role: string): RoleRecord | null {
+    return (this.store.entries.get(roleKey(role))?.value as RoleRecord | undefined) ?? null;
   }
 
   /** Each violation of an invariant. */
-  get broken(): string[] {
-    return this.invariants.broken;
+  get violations(): string[] {
+    return this.invariants.violations;
   }
 
   /** Machines that the cloud rents out, and that no record of the controllers names. */
-  async orphans(): Promise<string[]> {
+  async orphanMachines(): Promise<string[]> {
     const { machines } = (await this.cloud.api().list('')) ?? { machines: [] };
     return machines
       .map(({ name }) => name)
-      .filter((name) => !this.state.cells.has(machineKey(name)));
+      .filter((name) => !this.store.entries.has(machineKey(name)));
   }
 
   /** Orders of earlier owners that workers refused. */
-  get staleOrders(): number {
-    return [...this.workers.values()].reduce((sum, worker) => sum + worker.staleOrders, 0);
+  get staleCommands(): number {
+    return [...this.workers.values()].reduce((sum, worker) => sum + worker.staleCommands, 0);
   }
 
   /** Waits until something holds, judging as it goes; throws when it takes too long. */
-  async until(
+  async waitUntil(
     what: string,
     limitS: number,
     holds: () => boolean | Promise<boolean>,
@@ -168,17 +168,17 @@
     const endsAt = this.clock.now() + limitS * 1000;
     while (!(await holds())) {
       if (this.clock.now() > endsAt)
-        throw new Error(`not within ${limitS} s: ${what}${this.ends()}`);
+        throw new Error(`not within ${limitS} s: ${what}${this.endedControllers()}`);
       this.invariants.check(CANCEL_S);
-      await sleep(systemClock, TURN_MS);
+      await sleep(systemClock, CHECK_EVERY_MS);
     }
   }
 
   /** The controllers that ended by themselves, with what they said. */
-  private ends(): string {
+  private endedControllers(): string {
     return [...this.processes]
       .filter(([, { hasEnded }]) => hasEnded)
-      .map(([name, { lastWords }]) => `; ${name} has ended: ${lastWords}`)
+      .map(([name, { lastPlainLine: lastWords }]) => `; ${name} has ended: ${lastWords}`)
       .join('');
   }
 
@@ -200,15 +200,15 @@
 
   // --- Surroundings --------------------------------------------------------------------------
 
-  chance(most: number): number {
+  randomBelow(most: number): number {
     return uniformInt(this.random, 0, most - 1);
   }
 
-  at(_node: string, run: () => void): void {
+  deliver(_node: string, run: () => void): void {
     run();
   }
 
-  cut(): boolean {
+  isCut(): boolean {
     return false;
   }
 
@@ -216,9 +216,9 @@
     return this.machineAddresses[machine % MACHINES] ?? '';
   }
 
-  started(worker: SimWorker, task: string): void {
+  taskStarted(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name });
-    this.invariants.started(worker, task);
+    this.invariants.taskStarted(worker, task);
   }
 
   gangStarted(job: string, attempt: number): void {
@@ -235,7 +235,7 @@
   ): Promise<Reply> {
     const requestedAt = this.clock.now();
     const reply = await this.call(at, method, path, body, USER_TIMEOUT_MS);
-    if (reply.status !== 0) this.invariants.replied(kind, id, requestedAt, reply);
+    if (reply.status !== 0) this.invariants.recordReply(kind, id, requestedAt, reply);
     return reply;
   }
 
@@ -266,7 +266,7 @@
       peers.set(name, `127.0.0.1:${await freePort()}`);
     }
     for (const [name, zone] of this.members) {
-      const front = new StateFront(this.state, name);
+      const front = new KeyValueStoreFront(this.store, name);
       const state = await serve((request) => front.handle(request));
       const file = join(this.folder, `${name}.toml`);
       const text = platformSettings({
@@ -290,7 +290,7 @@
   ): Promise<FrontReply> {
     const worker = this.workers.get(this.cloud.machineAt(address) ?? '');
     if (!worker || path !== '/commands') return null;
-    if (worker.holdDirectMs > 0) await sleep(this.clock, worker.holdDirectMs);
+    if (worker.directDelayMs > 0) await sleep(this.clock, worker.directDelayMs);
     const { mandate, flight, calls } = body;
     const reply = worker.command(Number(mandate), Number(flight), calls as WireCommand[]);
     return { status: reply.status, body: JSON.parse(reply.body) as unknown };
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -15,8 +15,8 @@
   readonly log: LogLine[] = [];
   private child: ChildProcess | null = null;
   /** The last line that is no log line: why it could not start, say. */
-  lastWords = '';
-  private partial = '';
+  lastPlainLine = '';
+  private incompleteLine = '';
 
   constructor(private readonly args: readonly string[]) {}
 
@@ -35,11 +35,11 @@
   }
 
   /** It is paused, while all clocks run. */
-  freeze(): void {
+  pause(): void {
     this.child?.kill('SIGSTOP');
   }
 
-  thaw(): void {
+  resume(): void {
     this.child?.kill('SIGCONT');
   }
 
@@ -54,11 +54,11 @@
   }
 
   private read(text: string): void {
-    const lines = (this.partial + text).split('\n');
-    this.partial = lines.pop() ?? '';
+    const lines = (this.incompleteLine + text).split('\n');
+    this.incompleteLine = lines.pop() ?? '';
     for (const line of lines) {
       if (line.startsWith('{')) this.log.push(JSON.parse(line) as LogLine);
-      else if (line !== '') this.lastWords = line;
+      else if (line !== '') this.lastPlainLine = line;
     }
   }
 }
--- a/test/loopback/state-front.ts
+++ b/test/loopback/key-value-store-front.ts
@@ -27,7 +27,7 @@
     : { key: put ?? '', value: v, ...(perch === undefined ? {} : { lease: perch }) };
 
 /** Answers the requests of one controller. */
-export class StateFront {
+export class KeyValueStoreFront {
   private readonly api: KeyValueStore;
 
   constructor(
--- a/test/measure-detector.ts
+++ b/test/measure-detector.ts
@@ -59,7 +59,7 @@
     const network = new DetectorNetwork(named(3), seed);
     await network.run(10 + seed / 7);
     const from = network.transitions.length;
-    network.hold('moth-1', seconds);
+    network.pause('moth-1', seconds);
     await network.run(seconds + 10);
     const states = network.transitions.slice(from).filter(({ member }) => member === 'moth-1');
     verdicts.suspected += states.filter(({ to }) => to === 'suspect').length;
--- a/test/packages/detection-report.test.ts
+++ b/test/packages/detection-report.test.ts
@@ -8,7 +8,7 @@
 import { fileURLToPath } from 'node:url';
 import { gzipSync } from 'node:zlib';
 import { probeQuantiles, readHistories } from '@mothbank/detection-report';
-import { watchfulWorld } from '../world/suspicion.js';
+import { worldWithFailureDetection } from '../world/failure-detection-case.js';
 
 const CLI = join(dirname(fileURLToPath(import.meta.url)), '..', '..', 'src', 'cli.js');
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
@@ -22,8 +22,8 @@
 
 /** The histories of three controllers, of which one was frozen beyond its lease. */
 async function histories(): Promise<string[]> {
-  const { world } = await watchfulWorld(1);
-  world.freeze(world.leader, 12);
+  const { world } = await worldWithFailureDetection(1);
+  world.pause(world.leader, 12);
   await world.run(60);
   return [...world.nodes.values()].map(({ node }) => node.detection?.export() ?? '');
 }
--- a/test/packages/failure-detector-rules.test.ts
+++ b/test/packages/failure-detector-rules.test.ts
@@ -120,7 +120,7 @@
   const network = new DetectorNetwork(['m0', 'm1', 'm2'], 1);
   await network.run(8);
   // m1 refutes once, so that rumours about its first incarnation are old.
-  network.hold('m1', 3);
+  network.pause('m1', 3);
   await network.run(20);
   const detector = network.detectors.get('m0');
   assert.ok(detector instanceof FailureDetector);
--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -24,7 +24,7 @@
 const slowed =
   (names: string[], network: DetectorNetwork) =>
   ({ from, to }: Delivery): number =>
-    names.includes(from) || names.includes(to) ? 150 + 250 * network.chance() : 2;
+    names.includes(from) || names.includes(to) ? 150 + 250 * network.random01() : 2;
 
 const isOneWay =
   (from: string, to: string) =>
@@ -42,7 +42,7 @@
   ...[1, 3].map((seconds) => ({
     name: `a member whose event loop is held ${seconds} s`,
     trouble: async (network: DetectorNetwork) => {
-      network.hold('m1', seconds);
+      network.pause('m1', seconds);
       await network.run(20);
     },
     allowed: { m1: ['suspect', 'alive'] as MemberState[] },
@@ -51,7 +51,7 @@
   {
     name: 'a member held 5 s is suspected at most, and refutes',
     trouble: async (network) => {
-      network.hold('m1', 5);
+      network.pause('m1', 5);
       await network.run(20);
     },
     allowed: { m1: ['suspect', 'alive'] },
@@ -61,7 +61,7 @@
   {
     name: 'a member held 10 s, and back',
     trouble: async (network) => {
-      network.hold('m1', 10);
+      network.pause('m1', 10);
       await network.run(25);
     },
     allowed: { m1: ['suspect', 'failed', 'alive'] },
@@ -89,7 +89,7 @@
     members: 5,
     trouble: async (network) => {
       for (let turn = 0; turn < 20; turn++) {
-        network.hold('m0', 2.5);
+        network.pause('m0', 2.5);
         await network.run(3);
       }
     },
@@ -135,7 +135,7 @@
     name: 'a whole round of confirmations comes once more, a minute late',
     members: 4,
     trouble: async (network) => {
-      network.hold('m1', 4);
+      network.pause('m1', 4);
       await network.run(12);
       const late = network.sent.filter(({ message }) =>
         message.updates.some(({ state }) => state === 'suspect'),
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -19,7 +19,7 @@
 import { FrameReader } from '../../src/transport/peer-link.js';
 import { stageOf } from '../world/jobs.js';
 import { replicaOf, type Records } from '../world/older-records.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 import { valuesOf, writtenForms } from '../world/written-forms.js';
 import type { Forms } from '../world/written-records.js';
@@ -187,18 +187,18 @@
   const records: Records = Object.fromEntries(stored);
   const world = new World(11, undefined, { suspicion: null });
   for (const [name] of world.members) world.kill(name);
-  world.state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
+  world.store.change(Object.entries(records).map(([key, value]) => ({ key, value })));
   for (const [name] of world.members) world.boot(name);
   await world.run(90);
   const stageNow = async (id: string): Promise<string> =>
-    stageOf(await settled(world, world.poll(id)));
+    stageOf(await awaitReply(world, world.poll(id)));
   assert.equal(await stageNow('j-000001'), 'done');
   assert.equal(await stageNow('j-000005'), 'withdrawn');
   for (const id of ['j-000002', 'j-000003', 'j-000004']) {
     assert.ok(['queued', 'running'].includes(await stageNow(id)), id);
-    assert.equal(stageOf(await settled(world, world.cancel(id))), 'withdrawn');
+    assert.equal(stageOf(await awaitReply(world, world.cancel(id))), 'withdrawn');
   }
   await world.run(30);
-  const left = [...world.state.cells.keys()].filter((key) => /live\/(job|chunk)\//.test(key));
+  const left = [...world.store.entries.keys()].filter((key) => /live\/(job|chunk)\//.test(key));
   assert.deepEqual(left, []);
 });
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -108,7 +108,7 @@
     assert.match(told, reason, name);
     assert.equal(reply.retryAfterS, undefined, `${name}: not to be tried again`);
   }
-  const left = [...world.state.cells.keys()].filter((key) => key.includes(GANG));
+  const left = [...world.store.entries.keys()].filter((key) => key.includes(GANG));
   assert.deepEqual(left, [], 'nothing of it was kept');
 });
 
@@ -131,7 +131,7 @@
 
 test('gang input: what can not be decided yet gets 503 and when to come again', async () => {
   const world = new World(1);
-  world.catalog = false;
+  world.cloudHasCatalog = false;
   await world.run(7);
   const undecided: [string, Record<string, unknown>][] = [
     ['a good one', {}],
@@ -149,7 +149,7 @@
     assert.equal((await post(world, { ...SUBMISSION, larvae: 0 }, node)).status, 400);
     assert.equal((await post(world, { ...SUBMISSION, larvae: 9 }, node)).status, 422);
   }
-  world.catalog = true;
+  world.cloudHasCatalog = true;
   await world.run(70);
   assert.equal((await post(world, SUBMISSION)).status, 201);
 });
--- a/test/shard/assignment-splitting.test.ts
+++ b/test/shard/assignment-splitting.test.ts
@@ -6,11 +6,11 @@
 import { readRanges, writeRanges } from '../../src/storage/ranges.js';
 import type { AssignmentRecord } from '../../src/storage/records.js';
 import { JOB, shardFixture, ops } from '../world/shard-fixture.js';
-import { SMALL, bytes } from '../world/sizes.js';
+import { SMALL_VALUE_BYTES, storedBytes } from '../world/sizes.js';
 import type { SimKeyValueStore } from '../world/key-value-store.js';
 
 const assignmentsOf = (state: SimKeyValueStore): [string, AssignmentRecord][] =>
-  [...state.cells]
+  [...state.entries]
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, cell]) => [key, cell.value as AssignmentRecord]);
 
@@ -54,20 +54,20 @@
     for (let at = 0; at < tasks; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
     const world = await shardFixture({
       transactionOps,
-      valueBytes: SMALL,
+      valueBytes: SMALL_VALUE_BYTES,
       spec: { tasks, cpus: 0.01, memoryGb: 0.01 },
       ids: writeRanges(Object.keys(live).map(Number)),
       live,
     });
     const name = `${transactionOps} ${tasks}`;
-    assert.ok(bytes(world.stored()) > SMALL, name);
+    assert.ok(storedBytes(world.stored()) > SMALL_VALUE_BYTES, name);
     assert.deepEqual(ops(world.heartbeat({}, heartbeat(0))), [], name);
     world.heartbeat({}, heartbeat(1));
     await world.reconcile(5000);
     checkAssignments(world.state, tasks);
     assert.equal(assignmentsOf(world.state).length > 1, atOnce, name);
     for (const [, record] of assignmentsOf(world.state)) {
-      if (atOnce) assert.ok(bytes(record) <= SMALL, name);
+      if (atOnce) assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, name);
     }
     // What has ended is forgotten once it is written; nothing else is said of any task.
     const known = heartbeat(1).slice(atOnce ? 1 : 0);
@@ -84,7 +84,7 @@
     }
     const done = assignmentsOf(world.state).flatMap(([, record]) => readRanges(record.done));
     assert.equal(done.length, tasks, name);
-    assert.deepEqual(world.state.invalid, [], name);
+    assert.deepEqual(world.state.rejectedTransactions, [], name);
     assert.equal(
       world.sent.flatMap((one) => ops(one.commands)).filter((op) => op === 'start').length,
       0,
@@ -96,14 +96,14 @@
   const live: AssignmentRecord['live'] = {};
   for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
   const world = await shardFixture({
-    valueBytes: SMALL,
+    valueBytes: SMALL_VALUE_BYTES,
     spec: { tasks: 90, cpus: 0.01, memoryGb: 0.01 },
     ids: '0-89',
     live,
   });
   const heartbeat = (done: number): TaskStatus[] => heartbeatsOf(90, done);
   world.heartbeat({}, heartbeat(1));
-  world.state.late.set('p', 3000);
+  world.state.delayNextTransactionMs.set('p', 3000);
   await world.reconcile(12_000);
   checkAssignments(world.state, 90);
   assert.ok(assignmentsOf(world.state).length > 1);
--- a/test/shard/gang-shares.test.ts
+++ b/test/shard/gang-shares.test.ts
@@ -5,7 +5,7 @@
 import type { TaskStatus } from '../../src/protocol/model.js';
 import {
   GANG_ATTEMPT,
-  GANG_SHARE,
+  GANG_ASSIGNMENT,
   JOB,
   SPEC,
   shardFixture,
@@ -19,9 +19,9 @@
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
-    { key: assignmentKey('p', JOB, 1), value: GANG_SHARE },
+    { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
     ...(other
-      ? [{ key: assignmentKey('q', JOB, 2), value: { ...GANG_SHARE, ids: '2-3', ...other } }]
+      ? [{ key: assignmentKey('q', JOB, 2), value: { ...GANG_ASSIGNMENT, ids: '2-3', ...other } }]
       : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
@@ -59,7 +59,7 @@
       assert.deepEqual([...sent(world), ...ops(world.heartbeat())], []);
       const live = { '2': ['m-8', GANG_ATTEMPT], '3': ['m-9', GANG_ATTEMPT] };
       world.state.change([
-        { key: assignmentKey('q', JOB, 2), value: { ...GANG_SHARE, ids: '2-3', live } },
+        { key: assignmentKey('q', JOB, 2), value: { ...GANG_ASSIGNMENT, ids: '2-3', live } },
       ]);
       await world.reconcile();
       assert.deepEqual(sent(world), ['start', 'start']);
@@ -98,7 +98,7 @@
       world.heartbeat();
       await world.reconcile();
       world.heartbeat({}, [shown(0), shown(1)]);
-      const value = { ...GANG_SHARE, ids: '2-3', live, stopping: true };
+      const value = { ...GANG_ASSIGNMENT, ids: '2-3', live, stopping: true };
       world.state.change([{ key: assignmentKey('q', JOB, 2), value }]);
       await world.reconcile(500);
       const stops = world.heartbeat({}, [shown(0), shown(1)]);
@@ -116,7 +116,7 @@
       const world = await gang(2);
       const busy = { ...SPEC, id: 'j-000002', tasks: 3 };
       const later = { ...SPEC, id: 'j-000003', tasks: 4 };
-      const { attempt, ...plain } = GANG_SHARE;
+      const { attempt, ...plain } = GANG_ASSIGNMENT;
       assert.equal(attempt, GANG_ATTEMPT);
       world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
       world.state.change([
@@ -130,7 +130,7 @@
             live: { '0': ['m-1', 1], '1': ['m-1', 2], '2': ['m-1', 3] },
           },
         },
-        { key: assignmentKey('p', JOB, 5), value: GANG_SHARE },
+        { key: assignmentKey('p', JOB, 5), value: GANG_ASSIGNMENT },
         { key: assignmentKey('p', later.id, 6), value: { ...plain, ids: '0-3' } },
       ]);
       await world.clock.run(world.clock.now() + 300);
@@ -145,12 +145,13 @@
       await world.reconcile();
       const behind = (): number =>
         Object.keys(
-          (world.state.cells.get(assignmentKey('p', later.id, 6))?.value as AssignmentRecord).live,
+          (world.state.entries.get(assignmentKey('p', later.id, 6))?.value as AssignmentRecord)
+            .live,
         ).length;
       assert.equal(behind(), 0);
       world.heartbeat({}, [other(0, 'exited'), other(1), other(2)]);
       await world.reconcile();
-      const share = world.state.cells.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
+      const share = world.state.entries.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
       assert.equal(Object.keys(share.live).length, 2);
     },
   },
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -6,7 +6,7 @@
 import type { AssignmentRecord } from '../../src/storage/records.js';
 import {
   GANG_ATTEMPT,
-  GANG_SHARE,
+  GANG_ASSIGNMENT,
   PLAIN_ASSIGNMENT,
   JOB,
   SPEC,
@@ -35,7 +35,7 @@
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
-    { key: assignmentKey('p', JOB, 1), value: GANG_SHARE },
+    { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
     ...(other ? [{ key: assignmentKey('q', JOB, 2), value: other }] : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
@@ -80,7 +80,7 @@
       '2': ['m-8', GANG_ATTEMPT],
       '3': ['m-9', GANG_ATTEMPT],
     } as AssignmentRecord['live'];
-    const world = await gang(4, 5, { ...GANG_SHARE, ids: '2-3', live });
+    const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
     const tasks = states.map((state, index) => shown(index, state));
     answerCalls(world, tasks);
     assert.equal((await stopsWithin(world, seconds, tasks)).length, want, name);
@@ -92,10 +92,10 @@
     '2': ['m-8', GANG_ATTEMPT],
     '3': ['m-9', GANG_ATTEMPT],
   } as AssignmentRecord['live'];
-  const world = await gang(4, 5, { ...GANG_SHARE, ids: '2-3', live });
+  const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
   answerCalls(world, [shown(0), shown(1)]);
   await stopsWithin(world, 2, [shown(0), shown(1)]);
-  world.state.outage = true;
+  world.state.hasOutage = true;
   const left = [shown(0, 'exited'), shown(1)];
   assert.deepEqual(await stopsWithin(world, 6, left), [], 'in the outage');
   assert.equal(world.stored()?.stopping, undefined);
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -4,7 +4,7 @@
 import type { MachineRecord } from '../../src/storage/records.js';
 import {
   JOB,
-  TOKEN,
+  FENCING_TOKEN,
   ended,
   shardFixture,
   ops,
@@ -54,7 +54,7 @@
       world.heartbeat({ agentEpoch: 2 });
       await world.reconcile();
       assert.equal(placed(world), undefined);
-      world.heartbeat({ agentEpoch: 2, fencingToken: TOKEN + 1 });
+      world.heartbeat({ agentEpoch: 2, fencingToken: FENCING_TOKEN + 1 });
       await world.reconcile();
       assert.equal(placed(world), 'm-1');
     },
@@ -89,7 +89,7 @@
     check: async (world) => {
       world.heartbeat({ sequence: 50 });
       await world.reconcile(0);
-      world.state.outage = true;
+      world.state.hasOutage = true;
       await world.clock.run(world.clock.now() + 120_000);
       world.state.endOutage();
       const assignment = {
@@ -148,7 +148,7 @@
         await world.reconcile(3000);
       }
       assert.ok(started > 0, 'ignored for ever');
-      assert.ok(fencingToken > TOKEN);
+      assert.ok(fencingToken > FENCING_TOKEN);
     },
   },
   {
@@ -159,7 +159,7 @@
       const attempt = world.stored()?.live['0']?.[1] ?? 0;
       const sent = world.sent[0];
       assert.ok(sent);
-      assert.equal(sent.fencingToken, TOKEN);
+      assert.equal(sent.fencingToken, FENCING_TOKEN);
       sent.done(heartbeatOf({ sequence: 50, tasks: [running(attempt)] }));
       await world.reconcile();
       world.heartbeat({ sequence: 51 }, [ended(attempt)]);
@@ -182,7 +182,7 @@
 ];
 
 for (const row of ROWS) {
-  test(`hearing: ${row.name}`, async () => {
+  test(`heartbeats: ${row.name}`, async () => {
     const world = await shardFixture({ placed: row.placed ?? false });
     assert.ok(world.stored(), JOB);
     await row.check(world);
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -6,7 +6,7 @@
 import {
   JOB,
   SPEC,
-  TOKEN,
+  FENCING_TOKEN,
   ended,
   shardFixture,
   ops,
@@ -17,7 +17,7 @@
 test('a start goes out only once its placement is committed', async () => {
   const world = await shardFixture();
   world.heartbeat();
-  world.state.outage = true;
+  world.state.hasOutage = true;
   await world.reconcile();
   assert.deepEqual(ops(world.heartbeat()), []);
   assert.equal(world.sent.length, 0);
@@ -68,7 +68,7 @@
   world.heartbeat();
   await world.reconcile();
   assert.ok(world.stored(), 'it may still arrive at the worker');
-  world.heartbeat({ fencingToken: TOKEN + 1 });
+  world.heartbeat({ fencingToken: FENCING_TOKEN + 1 });
   await world.reconcile();
   assert.equal(world.stored(), undefined);
 });
@@ -76,7 +76,7 @@
 test('an ended attempt is forgotten only after its end is committed', async () => {
   const world = await shardFixture({ placed: true });
   world.heartbeat({}, [running(77)]);
-  world.state.outage = true;
+  world.state.hasOutage = true;
   world.heartbeat({}, [ended(77)]);
   await world.reconcile();
   assert.deepEqual(ops(world.heartbeat({}, [ended(77)])), []);
@@ -96,7 +96,9 @@
   await world.reconcile();
   assert.equal(world.stored()?.done, '0');
   assert.deepEqual(ops(world.heartbeat({}, [ended(attempt)])), []);
-  assert.deepEqual(ops(world.heartbeat({ fencingToken: TOKEN + 1 }, [ended(attempt)])), ['forget']);
+  assert.deepEqual(ops(world.heartbeat({ fencingToken: FENCING_TOKEN + 1 }, [ended(attempt)])), [
+    'forget',
+  ]);
 });
 
 test('tasks on a machine that never sent the new owner a heartbeat wait for the fencing time', async () => {
@@ -243,7 +245,7 @@
   world.heartbeat();
   // Gone from the store, and no watch tells of it.
   world.state.revision++;
-  world.state.cells.delete(jobKey(JOB));
+  world.state.entries.delete(jobKey(JOB));
   await world.reconcile();
   assert.deepEqual(world.stored()?.live, {});
   assert.deepEqual(ops(world.heartbeat()), []);
--- a/test/stand-ins/gang-saves.test.ts
+++ b/test/stand-ins/gang-saves.test.ts
@@ -1,11 +1,16 @@
 /** Simulated gangs: halts, what they save, and what the invariant checker reports. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
+import {
+  JOB,
+  playCommandedGang,
+  allThree,
+  type CommandedGangCase,
+} from '../world/commanded-gang.js';
 import { GANG_PEER_S } from '../world/gang.js';
-import { settled } from '../world/gang-script.js';
+import { awaitReply } from '../world/gang-steps.js';
 
-const ROWS: Row[] = [
+const ROWS: CommandedGangCase[] = [
   {
     name: 'all stopped with grace: they save, exit together, and the next attempt resumes from there',
     job: { checkpointS: 5, saveS: 3, runS: 12 },
@@ -14,16 +19,16 @@
       await world.run(1 + 7);
       for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 3);
       await world.run(2);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       await world.run(1.5);
-      assert.deepEqual(all(), same('exited stopped stored'));
+      assert.deepEqual(all(), allThree('exited stopped stored'));
       assert.ok(progress() >= 6.5 && progress() <= 7.5, String(progress()));
       for (const index of [0, 1, 2]) call(index, 'reap', index);
       for (const index of [0, 1, 2]) call(index, 'launch', index, 2);
       await world.run(1 + 4);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       await world.run(1.5);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
     },
   },
   {
@@ -35,10 +40,10 @@
       call(0, 'halt', 0, 1, 10);
       call(1, 'halt', 1, 1, 10);
       await world.run(GANG_PEER_S - 1);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       call(2, 'halt', 2, 1, 10);
       await world.run(4);
-      assert.deepEqual(all(), same('exited stopped stored'));
+      assert.deepEqual(all(), allThree('exited stopped stored'));
       assert.ok(progress() >= 6.5 && progress() <= 7.5, String(progress()));
     },
   },
@@ -90,7 +95,7 @@
       start(0, 1, 2);
       await world.run(1 + 7);
       for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 60);
-      assert.deepEqual(all(), same('exited stopped'));
+      assert.deepEqual(all(), allThree('exited stopped'));
       assert.equal(progress(), 0);
     },
   },
@@ -132,11 +137,11 @@
       await world.run(2);
       call(3, 'launch', 1, 1);
       await world.run(2);
-      assert.deepEqual(world.broken.sort(), [
+      assert.deepEqual(world.violations.sort(), [
         `ran_twice ${JOB}/1`,
         `wrong_place ${JOB}/1 (one zone)`,
       ]);
-      world.broken.length = 0;
+      world.violations.length = 0;
     },
   },
   {
@@ -150,8 +155,8 @@
       for (const index of [0, 1]) call(index, 'launch', index, 2);
       call(3, 'launch', 2, 2);
       await world.run(2);
-      assert.deepEqual(world.broken, [`ran_twice ${JOB}/2`, `two_attempts ${JOB}/2: 1 and 2`]);
-      world.broken.length = 0;
+      assert.deepEqual(world.violations, [`ran_twice ${JOB}/2`, `two_attempts ${JOB}/2: 1 and 2`]);
+      world.violations.length = 0;
     },
   },
   {
@@ -161,14 +166,14 @@
       await world.run(5);
       const node = { serve: () => Promise.resolve({ status: 200, body: { stage: 'done' } }) };
       world.nodes.set('n0', { node: node as never, kill: () => undefined });
-      await settled(world, world.poll(JOB));
+      await awaitReply(world, world.poll(JOB));
       const missing = [0, 1, 2].map((index) => `not_done ${JOB}/${index}`);
-      assert.deepEqual(world.broken, missing);
-      world.broken.length = 0;
+      assert.deepEqual(world.violations, missing);
+      world.violations.length = 0;
     },
   },
 ];
 
 for (const row of ROWS) {
-  test(`simulated gangs: ${row.name}`, () => playCommanded(row));
+  test(`simulated gangs: ${row.name}`, () => playCommandedGang(row));
 }
--- a/test/stand-ins/gang-starts.test.ts
+++ b/test/stand-ins/gang-starts.test.ts
@@ -1,10 +1,15 @@
 /** Simulated gangs: waiting, the common start, and tasks that are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
+import {
+  JOB,
+  playCommandedGang,
+  allThree,
+  type CommandedGangCase,
+} from '../world/commanded-gang.js';
 import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
 
-const ROWS: Row[] = [
+const ROWS: CommandedGangCase[] = [
   {
     name: 'two wait, the third completes them: common start and common end',
     act: async ({ world, start, all }) => {
@@ -15,15 +20,15 @@
       assert.equal(world.gangStarts.length, 0);
       start(2);
       await world.run(2);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       assert.deepEqual(
         world.gangStarts.map(({ job, attempt }) => [job, attempt]),
         [[JOB, 1]],
       );
       await world.run(8);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       await world.run(2);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
       assert.equal(world.completed.size, 3);
     },
   },
@@ -37,8 +42,8 @@
       await world.run(1);
       assert.equal([...worker(0).onMachine()].length, 1);
       // The team's quota is 12.
-      assert.deepEqual(world.broken, ['quota blue 16']);
-      world.broken.length = 0;
+      assert.deepEqual(world.violations, ['quota blue 16']);
+      world.violations.length = 0;
     },
   },
   {
@@ -73,7 +78,7 @@
       start(0, 1);
       call(2, 'launch', 2, 2);
       await world.run(5);
-      assert.deepEqual(all(), same('gathering'));
+      assert.deepEqual(all(), allThree('gathering'));
       assert.equal(world.gangStarts.length, 0);
     },
   },
@@ -100,7 +105,7 @@
       start(2);
       call(3, 'launch', 1);
       await world.run(2);
-      assert.deepEqual([seen(0), seen(2), seen(3)], same('running'));
+      assert.deepEqual([seen(0), seen(2), seen(3)], allThree('running'));
     },
   },
   {
@@ -111,9 +116,9 @@
       worker(0).hang(8);
       start(2);
       await world.run(5);
-      assert.deepEqual(all(), same('gathering'));
+      assert.deepEqual(all(), allThree('gathering'));
       await world.run(4);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
     },
   },
   {
@@ -139,7 +144,7 @@
       await world.run(GANG_PEER_S + 0.5);
       assert.deepEqual(all(), ['exited mates_gone', 'exited mates_gone', 'running']);
       await world.run(4);
-      assert.deepEqual(all(), same('exited mates_gone'));
+      assert.deepEqual(all(), allThree('exited mates_gone'));
       assert.equal(progress(), 0);
     },
   },
@@ -150,9 +155,9 @@
       await world.run(4);
       worker(2).hang(1);
       await world.run(7);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       await world.run(2);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
     },
   },
   {
@@ -160,13 +165,13 @@
     act: async ({ world, worker, start, all }) => {
       start(0, 1, 2);
       await world.run(2);
-      world.cuts.add(`n0>${worker(1).machine.name}`);
+      world.cutLinks.add(`n0>${worker(1).machine.name}`);
       await world.run(11);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
     },
   },
 ];
 
 for (const row of ROWS) {
-  test(`simulated gangs: ${row.name}`, () => playCommanded(row));
+  test(`simulated gangs: ${row.name}`, () => playCommandedGang(row));
 }
--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import type { Reply } from '../world/jobs.js';
 import type { RequestKind } from '../world/invariant-checker.js';
-import { SERVICE, names, submit } from '../world/overlapping-faults.js';
+import { SERVICE, controllerNames, submit } from '../world/overlapping-faults.js';
 import { World } from '../world/world.js';
 
 const JOB = 'j-000001';
@@ -71,7 +71,7 @@
   {
     name: 'all controllers are down for 80 s after all faults',
     begin: (world) => {
-      for (const name of names(world)) world.kill(name);
+      for (const name of controllerNames(world)) world.kill(name);
     },
     forS: 80,
     isOver: true,
@@ -81,7 +81,7 @@
     name: 'nothing more is placed, though machines are free',
     begin: async (world) => {
       await submit(world, LATER, { tasks: 1 });
-      for (const name of names(world)) world.kill(name);
+      for (const name of controllerNames(world)) world.kill(name);
     },
     forS: 95,
     isOver: true,
@@ -108,9 +108,9 @@
       }
       await world.run(1);
     }
-    const matching = world.broken.filter((one) => expected?.test(one));
-    const told = `${name}: ${JSON.stringify(world.broken.slice(0, 3))}`;
+    const matching = world.violations.filter((one) => expected?.test(one));
+    const told = `${name}: ${JSON.stringify(world.violations.slice(0, 3))}`;
     if (expected) assert.ok(matching.length > 0, told);
-    else assert.equal(world.broken.length, 0, told);
+    else assert.equal(world.violations.length, 0, told);
   }
 });
--- a/test/storage/late-store-answers.test.ts
+++ b/test/storage/late-store-answers.test.ts
@@ -5,7 +5,7 @@
 import { SimClock } from '../world/clock.js';
 import { submit } from '../world/overlapping-faults.js';
 import { followingReplica } from '../world/replica.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { stageOf } from '../world/jobs.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { World } from '../world/world.js';
@@ -58,20 +58,20 @@
   const leader = world.leader;
   const other = leader === 'n0' ? 'n1' : 'n0';
   // Carried out at once; the leader hears of it only when the job is over.
-  world.state.answerLateMs = (node, changes) =>
+  world.store.transactionAnswerDelayMs = (node, changes) =>
     node === leader && changes.some((change) => change.key === jobKey('j-000001')) ? 1500 : 0;
   const accepted = world.submit('j-000001', { tasks: 2, runS: 60 }, leader);
   await world.run(1);
-  assert.equal(stageOf(await settled(world, world.cancel('j-000001', other), 10)), 'withdrawn');
-  world.state.answerLateMs = () => 0;
-  await settled(world, accepted);
+  assert.equal(stageOf(await awaitReply(world, world.cancel('j-000001', other), 10)), 'withdrawn');
+  world.store.transactionAnswerDelayMs = () => 0;
+  await awaitReply(world, accepted);
   await world.run(3);
   assert.equal(world.nodes.get(leader)?.node.replica.job('j-000001'), null);
   await submit(world, 'j-000002', { tasks: 2, runS: 5 }, other);
   await world.run(40);
   for (const node of [leader, other]) {
-    assert.equal(stageOf(await settled(world, world.poll('j-000001', node))), 'withdrawn');
-    assert.equal(stageOf(await settled(world, world.poll('j-000002', node))), 'done');
+    assert.equal(stageOf(await awaitReply(world, world.poll('j-000001', node))), 'withdrawn');
+    assert.equal(stageOf(await awaitReply(world, world.poll('j-000002', node))), 'done');
   }
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/storage/multi-value-records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -8,7 +8,7 @@
 import { SimClock } from '../world/clock.js';
 import { shardFixture } from '../world/shard-fixture.js';
 import { followingReplica } from '../world/replica.js';
-import { SMALL, bytes } from '../world/sizes.js';
+import { SMALL_VALUE_BYTES, storedBytes } from '../world/sizes.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { TYPES } from '../world/settings.js';
 
@@ -73,10 +73,10 @@
   const other = new Bandit(ARM_TYPES, 2, 2);
   const lossy = new Bandit(ARM_TYPES, 2, 2);
   for (const type of ARM_TYPES) {
-    const records = bandit.records(type, SMALL, 5);
+    const records = bandit.records(type, SMALL_VALUE_BYTES, 5);
     assert.ok(records.length > 2);
     for (const [at, record] of records.entries()) {
-      assert.ok(bytes(record) <= SMALL, `${at}`);
+      assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, `${at}`);
       const old = restoreOld(ARM_TYPES, structuredClone(record));
       assert.equal(old !== null, at === 0, 'the version before takes the main record only');
       if (old) assert.ok(isPositive(old));
@@ -107,7 +107,7 @@
 test('a catalogue larger than a value is read completely, and records it no longer needs are removed', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
-  state.valueBytes = SMALL;
+  state.valueBytes = SMALL_VALUE_BYTES;
   const { replica } = followingReplica(clock, state, 1000);
   const [small] = TYPES;
   assert.ok(small);
@@ -117,14 +117,15 @@
       name: `type-${at}`,
     }));
     await clock.run(clock.now() + 2000);
-    const changes = writeCatalog(replica, types, SMALL);
-    for (const change of changes) assert.ok('remove' in change || bytes(change.value) <= SMALL);
+    const changes = writeCatalog(replica, types, SMALL_VALUE_BYTES);
+    for (const change of changes)
+      assert.ok('remove' in change || storedBytes(change.value) <= SMALL_VALUE_BYTES);
     state.change(changes);
     await clock.run(clock.now() + 2000);
     assert.deepEqual(readCatalog(replica), types, `${count}`);
     const [first] = (replica.get<typeof TYPES>(CATALOG)?.value ?? []).map((type) => type.name);
     assert.equal(first, 'type-0', 'the version before reads this record only');
-    assert.deepEqual(writeCatalog(replica, types, SMALL), []);
+    assert.deepEqual(writeCatalog(replica, types, SMALL_VALUE_BYTES), []);
   }
 });
 
@@ -132,7 +133,7 @@
 
 const machinesOf = (state: SimKeyValueStore): string[][] => {
   const pages: string[][] = [];
-  for (const [key, { value }] of state.cells) {
+  for (const [key, { value }] of state.entries) {
     if (key.startsWith('mb/live/status/p/'))
       pages.push(Object.keys((value as StatusRecord).machines));
   }
@@ -146,10 +147,10 @@
     for (let at = 0; at < 80; at++) machines[`m-${100000 + at}`] = ['small', 'a', 0, 'ok'];
     const world = await shardFixture({
       transactionOps,
-      valueBytes: SMALL,
+      valueBytes: SMALL_VALUE_BYTES,
       held: [{ key: statusKey('p', 0), value: { machines } }],
     });
-    assert.ok(bytes({ machines }) > SMALL);
+    assert.ok(storedBytes({ machines }) > SMALL_VALUE_BYTES);
     // The last of them go on with heartbeats, the first stay where they were.
     world.heartbeat();
     const from = world.state.log.length;
@@ -170,10 +171,10 @@
     assert.equal(new Set(pages.flat()).size, pages.flat().length, 'each in one only');
     assert.ok(new Set(pages.flat()).has('m-1'));
     for (let at = 0; at < pages.length; at++) {
-      const value = world.state.cells.get(statusKey('p', at))?.value as StatusRecord;
+      const value = world.state.entries.get(statusKey('p', at))?.value as StatusRecord;
       assert.deepEqual(Object.keys(value), ['machines']);
-      assert.ok(bytes(value) <= SMALL);
+      assert.ok(storedBytes(value) <= SMALL_VALUE_BYTES);
     }
-    assert.deepEqual(world.state.invalid, []);
+    assert.deepEqual(world.state.rejectedTransactions, []);
   }
 });
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -9,14 +9,14 @@
 import { SimClock } from '../world/clock.js';
 import { followingReplica } from '../world/replica.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
-import { TEAMS, TYPES, silent } from '../world/settings.js';
+import { TEAMS, TYPES, silentLog } from '../world/settings.js';
 
 async function nodeStorage() {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   state.change([{ key: 'mb/live/catalog', value: TYPES }]);
   const errors: Record<string, unknown>[] = [];
-  const log: Log = { ...silent, error: (fields) => void errors.push(fields as never) };
+  const log: Log = { ...silentLog, error: (fields) => void errors.push(fields as never) };
   const store = followingReplica(clock, state, 1000, log);
   await clock.run(500);
   return { ...store, state, errors, committer: new Committer(store) };
@@ -46,7 +46,7 @@
     assert.equal(tries, 1, name);
     assert.equal(errors.length, expected === 'invalid' ? 1 : 0, name);
     if (expected !== 'invalid') continue;
-    assert.deepEqual(state.invalid.length, 1, name);
+    assert.deepEqual(state.rejectedTransactions.length, 1, name);
     assert.equal(errors[0]?.['purpose'], 'part', name);
     assert.deepEqual(
       errors[0]?.['keys'],
@@ -153,7 +153,7 @@
       [201, 422, 201, 201],
     );
     assert.deepEqual(
-      [1, 2, 3, 4].map((id) => state.cells.has(jobKey(`j-00000${id}`))),
+      [1, 2, 3, 4].map((id) => state.entries.has(jobKey(`j-00000${id}`))),
       [true, false, true, true],
     );
   }
@@ -168,7 +168,7 @@
   await clock.run(clock.now() + 4000);
   const found = await Promise.all(replies);
   assert.ok(found.every((one) => one.status === 201));
-  assert.deepEqual(state.invalid, []);
-  const held = [...state.cells].filter(([key]) => key.startsWith('mb/live/job/'));
+  assert.deepEqual(state.rejectedTransactions, []);
+  const held = [...state.entries].filter(([key]) => key.startsWith('mb/live/job/'));
   assert.ok(Buffer.byteLength(JSON.stringify(held)) > 64 * 1024, 'more than one would hold');
 });
--- a/test/trace.ts
+++ b/test/trace.ts
@@ -58,7 +58,7 @@
     suspicion: detects ? SUSPICION : null,
   });
   world.capacity = MACHINES + 10;
-  world.state.limits = LIMITS;
+  world.store.limits = LIMITS;
   for (let machine = 0; machine < MACHINES; machine++) {
     world.addMachine('small', machine % 2 === 0 ? 'a' : 'b', machine % 3 === 0, 500);
   }
@@ -68,10 +68,10 @@
   users.start();
   await world.run(PLAY_S);
   const digest = createHash('sha256');
-  for (const change of world.state.log) digest.update(JSON.stringify(change));
+  for (const change of world.store.log) digest.update(JSON.stringify(change));
   for (const start of world.starts) digest.update(JSON.stringify(start));
-  for (const told of world.told) digest.update(JSON.stringify(told));
-  return `${digest.digest('hex').slice(0, 16)} changes ${world.state.log.length} starts ${world.starts.length}`;
+  for (const told of world.answeredEnds) digest.update(JSON.stringify(told));
+  return `${digest.digest('hex').slice(0, 16)} changes ${world.store.log.length} starts ${world.starts.length}`;
 }
 
 const seeds = process.argv.length > 2 ? process.argv.slice(2).map(Number) : [1];
--- a/test/upgrade/assignment-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -7,7 +7,11 @@
 import { writtenByProduction } from '../world/production-chunks.js';
 import { OLDER } from '../world/older-versions.js';
 import type { SimKeyValueStore } from '../world/key-value-store.js';
-import { ASSIGNMENT, assertReadable, type Written } from '../world/older-readability.js';
+import {
+  ASSIGNMENT,
+  assertReadableByOlderVersions,
+  type WriteLog,
+} from '../world/readable-by-older-versions.js';
 
 const ATTEMPT = 900_000_000_000_000;
 const MACHINES = ['m-1', 'm-2', 'm-3', 'm-4', 'm-5'];
@@ -31,12 +35,12 @@
 type Placements = Map<number, [machine: string, attempt: number]>;
 
 const assignmentsOf = (state: SimKeyValueStore): [string, Stored][] =>
-  [...state.cells]
+  [...state.entries]
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, { value }]) => [key, value as Stored]);
 
 /** After each transaction each task is in one assignment, neither lost nor doubled. */
-function assertWhole(log: Written, before: Map<string, unknown>, tasks: number): void {
+function assertWhole(log: WriteLog, before: Map<string, unknown>, tasks: number): void {
   const held = new Map(before);
   const revisions = [...new Set(log.map((one) => one.revision))];
   for (const revision of revisions) {
@@ -72,8 +76,8 @@
   await run(world);
   const log = world.state.log.slice(from);
   assertWhole(log, stored, tasks);
-  assertReadable(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
-  assert.deepEqual(world.state.invalid, []);
+  assertReadableByOlderVersions(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
+  assert.deepEqual(world.state.rejectedTransactions, []);
   const all = [...world.sent.flatMap(({ commands }) => ops(commands))];
   assert.ok(!all.includes('start'), 'what runs is not started again');
   for (const [key, value] of assignmentsOf(world.state)) {
--- a/test/upgrade/older-records.test.ts
+++ b/test/upgrade/older-records.test.ts
@@ -208,8 +208,8 @@
       const from = world.clock.wall();
       await world.run(60);
       type Role = { owner: string; term: number; movedAt: number };
-      const leader = valueOf<Role>(world.state, 'mb/live/role/leader');
-      const shard = valueOf<Role>(world.state, 'mb/live/role/part-n0');
+      const leader = valueOf<Role>(world.store, 'mb/live/role/leader');
+      const shard = valueOf<Role>(world.store, 'mb/live/role/part-n0');
       assert.deepEqual([leader.owner, leader.term], ['n0', TERM + 1]);
       assert.ok(leader.movedAt >= from);
       assert.deepEqual([shard.owner, shard.term, shard.movedAt], ['n0', TERM + 1, 7]);
@@ -227,8 +227,8 @@
         ['n1', 'a'],
       ]);
       await world.run(60);
-      assert.deepEqual(valueOf(world.state, 'mb/live/role/leader'), records['mb/live/role/leader']);
-      assert.equal(valueOf<{ owner: string }>(world.state, 'mb/live/role/part-n0').owner, 'n0');
+      assert.deepEqual(valueOf(world.store, 'mb/live/role/leader'), records['mb/live/role/leader']);
+      assert.equal(valueOf<{ owner: string }>(world.store, 'mb/live/role/part-n0').owner, 'n0');
     },
   },
   {
--- a/test/upgrade/reader-checks.test.ts
+++ b/test/upgrade/reader-checks.test.ts
@@ -4,7 +4,7 @@
 import { JOB, SPEC } from '../world/shard-fixture.js';
 import { OLDER } from '../world/older-versions.js';
 import { TYPES } from '../world/settings.js';
-import { ASSIGNMENT } from '../world/older-readability.js';
+import { ASSIGNMENT } from '../world/readable-by-older-versions.js';
 
 const ROLE = { owner: 'n0', incarnation: 'n0-1', term: 1, movedAt: 0 };
 const ARM = {
--- a/test/upgrade/upgrade.test.ts
+++ b/test/upgrade/upgrade.test.ts
@@ -147,7 +147,7 @@
   for (let at = 0; at < tasks; at++) live[String(at)] = [names[at % MACHINES] ?? '', attempt(at)];
   const [last = ''] = names.slice(-1);
   const role = { owner: 'n0', incarnation: 'n0-before', term: TERM, movedAt: 0 };
-  world.state.change([
+  world.store.change([
     { key: roleKey('leader'), value: role },
     { key: roleKey('part-n0'), value: role },
     { key: nodeKey('n0'), value: { incarnation: 'n0-before' } },
@@ -181,7 +181,7 @@
       },
     },
   ]);
-  for (const [key, { value }] of world.state.cells) assert.ok(isReadableByOld(key, value), key);
+  for (const [key, { value }] of world.store.entries) assert.ok(isReadableByOld(key, value), key);
   await world.clock.run(2);
   const put = (task: string, machine: string, number: number): void => {
     world.workers.get(machine)?.tasks.set(task, { attempt: number, state: 'running', cpus: 0.1 });
@@ -204,10 +204,10 @@
   ];
   for (const [name, tasks, limits, atS] of cases) {
     const world = await leftBehind(tasks, limits);
-    const from = world.state.log.length;
+    const from = world.store.log.length;
     const lower = (): void => {
-      world.state.valueBytes = limits.valueBytes;
-      world.state.transactionOps = limits.transactionOps;
+      world.store.valueBytes = limits.valueBytes;
+      world.store.transactionOps = limits.transactionOps;
     };
     if (atS === 0) lower();
     else if (atS < Infinity) world.clock.after(atS * 1000, lower);
@@ -215,7 +215,7 @@
     const check = (): void => {
       const seen = new Map<string, string>();
       const listed = new Set<string>();
-      for (const [key, { value }] of world.state.cells) {
+      for (const [key, { value }] of world.store.entries) {
         const [kind, , job] = key.slice(LIVE.length).split('/');
         if (kind === 'status') {
           for (const one of Object.keys((value as StatusRecord).machines)) listed.add(one);
@@ -257,8 +257,8 @@
     await run(20);
     end('j-000001/40', 'error');
     await run(60);
-    assert.deepEqual(world.broken, [], name);
-    assert.deepEqual(world.state.invalid, [], name);
+    assert.deepEqual(world.violations, [], name);
+    assert.deepEqual(world.store.rejectedTransactions, [], name);
     assert.equal(world.workers.size, MACHINES, `${name}: none returned`);
     const again = world.starts
       .map((one) => one.task)
@@ -271,17 +271,17 @@
     const others = world.starts.filter((one) => !one.task.startsWith('j-000001/'));
     assert.equal(others.length, 4 + 4, `${name}: what waited and what came, each once`);
     for (const id of ['j-000002', 'j-000003']) {
-      const final = world.state.cells.get(finalKey(id))?.value as { state?: string } | undefined;
+      const final = world.store.entries.get(finalKey(id))?.value as { state?: string } | undefined;
       assert.equal(final?.state, 'done', `${name}: ${id}`);
     }
     for (const role of ['leader', 'part-n0']) {
-      const held = world.state.cells.get(roleKey(role))?.value as { term: number };
+      const held = world.store.entries.get(roleKey(role))?.value as { term: number };
       assert.equal(held.term, TERM + 1, `${name}: ${role}`);
     }
-    const apart = world.state.log.some(({ key }) => /chunk\/.*\.\d+$/.test(key));
+    const apart = world.store.log.some(({ key }) => /chunk\/.*\.\d+$/.test(key));
     assert.equal(apart, limits.valueBytes < 4096, `${name}: the assignment was split`);
     let arms = 0;
-    for (const { key, value, removed } of world.state.log.slice(from)) {
+    for (const { key, value, removed } of world.store.log.slice(from)) {
       if (removed) continue;
       if (key.startsWith(armKey('n0', ''))) arms++;
       assert.ok(isReadableByOld(key, value), `${name}: ${key} ${JSON.stringify(value)}`);
@@ -289,7 +289,7 @@
       assert.ok(bytes <= limits.valueBytes, `${name}: ${key} takes ${bytes}`);
     }
     assert.ok(arms > 0, `${name}: arms were written`);
-    const pages = [...world.state.cells.keys()].filter((key) =>
+    const pages = [...world.store.entries.keys()].filter((key) =>
       key.startsWith(statusKey('n0', 0).slice(0, -1)),
     );
     assert.equal(pages.length, limits.valueBytes > 4096 ? 1 : 2, name);
--- a/test/upgrade/written-records.test.ts
+++ b/test/upgrade/written-records.test.ts
@@ -11,7 +11,11 @@
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { TYPES } from '../world/settings.js';
 import type { Records } from '../world/older-records.js';
-import { ASSIGNMENT, assertReadable, type Written } from '../world/older-readability.js';
+import {
+  ASSIGNMENT,
+  assertReadableByOlderVersions,
+  type WriteLog,
+} from '../world/readable-by-older-versions.js';
 import { World } from '../world/world.js';
 
 /** A key without what differs from one record of its kind to the next. */
@@ -23,7 +27,7 @@
   /** Kinds of keys that must be among what is written. */
   kinds: string[];
   /** The log of what this version wrote. */
-  write: () => Promise<Written>;
+  write: () => Promise<WriteLog>;
 }
 
 async function cancelled(world: World, id: string): Promise<void> {
@@ -56,12 +60,12 @@
       await world.run(120);
       await cancelled(world, 'j-000003');
       await world.run(100);
-      const values = world.state.log.map((one) => one.value as Records | undefined);
+      const values = world.store.log.map((one) => one.value as Records | undefined);
       assert.ok(values.some((value) => value?.state === 'done'));
       assert.ok(values.some((value) => value?.state === 'cancelled'));
       assert.ok(values.some((value) => typeof value?.attempt === 'number'));
       assert.ok(values.some((value) => value?.state === 'drain' || value?.state === 'gone'));
-      return world.state.log;
+      return world.store.log;
     },
   },
   {
@@ -99,12 +103,12 @@
         placement: { alpha: 2, penalty: 2, snapshotS: 5 },
       };
       const world = new World(4, [['n0', 'a']], overrides);
-      world.state.valueBytes = overrides.valueBytes;
+      world.store.valueBytes = overrides.valueBytes;
       await world.run(20);
       for (let at = 0; at < 18; at++)
         void world.submit(`j-00000${at}`, { tasks: 1 }, 'n0', { lane: `class-of-work-${at}` });
       await world.run(200);
-      const arms = [...world.state.cells].filter(([key]) => key.startsWith('mb/live/arm/'));
+      const arms = [...world.store.entries].filter(([key]) => key.startsWith('mb/live/arm/'));
       const main = arms.find(([key]) => key === 'mb/live/arm/n0/small')?.[1].value as Records;
       // df7a3ba asks for as many as the main record says, and takes those of its stamp.
       assert.ok(typeof main.further === 'number' && main.further > 0);
@@ -112,8 +116,8 @@
         const more = arms.find(([key]) => key === `mb/live/arm/n0/small+${at}`)?.[1].value;
         assert.equal((more as Records).stamp, main.stamp);
       }
-      assert.deepEqual(world.state.invalid, []);
-      return world.state.log;
+      assert.deepEqual(world.store.rejectedTransactions, []);
+      return world.store.log;
     },
   },
   {
@@ -129,7 +133,7 @@
       world.heartbeat();
       await world.reconcile(20_000);
       // 89f79d3 counts the shards that there are, and empties those past its own: no gaps.
-      const pages = [...world.state.cells.keys()]
+      const pages = [...world.state.entries.keys()]
         .filter((key) => key.startsWith('mb/live/status/p/'))
         .map((key) => Number(key.slice('mb/live/status/p/'.length)));
       assert.deepEqual(
@@ -165,7 +169,7 @@
   for (const { name, kinds, write } of WRITES) {
     await t.test(name, async () => {
       const log = await write();
-      assertReadable(log);
+      assertReadableByOlderVersions(log);
       const written = new Set(log.filter((one) => !one.removed).map((one) => kindOf(one.key)));
       for (const kind of kinds)
         assert.ok(written.has(kind), `${kind} among ${[...written].join(' ')}`);
--- a/test/world/commanded-gang.ts
+++ b/test/world/commanded-gang.ts
@@ -44,7 +44,7 @@
     return [one.stage, one.cause, one.stored ? 'stored' : ''].filter(Boolean).join(' ');
   };
   const all = (): string[] => [seen(0), seen(1), seen(2)];
-  const progress = (): number => (world.gangs.saved.get(JOB) ?? 0) / 1000;
+  const progress = (): number => (world.gangs.savedProgressMs.get(JOB) ?? 0) / 1000;
   return { world, worker, call, start, seen, all, progress };
 }
 
@@ -52,18 +52,18 @@
 export type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
 
 /** What is seen of three tasks in the same state. */
-export const same = (state: string): string[] => [state, state, state];
+export const allThree = (state: string): string[] => [state, state, state];
 
 /** A row: the job beside its defaults, and what happens to its gang. */
-export interface Row {
+export interface CommandedGangCase {
   name: string;
   job?: Partial<SimJob>;
   act: (gang: CommandedGang) => Promise<void>;
 }
 
 /** Plays a row; the rules must have held. */
-export async function playCommanded({ job, act }: Row): Promise<void> {
+export async function playCommandedGang({ job, act }: CommandedGangCase): Promise<void> {
   const gang = await commandGang(job ?? {});
   await act(gang);
-  assert.deepEqual(gang.world.broken, []);
+  assert.deepEqual(gang.world.violations, []);
 }
--- a/test/world/detector-network.ts
+++ b/test/world/detector-network.ts
@@ -25,7 +25,7 @@
 }
 
 /** What waits for a member that is paused. */
-interface Held {
+interface Pending {
   timers: (() => void)[];
   messages: (() => void)[];
 }
@@ -42,7 +42,7 @@
   /** All that was sent, if it is to be sent again. */
   readonly sent: Delivery[] = [];
   wallOffsetMs = 0;
-  private readonly held = new Map<string, Held>();
+  private readonly pendingWhilePaused = new Map<string, Pending>();
   private readonly random;
   private instances = 0;
 
@@ -58,7 +58,7 @@
   /** Starts a member as a new process. */
   start(name: string): void {
     this.detectors.get(name)?.stop();
-    this.held.delete(name);
+    this.pendingWhilePaused.delete(name);
     const instance = `${name}-${++this.instances}`;
     const isCurrent = (): boolean => this.detectors.get(name) === detector;
     const detector: FailureDetector = new FailureDetector({
@@ -71,7 +71,8 @@
       clock: {
         now: () => this.clock.now(),
         wall: () => this.clock.wall() + this.wallOffsetMs,
-        after: (ms, run) => this.clock.after(ms, () => isCurrent() && this.at(name, run, 'timers')),
+        after: (ms, run) =>
+          this.clock.after(ms, () => isCurrent() && this.deliverTo(name, run, 'timers')),
       },
       random: () => uniformFloat64(this.random),
       transport: { send: (to, message) => this.send({ from: name, to, message }) },
@@ -89,12 +90,12 @@
   }
 
   /** A member's event loop is paused: what comes waits until it goes on. */
-  hold(name: string, seconds: number): void {
-    const waiting: Held = { timers: [], messages: [] };
-    this.held.set(name, waiting);
+  pause(name: string, seconds: number): void {
+    const waiting: Pending = { timers: [], messages: [] };
+    this.pendingWhilePaused.set(name, waiting);
     this.clock.after(seconds * 1000, () => {
-      if (this.held.get(name) !== waiting) return;
-      this.held.delete(name);
+      if (this.pendingWhilePaused.get(name) !== waiting) return;
+      this.pendingWhilePaused.delete(name);
       // A process that goes on runs its timers before it reads its sockets.
       for (const run of [...waiting.timers, ...waiting.messages]) this.clock.after(0, run);
     });
@@ -102,7 +103,7 @@
 
   /** Delivers a message, or delivers it once more. */
   deliver({ from, to, message }: Delivery): void {
-    this.at(to, () => {
+    this.deliverTo(to, () => {
       this.detectors.get(to)?.receive(message, (reply) => {
         this.send({ from: to, to: from, message: reply });
       });
@@ -124,12 +125,12 @@
   }
 
   /** Uniform in [0, 1), by the seed. */
-  chance(): number {
+  random01(): number {
     return uniformFloat64(this.random);
   }
 
-  private at(name: string, run: () => void, kind: keyof Held = 'messages'): void {
-    const waiting = this.held.get(name);
+  private deliverTo(name: string, run: () => void, kind: keyof Pending = 'messages'): void {
+    const waiting = this.pendingWhilePaused.get(name);
     if (waiting) waiting[kind].push(run);
     else run();
   }
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -10,9 +10,9 @@
 import type { World } from './world.js';
 
 /** ms that messages between controllers take. */
-const PEER_MS = 2;
+const PEER_DELAY_MS = 2;
 /** ms after which a direct call without an answer has failed. */
-const DIRECT_LIMIT_MS = 2000;
+const DIRECT_TIMEOUT_MS = 2000;
 
 /** Commands from a controller to a machine, without waiting for its next heartbeat. */
 interface DirectCall {
@@ -29,13 +29,13 @@
   const guarded: Guarded = (call) =>
     new Promise((resolve, reject) => {
       call.then(
-        (value) => world.at(name, () => (isDead() ? undefined : resolve(value))),
-        (error: Error) => world.at(name, () => (isDead() ? undefined : reject(error))),
+        (value) => world.deliver(name, () => (isDead() ? undefined : resolve(value))),
+        (error: Error) => world.deliver(name, () => (isDead() ? undefined : reject(error))),
       );
     });
   return {
     clock: clockOf(world, name, isDead),
-    keyValueStore: stateOf(world.state.api(name), guarded),
+    keyValueStore: keyValueStoreOf(world.store.api(name), guarded),
     cloud: world.cloud.api(),
     workers: {
       full: false,
@@ -43,7 +43,7 @@
         guarded(callDirect(world, name, { address, fencingToken, agentEpoch, commands })),
     },
     connectedPeers: () =>
-      [...world.nodes.keys()].filter((peer) => peer !== name && !world.cut(name, peer)),
+      [...world.nodes.keys()].filter((peer) => peer !== name && !world.isCut(name, peer)),
     sendToPeer: (peer, message) => sendToPeer(world, name, peer, message),
   };
 }
@@ -54,14 +54,14 @@
     wall: () => world.clock.wall(),
     after: (delay, run) =>
       world.clock.after(delay, () => {
-        world.at(name, () => {
+        world.deliver(name, () => {
           if (!isDead()) run();
         });
       }),
   };
 }
 
-function stateOf(api: KeyValueStore, guarded: Guarded): KeyValueStore {
+function keyValueStoreOf(api: KeyValueStore, guarded: Guarded): KeyValueStore {
   return {
     get: (key) => guarded(api.get(key)),
     list: (prefix, after) => guarded(api.list(prefix, after)),
@@ -74,18 +74,20 @@
 
 function sendToPeer(world: World, name: string, peer: string, message: PeerMessage): boolean {
   const other = world.nodes.get(peer);
-  if (!other || world.cut(name, peer)) return false;
-  if (world.drops(name, peer) || world.lostOneWay.has(`${name}>${peer}`)) return true;
+  if (!other || world.isCut(name, peer)) return false;
+  if (world.drops(name, peer) || world.oneWayLossyLinks.has(`${name}>${peer}`)) return true;
   const back = (reply: PeerMessage): void => {
-    if (world.lostOneWay.has(`${peer}>${name}`)) return;
-    world.clock.after(PEER_MS, () => {
-      world.at(name, () =>
+    if (world.oneWayLossyLinks.has(`${peer}>${name}`)) return;
+    world.clock.after(PEER_DELAY_MS, () => {
+      world.deliver(name, () =>
         world.nodes.get(name)?.node.receive(world.onPeerMessage(reply), () => undefined),
       );
     });
   };
-  world.clock.after(PEER_MS, () => {
-    world.at(peer, () => world.nodes.get(peer)?.node.receive(world.onPeerMessage(message), back));
+  world.clock.after(PEER_DELAY_MS, () => {
+    world.deliver(peer, () =>
+      world.nodes.get(peer)?.node.receive(world.onPeerMessage(message), back),
+    );
   });
   return true;
 }
@@ -97,18 +99,18 @@
 ): Promise<DirectResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
-    const cut = !worker || worker.deaf || world.cut(node, worker.machine.name);
-    const held = Math.max(worker?.holdDirectMs ?? 0, worker?.hungMs ?? 0);
+    const cut = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
+    const delayMs = Math.max(worker?.directDelayMs ?? 0, worker?.hungMs ?? 0);
     const { calls } = encodeDirect(fencingToken, agentEpoch, commands) as { calls: never[] };
-    world.clock.after(DIRECT_LIMIT_MS, () => reject(new OutcomeUnknownError('timed out')));
+    world.clock.after(DIRECT_TIMEOUT_MS, () => reject(new OutcomeUnknownError('timed out')));
     if (cut) return;
-    world.clock.after(world.linkMs + held, () => {
+    world.clock.after(world.linkDelayMs + delayMs, () => {
       const reply = worker.command(fencingToken, agentEpoch, calls);
-      for (const later of worker.repeatDirectMs) {
+      for (const later of worker.directDuplicatesAfterMs) {
         world.clock.after(later, () => worker.command(fencingToken, agentEpoch, calls));
       }
       const parsed = parseHeartbeat(JSON.parse(reply.body) as Record<string, unknown>);
-      if (parsed.ok && held === 0)
+      if (parsed.ok && delayMs === 0)
         resolve({ executed: reply.status === 200, heartbeat: parsed.value });
     });
   });
--- a/test/world/suspicion.ts
+++ b/test/world/failure-detection-case.ts
@@ -5,11 +5,11 @@
 import type { Settings } from '../../src/protocol/settings.js';
 import { roleKey } from '../../src/storage/keys.js';
 import type { RoleRecord } from '../../src/storage/records.js';
-import { silent } from './settings.js';
+import { silentLog } from './settings.js';
 import { World, type Members } from './world.js';
 
 /** What the deploy file sets. */
-export const WATCHFUL: Partial<Settings> = {
+export const WITH_FAILURE_DETECTION: Partial<Settings> = {
   suspicion: readOperatorSettings(['deploy/suspicion.toml'], 3).suspicion,
 };
 
@@ -17,7 +17,7 @@
 const TASKS = 18;
 
 /** A world and the records of all its controllers. */
-export interface WatchfulWorld {
+export interface ObservedWorld {
   world: World;
   records: DetectionRecord[];
   /** Logged step-downs: the controller and the role. */
@@ -25,18 +25,21 @@
 }
 
 /** A world whose controllers detect failures, with machines and work of both teams running. */
-export async function watchfulWorld(seed: number, members?: Members): Promise<WatchfulWorld> {
+export async function worldWithFailureDetection(
+  seed: number,
+  members?: Members,
+): Promise<ObservedWorld> {
   const records: DetectionRecord[] = [];
   const steppedDown: string[] = [];
-  const logOf = (node: string): typeof silent => ({
-    ...silent,
+  const logOf = (node: string): typeof silentLog => ({
+    ...silentLog,
     info: (fields, message) => {
       if ('detection' in fields) records.push(fields.detection as DetectionRecord);
       if (message === 'stood down')
         steppedDown.push(`${node} ${(fields as { role: string }).role}`);
     },
   });
-  const world = new World(seed, members, WATCHFUL, logOf);
+  const world = new World(seed, members, WITH_FAILURE_DETECTION, logOf);
   for (const zone of ['a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(8);
   void world.submit('j-000001', { tasks: 16, runS: 60 });
@@ -46,9 +49,9 @@
 }
 
 /** A fault, and what must come of it. */
-export interface SuspicionRow {
+export interface SuspicionCase {
   name: string;
-  trouble: (watched: WatchfulWorld) => Promise<void>;
+  fault: (watched: ObservedWorld) => Promise<void>;
   /** Nobody's term changes over the fault. */
   keepsTerms?: boolean;
   /** Reasons for which roles were taken, and none but these. */
@@ -58,19 +61,19 @@
 }
 
 /** Plays a row: the rules must hold, all work must get done, and no task starts again without need. */
-export async function playRow(row: SuspicionRow, seed: number): Promise<void> {
-  const watched = await watchfulWorld(seed);
+export async function playSuspicionCase(row: SuspicionCase, seed: number): Promise<void> {
+  const watched = await worldWithFailureDetection(seed);
   const { world, records } = watched;
-  const before = tenures(world);
-  await row.trouble(watched);
-  if (row.keepsTerms) assert.deepEqual(tenures(world), before);
-  if (row.reasons) assert.deepEqual([...takenBecause(records)], row.reasons);
-  world.settingsFor = () => WATCHFUL;
+  const before = roleTerms(world);
+  await row.fault(watched);
+  if (row.keepsTerms) assert.deepEqual(roleTerms(world), before);
+  if (row.reasons) assert.deepEqual([...takeoverReasons(records)], row.reasons);
+  world.settingsFor = () => WITH_FAILURE_DETECTION;
   for (const [node] of world.members) if (!world.nodes.has(node)) world.boot(node);
   await world.run(25);
   world.faultsOver();
   await world.run(60);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
   const { body } = await world.poll('j-000001', 'n0');
   assert.match(JSON.stringify(body), /"done"/, `seed ${seed}`);
   const most = TASKS + (row.restarts ?? 0);
@@ -78,26 +81,26 @@
 }
 
 /** Controllers of two groups can't reach each other. */
-export function split(world: World, left: readonly string[]): void {
+export function partition(world: World, left: readonly string[]): void {
   for (const one of left) {
     for (const [other] of world.members)
-      if (!left.includes(other)) world.cuts.add(`${one}>${other}`);
+      if (!left.includes(other)) world.cutLinks.add(`${one}>${other}`);
   }
 }
 
 /** Holders and terms of all roles, as the store has them. */
-export function tenures(world: World): Record<string, string> {
+export function roleTerms(world: World): Record<string, string> {
   const roles = ['leader', ...world.members.map(([name]) => `part-${name}`)];
   return Object.fromEntries(
     roles.map((role) => {
-      const record = world.state.cells.get(roleKey(role))?.value as RoleRecord | undefined;
+      const record = world.store.entries.get(roleKey(role))?.value as RoleRecord | undefined;
       return [role, `${record?.owner} ${record?.term}`];
     }),
   );
 }
 
 /** The reasons for which roles were taken. */
-export function takenBecause(records: readonly DetectionRecord[]): Set<string> {
+export function takeoverReasons(records: readonly DetectionRecord[]): Set<string> {
   const reasons = new Set<string>();
   for (const record of records) {
     if (record.type === 'decision' && record.action === 'take') reasons.add(record.why);
--- a/test/world/fault-sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -1,12 +1,12 @@
 /** Users who poll all controllers right after each answer, under all kinds of faults. */
 import assert from 'node:assert/strict';
 import { stageOf } from './jobs.js';
-import { settled } from './requests.js';
+import { awaitReply } from './await-reply.js';
 import { Users } from './users.js';
 import { World, type Members } from './world.js';
 
 /** A fault while users poll closely. */
-export interface Fault {
+export interface SweepFault {
   name: string;
   /** Begins the fault, and ends it by the time that all are over. */
   begin: (world: World) => void;
@@ -23,25 +23,25 @@
   void world.clock.after(seconds * 1000, run);
 
 /** Each is played by the tests of forgotten jobs. */
-export const FAULTS: Fault[] = [
+export const FAULTS: SweepFault[] = [
   { name: 'none', begin: () => undefined },
   {
     name: 'watches of one node lag',
     begin: (world) => {
-      world.state.watchLateMs = (node) => (node === 'n0' ? 1500 : 0);
+      world.store.watchAnswerDelayMs = (node) => (node === 'n0' ? 1500 : 0);
       at(world, ENDS_S, () => {
-        world.state.watchLateMs = () => 0;
+        world.store.watchAnswerDelayMs = () => 0;
       });
     },
   },
   {
     name: 'all watches lag, and answers are slow',
     begin: (world) => {
-      world.state.watchLateMs = () => 200 + world.chance(900);
-      world.state.answerLateMs = () => world.chance(700);
+      world.store.watchAnswerDelayMs = () => 200 + world.randomBelow(900);
+      world.store.transactionAnswerDelayMs = () => world.randomBelow(700);
       at(world, ENDS_S, () => {
-        world.state.watchLateMs = () => 0;
-        world.state.answerLateMs = () => 0;
+        world.store.watchAnswerDelayMs = () => 0;
+        world.store.transactionAnswerDelayMs = () => 0;
       });
     },
   },
@@ -50,8 +50,8 @@
     begin: (world) =>
       during(
         world,
-        () => (world.state.lostShare = 0.3),
-        () => (world.state.lostShare = 0),
+        () => (world.store.lostAnswerShare = 0.3),
+        () => (world.store.lostAnswerShare = 0),
       ),
   },
   {
@@ -59,37 +59,37 @@
     begin: (world) =>
       during(
         world,
-        () => (world.state.lateShare = 0.3),
-        () => (world.state.lateShare = 0),
+        () => (world.store.lateTransactionShare = 0.3),
+        () => (world.store.lateTransactionShare = 0),
       ),
   },
   {
     name: 'an outage',
     begin: (world) => {
-      at(world, 20, () => (world.state.outage = true));
-      at(world, 40, () => world.state.endOutage());
+      at(world, 20, () => (world.store.hasOutage = true));
+      at(world, 40, () => world.store.endOutage());
     },
   },
   {
     name: 'one node is refused while its first peer stands still',
     begin: (world) => {
       at(world, 15, () => {
-        world.state.refused.add('n0');
-        world.freeze('n1', 25);
+        world.store.refusedControllers.add('n0');
+        world.pause('n1', 25);
       });
-      at(world, ENDS_S, () => world.state.refused.clear());
+      at(world, ENDS_S, () => world.store.refusedControllers.clear());
     },
   },
   {
     name: 'one node loses the state service and its peers',
     begin: (world) => {
       at(world, 15, () => {
-        world.state.refused.add('n0');
-        for (const peer of ['n1', 'n2']) world.dropped.add(`n0>${peer}`);
+        world.store.refusedControllers.add('n0');
+        for (const peer of ['n1', 'n2']) world.lossyLinks.add(`n0>${peer}`);
       });
       at(world, ENDS_S, () => {
-        world.state.refused.clear();
-        world.dropped.clear();
+        world.store.refusedControllers.clear();
+        world.lossyLinks.clear();
       });
     },
   },
@@ -98,7 +98,7 @@
     begin: (world) => {
       for (const [name] of world.members) {
         at(world, 15, () => world.kill(name));
-        at(world, 15.3 + world.chance(4), () => world.boot(name));
+        at(world, 15.3 + world.randomBelow(4), () => world.boot(name));
       }
       for (const [number, [name]] of world.members.entries()) {
         at(world, 30 + number * 6, () => {
@@ -111,28 +111,28 @@
   {
     name: 'all end in an outage, with lost answers and lagging watches after it',
     begin: (world) => {
-      at(world, 15, () => (world.state.outage = true));
+      at(world, 15, () => (world.store.hasOutage = true));
       for (const [name] of world.members) {
         at(world, 18, () => world.kill(name));
         at(world, 19, () => world.boot(name));
       }
       at(world, 30, () => {
-        world.state.endOutage();
-        world.state.lostShare = 0.3;
-        world.state.watchLateMs = () => world.chance(1200);
-        world.state.refusesListing = (listing) => listing % 2 === 0;
+        world.store.endOutage();
+        world.store.lostAnswerShare = 0.3;
+        world.store.watchAnswerDelayMs = () => world.randomBelow(1200);
+        world.store.refusesListing = (listing) => listing % 2 === 0;
       });
       at(world, ENDS_S, () => {
-        world.state.lostShare = 0;
-        world.state.watchLateMs = () => 0;
-        world.state.refusesListing = () => false;
+        world.store.lostAnswerShare = 0;
+        world.store.watchAnswerDelayMs = () => 0;
+        world.store.refusesListing = () => false;
       });
     },
   },
 ];
 
 /** How large a world is, and how many jobs come. */
-export interface Size {
+export interface SweepSize {
   members?: Members;
   /** What the key-value store takes in a second. */
   rps: number;
@@ -140,11 +140,11 @@
   machines: number;
   jobs: number;
   everyMs: number;
-  restS: number;
+  recoveryS: number;
 }
 
 /** The largest fleet that operators run. */
-export const LARGE: Size = {
+export const LARGE: SweepSize = {
   members: [
     ['n0', 'a'],
     ['n1', 'a'],
@@ -157,26 +157,30 @@
   machines: 1500,
   jobs: 80,
   everyMs: 500,
-  restS: 80,
+  recoveryS: 80,
 };
 /** A fleet of a few machines. */
-export const SMALL: Size = {
+export const SMALL: SweepSize = {
   rps: 80,
   writeRps: 25,
   machines: 4,
   jobs: 80,
   everyMs: 600,
-  restS: 100,
+  recoveryS: 100,
 };
 
 /** Plays a fault by this seed: nothing may be forgotten, and every end stays. */
-export async function sweep({ begin }: Fault, seed: number, size: Size): Promise<void> {
+export async function playSweep(
+  { begin }: SweepFault,
+  seed: number,
+  size: SweepSize,
+): Promise<void> {
   const world = new World(seed, size.members, {
     storeRps: size.rps,
     storeWriteRps: size.writeRps,
   });
   world.capacity = size.machines + 10;
-  world.state.limits = { rps: size.rps, writeRps: size.writeRps };
+  world.store.limits = { rps: size.rps, writeRps: size.writeRps };
   for (let machine = 0; machine < size.machines; machine++) {
     world.addMachine('small', machine % 2 === 0 ? 'a' : 'b', false, 500);
   }
@@ -197,13 +201,13 @@
   users.start();
   await world.run(ENDS_S + 5);
   world.faultsOver();
-  await world.run(size.restS);
-  assert.deepEqual(world.broken, []);
+  await world.run(size.recoveryS);
+  assert.deepEqual(world.violations, []);
   assert.ok(users.accepted.length > jobs * 0.9, `${users.accepted.length} of ${jobs} accepted`);
   for (const id of users.accepted) {
-    const told = world.told.get(id)?.stage ?? '';
-    if (told === '') continue;
-    const node = world.members[world.chance(world.members.length)]?.[0];
-    assert.equal(stageOf(await settled(world, world.poll(id, node))), told, id);
+    const end = world.answeredEnds.get(id)?.stage ?? '';
+    if (end === '') continue;
+    const node = world.members[world.randomBelow(world.members.length)]?.[0];
+    assert.equal(stageOf(await awaitReply(world, world.poll(id, node))), end, id);
   }
 }
--- a/test/world/gang-script.ts
+++ b/test/world/gang-steps.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
-import { stageOf as stage, type SimJob } from './jobs.js';
-import * as requests from './requests.js';
+import { stageOf as stage, type SimJob, type SimTask } from './jobs.js';
+import * as requests from './await-reply.js';
 import { FLEET } from './settings.js';
-import type { SimWorker, Task } from './worker.js';
+import type { SimWorker } from './worker.js';
 import { World } from './world.js';
 
 /** The gang that a row is about, and a second job beside it. */
@@ -13,13 +13,13 @@
 export const OTHER = 'j-000002';
 
 /** What a gang needs to save its progress. */
-export const SAVING = { checkpointS: 5, saveS: 3 };
+export const WITH_CHECKPOINTS = { checkpointS: 5, saveS: 3 };
 
 /** Turns after which a request counts as unanswered. */
-const TURNS = 400;
+const MAX_STEPS = 400;
 
 /** A gang, what happens to it, and the jobs that must get done. */
-export interface Row {
+export interface GangCase {
   name: string;
   /** Zones of the machines that are there at the start; default: two and one. */
   zones?: string[];
@@ -30,8 +30,8 @@
 }
 
 /** Lets simulated time run until a request is answered. */
-export const settled = <T>(world: World, request: Promise<T>): Promise<T> =>
-  requests.settled(world, request, TURNS);
+export const awaitReply = <T>(world: World, request: Promise<T>): Promise<T> =>
+  requests.awaitReply(world, request, MAX_STEPS);
 
 /** Submits a job, a gang unless told otherwise; it must be accepted. */
 export async function submit(
@@ -40,17 +40,17 @@
   job: Partial<SimJob>,
   at = 'n0',
 ): Promise<void> {
-  const reply = await settled(world, world.submit(id, { gang: true, ...job }, at));
+  const reply = await awaitReply(world, world.submit(id, { gang: true, ...job }, at));
   assert.equal(reply.status, 201, JSON.stringify(reply.body));
 }
 
 /** Cancels a job; that must be confirmed. */
 export async function cancel(world: World, id: string, at = 'n0'): Promise<void> {
-  assert.equal(stage(await settled(world, world.cancel(id, at))), 'withdrawn');
+  assert.equal(stage(await awaitReply(world, world.cancel(id, at))), 'withdrawn');
 }
 
 /** Runs on in small steps until something is so; what never comes fails the row. */
-export async function until(
+export async function runUntil(
   world: World,
   what: string,
   limitS: number,
@@ -66,7 +66,7 @@
 export function* tasksOf(
   world: World,
   id: string,
-): Generator<{ worker: SimWorker; name: string; task: Task }> {
+): Generator<{ worker: SimWorker; name: string; task: SimTask }> {
   for (const worker of world.workers.values()) {
     for (const [name, task] of worker.tasks) {
       if (name.startsWith(`${id}/`)) yield { worker, name, task };
@@ -75,53 +75,59 @@
 }
 
 /** Whether a task of the job is in this state. */
-export const some = (world: World, id: string, state: string): boolean =>
+export const hasTaskInState = (world: World, id: string, state: string): boolean =>
   [...tasksOf(world, id)].some(({ task }) => task.state === state);
 
 /** The times at which a gang began. */
-export const begun = (world: World, id: string): World['gangStarts'] =>
+export const gangStartsOf = (world: World, id: string): World['gangStarts'] =>
   world.gangStarts.filter((one) => one.job === id);
 
 /** Runs on until a gang has begun so many times. */
-export const begins = (world: World, id: string, limitS: number, times = 1): Promise<void> =>
-  until(world, `${id} begins`, limitS, () => begun(world, id).length >= times);
+export const awaitGangStart = (
+  world: World,
+  id: string,
+  limitS: number,
+  times = 1,
+): Promise<void> =>
+  runUntil(world, `${id} begins`, limitS, () => gangStartsOf(world, id).length >= times);
 
 /** The machine of one of its tasks. */
-export function holder(world: World, id: string): SimWorker {
+export function machineOf(world: World, id: string): SimWorker {
   const [first] = tasksOf(world, id);
   assert.ok(first, `no machine holds ${id}`);
   return first.worker;
 }
 
 /** The controller that holds a role. */
-export function owner(world: World, role: string): string {
-  const record = world.state.cells.get(roleKey(role))?.value as { owner: string } | undefined;
+export function roleHolder(world: World, role: string): string {
+  const record = world.store.entries.get(roleKey(role))?.value as
+    { roleHolder: string } | undefined;
   assert.ok(record, `nobody holds ${role}`);
-  return record.owner;
+  return record.roleHolder;
 }
 
 /** The shards that hold something of a job. */
 export const shardsOf = (world: World, id: string): string[] =>
-  [...world.state.cells.keys()]
+  [...world.store.entries.keys()]
     .map(readAssignmentKey)
     .flatMap((assignment) => (assignment?.job === id ? [assignment.shard] : []));
 
 /** Kills the controller that owns a shard with tasks of the job; it is back 4 s later. */
-export async function killOwner(world: World, id: string): Promise<void> {
+export async function restartShardOwner(world: World, id: string): Promise<void> {
   const [shard] = shardsOf(world, id);
   assert.ok(shard, `no shard holds ${id}`);
-  await restart(world, owner(world, shardRole(shard)));
+  await restartController(world, roleHolder(world, shardRole(shard)));
 }
 
 /** Kills a controller; it is back 4 s later. */
-export async function restart(world: World, node: string): Promise<void> {
+export async function restartController(world: World, node: string): Promise<void> {
   world.kill(node);
   await world.run(4);
   world.boot(node);
 }
 
 /** All is over: the state at every controller, and nothing of it left on machines or in the store. */
-export async function ends(
+export async function assertAllEnded(
   world: World,
   ids: string[],
   state: string,
@@ -131,7 +137,7 @@
   for (let passed = 0; passed < limitS && waiting.size > 0; passed += 2) {
     await world.run(2);
     for (const id of waiting) {
-      if (stage(await settled(world, world.poll(id))) === state) waiting.delete(id);
+      if (stage(await awaitReply(world, world.poll(id))) === state) waiting.delete(id);
     }
   }
   assert.deepEqual([...waiting], [], `not ${state} within ${limitS} s`);
@@ -139,14 +145,14 @@
   await world.run(60);
   for (const id of ids) {
     for (const [node] of world.members) {
-      const reply = await settled(world, world.poll(id, node));
+      const reply = await awaitReply(world, world.poll(id, node));
       assert.equal(stage(reply), state, `${id} at ${node}`);
     }
     const left = [...tasksOf(world, id)].map(
       ({ worker, name }) => `${name} ${worker.machine.name}`,
     );
     assert.deepEqual(left, [], 'left on machines');
-    const keys = [...world.state.cells].flatMap(([key, cell]) =>
+    const keys = [...world.store.entries].flatMap(([key, cell]) =>
       !key.startsWith(FINALS) && (key.includes(id) || JSON.stringify(cell.value).includes(id))
         ? [key]
         : [],
@@ -165,9 +171,9 @@
 }
 
 /** Plays a row; afterwards its jobs must be done, and the rules have held. */
-export async function playGang({ zones, maxMachines, act, done }: Row): Promise<void> {
+export async function playGang({ zones, maxMachines, act, done }: GangCase): Promise<void> {
   const world = await gangWorld(zones ?? ['a', 'a', 'b'], maxMachines);
   await act(world);
-  await ends(world, done ?? [GANG], 'done', 300);
-  assert.deepEqual(world.broken, []);
+  await assertAllEnded(world, done ?? [GANG], 'done', 300);
+  assert.deepEqual(world.violations, []);
 }
