--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -1,6 +1,6 @@
 /** The invariant checker of the simulated cluster: records each violation of an invariant. */
 import { stageOf, type Reply, type SimJob } from './jobs.js';
-import { Questions } from './answered-polls.js';
+import { PollOutcomes } from './poll-outcomes.js';
 import { TEAMS } from './settings.js';
 import { WaitingJobs } from './waiting-jobs.js';
 import type { SimWorker } from './worker.js';
@@ -14,15 +14,15 @@
 /** Checks what controllers answer users, and what runs where. */
 export class InvariantChecker {
   /** Each violation of an invariant, and by what. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
   readonly startsAfterCancel: string[] = [];
   /** Jobs that a controller called accepted, and the ends that controllers told of jobs, with the time. */
   readonly accepted = new Set<string>();
-  readonly told = new Map<string, { stage: string; at: number }>();
+  readonly answeredEnds = new Map<string, { stage: string; at: number }>();
   /** Jobs whose users asked to cancel them. */
   private readonly cancelRequests = new Set<string>();
-  private readonly questions = new Questions();
+  private readonly pollOutcomes = new PollOutcomes();
   private readonly waitingJobs: WaitingJobs;
 
   constructor(private readonly world: SimulationHost) {
@@ -30,71 +30,72 @@
   }
 
   /** A user asks to cancel a job. */
-  cancelRequested(id: string): void {
+  recordCancelRequest(id: string): void {
     this.cancelRequests.add(id);
   }
 
   /** A question about a job got no answer at all. */
-  unanswered(kind: RequestKind, id: string): void {
-    this.noteQuestion(kind, id, false);
+  recordNoReply(kind: RequestKind, id: string): void {
+    this.recordPoll(kind, id, false);
   }
 
   /** All faults are over: from now on each job is answered for, and none waits without need. */
   faultsOver(): void {
     const now = this.world.clock.now();
-    this.questions.faultsOver(now);
+    this.pollOutcomes.faultsOver(now);
     this.waitingJobs.faultsOver();
   }
 
-  private noteQuestion(kind: RequestKind, id: string, isAnswered: boolean): void {
+  private recordPoll(kind: RequestKind, id: string, isAnswered: boolean): void {
     if (kind !== 'poll' || !this.accepted.has(id)) return;
-    this.broken.push(...this.questions.asked(id, isAnswered, this.world.clock.now()));
+    this.violations.push(...this.pollOutcomes.record(id, isAnswered, this.world.clock.now()));
   }
 
   /** Looks at what runs and waits; to be called each second. */
   check(cancelS: number): void {
-    this.checkCancelled(cancelS);
-    this.broken.push(...this.waitingJobs.check());
+    this.checkCancelledTasks(cancelS);
+    this.violations.push(...this.waitingJobs.check());
   }
 
   /** What a controller tells a user: ends stay, accepted jobs stay known, `done` means done. */
-  replied(kind: RequestKind, id: string, requestedAt: number, reply: Reply): void {
+  recordReply(kind: RequestKind, id: string, requestedAt: number, reply: Reply): void {
     const now = this.world.clock.now();
     const known = this.accepted.has(id);
-    if (reply.status === 404 && known) this.broken.push(`forgotten ${id} (${kind})`);
+    if (reply.status === 404 && known) this.violations.push(`forgotten ${id} (${kind})`);
     if (kind === 'submit' && (reply.status === 400 || reply.status === 422) && known) {
-      this.broken.push(`forgotten ${id} (submission ${reply.status})`);
+      this.violations.push(`forgotten ${id} (submission ${reply.status})`);
     }
-    this.noteQuestion(kind, id, reply.status === 200);
+    this.recordPoll(kind, id, reply.status === 200);
     if (reply.status !== 200 && reply.status !== 201) return;
     const stage = stageOf(reply);
     const job = this.world.jobs.get(id);
     if (kind === 'submit') this.accepted.add(id);
-    else if (!job) this.broken.push(`invented ${id} (${kind})`);
-    this.judgeStage(id, stage, requestedAt);
-    if (stage === 'done') this.judgeDone(id, job);
+    else if (!job) this.violations.push(`invented ${id} (${kind})`);
+    this.checkStage(id, stage, requestedAt);
+    if (stage === 'done') this.checkDone(id, job);
     if (stage === 'withdrawn' && job) job.cancelledAt ??= now;
-    if (!this.told.has(id) && isEnd(stage)) this.told.set(id, { stage, at: now });
+    if (!this.answeredEnds.has(id) && isEnd(stage)) this.answeredEnds.set(id, { stage, at: now });
   }
 
   /** An end that was told stays, and only a user's wish withdraws a job. */
-  private judgeStage(id: string, stage: string, requestedAt: number): void {
-    const before = this.told.get(id);
+  private checkStage(id: string, stage: string, requestedAt: number): void {
+    const before = this.answeredEnds.get(id);
     if (before && before.at <= requestedAt && before.stage !== stage) {
-      this.broken.push(`went_back ${id} ${before.stage} to ${stage}`);
+      this.violations.push(`went_back ${id} ${before.stage} to ${stage}`);
     }
     if (before && isEnd(stage) && before.stage !== stage) {
-      this.broken.push(`went_back ${id}: both ${before.stage} and ${stage}`);
+      this.violations.push(`went_back ${id}: both ${before.stage} and ${stage}`);
     }
     if (stage === 'withdrawn' && !this.cancelRequests.has(id)) {
-      this.broken.push(`went_back ${id} withdrawn, though nobody asked for it`);
+      this.violations.push(`went_back ${id} withdrawn, though nobody asked for it`);
     }
   }
 
   /** A job is done only when each of its tasks is. */
-  private judgeDone(id: string, job: SimJob | undefined): void {
+  private checkDone(id: string, job: SimJob | undefined): void {
     for (let index = 0; index < (job?.tasks ?? 0); index++) {
-      if (!this.world.completed.has(`${id}/${index}`)) this.broken.push(`not_done ${id}/${index}`);
+      if (!this.world.completed.has(`${id}/${index}`))
+        this.violations.push(`not_done ${id}/${index}`);
     }
   }
 
@@ -103,21 +104,21 @@
     for (const worker of this.world.workers.values()) {
       for (const [name, task] of worker.onMachine()) {
         if (name.startsWith(`${id}/`) && task.state === 'running' && task.attempt !== attempt) {
-          this.broken.push(`two_attempts ${name}: ${task.attempt} and ${attempt}`);
+          this.violations.push(`two_attempts ${name}: ${task.attempt} and ${attempt}`);
         }
       }
     }
   }
 
   /** A task got on a machine: it runs once, within its team's limit, and where its job may run. */
-  started(worker: SimWorker, task: string): void {
+  taskStarted(worker: SimWorker, task: string): void {
     const [id = ''] = task.split('/');
     const job = this.world.jobs.get(id);
     let used = 0;
     const zones = new Map<string, number>();
     for (const other of this.world.workers.values()) {
       for (const [name, on] of other.onMachine()) {
-        if (name === task && other !== worker) this.broken.push(`ran_twice ${task}`);
+        if (name === task && other !== worker) this.violations.push(`ran_twice ${task}`);
         const otherJob = this.world.jobs.get(name.split('/')[0] ?? '');
         if (otherJob?.team === job?.team) used += on.cpus;
         if (name.startsWith(`${id}/`) && name !== task) {
@@ -126,22 +127,22 @@
       }
     }
     if (!job) return;
-    this.judgeCancelled(job, task);
+    this.checkStartAfterCancel(job, task);
     const teams = this.world.overrides.teams ?? TEAMS;
-    const most = teams.find((team) => team.name === job.team)?.cpusMax ?? 0;
-    if (used > most + 1e-6) this.broken.push(`quota ${job.team} ${used}`);
-    this.judgePlace(job, worker, task, zones);
+    const cpuQuota = teams.find((team) => team.name === job.team)?.cpusMax ?? 0;
+    if (used > cpuQuota + 1e-6) this.violations.push(`quota ${job.team} ${used}`);
+    this.checkPlacement(job, worker, task, zones);
   }
 
-  private judgeCancelled(job: SimJob, task: string): void {
+  private checkStartAfterCancel(job: SimJob, task: string): void {
     if (job.cancelledAt !== null) this.startsAfterCancel.push(task);
     if (job.cancelledAt !== null && this.world.clock.now() - job.cancelledAt > 50_000) {
-      this.broken.push(`ran_cancelled ${task} starts`);
+      this.violations.push(`ran_cancelled ${task} starts`);
     }
   }
 
   /** `zones`: how many other tasks of the job are in each. */
-  private judgePlace(
+  private checkPlacement(
     job: SimJob,
     worker: SimWorker,
     task: string,
@@ -149,23 +150,23 @@
   ): void {
     const { zone, spot } = worker.machine;
     if ((spot && !job.spot) || (job.zone !== null && job.zone !== zone)) {
-      this.broken.push(`wrong_place ${task}`);
+      this.violations.push(`wrong_place ${task}`);
     }
     if (job.oneZone && [...zones.keys()].some((other) => other !== zone)) {
-      this.broken.push(`wrong_place ${task} (one zone)`);
+      this.violations.push(`wrong_place ${task} (one zone)`);
     }
     if (job.spread && (zones.get(zone) ?? 0) + 1 > Math.ceil(job.tasks / 2)) {
-      this.broken.push(`wrong_place ${task} (spread)`);
+      this.violations.push(`wrong_place ${task} (spread)`);
     }
   }
 
   /** Tasks of cancelled jobs that are still on a machine past their time. */
-  private checkCancelled(cancelS: number): void {
+  private checkCancelledTasks(cancelS: number): void {
     for (const worker of this.world.workers.values()) {
       for (const [name] of worker.onMachine()) {
         const at = this.world.jobs.get(name.split('/')[0] ?? '')?.cancelledAt ?? null;
         if (at !== null && this.world.clock.now() > at + cancelS * 1000) {
-          this.broken.push(`ran_cancelled ${name}`);
+          this.violations.push(`ran_cancelled ${name}`);
         }
       }
     }
--- a/test/world/jobs.ts
+++ b/test/world/jobs.ts
@@ -98,3 +98,15 @@
     ...raw,
   };
 }
+
+/** A task of a job on a machine. */
+export interface SimTask {
+  attempt: number;
+  state: 'pulling' | 'gathering' | 'running' | 'exited';
+  cause?: string;
+  cpus: number;
+  /** Gang tasks, told to stop with grace: when its progress is saved. It reports `running` until it exits. */
+  savedAt?: number;
+  /** Its progress was saved when it was stopped. */
+  stored?: boolean;
+}
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -14,7 +14,7 @@
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { Clock } from '../../src/transport/clock.js';
 
-interface Cell {
+interface StoredEntry {
   value: unknown;
   revision: number;
   lease: number | null;
@@ -22,23 +22,23 @@
 
 /** A simulated key-value store: consistent, with leases, watches, outages and late requests. */
 export class SimKeyValueStore {
-  readonly cells = new Map<string, Cell>();
+  readonly entries = new Map<string, StoredEntry>();
   readonly log: { key: string; value: unknown; revision: number; removed: boolean }[] = [];
   private readonly leases = new Map<number, { ttl: number; ends: number }>();
   private leaseCount = 0;
   revision = 1;
   /** Nobody is served. */
-  outage = false;
+  hasOutage = false;
   /** These controllers get 503. */
-  readonly refused = new Set<string>();
+  readonly refusedControllers = new Set<string>();
   /** These controllers get no answer. */
-  readonly hanging = new Set<string>();
+  readonly unansweredControllers = new Set<string>();
   /** Requests and writes a second that are served, with bursts of one second's worth. */
   limits: { rps: number; writeRps: number } | null = null;
-  private readonly levels = { at: 0, requests: 0, writes: 0 };
-  refusals = 0;
+  private readonly tokenBucket = { at: 0, requests: 0, writes: 0 };
+  rateLimitRejections = 0;
   /** Late transactions whose conditions did not hold any more. */
-  lateRefusals = 0;
+  lateConflicts = 0;
   /** Keys that one page of a listing holds. */
   pageKeys = 1000;
   /** Listings that were asked for, and which of them are not served. */
@@ -49,25 +49,26 @@
   /** Bytes that one value may take. */
   valueBytes = 8192;
   /** Transactions that were refused with 400, by their keys. */
-  readonly invalid: string[][] = [];
+  readonly rejectedTransactions: string[][] = [];
   /** The next transactions of these controllers are carried out this much later, unanswered. */
-  readonly late = new Map<string, number>();
+  readonly delayNextTransactionMs = new Map<string, number>();
   /** ms after which a transaction is carried out, unanswered; null: at once. */
-  hold: (node: string, changes: Change[]) => number | null = () => null;
+  transactionDelayMs: (node: string, changes: Change[]) => number | null = () => null;
   /** ms that an answer takes, watches aside. */
   answerMs = 5;
   /** ms that the answer to a transaction takes longer, after it was carried out. */
-  answerLateMs: (node: string, changes: Change[]) => number = () => 0;
+  transactionAnswerDelayMs: (node: string, changes: Change[]) => number = () => 0;
   /** The answer to a transaction that was evaluated in time. */
-  answerOf: (result: CompareAndSwapResult) => CompareAndSwapResult = (result) => result;
+  alterTransactionAnswer: (result: CompareAndSwapResult) => CompareAndSwapResult = (result) =>
+    result;
   /** Changes that watches may still ask for. */
-  changesKept = 10_000;
+  retainedChanges = 10_000;
   /** ms that the answer to a watch is on its way. */
-  watchLateMs: (node: string) => number = () => 0;
+  watchAnswerDelayMs: (node: string) => number = () => 0;
   /** This share of all transactions is carried out at once, and the answer is lost. */
-  lostShare = 0;
+  lostAnswerShare = 0;
   /** This share of all transactions is carried out 2 to 12 s later, unanswered. */
-  lateShare = 0;
+  lateTransactionShare = 0;
   private readonly random;
 
   constructor(
@@ -83,17 +84,17 @@
   }
 
   private expire(): void {
-    if (this.outage) return;
+    if (this.hasOutage) return;
     for (const [id, lease] of this.leases) {
       if (lease.ends > this.clock.now()) continue;
       this.leases.delete(id);
-      const keys = [...this.cells].filter(([, cell]) => cell.lease === id).map(([key]) => key);
+      const keys = [...this.entries].filter(([, cell]) => cell.lease === id).map(([key]) => key);
       if (keys.length > 0) this.change(keys.map((key) => ({ key, remove: true })));
     }
   }
 
   endOutage(): void {
-    this.outage = false;
+    this.hasOutage = false;
     for (const lease of this.leases.values()) lease.ends = this.clock.now() + lease.ttl;
   }
 
@@ -102,15 +103,15 @@
     for (const one of changes) {
       const removed = 'remove' in one;
       const value: unknown = removed ? undefined : structuredClone(one.value);
-      if (removed) this.cells.delete(one.key);
-      else this.cells.set(one.key, { value, revision: this.revision, lease: one.lease ?? null });
+      if (removed) this.entries.delete(one.key);
+      else this.entries.set(one.key, { value, revision: this.revision, lease: one.lease ?? null });
       this.log.push({ key: one.key, value, revision: this.revision, removed });
     }
   }
 
   compareAndSwap(guards: Guard[], changes: Change[]): CompareAndSwapResult {
     const failed = guards
-      .filter((guard) => (this.cells.get(guard.key)?.revision ?? 0) !== guard.revision)
+      .filter((guard) => (this.entries.get(guard.key)?.revision ?? 0) !== guard.revision)
       .map((guard) => guard.key);
     // An expired lease is refused whatever the guards say: also a late copy can't bring it back.
     for (const one of changes) {
@@ -131,21 +132,22 @@
   }
 
   /** ms that a transaction is held up; null: not at all. */
-  private delayOf(node: string, changes: Change[]): number | null {
+  private pickTransactionDelayMs(node: string, changes: Change[]): number | null {
     if (changes.length === 0) return null;
-    const held = this.hold(node, changes);
+    const held = this.transactionDelayMs(node, changes);
     if (held !== null) return held;
-    if (this.lateShare === 0 || uniformFloat64(this.random) >= this.lateShare) return null;
+    if (this.lateTransactionShare === 0 || uniformFloat64(this.random) >= this.lateTransactionShare)
+      return null;
     return uniformInt(this.random, 2000, 12_000);
   }
 
   /** Carried out late, and nobody hears of it; an outage puts it off. */
-  private carryOut(guards: Guard[], changes: Change[], delayMs: number): void {
+  private applyLater(guards: Guard[], changes: Change[], delayMs: number): void {
     this.clock.after(delayMs, () => {
-      if (this.outage) this.carryOut(guards, changes, 50);
+      if (this.hasOutage) this.applyLater(guards, changes, 50);
       else {
         try {
-          if (!this.compareAndSwap(guards, changes).ok) this.lateRefusals++;
+          if (!this.compareAndSwap(guards, changes).ok) this.lateConflicts++;
         } catch {
           // Refused: its lease has ended meanwhile.
         }
@@ -153,16 +155,16 @@
     });
   }
 
-  private withinLimits(writes: number): boolean {
+  private isWithinRateLimits(writes: number): boolean {
     if (!this.limits) return true;
     const { rps, writeRps } = this.limits;
-    const { levels } = this;
+    const { tokenBucket: levels } = this;
     const passed = (this.clock.now() - levels.at) / 1000;
     levels.at = this.clock.now();
     levels.requests = Math.min(rps, levels.requests + passed * rps);
     levels.writes = Math.min(writeRps, levels.writes + passed * writeRps);
     if (levels.requests < 1 || (writes > 0 && levels.writes < Math.min(writes, writeRps))) {
-      this.refusals++;
+      this.rateLimitRejections++;
       return false;
     }
     levels.requests--;
@@ -170,7 +172,7 @@
     return true;
   }
 
-  private valid(guards: Guard[], changes: Change[]): boolean {
+  private isWithinSizeLimits(guards: Guard[], changes: Change[]): boolean {
     const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
     return (
       changes.length <= this.transactionOps &&
@@ -185,23 +187,23 @@
     const { clock } = this;
     const served = async (writes = 0): Promise<void> => {
       await new Promise<void>((resolve) => clock.after(this.answerMs, resolve));
-      if (this.hanging.has(node)) {
+      if (this.unansweredControllers.has(node)) {
         await new Promise<void>((resolve) => clock.after(2000, resolve));
         throw new OutcomeUnknownError('timed out');
       }
-      if (this.outage || this.refused.has(node)) throw new StoreRejectedError(503);
-      if (!this.withinLimits(writes)) throw new StoreRejectedError(429);
+      if (this.hasOutage || this.refusedControllers.has(node)) throw new StoreRejectedError(503);
+      if (!this.isWithinRateLimits(writes)) throw new StoreRejectedError(429);
     };
     return {
       get: async (key) => {
         await served();
-        const cell = this.cells.get(key);
+        const cell = this.entries.get(key);
         return cell ? { value: structuredClone(cell.value), revision: cell.revision } : null;
       },
       list: async (prefix, after) => {
         await served();
         if (this.refusesListing(++this.listings)) throw new StoreRejectedError(429);
-        const entries: Entry[] = [...this.cells]
+        const entries: Entry[] = [...this.entries]
           .filter(([key]) => key.startsWith(prefix) && (after === null || key > after))
           .sort(([a], [b]) => (a < b ? -1 : 1))
           .map(([key, cell]) => ({
@@ -218,28 +220,28 @@
           (one) => 'lease' in one && one.lease !== undefined && !this.leases.has(one.lease),
         );
         if (gone) throw new StoreRejectedError(400, NO_SUCH_LEASE);
-        if (!this.valid(guards, changes)) {
-          this.invalid.push(changes.map((one) => one.key));
+        if (!this.isWithinSizeLimits(guards, changes)) {
+          this.rejectedTransactions.push(changes.map((one) => one.key));
           throw new StoreRejectedError(400, 'too large');
         }
-        const delay = this.late.get(node);
+        const delay = this.delayNextTransactionMs.get(node);
         if (delay !== undefined && changes.length > 0) {
-          this.late.delete(node);
-          this.carryOut(guards, changes, delay);
+          this.delayNextTransactionMs.delete(node);
+          this.applyLater(guards, changes, delay);
           throw new OutcomeUnknownError('held');
         }
-        const heldMs = this.delayOf(node, changes);
+        const heldMs = this.pickTransactionDelayMs(node, changes);
         if (heldMs !== null) {
-          this.carryOut(guards, changes, heldMs);
+          this.applyLater(guards, changes, heldMs);
           await new Promise<void>((resolve) => clock.after(2000, resolve));
           throw new OutcomeUnknownError('held');
         }
-        const result = this.answerOf(this.compareAndSwap(guards, changes));
-        if (this.lostShare > 0 && uniformFloat64(this.random) < this.lostShare) {
+        const result = this.alterTransactionAnswer(this.compareAndSwap(guards, changes));
+        if (this.lostAnswerShare > 0 && uniformFloat64(this.random) < this.lostAnswerShare) {
           await new Promise<void>((resolve) => clock.after(2000, resolve));
           throw new OutcomeUnknownError('lost');
         }
-        const lateMs = this.answerLateMs(node, changes);
+        const lateMs = this.transactionAnswerDelayMs(node, changes);
         if (lateMs > 0) await new Promise<void>((resolve) => clock.after(lateMs, resolve));
         return result;
       },
@@ -259,12 +261,12 @@
         await served();
         const until = clock.now() + waitMs;
         for (;;) {
-          if (!this.outage && !this.refused.has(node)) {
-            if (since < this.revision - this.changesKept) return null;
+          if (!this.hasOutage && !this.refusedControllers.has(node)) {
+            if (since < this.revision - this.retainedChanges) return null;
             const events = this.eventsSince(since).filter((one) => one.key.startsWith(prefix));
             if (events.length > 0 || clock.now() >= until) {
               const answer = { revision: this.revision, events: structuredClone(events) };
-              const lateMs = this.watchLateMs(node);
+              const lateMs = this.watchAnswerDelayMs(node);
               if (lateMs > 0) await new Promise<void>((resolve) => clock.after(lateMs, resolve));
               return answer;
             }
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -31,7 +31,7 @@
 export async function started(records: Records, members: [string, string][]): Promise<World> {
   const world = new World(4, members, { placement: { alpha: 2, penalty: 2, snapshotS: 5 } });
   for (const [name] of members) world.kill(name);
-  put(world.state, { 'mb/live/catalog': TYPES, ...records });
+  put(world.store, { 'mb/live/catalog': TYPES, ...records });
   await world.clock.run(2);
   world.boot('n0');
   return world;
@@ -39,7 +39,7 @@
 
 /** The value that a key has now. */
 export const valueOf = <T>(state: SimKeyValueStore, key: string): T =>
-  state.cells.get(key)?.value as T;
+  state.entries.get(key)?.value as T;
 
 /** A job's spec as older versions store it. */
 export const SPEC = {
@@ -98,7 +98,7 @@
   void world.submit(JOB, {});
   await world.run(80);
   type Arm = { classes: string[]; a: [number, number, number][] };
-  const arm = valueOf<Arm>(world.state, 'mb/live/arm/n0/small');
+  const arm = valueOf<Arm>(world.store, 'mb/live/arm/n0/small');
   const cell = (row: number, column: number): number | undefined =>
     arm.a.find(([one, other]) => one === row && other === column)?.[2];
   return { own: cell(0, 0) ?? 0, beside: cell(2, 1), classes: arm.classes };
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -2,19 +2,19 @@
 import assert from 'node:assert/strict';
 import type { TestContext } from 'node:test';
 import { stageOf, type Reply, type SimJob } from './jobs.js';
-import { settled } from './requests.js';
+import { awaitReply } from './await-reply.js';
 import type { SimWorker } from './worker.js';
 import { World, type Members } from './world.js';
 
 /** Two faults that overlap. After each case the invariants must hold, and all work must get done. */
-export interface Meeting {
+export interface OverlappingFaultsCase {
   name: string;
   members?: Members;
   /** Zones of the machines that are up from the start. */
   zones?: string[];
   seeds?: number[];
   /** s from the end of the script until everything is checked. */
-  restS?: number;
+  recoveryS?: number;
   script: (world: World) => Promise<void>;
 }
 
@@ -25,7 +25,7 @@
 export const URGENT: Partial<SimJob> = { ...SERVICE, urgent: true };
 
 /** The names of all controllers. */
-export const names = (world: World): string[] => world.members.map(([name]) => name);
+export const controllerNames = (world: World): string[] => world.members.map(([name]) => name);
 
 /** The workers of a zone. */
 export const workersIn = (world: World, zone: string): SimWorker[] =>
@@ -39,7 +39,7 @@
   at?: string,
 ): Promise<void> {
   const node = at ?? [...world.nodes.keys()][0];
-  const reply = await settled(world, world.submit(id, job, node));
+  const reply = await awaitReply(world, world.submit(id, job, node));
   assert.equal(reply.status, 201, `${id}: ${JSON.stringify(reply.body)}`);
 }
 
@@ -52,7 +52,7 @@
 ): Promise<Reply> {
   let reply: Reply = { status: 0, body: null };
   for (let turn = 0; turn < tries; turn++) {
-    reply = await settled(world, world.cancel(id, nodes[turn % nodes.length]));
+    reply = await awaitReply(world, world.cancel(id, nodes[turn % nodes.length]));
     if (reply.status === 200) return reply;
     await world.run(1);
   }
@@ -60,7 +60,7 @@
 }
 
 /** Services of both teams on all machines, and arrays beside them. */
-export async function load(world: World): Promise<void> {
+export async function submitWorkload(world: World): Promise<void> {
   await submit(world, 'j-000001', { ...SERVICE, tasks: 4 });
   await submit(world, 'j-000002', { ...URGENT, team: 'blue', tasks: 4 });
   await submit(world, 'j-000003', { tasks: 4, runS: 60 });
@@ -75,19 +75,20 @@
   seconds: number,
   during: Record<number, () => void> = {},
 ): Promise<void> {
-  world.state.outage = true;
+  world.store.hasOutage = true;
   for (const [at, run] of Object.entries(during)) world.clock.after(Number(at) * 1000, run);
   await world.run(seconds);
-  world.state.endOutage();
+  world.store.endOutage();
 }
 
 /** These controllers and these machines no longer reach each other. */
 export function cutOff(world: World, nodes: string[], machines: Iterable<string>): void {
-  for (const machine of machines) for (const node of nodes) world.cuts.add(`${node}>${machine}`);
+  for (const machine of machines)
+    for (const node of nodes) world.cutLinks.add(`${node}>${machine}`);
 }
 
 /** The leader is killed and back at once; another one has taken over first if it is slow. */
-export async function change(world: World, downS: number): Promise<void> {
+export async function restartLeader(world: World, downS: number): Promise<void> {
   const name = world.leader;
   world.kill(name);
   await world.run(downS);
@@ -95,24 +96,28 @@
 }
 
 /** Plays a meeting by this seed; afterwards the rules must hold, and every job be as it should. */
-export async function playMeeting(t: TestContext, row: Meeting, seed: number): Promise<void> {
-  const { members, zones = ['a', 'a', 'b'], restS = 130, script } = row;
+export async function playOverlappingFaults(
+  t: TestContext,
+  row: OverlappingFaultsCase,
+  seed: number,
+): Promise<void> {
+  const { members, zones = ['a', 'a', 'b'], recoveryS = 130, script } = row;
   const world = new World(seed, members);
   for (const zone of zones) world.addMachine('small', zone, false, 500);
   await world.run(7);
   await script(world);
   world.faultsOver();
-  await world.run(restS);
+  await world.run(recoveryS);
   t.diagnostic(`starts after a confirmed cancellation: ${world.startsAfterCancel.length}`);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
   for (const id of world.accepted) {
     const job = world.jobs.get(id);
-    const want = world.told.get(id)?.stage ?? (job?.service ? 'running' : 'done');
-    for (const node of names(world)) {
-      const reply = await settled(world, world.poll(id, node));
+    const want = world.answeredEnds.get(id)?.stage ?? (job?.service ? 'running' : 'done');
+    for (const node of controllerNames(world)) {
+      const reply = await awaitReply(world, world.poll(id, node));
       assert.equal(stageOf(reply), want, `${id} at ${node}: ${reply.status}`);
     }
   }
   // These answers are judged too.
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 }
--- a/test/world/older-readability.ts
+++ b/test/world/readable-by-older-versions.ts
@@ -4,10 +4,10 @@
 import type { SimKeyValueStore } from './key-value-store.js';
 
 /** The changes written to the key-value store, in order. */
-export type Written = SimKeyValueStore['log'];
+export type WriteLog = SimKeyValueStore['log'];
 
 /** Both older versions read all that was written. */
-export function assertReadable(log: Written): void {
+export function assertReadableByOlderVersions(log: WriteLog): void {
   for (const { key, value, removed } of log) {
     if (removed) continue;
     for (const { commit, objections } of OLDER)
--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -3,7 +3,7 @@
 import { RateLimiter } from '../../src/storage/rate-limiter.js';
 import { StoreReplica } from '../../src/storage/store-replica.js';
 import type { SimClock } from './clock.js';
-import { silent } from './settings.js';
+import { silentLog } from './settings.js';
 import type { SimKeyValueStore } from './key-value-store.js';
 
 /** Controller that the replica is of. */
@@ -17,7 +17,7 @@
   clock: SimClock,
   state: SimKeyValueStore,
   rps: number,
-  log: Log = silent,
+  log: Log = silentLog,
 ) {
   const keyValueStore = state.api(NODE);
   const limiter = new RateLimiter(clock, { rps, writeRps: rps, transactionOps: 8 });
--- a/test/world/settings.ts
+++ b/test/world/settings.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../../src/storage/log.js';
 
 /** A log that keeps nothing; errors fail the test. */
-export const silent: Log = {
+export const silentLog: Log = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -8,13 +8,13 @@
 import { SimClock } from './clock.js';
 import { followingReplica } from './replica.js';
 import { SimKeyValueStore } from './key-value-store.js';
-import { TYPES, silent } from './settings.js';
+import { TYPES, silentLog } from './settings.js';
 
 /** The only job there is from the start. */
 export const JOB = 'j-000001';
 const TERM = 5;
 /** The fencing token of the shard's term. */
-export const TOKEN = TERM * FENCING_TOKENS_PER_TERM;
+export const FENCING_TOKEN = TERM * FENCING_TOKENS_PER_TERM;
 
 /** The spec of that job. */
 export const SPEC: JobSpec = {
@@ -54,7 +54,7 @@
 /** The attempt under which a gang's tasks start. */
 export const GANG_ATTEMPT = 900;
 /** The same as a share of a gang. */
-export const GANG_SHARE: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
+export const GANG_ASSIGNMENT: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
 /** What differs from the default: one task of one job, with limits that allow all changes at once. */
 interface ShardFixtureOptions {
@@ -156,7 +156,7 @@
           }),
       },
       clock,
-      log: silent,
+      log: silentLog,
       wake: () => undefined,
     },
   );
@@ -176,7 +176,7 @@
     }
   };
   const stored = (): AssignmentRecord | undefined =>
-    state.cells.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
+    state.entries.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
   const cancel = async (): Promise<void> => {
     state.change([{ key: jobKey(JOB), remove: true }]);
     await clock.run(clock.now() + 300);
@@ -224,7 +224,7 @@
   spot: false,
   agentEpoch: 1,
   sequence: 1,
-  fencingToken: TOKEN,
+  fencingToken: FENCING_TOKEN,
   noticeS: null,
   tasks: [],
   ...change,
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -22,19 +22,19 @@
   readonly gangs: SimGangs;
   readonly overrides: Partial<Settings>;
   /** ms that messages between controllers and workers take each way. */
-  readonly linkMs: number;
+  readonly linkDelayMs: number;
   /** ms after its last answered heartbeat at which a worker ends its tasks. */
   readonly workerLeaseMs: number;
   /** A whole number below `most`. */
-  chance(most: number): number;
+  randomBelow(most: number): number;
   /** Runs what comes for a controller, when it can. */
-  at(node: string, run: () => void): void;
+  deliver(node: string, run: () => void): void;
   /** Whether a controller and a machine can't reach each other. */
-  cut(node: string, machine: string): boolean;
+  isCut(node: string, machine: string): boolean;
   /** The address of the machine of this number. */
   addressOf(machine: number): string;
   /** A task got on its machine. */
-  started(worker: SimWorker, task: string): void;
+  taskStarted(worker: SimWorker, task: string): void;
   /** All tasks of a gang run. */
   gangStarted(job: string, attempt: number): void;
 }
--- a/test/world/api-fixture.ts
+++ b/test/world/user-requests-fixture.ts
@@ -6,23 +6,23 @@
 import { SimClock } from './clock.js';
 import { jobOf, submissionOf } from './jobs.js';
 import { followingReplica } from './replica.js';
-import { TEAMS, TYPES, silent } from './settings.js';
+import { TEAMS, TYPES, silentLog } from './settings.js';
 import { SimKeyValueStore } from './key-value-store.js';
 
 /** What users may ask about a job. `malformed`, `unfit`: a repeat that lacks a field, or fits nowhere. */
 export const REQUESTS = ['poll', 'repeat', 'malformed', 'unfit', 'cancel'] as const;
 /** One of them. */
-export type UserAsk = (typeof REQUESTS)[number];
+export type UserRequestKind = (typeof REQUESTS)[number];
 
 /** What a repeated submission says otherwise than the accepted one. */
-const REPEATS: Partial<Record<UserAsk, Record<string, unknown>>> = {
+const REPEATS: Partial<Record<UserRequestKind, Record<string, unknown>>> = {
   repeat: {},
   malformed: { gpus: undefined },
   unfit: { crew: 'nobody' },
 };
 
 /** What differs from the default. */
-export interface UserNodeOptions {
+export interface UserRequestsFixtureOptions {
   /** ms between two checking transactions. */
   checkMs?: number;
   /** Requests and writes a second that this controller may use. */
@@ -32,13 +32,17 @@
 }
 
 /** The handlers of users' requests of one controller, whose replica follows the key-value store. */
-export async function userNode({ checkMs = 300, rps = 100, prepare }: UserNodeOptions = {}) {
+export async function userRequestsFixture({
+  checkMs = 300,
+  rps = 100,
+  prepare,
+}: UserRequestsFixtureOptions = {}) {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   state.change([{ key: CATALOG, value: TYPES }]);
   prepare?.(state);
   const errors: string[] = [];
-  const log = { ...silent, error: (_: object, message: string) => void errors.push(message) };
+  const log = { ...silentLog, error: (_: object, message: string) => void errors.push(message) };
   const store = followingReplica(clock, state, rps, log);
   await clock.run(500);
   const users = new UserRequests({
@@ -52,16 +56,16 @@
     onCommitted: () => undefined,
   });
   /** A submission of this job, changed as the kind of request says. */
-  const body = (id: string, ask: UserAsk): string =>
-    JSON.stringify(submissionOf(id, jobOf({ tasks: 1 }), REPEATS[ask] ?? {}));
+  const body = (id: string, kind: UserRequestKind): string =>
+    JSON.stringify(submissionOf(id, jobOf({ tasks: 1 }), REPEATS[kind] ?? {}));
   let answered = 0;
-  const send = (ask: UserAsk, id: string): Promise<HttpReply> => {
-    if (ask === 'poll') return users.poll(id);
-    if (ask === 'cancel') return users.cancel(id);
-    return users.submit(body(id, ask));
+  const send = (kind: UserRequestKind, id: string): Promise<HttpReply> => {
+    if (kind === 'poll') return users.poll(id);
+    if (kind === 'cancel') return users.cancel(id);
+    return users.submit(body(id, kind));
   };
-  const request = async (ask: UserAsk, id: string): Promise<HttpReply> => {
-    const reply = await send(ask, id);
+  const request = async (kind: UserRequestKind, id: string): Promise<HttpReply> => {
+    const reply = await send(kind, id);
     answered++;
     return reply;
   };
--- a/test/world/users.ts
+++ b/test/world/users.ts
@@ -4,18 +4,18 @@
 import type { World } from './world.js';
 
 /** ms that users wait for an answer to a poll, and to a submission or cancellation. */
-const POLL_MS = 2000;
-const CHANGE_MS = 5000;
+const POLL_TIMEOUT_MS = 2000;
+const CHANGE_TIMEOUT_MS = 5000;
 /** ms between two polls of a user, and before a submission or cancellation is repeated. */
 const POLL_EVERY_MS = 5000;
 const RETRY_MS = 1000;
 /** ms for which users go on trying. */
-const TRY_FOR_MS = 60_000;
+const RETRY_FOR_MS = 60_000;
 /** ms within which a user polls all controllers. */
-const LOOK_MS = 80;
+const POLL_SPREAD_MS = 80;
 
 /** Changes of a submission that is sent again: as it was, lacking a field, and fitting nowhere. */
-const REPEATS: Record<string, unknown>[] = [{}, { gpus: undefined }, { crew: 'nobody' }];
+const RESUBMISSIONS: Record<string, unknown>[] = [{}, { gpus: undefined }, { crew: 'nobody' }];
 
 /** How many jobs come, and what they are. */
 export interface UsersOptions {
@@ -39,37 +39,37 @@
   start(): void {
     for (let number = 0; number < this.options.jobs; number++) {
       const id = `j-${String(500_000 + number)}`;
-      this.world.clock.after(number * this.options.everyMs, () => void this.use(id, number));
+      this.world.clock.after(number * this.options.everyMs, () => void this.followJob(id, number));
     }
   }
 
-  private async use(id: string, number: number): Promise<void> {
+  private async followJob(id: string, number: number): Promise<void> {
     const job = this.options.jobOf(number);
     const submit = (node: string): Promise<Reply> => this.world.submit(id, job, node);
-    if (!(await this.insist(submit))) return;
+    if (!(await this.retryUntilConfirmed(submit))) return;
     this.accepted.push(id);
-    await this.look(id, job);
+    await this.pollAllControllers(id, job);
     // A quarter is cancelled at once, a quarter later.
-    const cancelAfterMs = [0, 7000][this.world.chance(4)];
+    const cancelAfterMs = [0, 7000][this.world.randomBelow(4)];
     if (cancelAfterMs !== undefined) {
       await this.sleep(cancelAfterMs);
-      await this.insist((node) => this.world.cancel(id, node));
-      await this.look(id, job);
+      await this.retryUntilConfirmed((node) => this.world.cancel(id, node));
+      await this.pollAllControllers(id, job);
       return;
     }
     for (;;) {
-      const reply = await this.within(POLL_MS, this.world.poll(id, this.anyNode()));
+      const reply = await this.withTimeout(POLL_TIMEOUT_MS, this.world.poll(id, this.anyNode()));
       if (['done', 'withdrawn'].includes(stageOf(reply))) break;
       await this.sleep(POLL_EVERY_MS);
     }
-    await this.look(id, job);
+    await this.pollAllControllers(id, job);
   }
 
   /** Repeats a request as users do; false: given up. */
-  private async insist(request: (node: string) => Promise<Reply>): Promise<boolean> {
-    const until = this.world.clock.now() + TRY_FOR_MS;
+  private async retryUntilConfirmed(request: (node: string) => Promise<Reply>): Promise<boolean> {
+    const until = this.world.clock.now() + RETRY_FOR_MS;
     while (this.world.clock.now() < until) {
-      const { status } = await this.within(CHANGE_MS, request(this.anyNode()));
+      const { status } = await this.withTimeout(CHANGE_TIMEOUT_MS, request(this.anyNode()));
       if (status === 200 || status === 201) return true;
       await this.sleep(RETRY_MS);
     }
@@ -77,22 +77,23 @@
   }
 
   /** Polls and repeats of all kinds at all controllers, within some milliseconds. */
-  private async look(id: string, job: Partial<SimJob>): Promise<void> {
-    const looks = this.world.members.flatMap(([node]) =>
+  private async pollAllControllers(id: string, job: Partial<SimJob>): Promise<void> {
+    const requests = this.world.members.flatMap(([node]) =>
       [0, 1, 2].map(async () => {
-        await this.sleep(this.world.chance(LOOK_MS));
-        const kind = this.world.chance(REPEATS.length + 1);
-        const repeat = REPEATS[kind];
-        if (repeat === undefined) await this.within(POLL_MS, this.world.poll(id, node));
-        else await this.within(CHANGE_MS, this.world.submit(id, job, node, repeat));
+        await this.sleep(this.world.randomBelow(POLL_SPREAD_MS));
+        const kind = this.world.randomBelow(RESUBMISSIONS.length + 1);
+        const changes = RESUBMISSIONS[kind];
+        if (changes === undefined)
+          await this.withTimeout(POLL_TIMEOUT_MS, this.world.poll(id, node));
+        else await this.withTimeout(CHANGE_TIMEOUT_MS, this.world.submit(id, job, node, changes));
       }),
     );
-    await Promise.all(looks);
+    await Promise.all(requests);
   }
 
   private anyNode(): string {
     const { members } = this.world;
-    return members[this.world.chance(members.length)]?.[0] ?? '';
+    return members[this.world.randomBelow(members.length)]?.[0] ?? '';
   }
 
   private sleep(ms: number): Promise<void> {
@@ -100,7 +101,7 @@
   }
 
   /** The reply, or none after the time that users wait. */
-  private within(ms: number, reply: Promise<Reply>): Promise<Reply> {
+  private withTimeout(ms: number, reply: Promise<Reply>): Promise<Reply> {
     return new Promise((resolve) => {
       const cancel = this.world.clock.after(ms, () => resolve({ status: 0, body: null }));
       void reply.then((one) => {
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -9,7 +9,7 @@
 const WAIT_MS = 90_000;
 
 /** What tasks take: by job the number of them, by team the CPUs. */
-interface Running {
+interface ResourcesInUse {
   tasks: ReadonlyMap<string, number>;
   cpus: ReadonlyMap<string, number>;
 }
@@ -18,11 +18,11 @@
 export class WaitingJobs {
   private isWatching = false;
   /** Since when each job waits in front of free machines. */
-  private readonly since = new Map<string, number>();
+  private readonly waitingSince = new Map<string, number>();
 
   constructor(
     private readonly world: SimulationHost,
-    private readonly invariants: Pick<InvariantChecker, 'accepted' | 'told'>,
+    private readonly invariants: Pick<InvariantChecker, 'accepted' | 'answeredEnds'>,
   ) {}
 
   /** From now on no job may wait without need. */
@@ -34,24 +34,24 @@
   check(): string[] {
     if (!this.isWatching) return [];
     const now = this.world.clock.now();
-    const running = this.running();
-    const breaches: string[] = [];
+    const running = this.resourcesInUse();
+    const violations: string[] = [];
     for (const id of this.invariants.accepted) {
       const job = this.world.jobs.get(id);
-      if (!job || !this.waits(id, job, running)) {
-        this.since.delete(id);
+      if (!job || !this.waitsNeedlessly(id, job, running)) {
+        this.waitingSince.delete(id);
         continue;
       }
-      const since = this.since.get(id) ?? now;
-      this.since.set(id, since);
+      const since = this.waitingSince.get(id) ?? now;
+      this.waitingSince.set(id, since);
       if (now - since < WAIT_MS) continue;
-      this.since.set(id, now);
-      breaches.push(`forgotten ${id}: waits for 90 s while a machine is free`);
+      this.waitingSince.set(id, now);
+      violations.push(`forgotten ${id}: waits for 90 s while a machine is free`);
     }
-    return breaches;
+    return violations;
   }
 
-  private running(): Running {
+  private resourcesInUse(): ResourcesInUse {
     const tasks = new Map<string, number>();
     const cpus = new Map<string, number>();
     for (const worker of this.world.workers.values()) {
@@ -67,16 +67,17 @@
   }
 
   /** Nothing of the job runs or is done, and a task of it could run at once. */
-  private waits(id: string, job: SimJob, running: Running): boolean {
-    if (job.cancelledAt !== null || this.invariants.told.has(id) || job.broken) return false;
-    if ((running.tasks.get(id) ?? 0) > 0 || this.isBegun(id, job)) return false;
-    const most = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
+  private waitsNeedlessly(id: string, job: SimJob, running: ResourcesInUse): boolean {
+    if (job.cancelledAt !== null || this.invariants.answeredEnds.has(id) || job.broken)
+      return false;
+    if ((running.tasks.get(id) ?? 0) > 0 || this.hasDoneTask(id, job)) return false;
+    const cpuQuota = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
     const needed = job.cpus * (job.gang ? job.tasks : 1);
-    if ((running.cpus.get(job.team) ?? 0) + needed > most) return false;
+    if ((running.cpus.get(job.team) ?? 0) + needed > cpuQuota) return false;
     return [...this.world.workers.values()].some((worker) => hasCapacity(worker, job));
   }
 
-  private isBegun(id: string, job: SimJob): boolean {
+  private hasDoneTask(id: string, job: SimJob): boolean {
     for (let index = 0; index < job.tasks; index++) {
       if (this.world.completed.has(`${id}/${index}`)) return true;
     }
@@ -86,7 +87,7 @@
 
 function hasCapacity(worker: SimWorker, job: SimJob): boolean {
   const { machine } = worker;
-  if (worker.dead || (machine.spot && !job.spot)) return false;
+  if (worker.isDead || (machine.spot && !job.spot)) return false;
   if (job.zone !== null && job.zone !== machine.zone) return false;
   if (job.types !== null && !job.types.includes(machine.type)) return false;
   let used = 0;
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -1,53 +1,42 @@
 /** The simulated worker of a machine. */
-import type { SimJob } from './jobs.js';
+import type { SimJob, SimTask } from './jobs.js';
 import { TYPES } from './settings.js';
 import { bodyOf, type Answer, type WireAnswer, type WireCommand } from './worker-wire.js';
 import type { SimulationHost } from './simulation-host.js';
 
-export interface Task {
-  attempt: number;
-  state: 'pulling' | 'gathering' | 'running' | 'exited';
-  cause?: string;
-  cpus: number;
-  /** Gang tasks, told to stop with grace: when its progress is saved. It reports `running` until it exits. */
-  savedAt?: number;
-  /** Its progress was saved when it was stopped. */
-  stored?: boolean;
-}
-
 /** ms between two heartbeats when nothing changes. */
 const HEARTBEAT_MS = 3000;
 /** ms after which a heartbeat that was not accepted goes to the next controller. */
 const RETRY_MS = 1000;
 /** ms after which a heartbeat without an answer has failed. */
-const ANSWER_LIMIT_MS = 4000;
+const ANSWER_TIMEOUT_MS = 4000;
 /** ms that a machine takes to fetch an image. */
 const IMAGE_MS = 1000;
 
 /** A simulated worker of a machine: heartbeats, leases, fencing tokens, agent epochs and commands. */
 export class SimWorker {
-  readonly tasks = new Map<string, Task>();
+  readonly tasks = new Map<string, SimTask>();
   private agentEpoch = 1;
-  private seq = 0;
+  private sequence = 0;
   private fencingToken = 0;
-  private renewedAt: number;
-  private target = 0;
-  dead = false;
+  private leaseRenewedAt: number;
+  private controllerIndex = 0;
+  isDead = false;
   /** Direct calls to this machine are carried out this much later, and their answers are lost. */
-  holdDirectMs = 0;
+  directDelayMs = 0;
   /** Direct calls that were carried out are delivered once more so much later. */
-  repeatDirectMs: number[] = [];
+  directDuplicatesAfterMs: number[] = [];
   /** Heartbeats sent from now on are held back this long, and their answers are lost. */
-  holdHeartbeatsMs = 0;
+  heartbeatDelayMs = 0;
   /** Its heartbeats arrive, but answers and commands do not reach it. */
-  deaf = false;
+  losesAnswers = false;
   /** Its heartbeats reach no controller; direct calls reach it. */
-  mute = false;
+  losesHeartbeats = false;
   /** Duplicates of its heartbeats arrive this much later, at any controller. */
-  copyAfterMs: number[] = [];
+  heartbeatDuplicatesAfterMs: number[] = [];
   /** Commands and answers that were rejected because their fencing token is older than one seen before. */
-  staleOrders = 0;
-  private reporting = false;
+  staleCommands = 0;
+  private isHeartbeatInFlight = false;
   private hungUntil = 0;
 
   constructor(
@@ -60,8 +49,8 @@
       spot: boolean;
     },
   ) {
-    this.renewedAt = world.clock.now();
-    this.target = world.chance(world.members.length);
+    this.leaseRenewedAt = world.clock.now();
+    this.controllerIndex = world.randomBelow(world.members.length);
     this.tick();
   }
 
@@ -69,18 +58,18 @@
   restart(): void {
     this.tasks.clear();
     this.agentEpoch = 1;
-    this.seq = 0;
+    this.sequence = 0;
     this.fencingToken = 0;
-    this.renewedAt = this.world.clock.now();
+    this.leaseRenewedAt = this.world.clock.now();
   }
 
   die(): void {
-    this.dead = true;
+    this.isDead = true;
     this.tasks.clear();
   }
 
   /** Tasks that have their image and have not ended, those that wait for their gang included. */
-  *onMachine(): Generator<[string, Task]> {
+  *onMachine(): Generator<[string, SimTask]> {
     for (const entry of this.tasks) {
       if (entry[1].state === 'running' || entry[1].state === 'gathering') yield entry;
     }
@@ -92,8 +81,9 @@
     agentEpoch: number,
     calls: WireCommand[],
   ): { status: number; body: string } {
-    if (fencingToken < this.fencingToken) this.staleOrders++;
-    const match = !this.dead && fencingToken >= this.fencingToken && agentEpoch === this.agentEpoch;
+    if (fencingToken < this.fencingToken) this.staleCommands++;
+    const match =
+      !this.isDead && fencingToken >= this.fencingToken && agentEpoch === this.agentEpoch;
     if (match) {
       this.fencingToken = fencingToken;
       for (const call of calls) this.execute(call);
@@ -112,21 +102,24 @@
   }
 
   private tick(): void {
-    if (this.dead) return;
-    if (this.world.clock.now() - this.renewedAt > this.world.workerLeaseMs) {
+    if (this.isDead) return;
+    if (this.world.clock.now() - this.leaseRenewedAt > this.world.workerLeaseMs) {
       this.tasks.clear();
       this.agentEpoch++;
-      this.renewedAt = this.world.clock.now();
+      this.leaseRenewedAt = this.world.clock.now();
     }
     this.world.clock.after(500, () => this.tick());
     if (this.hungMs > 0) return;
-    if (!this.reporting && (this.seq === 0 || this.changed || this.due <= this.world.clock.now())) {
+    if (
+      !this.isHeartbeatInFlight &&
+      (this.sequence === 0 || this.hasChanged || this.nextHeartbeatAt <= this.world.clock.now())
+    ) {
       void this.heartbeat();
     }
   }
 
-  private changed = false;
-  private due = 0;
+  private hasChanged = false;
+  private nextHeartbeatAt = 0;
 
   private heartbeatBody(): string {
     return JSON.stringify({
@@ -136,7 +129,7 @@
       grove: this.machine.zone,
       windfall: this.machine.spot,
       flight: this.agentEpoch,
-      wingbeat: ++this.seq,
+      wingbeat: ++this.sequence,
       mandate: this.fencingToken,
       larvae: [...this.tasks].map(([larva, task]) => ({
         larva,
@@ -150,60 +143,61 @@
 
   private async heartbeat(): Promise<void> {
     const { world } = this;
-    this.reporting = true;
-    this.changed = false;
-    this.due = world.clock.now() + HEARTBEAT_MS;
+    this.isHeartbeatInFlight = true;
+    this.hasChanged = false;
+    this.nextHeartbeatAt = world.clock.now() + HEARTBEAT_MS;
     const sentAt = world.clock.now();
     const agentEpoch = this.agentEpoch;
-    const [name = ''] = world.members[this.target] ?? [];
+    const [name = ''] = world.members[this.controllerIndex] ?? [];
     const reply = await this.send(name, this.heartbeatBody());
-    this.reporting = false;
-    if (this.dead) return;
+    this.isHeartbeatInFlight = false;
+    if (this.isDead) return;
     const parsed = bodyOf(reply);
     if (reply?.status === 421 && parsed?.hive && parsed.hive !== name) {
-      this.target = world.members.findIndex(([one]) => one === parsed.hive);
-      this.changed = true;
+      this.controllerIndex = world.members.findIndex(([one]) => one === parsed.hive);
+      this.hasChanged = true;
       return;
     }
     if (reply?.status !== 200) {
-      this.target = (this.target + 1) % world.members.length;
-      this.due = world.clock.now() + RETRY_MS;
+      this.controllerIndex = (this.controllerIndex + 1) % world.members.length;
+      this.nextHeartbeatAt = world.clock.now() + RETRY_MS;
       return;
     }
-    if (agentEpoch === this.agentEpoch) this.take(parsed, sentAt);
+    if (agentEpoch === this.agentEpoch) this.applyAnswer(parsed, sentAt);
   }
 
   /** The answer to a heartbeat of this agent epoch renews the lease, unless its fencing token is older. */
-  private take(answer: WireAnswer | null, sentAt: number): void {
+  private applyAnswer(answer: WireAnswer | null, sentAt: number): void {
     const fencingToken = answer?.mandate ?? -1;
     if (fencingToken < this.fencingToken) {
-      this.staleOrders++;
+      this.staleCommands++;
       return;
     }
-    if (fencingToken > this.fencingToken) this.changed = true;
+    if (fencingToken > this.fencingToken) this.hasChanged = true;
     this.fencingToken = fencingToken;
-    this.renewedAt = sentAt;
+    this.leaseRenewedAt = sentAt;
     for (const command of answer?.calls ?? []) this.execute(command);
   }
 
   /** Sends a heartbeat to a controller, with its duplicates; null: no answer in time. */
   private send(name: string, body: string): Promise<Answer | null> {
     const { world } = this;
-    const held = this.holdHeartbeatsMs;
+    const held = this.heartbeatDelayMs;
     const entry = world.nodes.get(name);
-    const reach = entry !== undefined && !this.mute && !world.cut(name, this.machine.name);
-    for (const later of this.copyAfterMs) {
-      const [copyTo = ''] = world.members[world.chance(world.members.length)] ?? [];
-      world.clock.after(later, () => void world.nodes.get(copyTo)?.node.heartbeat(body));
+    const isReachable =
+      entry !== undefined && !this.losesHeartbeats && !world.isCut(name, this.machine.name);
+    for (const delayMs of this.heartbeatDuplicatesAfterMs) {
+      const [copyTo = ''] = world.members[world.randomBelow(world.members.length)] ?? [];
+      world.clock.after(delayMs, () => void world.nodes.get(copyTo)?.node.heartbeat(body));
     }
     return new Promise<Answer | null>((resolve) => {
-      world.clock.after(ANSWER_LIMIT_MS, () => resolve(null));
-      if (!reach || !entry) return;
-      world.clock.after(world.linkMs + held, () => {
-        world.at(name, () => {
+      world.clock.after(ANSWER_TIMEOUT_MS, () => resolve(null));
+      if (!isReachable || !entry) return;
+      world.clock.after(world.linkDelayMs + held, () => {
+        world.deliver(name, () => {
           void entry.node.heartbeat(body).then((reply) => {
-            if (!world.cut(name, this.machine.name) && !this.deaf)
-              world.clock.after(world.linkMs, () => resolve(reply));
+            if (!world.isCut(name, this.machine.name) && !this.losesAnswers)
+              world.clock.after(world.linkDelayMs, () => resolve(reply));
           });
         });
       });
@@ -228,7 +222,7 @@
     if (!known || known.state === 'exited' || known.attempt !== command.try) return;
     if (this.jobOf(command.larva)?.gang) {
       this.world.gangs.halt(this, command.larva, known, command.settleS ?? 0);
-    } else this.end(known, 'stopped');
+    } else this.exit(known, 'stopped');
   }
 
   private launch(command: WireCommand): void {
@@ -236,45 +230,45 @@
     const job = this.jobOf(command.larva);
     if (known?.attempt === command.try || (known && known.state !== 'exited')) return;
     if (!job) return;
-    const task: Task = { attempt: command.try, state: 'pulling', cpus: job.cpus };
+    const task: SimTask = { attempt: command.try, state: 'pulling', cpus: job.cpus };
     this.tasks.set(command.larva, task);
     // Tasks that fetch their image or wait for their gang occupy the machine as well.
     const held = [...this.tasks.values()].filter((one) => one.state !== 'exited');
     const free = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
     if (held.reduce((sum, one) => sum + one.cpus, 0) > free + 1e-6) {
-      this.end(task, 'full');
+      this.exit(task, 'full');
       return;
     }
     this.world.clock.after(IMAGE_MS, () => {
-      if (this.dead || this.tasks.get(command.larva) !== task || task.state !== 'pulling') return;
-      if (job.broken) this.end(task, 'error');
+      if (this.isDead || this.tasks.get(command.larva) !== task || task.state !== 'pulling') return;
+      if (job.broken) this.exit(task, 'error');
       else if (job.gang) this.joinGang(command.larva, task);
-      else this.run(command.larva, task, job);
+      else this.runTask(command.larva, task, job);
     });
   }
 
   /** The image of a gang's task is there: it waits for the others. */
-  private joinGang(name: string, task: Task): void {
+  private joinGang(name: string, task: SimTask): void {
     // The result of what is done is kept.
     if (this.world.completed.has(name)) {
-      this.end(task, 'done');
+      this.exit(task, 'done');
       return;
     }
     task.state = 'gathering';
-    this.changed = true;
-    this.world.started(this, name);
+    this.hasChanged = true;
+    this.world.taskStarted(this, name);
     this.world.gangs.gather(this, name, task);
   }
 
   /** The image of an ordinary task is there: it runs, a service for ever. */
-  private run(name: string, task: Task, job: SimJob): void {
+  private runTask(name: string, task: SimTask, job: SimJob): void {
     task.state = 'running';
-    this.changed = true;
-    this.world.started(this, name);
+    this.hasChanged = true;
+    this.world.taskStarted(this, name);
     if (job.service) return;
     this.world.clock.after(job.runS * 1000, () => {
       if (this.tasks.get(name) === task && task.state === 'running') {
-        this.end(task, 'done');
+        this.exit(task, 'done');
         this.world.completed.add(name);
       }
     });
@@ -285,14 +279,14 @@
   }
 
   /** All of a task's gang have their image. */
-  runs(task: Task): void {
+  markRunning(task: SimTask): void {
     task.state = 'running';
-    this.changed = true;
+    this.hasChanged = true;
   }
 
-  end(task: Task, cause: string): void {
+  exit(task: SimTask, cause: string): void {
     task.state = 'exited';
     task.cause = cause;
-    this.changed = true;
+    this.hasChanged = true;
   }
 }
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -14,7 +14,7 @@
 import { jobOf, submissionOf, unwrap, type Reply, type SimJob } from './jobs.js';
 import { InvariantChecker, type RequestKind } from './invariant-checker.js';
 import { environmentOf } from './environment.js';
-import { settingsOf, silent } from './settings.js';
+import { settingsOf, silentLog } from './settings.js';
 import { SimKeyValueStore } from './key-value-store.js';
 import type { SimulationHost } from './simulation-host.js';
 import type { SimWorker } from './worker.js';
@@ -25,7 +25,7 @@
 /** Controllers, workers, cloud and key-value store in simulated time, and a checker of the invariants. */
 export class World implements SimulationHost {
   readonly clock = new SimClock();
-  readonly state;
+  readonly store;
   readonly cloud = new SimCloud(this);
   readonly nodes = new Map<string, { node: ControllerNode; kill: () => void }>();
   readonly workers = new Map<string, SimWorker>();
@@ -36,25 +36,25 @@
   readonly gangStarts: { job: string; attempt: number; at: number }[] = [];
   readonly gangs: SimGangs = new SimGangs(this);
   /** Pairs "x>y" that can't reach each other; x and y are controller or machine names. */
-  readonly cuts = new Set<string>();
+  readonly cutLinks = new Set<string>();
   /** What becomes of a message between controllers on its way. */
   onPeerMessage: (message: PeerMessage) => PeerMessage = (message) => message;
   /** A fault put in on purpose: what a user gets in place of a controller's reply. */
   tamper: (kind: RequestKind, id: string, reply: Reply) => Reply = (_kind, _id, reply) => reply;
   /** Pairs "x>y" of controllers whose connection stays open, while nothing that they send arrives. */
-  readonly dropped = new Set<string>();
+  readonly lossyLinks = new Set<string>();
   /** Pairs "x>y" of controllers: what x sends y is lost, while what y sends x arrives. */
-  readonly lostOneWay = new Set<string>();
+  readonly oneWayLossyLinks = new Set<string>();
   /** What the settings of one controller say otherwise, from its next start on. */
   settingsFor: (node: string) => Partial<Settings> = () => this.overrides;
   /** Where a controller logs. */
   private readonly logOf: (node: string) => Log;
   /** ms that messages between controllers and workers take each way. */
-  linkMs = 1;
+  linkDelayMs = 1;
   readonly workerLeaseMs = 24_000;
   private readonly invariants = new InvariantChecker(this);
   /** What waits for controllers that are paused. */
-  private readonly frozen = new Map<string, (() => void)[]>();
+  private readonly pendingWhilePaused = new Map<string, (() => void)[]>();
   private incarnations = 0;
   private readonly random;
 
@@ -67,42 +67,42 @@
     ],
     /** What the controllers' settings say otherwise. */
     readonly overrides: Partial<Settings> = {},
-    logOf: (node: string) => Log = () => silent,
+    logOf: (node: string) => Log = () => silentLog,
   ) {
     this.logOf = logOf;
     this.random = xoroshiro128plus(seed);
-    this.state = new SimKeyValueStore(this.clock, seed);
+    this.store = new SimKeyValueStore(this.clock, seed);
     for (const [name] of members) this.boot(name);
   }
 
   /** A whole number below `most`, by the world's seed. */
-  chance(most: number): number {
+  randomBelow(most: number): number {
     return uniformInt(this.random, 0, most - 1);
   }
 
   // --- Controllers -------------------------------------------------------------------------------
 
   /** A controller is paused while clocks run on: what comes for it meanwhile is handled on waking. */
-  freeze(name: string, seconds: number): void {
+  pause(name: string, seconds: number): void {
     const held: (() => void)[] = [];
-    this.frozen.set(name, held);
+    this.pendingWhilePaused.set(name, held);
     this.clock.after(seconds * 1000, () => {
-      this.frozen.delete(name);
+      this.pendingWhilePaused.delete(name);
       // One after the other, as a process handles what it finds: promises settle in between.
       for (const run of held) this.clock.after(0, run);
     });
   }
 
   /** Runs what comes for a controller, when it can. */
-  at(name: string, run: () => void): void {
-    const held = this.frozen.get(name);
+  deliver(name: string, run: () => void): void {
+    const held = this.pendingWhilePaused.get(name);
     if (held) held.push(run);
     else run();
   }
 
   /** Starts a controller, as a new incarnation. */
   boot(name: string): void {
-    this.frozen.delete(name);
+    this.pendingWhilePaused.delete(name);
     const zone = this.members.find(([one]) => one === name)?.[1] ?? 'a';
     let dead = false;
     const settings = { ...settingsOf(name, zone, this.members), ...this.settingsFor(name) };
@@ -127,7 +127,9 @@
 
   /** The controller that holds the leader's role, by the key-value store. */
   get leader(): string {
-    return (this.state.cells.get(roleKey('leader'))?.value as RoleRecord | undefined)?.owner ?? '';
+    return (
+      (this.store.entries.get(roleKey('leader'))?.value as RoleRecord | undefined)?.owner ?? ''
+    );
   }
 
   /** A controller is gone at once. */
@@ -136,13 +138,13 @@
   }
 
   /** Whether two controllers, or a controller and a machine, can't reach each other. */
-  cut(x: string, y: string): boolean {
-    return this.cuts.has(`${x}>${y}`) || this.cuts.has(`${y}>${x}`);
+  isCut(x: string, y: string): boolean {
+    return this.cutLinks.has(`${x}>${y}`) || this.cutLinks.has(`${y}>${x}`);
   }
 
   /** Whether what two controllers send each other is lost, though they are connected. */
   drops(x: string, y: string): boolean {
-    return this.dropped.has(`${x}>${y}`) || this.dropped.has(`${y}>${x}`);
+    return this.lossyLinks.has(`${x}>${y}`) || this.lossyLinks.has(`${y}>${x}`);
   }
 
   // --- The cloud -----------------------------------------------------------------------------
@@ -157,21 +159,21 @@
   }
 
   /** The cloud takes nothing back. */
-  get cloudTrouble(): boolean {
-    return this.cloud.trouble;
+  get cloudRefusesReturns(): boolean {
+    return this.cloud.refusesReturns;
   }
 
-  set cloudTrouble(trouble: boolean) {
-    this.cloud.trouble = trouble;
+  set cloudRefusesReturns(trouble: boolean) {
+    this.cloud.refusesReturns = trouble;
   }
 
   /** The cloud tells its machine types. */
-  get catalog(): boolean {
-    return this.cloud.catalog;
+  get cloudHasCatalog(): boolean {
+    return this.cloud.hasCatalog;
   }
 
-  set catalog(known: boolean) {
-    this.cloud.catalog = known;
+  set cloudHasCatalog(known: boolean) {
+    this.cloud.hasCatalog = known;
   }
 
   /** The address of the machine of this number. */
@@ -216,7 +218,7 @@
 
   /** Asks a controller to cancel a job. */
   cancel(id: string, at = 'n0'): Promise<Reply> {
-    this.invariants.cancelRequested(id);
+    this.invariants.recordCancelRequest(id);
     return this.request('cancel', id, null, at);
   }
 
@@ -228,15 +230,15 @@
   private request(kind: RequestKind, id: string, body: string | null, at: string): Promise<Reply> {
     const node = this.nodes.get(at)?.node;
     if (!node) {
-      this.invariants.unanswered(kind, id);
+      this.invariants.recordNoReply(kind, id);
       return Promise.resolve({ status: 0, body: null });
     }
     const requestedAt = this.clock.now();
     return new Promise((resolve) => {
-      this.at(at, () => {
+      this.deliver(at, () => {
         void node.serve(kind, kind === 'submit' ? '' : id, body).then((raw) => {
           const reply = this.tamper(kind, id, unwrap(raw));
-          this.invariants.replied(kind, id, requestedAt, reply);
+          this.invariants.recordReply(kind, id, requestedAt, reply);
           resolve(reply);
         });
       });
@@ -246,8 +248,8 @@
   // --- The invariant checker ---------------------------------------------------------------------
 
   /** Each violation of an invariant. */
-  get broken(): string[] {
-    return this.invariants.broken;
+  get violations(): string[] {
+    return this.invariants.violations;
   }
 
   /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
@@ -261,8 +263,8 @@
   }
 
   /** The ends that controllers told of jobs, with the time. */
-  get told(): Map<string, { stage: string; at: number }> {
-    return this.invariants.told;
+  get answeredEnds(): Map<string, { stage: string; at: number }> {
+    return this.invariants.answeredEnds;
   }
 
   /** Tells the invariant checker that all faults are over. */
@@ -277,9 +279,9 @@
   }
 
   /** Called by a worker when a task gets on its machine. */
-  started(worker: SimWorker, task: string): void {
+  taskStarted(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name, at: this.clock.now() });
-    this.invariants.started(worker, task);
+    this.invariants.taskStarted(worker, task);
   }
 
   /** Runs on, checking invariants every simulated second. */
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -64,17 +64,17 @@
   const world = await busyWorld();
   const forms: Forms = {};
   for (const [name, prefix] of RECORD_KINDS) {
-    const first = world.state.log.find(({ key, removed }) => !removed && key.startsWith(prefix));
+    const first = world.store.log.find(({ key, removed }) => !removed && key.startsWith(prefix));
     forms[`record: ${name}`] = `${first?.key} ${JSON.stringify(first?.value)}`;
   }
   for (const [name, prefix, pattern] of FULL_RECORDS) {
-    const last = world.state.log.findLast(
+    const last = world.store.log.findLast(
       ({ key, removed, value }) =>
         !removed && key.startsWith(prefix) && pattern.test(JSON.stringify(value)),
     );
     forms[`record: ${name}`] = `${last?.key} ${JSON.stringify(last?.value)}`;
   }
-  const cells = [...world.state.cells].sort(([a], [b]) => (a < b ? -1 : 1));
+  const cells = [...world.store.entries].sort(([a], [b]) => (a < b ? -1 : 1));
   forms['all records'] = JSON.stringify(cells.map(([key, { value }]) => [key, value]));
   return forms;
 }
