--- a/packages/detection-report/src/index.ts
+++ b/packages/detection-report/src/index.ts
@@ -3,4 +3,4 @@
 export { compress, readHistories, type FileFault, type Histories } from './history-files.js';
 export { parseLines, type DetectionRecord } from './records.js';
 export { probeQuantiles, type ProbeQuantiles } from './probe-quantiles.js';
-export { heartbeatOf as reportOf } from './report.js';
+export { reportOf } from './report.js';
--- a/packages/detection-report/src/records.ts
+++ b/packages/detection-report/src/records.ts
@@ -56,8 +56,6 @@
 export type TransitionRecord = Extract<DetectionRecord, { type: 'transition' }>;
 /** What a controller decided about a role. */
 export type DecisionRecord = Extract<DetectionRecord, { type: 'decision' }>;
-/** Round-trip times of one controller's probes of another. */
-export type ProbeTimesRecord = Extract<DetectionRecord, { type: 'probeTimes' }>;
 
 /** What lines of a file hold, and the numbers of those that can't be read. */
 export interface ParsedLines {
--- a/packages/detection-report/src/report.ts
+++ b/packages/detection-report/src/report.ts
@@ -128,7 +128,7 @@
 }
 
 /** The report of these histories. */
-export function heartbeatOf({ faults, records }: Histories): string {
+export function reportOf({ faults, records }: Histories): string {
   const page = new ReportPage();
   const transitions = records.filter((one) => one.type === 'transition');
   const decisions = records.filter((one) => one.type === 'decision');
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -7,7 +7,7 @@
 import type { ProbeAnswer } from './remote-member.js';
 
 /** What became of a probe. */
-export interface ProbeResults {
+interface ProbeResults {
   reached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
   /** `sentAt`: steady time in ms of the direct probe. */
   unreached(member: string, sentAt: number): void;
--- a/test/cluster/controller-faults.test.ts
+++ b/test/cluster/controller-faults.test.ts
@@ -2,33 +2,28 @@
 import { test } from 'node:test';
 import { playFaultCase, type FaultCase } from '../world/fault-case.js';
 import { WITH_FAILURE_DETECTION } from '../world/failure-detection-case.js';
+import { restartController } from '../world/fault-steps.js';
 
 const CASES: FaultCase[] = [
   { name: 'no fault', fault: (world) => world.run(20) },
   {
     name: 'a controller killed and started again',
     fault: async (world) => {
-      world.kill('n1');
-      await world.run(4);
-      world.boot('n1');
+      await restartController(world, 'n1', 4);
       await world.run(20);
     },
   },
   {
     name: 'a controller killed and started again at once',
     fault: async (world) => {
-      world.kill('n0');
-      await world.run(0.2);
-      world.boot('n0');
+      await restartController(world, 'n0', 0.2);
       await world.run(20);
     },
   },
   {
     name: 'a controller that is not restarted',
     fault: async (world) => {
-      world.kill('n2');
-      await world.run(70);
-      world.boot('n2');
+      await restartController(world, 'n2', 70);
       await world.run(10);
     },
   },
@@ -94,9 +89,7 @@
       for (let turn = 0; turn < 4; turn++) {
         for (const [name] of world.members) {
           world.store.delayNextTransactionMs.set(name, 3000);
-          world.kill(name);
-          await world.run(0.2);
-          world.boot(name);
+          await restartController(world, name, 0.2);
         }
         await world.run(0.7);
       }
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -12,6 +12,7 @@
 } from '../world/gang-scenario.js';
 import { GANG, OTHER } from '../world/gang-steps.js';
 import type { SimWorker } from '../world/worker.js';
+import { restartController, setOnAllWorkers } from '../world/fault-steps.js';
 
 const ROWS: GangRuleCase[] = [
   // --- A member is lost ----------------------------------------------------------------------
@@ -158,9 +159,7 @@
       const nodes = [...scenario.ownersOf()];
       const [node] = nodes;
       assert.ok(node && nodes.length >= 2, 'assignments of several owners');
-      world.kill(node);
-      await world.run(4);
-      world.boot(node);
+      await restartController(world, node, 4);
       await scenario.awaitGangStart(90, 1, OTHER);
       await scenario.awaitGangStart(120, 2);
       assert.equal(new Set(recorder.endsOf(GANG, attempt).map(({ task }) => task)).size, 6);
@@ -174,7 +173,7 @@
     zones: ['a', 'a', 'a', 'a', 'a', 'a'],
     act: async (scenario) => {
       const { world } = scenario;
-      for (const worker of world.workers.values()) worker.directDelayMs = 9000;
+      setOnAllWorkers(world, { directDelayMs: 9000 });
       await scenario.submitAccepted(GANG, LONG);
       await scenario.runUntil(
         'all placements are reserved',
@@ -188,14 +187,9 @@
         worker.losesHeartbeats = machines.has(worker.machine.name);
       const [node] = scenario.ownersOf();
       assert.ok(node);
-      world.kill(node);
-      await world.run(4);
-      world.boot(node);
+      await restartController(world, node, 4);
       await world.run(10);
-      for (const worker of world.workers.values()) {
-        worker.directDelayMs = 0;
-        worker.losesHeartbeats = false;
-      }
+      setOnAllWorkers(world, { directDelayMs: 0, losesHeartbeats: false });
       await scenario.awaitGangStart(90);
     },
   },
--- a/test/cluster/gangs-controller-faults.test.ts
+++ b/test/cluster/gangs-controller-faults.test.ts
@@ -5,6 +5,7 @@
 import {
   GANG,
   OTHER,
+  RESTART_S,
   WITH_CHECKPOINTS,
   awaitGangStart,
   cancel,
@@ -13,12 +14,12 @@
   roleHolder,
   shardsOf,
   playGang,
-  restartController,
   submit,
   tasksOf,
   runUntil,
   type GangCase,
 } from '../world/gang-steps.js';
+import { restartController } from '../world/fault-steps.js';
 
 const ROWS: GangCase[] = [
   ...[100, 300, 600, 1000, 1500, 2000].map((ms): GangCase => ({
@@ -26,7 +27,7 @@
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, oneZone: true });
       await world.run(ms / 1000);
-      await restartController(world, roleHolder(world, LEADER));
+      await restartController(world, roleHolder(world, LEADER), RESTART_S);
     },
   })),
   ...[0, 100, 300, 1200].map((ms): GangCase => ({
@@ -69,7 +70,7 @@
       assert.ok(shard, 'no shard holds the gang');
       const node = roleHolder(world, shardRole(shard));
       await cancel(world, GANG, world.members.find(([one]) => one !== node)?.[0]);
-      await restartController(world, node);
+      await restartController(world, node, RESTART_S);
       await assertAllEnded(world, [GANG], 'withdrawn', 55);
     },
   },
--- a/test/cluster/gangs-machine-faults.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -16,6 +16,15 @@
   runUntil,
   type GangCase,
 } from '../world/gang-steps.js';
+import type { World } from '../world/world.js';
+import { cutOffMachine, setOnAllWorkers } from '../world/fault-steps.js';
+
+/** The machine of one of the gang's tasks dies; whether the cloud's list tells that it is gone. */
+function loseMachine(world: World, isListedAsGone: boolean): void {
+  const worker = machineOf(world, GANG);
+  if (isListedAsGone) world.removeMachine(worker.machine.name);
+  else worker.die();
+}
 
 const ROWS: GangCase[] = [
   ...[true, false].map((noticed): GangCase => ({
@@ -25,9 +34,7 @@
     act: async (world) => {
       await submit(world, GANG, { tasks: 6, cpus: 2 });
       await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
-      const worker = machineOf(world, GANG);
-      if (noticed) world.removeMachine(worker.machine.name);
-      else worker.die();
+      loseMachine(world, noticed);
     },
   })),
   ...[true, false].map((noticed): GangCase => ({
@@ -37,9 +44,7 @@
       await submit(world, GANG, { tasks: 6, cpus: 2, runS: 30, ...WITH_CHECKPOINTS });
       await awaitGangStart(world, GANG, 20);
       await world.run(12);
-      const worker = machineOf(world, GANG);
-      if (noticed) world.removeMachine(worker.machine.name);
-      else worker.die();
+      loseMachine(world, noticed);
       await awaitGangStart(world, GANG, 120, 2);
     },
   })),
@@ -74,7 +79,7 @@
       await awaitGangStart(world, GANG, 20);
       await world.run(5);
       const { name } = machineOf(world, GANG).machine;
-      for (const [node] of world.members) world.cutLinks.add(`${node}>${name}`);
+      cutOffMachine(world, name);
       await world.run(45);
       world.cutLinks.clear();
     },
@@ -85,7 +90,7 @@
     zones: ['a', 'a', 'a', 'b'],
     done: [OTHER, 'j-000003'],
     act: async (world) => {
-      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [4000, 70_000];
+      setOnAllWorkers(world, { directDuplicatesAfterMs: [4000, 70_000] });
       await submit(world, GANG, { tasks: 4, cpus: 2, urgent: true, runS: 40, ...WITH_CHECKPOINTS });
       await awaitGangStart(world, GANG, 20);
       await submit(world, OTHER, {
@@ -102,17 +107,17 @@
       machineOf(world, 'j-000003').hang(12);
       await world.run(80);
       await assertAllEnded(world, [GANG], 'withdrawn', 5);
-      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [];
+      setOnAllWorkers(world, { directDuplicatesAfterMs: [] });
     },
   },
   {
     name: 'direct calls are held for 9 s, unanswered',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
-      for (const worker of world.workers.values()) worker.directDelayMs = 9000;
+      setOnAllWorkers(world, { directDelayMs: 9000 });
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       await world.run(25);
-      for (const worker of world.workers.values()) worker.directDelayMs = 0;
+      setOnAllWorkers(world, { directDelayMs: 0 });
     },
   },
   {
@@ -134,7 +139,7 @@
       const [first, second] = new Set([...tasksOf(world, GANG)].map(({ worker }) => worker));
       assert.ok(first && second);
       first.hang(20);
-      for (const [node] of world.members) world.cutLinks.add(`${node}>${second.machine.name}`);
+      cutOffMachine(world, second.machine.name);
       await world.run(35);
       world.cutLinks.clear();
       world.cloudRefusesReturns = false;
--- a/test/cluster/machine-faults.test.ts
+++ b/test/cluster/machine-faults.test.ts
@@ -1,6 +1,7 @@
 /** The invariants hold through faults of machines, heartbeats and commands. */
 import { test } from 'node:test';
 import { playFaultCase, type FaultCase } from '../world/fault-case.js';
+import { cutOffMachine, restartController, setOnAllWorkers } from '../world/fault-steps.js';
 
 const CASES: FaultCase[] = [
   {
@@ -16,10 +17,7 @@
     name: 'machines that lose the network for longer than their lease',
     fault: async (world) => {
       const [first, second] = world.workers.keys();
-      for (const [node] of world.members) {
-        world.cutLinks.add(`${node}>${first}`);
-        world.cutLinks.add(`${node}>${second}`);
-      }
+      for (const machine of [first, second]) cutOffMachine(world, machine ?? '');
       await world.run(45);
       world.cutLinks.clear();
       await world.run(30);
@@ -28,18 +26,18 @@
   {
     name: 'direct commands that arrive late',
     fault: async (world) => {
-      for (const worker of world.workers.values()) worker.directDelayMs = 9000;
+      setOnAllWorkers(world, { directDelayMs: 9000 });
       await world.run(25);
-      for (const worker of world.workers.values()) worker.directDelayMs = 0;
+      setOnAllWorkers(world, { directDelayMs: 0 });
       await world.run(30);
     },
   },
   {
     name: 'heartbeats that arrive late',
     fault: async (world) => {
-      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 6000;
+      setOnAllWorkers(world, { heartbeatDelayMs: 6000 });
       await world.run(12);
-      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 0;
+      setOnAllWorkers(world, { heartbeatDelayMs: 0 });
       await world.run(30);
     },
   },
@@ -56,16 +54,13 @@
   {
     name: 'duplicate heartbeats that come late, also after machines died and controllers restarted',
     fault: async (world) => {
-      for (const worker of world.workers.values())
-        worker.heartbeatDuplicatesAfterMs = [3000, 17_000, 41_000];
+      setOnAllWorkers(world, { heartbeatDuplicatesAfterMs: [3000, 17_000, 41_000] });
       await world.run(20);
       const [first] = world.workers.values();
       first?.die();
-      world.kill('n0');
-      await world.run(1);
-      world.boot('n0');
+      await restartController(world, 'n0', 1);
       await world.run(60);
-      for (const worker of world.workers.values()) worker.heartbeatDuplicatesAfterMs = [];
+      setOnAllWorkers(world, { heartbeatDuplicatesAfterMs: [] });
     },
   },
   {
@@ -73,7 +68,7 @@
     // its job was cancelled.
     name: 'direct calls that were carried out and come once more, long after',
     fault: async (world) => {
-      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [4000, 70_000];
+      setOnAllWorkers(world, { directDuplicatesAfterMs: [4000, 70_000] });
       for (let turn = 0; turn < 4; turn++) {
         void world.submit(`j-10000${turn}`, { service: true, spot: false, urgent: true, tasks: 2 });
         await world.run(6);
@@ -81,7 +76,7 @@
         await world.run(2);
       }
       await world.run(60);
-      for (const worker of world.workers.values()) worker.directDuplicatesAfterMs = [];
+      setOnAllWorkers(world, { directDuplicatesAfterMs: [] });
     },
   },
   {
--- a/test/cluster/overlapping-faults-leaders.test.ts
+++ b/test/cluster/overlapping-faults-leaders.test.ts
@@ -17,6 +17,7 @@
 } from '../world/overlapping-faults.js';
 import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
+import { setOnAllWorkers } from '../world/fault-steps.js';
 
 const ROWS: OverlappingFaultsCase[] = [
   {
@@ -119,19 +120,18 @@
     seeds: [1, 2],
     script: async (world) => {
       await submitWorkload(world);
-      for (const worker of world.workers.values())
-        worker.heartbeatDuplicatesAfterMs = [2000, 9000, 23_000, 40_000];
+      setOnAllWorkers(world, { heartbeatDuplicatesAfterMs: [2000, 9000, 23_000, 40_000] });
       await world.run(6);
-      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 6000;
+      setOnAllWorkers(world, { heartbeatDelayMs: 6000 });
       await world.run(2);
       await restartLeader(world, 8);
-      for (const worker of world.workers.values()) worker.heartbeatDelayMs = 0;
+      setOnAllWorkers(world, { heartbeatDelayMs: 0 });
       await world.run(1);
       await restartLeader(world, 0.3);
       await cancel(world, 'j-000002', controllerNames(world));
       await restartLeader(world, 0.6);
       await world.run(50);
-      for (const worker of world.workers.values()) worker.heartbeatDuplicatesAfterMs = [];
+      setOnAllWorkers(world, { heartbeatDuplicatesAfterMs: [] });
     },
   },
   {
--- a/test/cluster/overlapping-faults-store-outage.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -16,6 +16,7 @@
   type OverlappingFaultsCase,
 } from '../world/overlapping-faults.js';
 import type { World } from '../world/world.js';
+import { setOnAllWorkers } from '../world/fault-steps.js';
 
 interface Gap {
   /** s after the beginning of the outage; below 0: before it. */
@@ -38,7 +39,7 @@
     if (holdMs) {
       // Sent just before: these starts are still on their way when their job is cancelled.
       world.store.refusedControllers.clear();
-      for (const worker of world.workers.values()) worker.directDelayMs = holdMs;
+      setOnAllWorkers(world, { directDelayMs: holdMs });
       await submit(world, 'j-000009', { ...URGENT, tasks: 3 }, others[0]);
       await world.run(0.6);
       world.store.refusedControllers.add(old);
@@ -59,7 +60,7 @@
     await outage(world, 63, during);
     if (endsS >= 63) await world.run(endsS - 63);
     world.store.refusedControllers.clear();
-    for (const worker of world.workers.values()) worker.directDelayMs = 0;
+    setOnAllWorkers(world, { directDelayMs: 0 });
     await world.run(5);
   };
 
--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -11,6 +11,7 @@
   type ObservedWorld,
 } from '../world/failure-detection-case.js';
 import type { World } from '../world/world.js';
+import { restartController } from '../world/fault-steps.js';
 
 const CONFIRMED = 'failure confirmed by a quorum';
 const STORE_ONLY_POLICY = 'not confirmed in time: by the state service alone';
@@ -78,9 +79,7 @@
     name: 'back in an instant, again and again',
     fault: async ({ world }) => {
       for (const name of [...nodes(world), ...nodes(world)]) {
-        world.kill(name);
-        await world.run(0.2);
-        world.boot(name);
+        await restartController(world, name, 0.2);
         await world.run(4);
       }
     },
@@ -103,9 +102,7 @@
       for (const settings of [{ suspicion: null }, WITH_FAILURE_DETECTION]) {
         for (const name of nodes(world)) {
           world.settingsFor = () => settings;
-          world.kill(name);
-          await world.run(3);
-          world.boot(name);
+          await restartController(world, name, 3);
           await world.run(9);
         }
       }
@@ -116,9 +113,7 @@
     reasons: ['the holder never answered a probe'],
     fault: async ({ world, records }) => {
       world.settingsFor = () => ({ suspicion: null });
-      world.kill('n2');
-      await world.run(3);
-      world.boot('n2');
+      await restartController(world, 'n2', 3);
       world.kill('n0');
       world.kill('n1');
       world.settingsFor = () => WITH_FAILURE_DETECTION;
--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -4,6 +4,7 @@
 import { nodeKey } from '../../src/storage/keys.js';
 import { stageOf } from '../world/jobs.js';
 import { LoopbackCluster } from './cluster.js';
+import { setOnAllWorkers } from '../world/fault-steps.js';
 
 const MEMBERS = [
   ['n0', 'a'],
@@ -70,7 +71,7 @@
     await startWork(cluster, other);
     // Its next transaction and all direct commands are on their way for longer than a takeover takes.
     cluster.store.delayNextTransactionMs.set(leader, LATE_MS);
-    for (const worker of cluster.workers.values()) worker.directDelayMs = LATE_MS;
+    setOnAllWorkers(cluster, { directDelayMs: LATE_MS });
     void cluster.submit('j-000003', { tasks: 2, runS: 2, spot: false, team: 'blue' }, other);
     await cluster.waitUntil(
       'a transaction is held',
@@ -83,7 +84,7 @@
       return cluster.store.lateConflicts > 0;
     });
     cluster.process(leader).resume();
-    for (const worker of cluster.workers.values()) worker.directDelayMs = 0;
+    setOnAllWorkers(cluster, { directDelayMs: 0 });
     await cluster.waitUntil('it sees that', LIMIT_S, () =>
       logged(cluster, leader, 'leadership given up'),
     );
--- a/test/stand-ins/gang-saves.test.ts
+++ b/test/stand-ins/gang-saves.test.ts
@@ -14,17 +14,15 @@
   {
     name: 'all stopped with grace: they save, exit together, and the next attempt resumes from there',
     job: { checkpointS: 5, saveS: 3, runS: 12 },
-    act: async ({ world, call, start, all, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
-      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 3);
+    act: async ({ world, all, progress, startAndRun, stopAll, startSecondAttempt }) => {
+      await startAndRun(7);
+      stopAll(3);
       await world.run(2);
       assert.deepEqual(all(), allThree('running'));
       await world.run(1.5);
       assert.deepEqual(all(), allThree('exited stopped stored'));
       assert.ok(progress() >= 6.5 && progress() <= 7.5, String(progress()));
-      for (const index of [0, 1, 2]) call(index, 'reap', index);
-      for (const index of [0, 1, 2]) call(index, 'launch', index, 2);
+      startSecondAttempt(0, 1, 2);
       await world.run(1 + 4);
       assert.deepEqual(all(), allThree('running'));
       await world.run(1.5);
@@ -34,9 +32,8 @@
   {
     name: 'the last is stopped late but in time: saved, progress as at the first halt',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
-    act: async ({ world, call, start, all, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
+    act: async ({ world, call, all, progress, startAndRun }) => {
+      await startAndRun(7);
       call(0, 'halt', 0, 1, 10);
       call(1, 'halt', 1, 1, 10);
       await world.run(GANG_PEER_S - 1);
@@ -50,9 +47,8 @@
   {
     name: 'one is not stopped in time: it exits with mates_gone and the save fails',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
-    act: async ({ world, call, start, all, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
+    act: async ({ world, call, all, progress, startAndRun }) => {
+      await startAndRun(7);
       call(0, 'halt', 0, 1, 10);
       call(1, 'halt', 1, 1, 10);
       await world.run(GANG_PEER_S + 0.5);
@@ -63,9 +59,8 @@
   {
     name: 'too little grace for one: nothing is saved',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
-    act: async ({ world, call, start, seen, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
+    act: async ({ world, call, seen, progress, startAndRun }) => {
+      await startAndRun(7);
       call(0, 'halt', 0, 1, 2);
       call(1, 'halt', 1, 1, 3);
       assert.equal(seen(0), 'exited stopped');
@@ -77,10 +72,9 @@
   {
     name: 'a second halt without grace ends a task that saves, and the save fails',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
-    act: async ({ world, call, start, seen, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
-      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 5);
+    act: async ({ world, call, seen, progress, startAndRun, stopAll }) => {
+      await startAndRun(7);
+      stopAll(5);
       await world.run(1);
       call(1, 'halt', 1, 1, 0);
       assert.equal(seen(1), 'exited stopped');
@@ -91,10 +85,9 @@
   },
   {
     name: 'a gang without checkpoints loses all when stopped, with any grace',
-    act: async ({ world, call, start, all, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
-      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 60);
+    act: async ({ all, progress, startAndRun, stopAll }) => {
+      await startAndRun(7);
+      stopAll(60);
       assert.deepEqual(all(), allThree('exited stopped'));
       assert.equal(progress(), 0);
     },
@@ -102,14 +95,12 @@
   {
     name: 'what was saved is never lost to an older checkpoint',
     job: { checkpointS: 5, saveS: 3, runS: 30 },
-    act: async ({ world, worker, call, start, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
-      for (const index of [0, 1, 2]) call(index, 'halt', index, 1, 5);
+    act: async ({ world, worker, progress, startAndRun, stopAll, startSecondAttempt }) => {
+      await startAndRun(7);
+      stopAll(5);
       await world.run(4);
       const saved = progress();
-      for (const index of [0, 1, 2]) call(index, 'reap', index);
-      for (const index of [0, 1, 2]) call(index, 'launch', index, 2);
+      startSecondAttempt(0, 1, 2);
       await world.run(2);
       worker(0).die();
       await world.run(GANG_PEER_S + 1);
@@ -146,13 +137,12 @@
   },
   {
     name: 'the invariant checker reports two attempts that run at once',
-    act: async ({ world, worker, call, start }) => {
+    act: async ({ world, worker, call, start, startSecondAttempt }) => {
       start(0, 1, 2);
       await world.run(2);
       worker(2).hang(20);
       await world.run(GANG_PEER_S + 0.5);
-      for (const index of [0, 1]) call(index, 'reap', index);
-      for (const index of [0, 1]) call(index, 'launch', index, 2);
+      startSecondAttempt(0, 1);
       call(3, 'launch', 2, 2);
       await world.run(2);
       assert.deepEqual(world.violations, [`ran_twice ${JOB}/2`, `two_attempts ${JOB}/2: 1 and 2`]);
--- a/test/stand-ins/gang-starts.test.ts
+++ b/test/stand-ins/gang-starts.test.ts
@@ -124,9 +124,8 @@
   {
     name: 'a task of a running gang disappears: mates_gone in time, back to the last checkpoint',
     job: { checkpointS: 4, runS: 30 },
-    act: async ({ world, worker, start, seen, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
+    act: async ({ world, worker, seen, progress, startAndRun }) => {
+      await startAndRun(7);
       worker(1).die();
       await world.run(1);
       assert.deepEqual([seen(0), seen(2)], ['running', 'running']);
--- a/test/world/commanded-gang.ts
+++ b/test/world/commanded-gang.ts
@@ -11,7 +11,7 @@
  * A gang of three on three machines, commanded by the test: the controllers answer heartbeats and
  * no more.
  */
-export async function commandGang(job: Partial<SimJob>) {
+async function commandGang(job: Partial<SimJob>) {
   const world = new World(1, [['n0', 'a']]);
   world.kill('n0');
   await world.submit(JOB, { gang: true, tasks: 3, runS: 10, ...job });
@@ -31,6 +31,19 @@
   const start = (...indices: number[]): void => {
     for (const index of indices) assert.equal(call(index, 'launch', index), 200);
   };
+  /** Starts all three tasks; they run together after a second, and go on for so long. */
+  const startAndRun = async (forS: number): Promise<void> => {
+    start(0, 1, 2);
+    await world.run(1 + forS);
+  };
+  const stopAll = (graceS: number): void => {
+    for (const index of [0, 1, 2]) call(index, 'halt', index, 1, graceS);
+  };
+  /** Forgets the exited tasks of the first attempt and starts them under the second. */
+  const startSecondAttempt = (...indices: number[]): void => {
+    for (const index of indices) call(index, 'reap', index);
+    for (const index of indices) call(index, 'launch', index, 2);
+  };
   /**
    * The state of its task in the heartbeats of machine `at`: "state", with cause and "stored" if
    * there are any.
@@ -45,11 +58,12 @@
   };
   const all = (): string[] => [seen(0), seen(1), seen(2)];
   const progress = (): number => (world.gangs.savedProgressMs.get(JOB) ?? 0) / 1000;
-  return { world, worker, call, start, seen, all, progress };
+  const steps = { call, start, startAndRun, stopAll, startSecondAttempt };
+  return { world, worker, ...steps, seen, all, progress };
 }
 
 /** The gang, its world, and what a test commands and sees of it. */
-export type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
+type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
 
 /** What is seen of three tasks in the same state. */
 export const allThree = (state: string): string[] => [state, state, state];
--- a/test/world/failure-detection-case.ts
+++ b/test/world/failure-detection-case.ts
@@ -100,7 +100,7 @@
 }
 
 /** The reasons for which roles were taken. */
-export function takeoverReasons(records: readonly DetectionRecord[]): Set<string> {
+function takeoverReasons(records: readonly DetectionRecord[]): Set<string> {
   const reasons = new Set<string>();
   for (const record of records) {
     if (record.type === 'decision' && record.action === 'take') reasons.add(record.why);
--- /dev/null
+++ b/test/world/fault-steps.ts
@@ -0,0 +1,35 @@
+/** Steps that the scripts of faults share. */
+import type { SimWorker } from './worker.js';
+import type { World } from './world.js';
+
+/** What a test may set on a worker to disturb its messages. */
+type MessageFaults = Partial<
+  Pick<
+    SimWorker,
+    | 'directDelayMs'
+    | 'directDuplicatesAfterMs'
+    | 'heartbeatDelayMs'
+    | 'heartbeatDuplicatesAfterMs'
+    | 'losesHeartbeats'
+  >
+>;
+
+/** Sets faults of messages on all workers that are up; zero and empty values end them. */
+export function setOnAllWorkers(
+  cluster: { workers: ReadonlyMap<string, SimWorker> },
+  faults: MessageFaults,
+): void {
+  for (const worker of cluster.workers.values()) Object.assign(worker, faults);
+}
+
+/** Kills a controller and starts it again after `downS` seconds. */
+export async function restartController(world: World, name: string, downS: number): Promise<void> {
+  world.kill(name);
+  await world.run(downS);
+  world.boot(name);
+}
+
+/** Cuts a machine off from all controllers. */
+export function cutOffMachine(world: World, machine: string): void {
+  for (const [name] of world.members) world.cutLinks.add(`${name}>${machine}`);
+}
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -9,6 +9,7 @@
 import { stageOf, type Reply, type SimJob } from './jobs.js';
 import type { SimWorker } from './worker.js';
 import type { World } from './world.js';
+import { cutOffMachine } from './fault-steps.js';
 
 /** s after which the tasks of a machine without heartbeats have ended. */
 export const LEASE_S = 24;
@@ -39,7 +40,7 @@
 }
 
 /** What a row works with: the world, what is recorded of it, and steps through time. */
-export class Scenario {
+class Scenario {
   readonly recorder: GangRecorder;
 
   constructor(readonly world: World) {
@@ -97,8 +98,7 @@
 
   /** Cuts a machine from all controllers. */
   cutOff(worker: SimWorker): void {
-    for (const [node] of this.world.members)
-      this.world.cutLinks.add(`${node}>${worker.machine.name}`);
+    cutOffMachine(this.world, worker.machine.name);
   }
 
   /** The controllers that own shards with shares of a job. */
--- a/test/world/gang-steps.ts
+++ b/test/world/gang-steps.ts
@@ -7,6 +7,7 @@
 import { FLEET } from './settings.js';
 import type { SimWorker } from './worker.js';
 import { World } from './world.js';
+import { restartController } from './fault-steps.js';
 
 /** The gang that a row is about, and a second job beside it. */
 export const GANG = 'j-000001';
@@ -18,6 +19,9 @@
 /** Turns after which a request counts as unanswered. */
 const MAX_STEPS = 400;
 
+/** s for which a killed controller is down. */
+export const RESTART_S = 4;
+
 /** A gang, what happens to it, and the jobs that must get done. */
 export interface GangCase {
   name: string;
@@ -112,18 +116,11 @@
     .map(readAssignmentKey)
     .flatMap((assignment) => (assignment?.job === id ? [assignment.shard] : []));
 
-/** Kills the controller that owns a shard with tasks of the job; it is back 4 s later. */
+/** Kills the controller that owns a shard with tasks of the job; it is back after `RESTART_S`. */
 export async function restartShardOwner(world: World, id: string): Promise<void> {
   const [shard] = shardsOf(world, id);
   assert.ok(shard, `no shard holds ${id}`);
-  await restartController(world, roleHolder(world, shardRole(shard)));
-}
-
-/** Kills a controller; it is back 4 s later. */
-export async function restartController(world: World, node: string): Promise<void> {
-  world.kill(node);
-  await world.run(4);
-  world.boot(node);
+  await restartController(world, roleHolder(world, shardRole(shard)), RESTART_S);
 }
 
 /** All is over: the state at every controller, and nothing of it left on machines or in the store. */
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -14,7 +14,7 @@
 export const LATER = { later: { added: [1] } };
 
 /** Stores records as they are. */
-export const put = (state: SimKeyValueStore, records: Records): void =>
+const put = (state: SimKeyValueStore, records: Records): void =>
   state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
 
 /** What a controller holds of these records. */
--- a/test/world/older-versions.ts
+++ b/test/world/older-versions.ts
@@ -12,20 +12,20 @@
 } from './older-checks.js';
 
 /** A version before this one, as a reader of records. */
-export interface OlderVersion {
+interface OlderVersion {
   commit: string;
   /** What it would read wrongly, or fail on; none: it reads the record, or passes it over. */
   objections: (key: string, value: unknown) => string[];
 }
 
 /** In production: before gangs. */
-export const PRODUCTION: OlderVersion = {
+const PRODUCTION: OlderVersion = {
   commit: '89f79d3',
   objections: (key, value) => objectionsBy(CHECKS, key, value),
 };
 
 /** With gangs, with chunks, arms and the catalogue in several records each. */
-export const WITH_GANGS: OlderVersion = {
+const WITH_GANGS: OlderVersion = {
   commit: 'df7a3ba',
   objections: (key, value) =>
     objectionsBy(
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -5,6 +5,7 @@
 import { awaitReply } from './await-reply.js';
 import type { SimWorker } from './worker.js';
 import { World, type Members } from './world.js';
+import { restartController } from './fault-steps.js';
 
 /** Two faults that overlap. After each case the invariants must hold, and all work must get done. */
 export interface OverlappingFaultsCase {
@@ -90,9 +91,7 @@
 /** The leader is killed and back at once; another one has taken over first if it is slow. */
 export async function restartLeader(world: World, downS: number): Promise<void> {
   const name = world.leader;
-  world.kill(name);
-  await world.run(downS);
-  world.boot(name);
+  await restartController(world, name, downS);
 }
 
 /** Plays a meeting by this seed; afterwards the rules must hold, and every job be as it should. */
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -75,7 +75,7 @@
 ] as const;
 
 /** The frames that controllers send one another, in hexadecimal digits. */
-export function peerForms(): Forms {
+function peerForms(): Forms {
   const forms: Forms = {};
   for (const [name, message] of Object.entries(PEER_MESSAGES)) {
     forms[`peer: ${name}`] = hexOf(encodePeer(message));
@@ -89,7 +89,7 @@
 }
 
 /** The answers to workers and users, and the commands sent to workers. */
-export function answerForms(): Forms {
+function answerForms(): Forms {
   const task = { job: 'j-000412', index: 3 };
   const commands = [
     { op: 'start' as const, task, attempt: 2 ** 45 },
@@ -133,7 +133,7 @@
 }
 
 /** The requests to the state service, and what is read of its answers. */
-export async function stateForms(): Promise<Forms> {
+async function stateForms(): Promise<Forms> {
   const requests: string[] = [];
   const client = notingClient(requests, {
     '/kv?': {
@@ -178,7 +178,7 @@
 }
 
 /** The requests to the cloud, and what is read of its answers. */
-export async function cloudForms(): Promise<Forms> {
+async function cloudForms(): Promise<Forms> {
   const requests: string[] = [];
   const type = {
     label: 'g8',
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -45,7 +45,7 @@
 ];
 
 /** A small cluster that has run jobs of all kinds; some of them still run. */
-export async function busyWorld(): Promise<World> {
+async function busyWorld(): Promise<World> {
   const world = new World(7, undefined, { suspicion: null });
   await world.run(8);
   void world.submit('j-000001', { tasks: 3, runS: 4 });
