--- a/packages/detection-report/src/plots.ts
+++ b/packages/detection-report/src/plots.ts
@@ -5,7 +5,7 @@
 import type { ProbeQuantiles } from './probe-quantiles.js';
 import type { DecisionRecord, DetectionRecord, TransitionRecord } from './records.js';
 
-/** States and their colours, told apart also by those who see no red or green. */
+/** States and their colours, distinguishable also without seeing red or green. */
 const STATE_COLOURS = {
   domain: ['unknown', 'alive', 'suspect', 'failed'],
   range: ['#d0d0d0', '#4c9f70', '#e9b44c', '#b3365b'],
--- a/packages/failure-detector/src/constants.ts
+++ b/packages/failure-detector/src/constants.ts
@@ -6,7 +6,7 @@
 export const TICKS_PER_INTERVAL = 4;
 /** Members that are asked for an indirect probe, as in SWIM: one lost message decides nothing. */
 export const INDIRECT_PROBES = 3;
-/** Independent witnesses that confirm a failure at the most, as in Lifeguard: more only take time. */
+/** At most so many independent witnesses confirm a failure, as in Lifeguard: more only take time. */
 export const QUORUM_MOST = 3;
 /** Score of the local health at its worst; time-outs are this many times longer, plus one. */
 export const LOCAL_HEALTH_WORST = 8;
@@ -16,9 +16,9 @@
 export const UPDATES_PER_MESSAGE = 8;
 /** Times log2 of the member count that an update is sent, as in SWIM: reaches all with high odds. */
 export const RETRANSMIT_FACTOR = 3;
-/** Updates that wait to be sent; the oldest give way. */
+/** Bound on queued updates; the oldest are dropped. */
 export const UPDATES_WAITING = 256;
-/** Share of the probe time-out after which a helper says that it could not reach the target. */
+/** Share of the probe time-out after which a helper answers that it could not reach the target. */
 export const HELPER_SHARE = 0.8;
 /** Probes on behalf of others under way at once; more are not answered. */
 export const HELPED_PROBES = 64;
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -27,9 +27,9 @@
 /** Answers with which a message is sent back over the connection that it came on. */
 export type Reply = (message: DetectorMessage) => void;
 
-/** Watches the other members. It never says that a process has ended, unless a later one proves it. */
+/** Monitors the other members. It reports a process as ended only if a later one proves it. */
 export class FailureDetector {
-  /** What happened since the start. */
+  /** Events since the start. */
   readonly counts: DetectorCounts = noCounts();
   private readonly health = new LocalHealth();
   private readonly names: ReadonlySet<string>;
@@ -66,7 +66,7 @@
         unreached: (member, sentAt) => this.unreached(member, sentAt),
       },
     });
-    // Members that start together don't probe in step.
+    // Members that start together must not probe in lockstep.
     this.nextProbeAt = clock.now() + random() * timing.probeIntervalMs;
   }
 
@@ -75,13 +75,13 @@
     this.scheduleTick();
   }
 
-  /** Ends all probing. */
+  /** Stops all probing. */
   stop(): void {
     this.cancelTick?.();
     this.cancelTick = null;
   }
 
-  /** How a member looks to this one. */
+  /** The state of a member in the view of this one. */
   stateOf(member: string): MemberState {
     return this.table.get(member)?.state ?? 'unknown';
   }
@@ -91,7 +91,7 @@
     return this.table.get(member)?.suspicion?.startedAt ?? null;
   }
 
-  /** What the evidence on an instance amounts to; proofs of life count from `since` on. */
+  /** The verdict on an instance by the evidence; proofs of life count from `since` on. */
   verdict(member: string, instance: string, since: number): Verdict | null {
     const known = this.table.get(member);
     return known ? this.table.verdict(known, instance, since) : null;
@@ -102,7 +102,7 @@
     if (this.table.get(member)) this.probes.begin(member);
   }
 
-  /** How far this member trusts itself; 0: wholly. */
+  /** Local health score: how far this member trusts itself; 0: fully. */
   get localHealthScore(): number {
     return this.health.score;
   }
@@ -112,7 +112,7 @@
     return this.probes.counts;
   }
 
-  /** Round-trip times since they were last taken. */
+  /** Round-trip times since the last call, which clears them. */
   takeProbeTimes(): ProbeTimes[] {
     return [...this.table.all()].map((member) => ({
       member: member.name,
@@ -166,7 +166,7 @@
       table: this.table,
       health: this.health,
       onDropped: (reason) => this.drop(reason),
-      // Each member looks for itself: a slow witness brings nobody down.
+      // Each member probes for itself: one slow witness cannot make a member fail.
       onReported: (member) => this.probes.begin(member),
     });
   }
--- a/packages/failure-detector/src/dissemination.ts
+++ b/packages/failure-detector/src/dissemination.ts
@@ -1,4 +1,4 @@
-/** Updates that ride on messages until each was sent often enough to have reached all members. */
+/** Updates piggybacked on messages until each was sent often enough to have reached all members. */
 
 import { RETRANSMIT_FACTOR, UPDATES_PER_MESSAGE, UPDATES_WAITING } from './constants.js';
 import type { MemberUpdate } from './messages.js';
@@ -8,7 +8,7 @@
   sends: number;
 }
 
-/** The updates that wait to be sent; a newer one about the same takes the place of an older. */
+/** The updates queued for sending; a newer one about the same member replaces an older one. */
 export class Dissemination {
   private readonly waiting = new Map<string, WaitingUpdate>();
   private readonly sendsMost: number;
@@ -17,7 +17,7 @@
     this.sendsMost = Math.ceil(RETRANSMIT_FACTOR * Math.log2(memberCount + 1));
   }
 
-  /** Number of updates that wait. */
+  /** Number of queued updates. */
   get size(): number {
     return this.waiting.size;
   }
@@ -31,7 +31,7 @@
     if (this.waiting.size > UPDATES_WAITING && oldest !== undefined) this.waiting.delete(oldest);
   }
 
-  /** Drops what is told of a member at older incarnations, or of another instance. */
+  /** Drops updates about a member at older incarnations, or about another instance. */
   supersede(member: string, instance: string, incarnation: number): void {
     for (const [key, { update }] of this.waiting) {
       if (update.member !== member) continue;
--- a/packages/failure-detector/src/helped-probes.ts
+++ b/packages/failure-detector/src/helped-probes.ts
@@ -14,10 +14,10 @@
   readonly answerBy: number;
 }
 
-/** What probes for others are made with. */
+/** Dependencies of probes for others. */
 export interface HelpedProbesOptions {
   readonly now: () => number;
-  /** ms after which the requester is told that the target could not be reached. */
+  /** ms after which the requester is notified that the target could not be reached. */
   readonly answerWithinMs: number;
   readonly send: (member: string, body: DetectorBody) => boolean;
 }
--- a/packages/failure-detector/src/history.ts
+++ b/packages/failure-detector/src/history.ts
@@ -1,4 +1,4 @@
-/** The latest of what happened, bounded, and counts of all of it since the start. */
+/** The latest events, bounded, and counts of all events since the start. */
 
 import type { DropReason } from './messages.js';
 
@@ -38,7 +38,7 @@
   };
 }
 
-/** Keeps the latest entries; the oldest give way. */
+/** Keeps the latest entries and drops the oldest. */
 export class BoundedHistory<Entry> {
   private readonly kept: Entry[] = [];
 
--- a/packages/failure-detector/src/local-health.ts
+++ b/packages/failure-detector/src/local-health.ts
@@ -21,7 +21,7 @@
     this.add(-1);
   }
 
-  /** A probe failed; each helper that did not even say so is a sign that this member is at fault. */
+  /** A probe failed; each helper that did not even report that is a sign that this member is at fault. */
   probeFailed(silentHelpers: number): void {
     this.add(silentHelpers);
   }
--- a/packages/failure-detector/src/member-table.ts
+++ b/packages/failure-detector/src/member-table.ts
@@ -13,7 +13,7 @@
 } from './types.js';
 import { verdictOf, type Verdict } from './verdict.js';
 
-/** What the table works with. */
+/** Dependencies of the table. */
 export interface MemberTableOptions {
   readonly self: string;
   readonly others: readonly string[];
@@ -32,7 +32,7 @@
   readonly storeAnswers: boolean;
 }
 
-/** All other members; who is not in it is no member. */
+/** All other members; a name that is not in it is no member. */
 export class MemberTable {
   private readonly members: ReadonlyMap<string, RemoteMember>;
 
--- a/packages/failure-detector/src/messages.ts
+++ b/packages/failure-detector/src/messages.ts
@@ -14,7 +14,7 @@
   readonly storeAnswers: boolean;
 }
 
-/** What a message asks or tells. */
+/** Kinds of messages. */
 export type DetectorBody =
   | { readonly kind: 'ping'; readonly sequence: number }
   | { readonly kind: 'ack'; readonly sequence: number }
@@ -30,7 +30,7 @@
       readonly incarnation: number;
     };
 
-/** A message with what every message says of its sender. */
+/** A message with the fields of its sender that every message has. */
 export interface DetectorMessage {
   readonly cluster: string;
   readonly from: string;
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -6,14 +6,14 @@
 import type { DetectorBody } from './messages.js';
 import type { ProbeAnswer } from './remote-member.js';
 
-/** What became of a probe. */
+/** Outcomes of a probe. */
 interface ProbeResults {
   reached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
   /** `sentAt`: steady time in ms of the direct probe. */
   unreached(member: string, sentAt: number): void;
 }
 
-/** What probes are sent with. */
+/** Dependencies of sending probes. */
 export interface ProbesOptions {
   readonly now: () => number;
   readonly timeoutMs: number;
@@ -79,7 +79,7 @@
     if (isReached) this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, null);
   }
 
-  /** Asks helpers and gives probes up as their times come. */
+  /** Asks helpers, and gives probes up, once their deadlines have passed. */
   advance(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** This process was paused so long: answers may wait unread, and get the time to be read. */
+  /** This process was paused for so long: deadlines move, so that answers still unread can be read. */
   extend(byMs: number): void {
     for (const probe of this.pending.values()) {
       probe.failsAt += byMs;
--- a/packages/failure-detector/src/remote-member.ts
+++ b/packages/failure-detector/src/remote-member.ts
@@ -62,7 +62,7 @@
     if (this.probeTimes.length > PROBE_TIMES) this.probeTimes.shift();
   }
 
-  /** The round-trip times that were not taken yet, in ms. */
+  /** The round-trip times that were not collected yet, in ms. */
   takeProbeTimes(): number[] {
     const times = this.probeTimes;
     this.probeTimes = [];
--- a/packages/failure-detector/src/rumours.ts
+++ b/packages/failure-detector/src/rumours.ts
@@ -1,4 +1,4 @@
-/** Rumours about members: those that come in, and those that ride on this member's messages. */
+/** Gossip about members: what is received, and what is piggybacked on this member's messages. */
 
 import { REPORT_INTERVALS, UPDATES_PER_MESSAGE } from './constants.js';
 import { Dissemination } from './dissemination.js';
@@ -8,14 +8,14 @@
 import type { RemoteMember } from './remote-member.js';
 import type { FailureDetectorOptions } from './types.js';
 
-/** What rumours are handled with. */
+/** Dependencies of the handling of rumours. */
 export interface RumoursOptions {
   readonly detector: FailureDetectorOptions;
   readonly names: ReadonlySet<string>;
   readonly table: MemberTable;
   readonly health: LocalHealth;
   readonly onDropped: (reason: DropReason) => void;
-  /** A member was reported by a witness for the first time: this member looks for itself. */
+  /** A member was reported by a witness for the first time: this member probes it itself. */
   readonly onReported: (member: string) => void;
 }
 
@@ -107,7 +107,7 @@
     this.options.onReported(member.name);
   }
 
-  /** This member is suspected: it says that it lives, under a higher incarnation. */
+  /** This member is suspected: it refutes that, under a higher incarnation. */
   private refute(update: MemberUpdate): void {
     if (update.state !== 'suspect' || update.instance !== this.instance) return;
     if (update.incarnation < this.ownIncarnation) return;
--- a/packages/failure-detector/src/types.ts
+++ b/packages/failure-detector/src/types.ts
@@ -1,4 +1,4 @@
-/** What the detector is given, and what it tells. */
+/** The detector's environment and its events. */
 
 import type { DetectorMessage } from './messages.js';
 import type { Evidence } from './verdict.js';
@@ -18,7 +18,7 @@
   send(member: string, message: DetectorMessage): boolean;
 }
 
-/** How a member looks to this one. `unknown`: it has never answered a probe. */
+/** The state of a member in the view of this one. `unknown`: it has never answered a probe. */
 export type MemberState = 'unknown' | 'alive' | 'suspect' | 'failed';
 
 /** Why a member's state changed. */
@@ -46,7 +46,7 @@
   readonly silentMs: number | null;
 }
 
-/** Hears of changes. */
+/** Is notified of changes. */
 export interface DetectorObserver {
   changed(transition: Transition): void;
 }
--- a/packages/failure-detector/src/verdict.ts
+++ b/packages/failure-detector/src/verdict.ts
@@ -1,4 +1,4 @@
-/** What the evidence on one instance of a member amounts to. */
+/** The verdict that the evidence on one instance of a member supports. */
 
 import { QUORUM_MOST } from './constants.js';
 
@@ -83,7 +83,7 @@
   if (newerInstance) return 'replaced';
   if (!input.isSupported) return 'unsupported';
   if (reachedAt !== null && reachedAt >= since) return 'reachable';
-  // Reports alone are not enough: they may be late, while this member can look for itself.
+  // Reports alone are not enough: they may be late, while this member can probe for itself.
   const isConfirmed = witnesses.includes(self) && witnesses.length >= quorum;
   return isConfirmed ? 'failed' : 'unconfirmed';
 }
--- a/packages/failure-detector/src/witness-reports.ts
+++ b/packages/failure-detector/src/witness-reports.ts
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Forgets all: they were about another instance. */
+  /** Forgets all reports: they were about another instance. */
   clear(): void {
     this.reports.clear();
   }
--- a/test/loopback/cloud-front.ts
+++ b/test/loopback/cloud-front.ts
@@ -1,4 +1,4 @@
-/** The cloud's protocol over HTTP, in front of the simulated key-value store. */
+/** The cloud's protocol over HTTP, in front of the simulated cloud. */
 import type { SimCloud } from '../world/cloud.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
 
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -28,7 +28,7 @@
 /** Machines that can have an address. */
 const MACHINES = 24;
 
-/** Stand-ins never end by themselves: their timers don't keep the test's process alive. */
+/** The simulated parts never end by themselves: their timers don't keep the test's process alive. */
 const stoppableClock: Clock = {
   ...systemClock,
   after: (delayMs, callback) => {
@@ -109,7 +109,7 @@
     );
   }
 
-  /** Opens the stand-ins and starts all controllers. */
+  /** Opens the servers of the simulated parts and starts all controllers. */
   static async start(options: ClusterOptions): Promise<LoopbackCluster> {
     const cluster = new LoopbackCluster(options);
     await cluster.open();
@@ -154,12 +154,12 @@
       .filter((name) => !this.store.entries.has(machineKey(name)));
   }
 
-  /** Orders of earlier owners that workers refused. */
+  /** Commands of earlier owners that workers rejected. */
   get staleCommands(): number {
     return [...this.workers.values()].reduce((sum, worker) => sum + worker.staleCommands, 0);
   }
 
-  /** Waits until something holds, judging as it goes; throws when it takes too long. */
+  /** Waits until something holds, checking the invariants meanwhile; throws when it takes too long. */
   async waitUntil(
     what: string,
     limitS: number,
@@ -198,7 +198,7 @@
     return (await this.call(at, 'GET', '/ready', null, 1_000)).status === 200;
   }
 
-  // --- Surroundings --------------------------------------------------------------------------
+  // --- Environment ---------------------------------------------------------------------------
 
   randomBelow(most: number): number {
     return uniformInt(this.random, 0, most - 1);
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -14,7 +14,7 @@
   /** What it logged, over all its starts. */
   readonly log: LogLine[] = [];
   private child: ChildProcess | null = null;
-  /** The last line that is no log line: why it could not start, say. */
+  /** The last line that is not a log line, such as why it could not start. */
   lastPlainLine = '';
   private incompleteLine = '';
 
@@ -29,7 +29,7 @@
     child.stderr.on('data', (bytes: Buffer) => this.read(bytes.toString()));
   }
 
-  /** It ended by itself. */
+  /** Whether it ended by itself. */
   get hasEnded(): boolean {
     return this.child !== null && this.child.exitCode !== null;
   }
--- a/test/loopback/http-front.ts
+++ b/test/loopback/http-front.ts
@@ -1,11 +1,11 @@
-/** HTTP servers of the stand-ins on loopback, and a client for requests to controllers. */
+/** HTTP servers of the simulated parts on loopback, and a client for requests to controllers. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** What a stand-in answers; null: nothing, the connection ends. */
+/** The answer of a simulated part; null: none, the connection is closed. */
 export type FrontReply = { status: number; body: unknown } | null;
 
-/** A request to a stand-in. */
+/** A request to a simulated part. */
 export interface FrontRequest {
   method: string;
   path: string;
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -34,7 +34,7 @@
     this.cancelRequests.add(id);
   }
 
-  /** A question about a job got no answer at all. */
+  /** A poll of a job got no answer at all. */
   recordNoReply(kind: RequestKind, id: string): void {
     this.recordPoll(kind, id, false);
   }
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -117,6 +117,6 @@
       assert.equal(stageOf(reply), want, `${id} at ${node}: ${reply.status}`);
     }
   }
-  // These answers are judged too.
+  // The answers to these polls are checked too.
   assert.deepEqual(world.violations, []);
 }
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -1,4 +1,4 @@
-/** What stand-ins need of the world around them: simulated, or of real processes on loopback. */
+/** The environment that the simulated parts need: simulated too, or real processes on loopback. */
 import type { Settings } from '../../src/protocol/settings.js';
 import type { Clock } from '../../src/transport/clock.js';
 import type { SimGangs } from './gang.js';
@@ -11,7 +11,7 @@
   readonly node: { heartbeat(body: string): Promise<Answer> };
 }
 
-/** The world around workers, cloud and judge. */
+/** The environment of the simulated workers, cloud and invariant checker. */
 export interface SimulationHost {
   readonly clock: Clock;
   readonly members: readonly (readonly [string, string])[];
