--- a/test/api/degraded-controllers.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -1,4 +1,4 @@
-/** Nodes that take users and can't decide alone: each request is answered in its time, by whoever can. */
+/** Controllers that serve users and can't decide alone: each request is answered in time, by one that can. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Reply } from '../world/jobs.js';
@@ -11,7 +11,7 @@
 
 interface UnableNode {
   name: string;
-  /** What node n0 loses. */
+  /** What controller n0 loses. */
   lose: (world: World) => void;
   /** Its peers answer for it. */
   isServed: boolean;
@@ -22,33 +22,33 @@
 }
 
 const others = ['n1', 'n2'];
-const refused = (world: World): void => void world.state.refused.add('n0');
+const refused = (world: World): void => void world.store.refusedControllers.add('n0');
 const cutPeers = (world: World): void => {
-  for (const peer of others) world.cuts.add(`n0>${peer}`);
+  for (const peer of others) world.cutLinks.add(`n0>${peer}`);
 };
 
 const UNABLE: UnableNode[] = [
-  { name: 'the state service', lose: refused, isServed: true, isReady: [true, true] },
+  { name: 'the key-value store', lose: refused, isServed: true, isReady: [true, true] },
   {
-    name: 'the state service, while its first peer stands still',
+    name: 'the key-value store, while its first peer is paused',
     lose: (world) => {
       refused(world);
-      world.freeze('n1', 60);
+      world.pause('n1', 60);
     },
     isServed: true,
     isReady: [true, true],
   },
   {
-    name: 'the state service, while a peer drops what it is sent',
+    name: 'the key-value store, while a peer drops what it is sent',
     lose: (world) => {
       refused(world);
-      world.dropped.add('n0>n1');
+      world.lossyLinks.add('n0>n1');
     },
     isServed: true,
     isReady: [true, true],
   },
   {
-    name: 'the state service and its peers',
+    name: 'the key-value store and its peers',
     lose: (world) => {
       refused(world);
       cutPeers(world);
@@ -57,19 +57,19 @@
     isReady: [false, false],
   },
   {
-    name: 'the state service and its peers, unnoticed',
+    name: 'the key-value store and its peers, unnoticed',
     lose: (world) => {
       refused(world);
-      for (const peer of others) world.dropped.add(`n0>${peer}`);
+      for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
     isReady: [false, false],
   },
   {
-    name: 'the state service and its peers, and nothing answers',
+    name: 'the key-value store and its peers, and nothing answers',
     lose: (world) => {
-      world.state.hanging.add('n0');
-      for (const peer of others) world.dropped.add(`n0>${peer}`);
+      world.store.unansweredControllers.add('n0');
+      for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
     // It takes until its requests are given up, and then those to its peers.
@@ -77,9 +77,9 @@
   },
   { name: 'its peers', lose: cutPeers, isServed: true, isReady: [true, true] },
   {
-    name: 'the state service, as all do',
+    name: 'the key-value store, as all do',
     lose: (world) => {
-      world.state.outage = true;
+      world.store.hasOutage = true;
     },
     isServed: false,
     isReady: [true, true],
@@ -95,10 +95,10 @@
   return answered;
 }
 
-// Peers were asked one after the other, each for 2.5 s: behind one that stood still no poll was answered
-// in the 2 s that users wait. And a node that had lost the state service and its peers went on taking
+// Peers were asked one after the other, each for 2.5 s: behind one that was paused no poll was answered
+// in the 2 s that users wait. And a controller that had lost the key-value store and its peers went on taking
 // users, whose every question failed as long as it lasted.
-test('unable nodes: each request is answered in time, and users are only taken if one can be', async () => {
+test('degraded controllers: each request is answered in time, and users are accepted only if one can be', async () => {
   const wrong: string[] = [];
   for (const { name, lose, isServed, isReady, submittedMs = CHANGE_MS } of UNABLE) {
     const world = new World(41);
@@ -134,26 +134,26 @@
       if (ms > POLL_MS) wrong.push(`${name}: later poll after ${ms} ms`);
     }
     if (String(seen) !== String(isReady)) wrong.push(`${name}: ready ${String(seen)}`);
-    world.state.refused.clear();
-    world.state.hanging.clear();
-    world.state.endOutage();
+    world.store.refusedControllers.clear();
+    world.store.unansweredControllers.clear();
+    world.store.endOutage();
     await world.run(10);
     if (!node()) wrong.push(`${name}: not ready again`);
-    assert.deepEqual(world.broken, [], name);
+    assert.deepEqual(world.violations, [], name);
   }
   assert.deepEqual(wrong, []);
 });
 
-test('unable nodes: a controller without others stays ready in an outage', async () => {
+test('degraded controllers: a single controller stays ready in an outage', async () => {
   const world = new World(42, [['n0', 'a']]);
   await world.run(7);
-  world.state.outage = true;
+  world.store.hasOutage = true;
   await world.run(10);
   assert.equal(world.nodes.get('n0')?.node.isReady, true);
 });
 
-// What it found out before speaks of a moment that has passed: the job may have been accepted since.
-test('unable nodes: a node that stood still tells nothing of before', async () => {
+// What it read before the pause may be out of date: the job may have been accepted since.
+test('degraded controllers: a controller that was paused gives no answer from before the pause', async () => {
   const world = new World(43);
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
@@ -163,24 +163,24 @@
     world.submit('j-000011', {}, 'n0', { crew: 'nobody' }),
     world.cancel('j-000012'),
   ];
-  // Its questions to the state service are under way.
+  // Its questions to the key-value store are under way.
   await world.clock.run(world.clock.now() + 18);
-  world.freeze('n0', 20);
+  world.pause('n0', 20);
   await world.run(25);
   const statuses = (await Promise.all(requests)).map(({ status }) => status);
   assert.deepEqual(statuses, [503, 503, 503, 503]);
 });
 
-test('unable nodes: a node is ready again once a peer replies again', async () => {
+test('degraded controllers: a controller is ready again once a peer replies again', async () => {
   const world = new World(44);
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
-  world.state.refused.add('n0');
-  for (const peer of others) world.dropped.add(`n0>${peer}`);
+  world.store.refusedControllers.add('n0');
+  for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
   await world.run(3);
   await timed(world, world.poll('j-000009'));
   assert.equal(world.nodes.get('n0')?.node.isReady, false);
-  world.dropped.delete('n0>n2');
+  world.lossyLinks.delete('n0>n2');
   await world.run(5);
   assert.equal(world.nodes.get('n0')?.node.isReady, true);
   assert.equal((await timed(world, world.poll('j-000009'))).reply.status, 404);
--- a/test/capacity/machine-inventory.test.ts
+++ b/test/capacity/machine-inventory.test.ts
@@ -58,9 +58,9 @@
   return { replica, inventory, count, revision };
 }
 
-// Each scheduling cycle decoded the records of the whole fleet anew: an eighth of its processor
-// time on a small controller, in one stretch that held up the heartbeats of workers.
-test('a scheduling cycle decodes only the records that changed, and lists 4,000 machines', () => {
+// Each pass of the leader decoded the records of the whole fleet anew: an eighth of its processor
+// time on a small controller, in one stretch that delayed the heartbeats of workers.
+test('a pass decodes only the records that changed, and lists 4,000 machines', () => {
   const { replica, inventory, count, revision } = largeFleet();
   const pages = MACHINES / PER_SHARD / 2;
   for (let cycle = 0; cycle < 5; cycle++) {
--- a/test/cluster/controller-faults.test.ts
+++ b/test/cluster/controller-faults.test.ts
@@ -1,84 +1,79 @@
-/** The rules hold through troubles of controllers and of the state service. */
+/** The invariants hold through faults of controllers and of the key-value store. */
 import { test } from 'node:test';
-import { playCase, type RuleCase } from '../world/fault-case.js';
-import { WATCHFUL } from '../world/suspicion.js';
+import { playFaultCase, type FaultCase } from '../world/fault-case.js';
+import { WITH_FAILURE_DETECTION } from '../world/failure-detection-case.js';
+import { restartController } from '../world/fault-steps.js';
 
-const CASES: RuleCase[] = [
-  { name: 'a quiet day', trouble: (world) => world.run(20) },
+const CASES: FaultCase[] = [
+  { name: 'no fault', fault: (world) => world.run(20) },
   {
-    name: 'a node killed and started again',
-    trouble: async (world) => {
-      world.kill('n1');
-      await world.run(4);
-      world.boot('n1');
+    name: 'a controller killed and started again',
+    fault: async (world) => {
+      await restartController(world, 'n1', 4);
       await world.run(20);
     },
   },
   {
-    name: 'a node killed and started again at once',
-    trouble: async (world) => {
-      world.kill('n0');
-      await world.run(0.2);
-      world.boot('n0');
+    name: 'a controller killed and started again at once',
+    fault: async (world) => {
+      await restartController(world, 'n0', 0.2);
       await world.run(20);
     },
   },
   {
-    name: 'a node that stays dead',
-    trouble: async (world) => {
-      world.kill('n2');
-      await world.run(70);
-      world.boot('n2');
+    name: 'a controller that is not restarted',
+    fault: async (world) => {
+      await restartController(world, 'n2', 70);
       await world.run(10);
     },
   },
   {
-    name: 'all nodes killed in a state outage',
-    trouble: async (world) => {
-      world.state.outage = true;
+    name: 'all controllers killed in an outage of the key-value store',
+    fault: async (world) => {
+      world.store.hasOutage = true;
       await world.run(10);
       for (const [name] of world.members) world.kill(name);
       await world.run(4);
       for (const [name] of world.members) world.boot(name);
       await world.run(10);
-      world.state.endOutage();
+      world.store.endOutage();
       await world.run(30);
     },
   },
   {
-    name: 'a node that only the state service refuses',
-    trouble: async (world) => {
-      world.state.refused.add('n1');
+    name: 'a controller that only the key-value store refuses',
+    fault: async (world) => {
+      world.store.refusedControllers.add('n1');
       await world.run(60);
-      world.state.refused.delete('n1');
+      world.store.refusedControllers.delete('n1');
       await world.run(10);
     },
   },
   {
     name: 'a transaction that is applied late',
-    trouble: async (world) => {
-      for (const [node] of world.members) world.state.late.set(node, 9000);
+    fault: async (world) => {
+      for (const [node] of world.members) world.store.delayNextTransactionMs.set(node, 9000);
       await world.run(40);
     },
   },
   {
-    name: 'a node with its workers but without state service and peers',
-    trouble: async (world) => {
-      world.state.refused.add('n0');
-      for (const [peer] of world.members) if (peer !== 'n0') world.cuts.add(`n0>${peer}`);
+    name: 'a controller with its workers but without key-value store and peers',
+    fault: async (world) => {
+      world.store.refusedControllers.add('n0');
+      for (const [peer] of world.members) if (peer !== 'n0') world.cutLinks.add(`n0>${peer}`);
       await world.run(70);
-      world.state.refused.clear();
-      world.cuts.clear();
+      world.store.refusedControllers.clear();
+      world.cutLinks.clear();
       await world.run(10);
     },
   },
   {
-    name: 'nodes that stand still for seconds, for most of their grace and beyond it',
-    trouble: async (world) => {
+    name: 'controllers that are paused for seconds, for most of their grace and beyond it',
+    fault: async (world) => {
       for (const [at, seconds] of [6, 18, 40].entries()) {
         void world.submit(`j-10000${at}`, { service: true, spot: false, tasks: 2 });
         await world.run(5);
-        world.freeze(`n${at}`, seconds);
+        world.pause(`n${at}`, seconds);
         await world.run(4);
         void world.cancel(`j-10000${at}`, `n${(at + 1) % 3}`);
         await world.run(seconds + 6);
@@ -86,17 +81,15 @@
     },
   },
   {
-    name: 'nodes back at once in the middle of an election, with late transactions',
-    trouble: async (world) => {
-      world.state.late.set('n0', 4000);
+    name: 'controllers back at once in the middle of an election, with late transactions',
+    fault: async (world) => {
+      world.store.delayNextTransactionMs.set('n0', 4000);
       world.kill('n2');
       await world.run(6.5);
       for (let turn = 0; turn < 4; turn++) {
         for (const [name] of world.members) {
-          world.state.late.set(name, 3000);
-          world.kill(name);
-          await world.run(0.2);
-          world.boot(name);
+          world.store.delayNextTransactionMs.set(name, 3000);
+          await restartController(world, name, 0.2);
         }
         await world.run(0.7);
       }
@@ -107,7 +100,9 @@
 
 for (const one of CASES) {
   for (const seed of [1, 2]) {
-    test(`rules hold and work gets done: ${one.name} (seed ${seed})`, () => playCase(one, seed));
+    test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
+      playFaultCase(one, seed));
   }
-  test(`rules hold with failure detection: ${one.name}`, () => playCase(one, 3, WATCHFUL));
+  test(`invariants hold with failure detection: ${one.name}`, () =>
+    playFaultCase(one, 3, WITH_FAILURE_DETECTION));
 }
--- a/test/cluster/large-fleet.test.ts
+++ b/test/cluster/large-fleet.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { FLEET, TEAMS } from '../world/settings.js';
 import { World } from '../world/world.js';
 
 const MACHINES = 4_000;
 const TASKS = 500;
 const SERVICES = 20;
-/** What such a deployment's settings say: more of what the state service takes, and larger teams. */
+/** What such a deployment's settings say: more of what the key-value store takes, and larger teams. */
 const LARGE = {
   teams: [...TEAMS, { name: 'all', cpus: 0, cpusMax: 20_000, gpus: 0, gpusMax: 0 }],
   storeRps: 400,
@@ -20,7 +20,7 @@
 
 const serviceId = (at: number): string => `j-1${String(at).padStart(5, '0')}`;
 
-/** Machines that the parts of all nodes know and call good. */
+/** Machines that the shards of all controllers know and call good. */
 function healthyMachines(world: World): number {
   let count = 0;
   for (const { node } of world.nodes.values()) {
@@ -33,14 +33,14 @@
   return count;
 }
 
-test('4,000 machines report, get work, and keep it when the leader ends and when all do', async () => {
+test('4,000 machines send heartbeats, get work, and keep it when the leader ends and when all do', async () => {
   const world = new World(11, undefined, LARGE);
-  world.state.transactionOps = LARGE.transactionOps;
+  world.store.transactionOps = LARGE.transactionOps;
   for (let at = 0; at < MACHINES; at++) {
     world.addMachine('small', at % 2 === 0 ? 'a' : 'b', false, 500);
   }
   await world.run(12);
-  assert.equal(healthyMachines(world), MACHINES, 'all report to their owners');
+  assert.equal(healthyMachines(world), MACHINES, 'all send heartbeats to their owners');
   void world.submit('j-000001', { tasks: TASKS, cpus: 1, runS: 600, team: 'all', spot: false });
   for (let at = 0; at < SERVICES; at++) {
     const service = { service: true, tasks: 1, cpus: 2, urgent: true, team: 'all', spot: false };
@@ -63,10 +63,10 @@
   assert.equal(world.starts.length, begun, 'nothing had to start again');
   for (const [node] of world.members) {
     for (const id of ['j-000001', ...Array.from({ length: SERVICES }, (_, at) => serviceId(at))]) {
-      const reply = await settled(world, world.poll(id, node));
+      const reply = await awaitReply(world, world.poll(id, node));
       assert.deepEqual([reply.status, stageOf(reply)], [200, 'running'], `${id} at ${node}`);
     }
   }
   assert.equal(world.workers.size, MACHINES, 'none was returned');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/cluster/overlapping-faults-store-outage.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -1,18 +1,22 @@
-/** Meetings: a node that is refused alone, then an outage for all, with cancellations between them. */
+/**
+ * Overlapping faults: a controller that is refused alone, then an outage for all, with
+ * cancellations between them.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
 import {
   URGENT,
   cancel,
-  load,
-  names,
+  submitWorkload,
+  controllerNames,
   outage,
-  playMeeting,
+  playOverlappingFaults,
   submit,
-  type Meeting,
+  type OverlappingFaultsCase,
 } from '../world/overlapping-faults.js';
 import type { World } from '../world/world.js';
+import { setOnAllWorkers } from '../world/fault-steps.js';
 
 interface Gap {
   /** s after the beginning of the outage; below 0: before it. */
@@ -24,21 +28,21 @@
   jobs?: string[];
 }
 
-/** Refused alone, then jobs are cancelled through another node, then out for all beyond cancel_s. */
+/** Refused alone, then jobs are cancelled through another controller, then out for all beyond cancel_s. */
 const gap =
   ({ endsS, holdMs, hangS, restart, jobs = ['j-000001', 'j-000002', 'j-000003'] }: Gap) =>
   async (world: World): Promise<void> => {
-    await load(world);
+    await submitWorkload(world);
     const old = world.leader;
-    world.state.refused.add(old);
-    const others = names(world).filter((name) => name !== old);
+    world.store.refusedControllers.add(old);
+    const others = controllerNames(world).filter((name) => name !== old);
     if (holdMs) {
       // Sent just before: these starts are still on their way when their job is cancelled.
-      world.state.refused.clear();
-      for (const worker of world.workers.values()) worker.holdDirectMs = holdMs;
+      world.store.refusedControllers.clear();
+      setOnAllWorkers(world, { directDelayMs: holdMs });
       await submit(world, 'j-000009', { ...URGENT, tasks: 3 }, others[0]);
       await world.run(0.6);
-      world.state.refused.add(old);
+      world.store.refusedControllers.add(old);
     }
     await world.run(1);
     if (hangS) for (const worker of world.workers.values()) worker.hang(hangS);
@@ -46,21 +50,21 @@
       const reply = await cancel(world, id, others, 2);
       assert.equal(stageOf(reply), 'withdrawn', id);
     }
-    if (endsS < 0) world.state.refused.clear();
+    if (endsS < 0) world.store.refusedControllers.clear();
     const during: Record<number, () => void> = {};
-    if (endsS >= 0 && endsS < 63) during[endsS] = () => world.state.refused.clear();
+    if (endsS >= 0 && endsS < 63) during[endsS] = () => world.store.refusedControllers.clear();
     if (restart) {
       during[20] = () => world.kill(old);
       during[21] = () => world.boot(old);
     }
     await outage(world, 63, during);
     if (endsS >= 63) await world.run(endsS - 63);
-    world.state.refused.clear();
-    for (const worker of world.workers.values()) worker.holdDirectMs = 0;
+    world.store.refusedControllers.clear();
+    setOnAllWorkers(world, { directDelayMs: 0 });
     await world.run(5);
   };
 
-const ROWS: Meeting[] = [
+const ROWS: OverlappingFaultsCase[] = [
   ...[
     { what: 'refusal ends before the outage', endsS: -1 },
     { what: 'refusal ends inside the outage', endsS: 25 },
@@ -77,7 +81,7 @@
     },
   ].map(({ what, ...options }) => ({ name: `gap: ${what}`, seeds: [1, 2], script: gap(options) })),
   {
-    name: 'gap: two nodes, each the only one of its zone',
+    name: 'gap: two controllers, each the only one of its zone',
     members: [
       ['n0', 'a'],
       ['n1', 'b'],
@@ -88,6 +92,7 @@
 
 for (const row of ROWS) {
   for (const seed of row.seeds ?? [1]) {
-    test(`meeting: ${row.name} (seed ${seed})`, (t) => playMeeting(t, row, seed));
+    test(`overlapping faults: ${row.name} (seed ${seed})`, (t) =>
+      playOverlappingFaults(t, row, seed));
   }
 }
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -18,7 +18,7 @@
 import { SPEC } from '../world/shard-fixture.js';
 import { followingReplica } from '../world/replica.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
-import { TYPES, silent } from '../world/settings.js';
+import { TYPES, silentLog } from '../world/settings.js';
 
 async function followedReplica(clock: SimClock, state: SimKeyValueStore): Promise<StoreReplica> {
   const { replica } = followingReplica(clock, state, 1e6);
@@ -71,7 +71,7 @@
       },
     },
     clock,
-    log: silent,
+    log: silentLog,
     random: () => 0.5,
   });
   for (let turn = 0; turn < 20; turn++) {
@@ -90,9 +90,9 @@
   );
 });
 
-// The leader's sums follow each change of a chunk or a job; here they are compared with sums made
+// The leader's totals follow each change of an assignment or a job; here they are compared with totals made
 // anew after hundreds of random changes.
-test('the sums of the leader are those of the chunks, whatever changes', async () => {
+test('the totals of the leader are those of the assignments, whatever changes', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   const replica = await followedReplica(clock, state);
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -1,4 +1,4 @@
-/** Numbers of a term: each once, and a new term in time. */
+/** Numbers of a term: each allocated once, and a new term in time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FENCING_TOKENS_PER_TERM } from '../../src/constants/election.js';
@@ -6,10 +6,10 @@
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { roleKey } from '../../src/storage/keys.js';
 import type { RoleRecord } from '../../src/storage/records.js';
-import { settled } from '../world/requests.js';
+import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
-test('a term hands out its numbers once each, and none of the next term', () => {
+test('a term allocates each of its numbers once, and none of the next term', () => {
   const numbers = new TermNumbers(700, 10);
   const given = [1, 2, 3, 4].map(() => numbers.next());
   assert.deepEqual(given, [701, 702, 703, 704]);
@@ -21,23 +21,23 @@
 });
 
 const termOf = (world: World, role: string): number =>
-  (world.state.cells.get(roleKey(role))?.value as RoleRecord).term;
+  (world.store.entries.get(roleKey(role))?.value as RoleRecord).term;
 
-// 4,000 machines use up the attempts of a part's term in some hours; they ran into those of the next
-// part, and a machine that works for weeks into the tokens of the next term.
+// 4,000 machines use up the attempts of a shard's term in some hours; they ran into those of the next
+// shard, and a machine that works for weeks into the fencing tokens of the next term.
 for (const cutS of [0, 10, 40]) {
-  test(`a part goes on under a new term before its numbers end, machines cut off for ${cutS} s`, async () => {
+  test(`a shard goes on under a new term before its numbers end, machines cut off for ${cutS} s`, async () => {
     const world = new World(5);
     for (const zone of ['a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
     await world.run(8);
-    await settled(world, world.submit('j-000001', { tasks: 8, runS: 400, team: 'blue' }));
+    await awaitReply(world, world.submit('j-000001', { tasks: 8, runS: 400, team: 'blue' }));
     await world.run(30);
     const starts = world.starts.length;
     assert.equal(starts, 8);
     const busy = world.members.find(([name]) => {
       return (world.nodes.get(name)?.node.heldShards.get(name)?.machines.all.size ?? 0) > 0;
     });
-    const [name = assert.fail('no part has machines')] = busy ?? [];
+    const [name = assert.fail('no shard has machines')] = busy ?? [];
     const owner = world.nodes.get(name)?.node;
     const shard = owner?.heldShards.get(name);
     const [machine] = shard?.machines.all.values() ?? [];
@@ -47,10 +47,11 @@
     while (!shard.needsTermRenewal) shard.machines.fencingTokens.raise(machine);
     assert.ok(machine.fencingOffset < FENCING_TOKENS_PER_TERM);
     for (const [node] of world.members) {
-      for (const worker of world.workers.keys()) if (cutS > 0) world.cuts.add(`${node}>${worker}`);
+      for (const worker of world.workers.keys())
+        if (cutS > 0) world.cutLinks.add(`${node}>${worker}`);
     }
     await world.run(cutS);
-    world.cuts.clear();
+    world.cutLinks.clear();
     await world.run(20);
     const after = roles.map((role) => termOf(world, role));
     const expected = roles.map((role, at) => (before[at] ?? 0) + Number(role === shardRole(name)));
@@ -58,7 +59,7 @@
     const renewed = owner?.heldShards.get(name);
     assert.ok(renewed && renewed !== shard && !renewed.needsTermRenewal);
     await world.run(60);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
     if (cutS < 20) assert.equal(world.starts.length, starts, 'nothing had to start again');
   });
 }
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -1,4 +1,4 @@
-/** Gangs within their team's guarantee preempt arrays that other teams run beyond theirs. */
+/** Gangs within their team's fair share preempt arrays that other teams run beyond theirs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
@@ -10,7 +10,7 @@
 import { SimClock } from '../world/clock.js';
 import {
   PLAIN_ASSIGNMENT,
-  GANG_SHARE,
+  GANG_ASSIGNMENT,
   JOB,
   SPEC,
   shardFixture,
@@ -54,7 +54,7 @@
   } as unknown as StoreReplica;
 }
 
-test('a reclaim preempts no more than what other teams run beyond their guarantees', () => {
+test('a claim preempts no more than what other teams run beyond their fair shares', () => {
   const cases: {
     name: string;
     team?: string;
@@ -64,7 +64,7 @@
     zone?: string;
     want: Record<string, number> | null;
   }[] = [
-    { name: 'enough beyond the guarantee', tasks: 8, want: { blue: 4 } },
+    { name: 'enough beyond the fair share', tasks: 8, want: { blue: 4 } },
     { name: 'some capacity is free', tasks: 6, free: 2, want: { blue: 2 } },
     { name: 'too little beyond it', tasks: 7, want: null },
     { name: 'all within it', tasks: 4, want: null },
@@ -105,7 +105,7 @@
   cause: null,
 });
 
-test('a shard preempts just the arrays that a reclaim allows, and only at once', async () => {
+test('a shard preempts only the arrays that a claim allows, and only at once', async () => {
   const cases: {
     name: string;
     reclaim?: Record<string, number>;
@@ -134,7 +134,7 @@
     });
     world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
     await world.clock.run(world.clock.now() + 300);
-    const share = { ...GANG_SHARE, ...(reclaim && { reclaim }) };
+    const share = { ...GANG_ASSIGNMENT, ...(reclaim && { reclaim }) };
     world.state.change([{ key: assignmentKey('p', JOB, 1), value: share }]);
     await world.clock.run(world.clock.now() + 300 + lateMs);
     const tasks = [0, 1, 2].map(arrayTask);
--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -39,7 +39,7 @@
   arrayMemoryGb: 14,
 };
 
-test('where a gang goes: one shard before several, free capacity before reclaimed, else nowhere', () => {
+test('gang placement: one shard before several, free capacity before expected capacity, else none', () => {
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
     ['one shard has the capacity', {}, [machine('p'), machine('q', { cpus: 2 })], 'immediate p:2'],
     [
@@ -66,7 +66,7 @@
       [machine('p'), machine('q', { zone: 'b' })],
       'immediate p:1 q:1',
     ],
-    // CPUs alone counted as reclaimable capacity, and gangs waited in front of arrays for ever.
+    // When CPUs alone counted as expected capacity, gangs waited in front of arrays for ever.
     ['arrays that end, memory too', {}, [machine('p', FULL)], 'afterReclaim p:2'],
     ['CPUs end, memory does not', {}, [machine('p', { ...FULL, arrayMemoryGb: 0 })], 'missing 2'],
     [
@@ -86,7 +86,7 @@
   }
 });
 
-test('the shard zone with most ordinary machines reserves capacity, and what lacks is given by zone', () => {
+test('the shard with most on-demand machines reserves capacity, and shortages are given by zone', () => {
   const fleet = [machine('p'), machine('q'), machine('q'), machine('r', { spot: true })];
   assert.equal(reservingShardZone(GANG, fleet), 'q\na');
   assert.deepEqual(missingGangCapacity([GANG], [machine('p')]), []);
@@ -97,14 +97,14 @@
   assert.deepEqual([missing?.spec.zone, missing?.count], ['a', 3]);
 });
 
-test('where a gang goes: machines that fetch its image in time come first, arrays are preempted first', () => {
+test('gang placement: machines that fetch its image in time come first, arrays are preempted first', () => {
   const urgent: Partial<JobSpec> = { priority: 'high' };
   /** Full of tasks that rank lower and are no arrays: of a gang, say. */
   const gangs = { ...FULL, arrayCpus: 0, arrayMemoryGb: 0 };
   const slow = { type: 'slow' };
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
     [
-      'a fast type, though another has more capacity',
+      'a type that fetches quickly, though another has more capacity',
       {},
       [machine('p', { ...slow, cpus: 16, memoryGb: 64 }), machine('q')],
       'immediate q',
@@ -115,7 +115,7 @@
       [machine('p', slow), machine('q', { cpus: 0 })],
       'immediate p',
     ],
-    // A slow fetch takes less time than arrays do to end, and more than they do to be preempted.
+    // A slow fetch takes less time than arrays need to end, and more than it takes to preempt them.
     ['a slow one before arrays end', {}, [machine('p', slow), machine('q', FULL)], 'immediate p'],
     [
       'arrays are preempted before a slow fetch',
@@ -123,7 +123,7 @@
       [machine('p', slow), machine('q', FULL)],
       'afterReclaim q',
     ],
-    // Urgent gangs preempted normal ones that had just begun, where there was more of them.
+    // Urgent gangs preempted normal ones that had just started, where there were more of them.
     [
       'arrays are preempted before gangs',
       urgent,
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -14,9 +14,9 @@
   /** What it logged, over all its starts. */
   readonly log: LogLine[] = [];
   private child: ChildProcess | null = null;
-  /** The last line that is no log line: why it could not start, say. */
-  lastWords = '';
-  private partial = '';
+  /** The last line that is not a log line, such as why it could not start. */
+  lastPlainLine = '';
+  private incompleteLine = '';
 
   constructor(private readonly args: readonly string[]) {}
 
@@ -29,17 +29,17 @@
     child.stderr.on('data', (bytes: Buffer) => this.read(bytes.toString()));
   }
 
-  /** It ended by itself. */
+  /** Whether it ended by itself. */
   get hasEnded(): boolean {
     return this.child !== null && this.child.exitCode !== null;
   }
 
-  /** It stands still, while all clocks run. */
-  freeze(): void {
+  /** It is paused, while all clocks run. */
+  pause(): void {
     this.child?.kill('SIGSTOP');
   }
 
-  thaw(): void {
+  resume(): void {
     this.child?.kill('SIGCONT');
   }
 
@@ -54,11 +54,11 @@
   }
 
   private read(text: string): void {
-    const lines = (this.partial + text).split('\n');
-    this.partial = lines.pop() ?? '';
+    const lines = (this.incompleteLine + text).split('\n');
+    this.incompleteLine = lines.pop() ?? '';
     for (const line of lines) {
       if (line.startsWith('{')) this.log.push(JSON.parse(line) as LogLine);
-      else if (line !== '') this.lastWords = line;
+      else if (line !== '') this.lastPlainLine = line;
     }
   }
 }
--- a/test/loopback/state-front.ts
+++ b/test/loopback/key-value-store-front.ts
@@ -1,4 +1,4 @@
-/** The state service's protocol over HTTP, in front of the stand-in of the simulated world. */
+/** The key-value store's protocol over HTTP, in front of the simulated key-value store. */
 import {
   StoreRejectedError,
   type Change,
@@ -26,8 +26,8 @@
     ? { key: remove, remove: true }
     : { key: put ?? '', value: v, ...(perch === undefined ? {} : { lease: perch }) };
 
-/** Answers the requests of one node. */
-export class StateFront {
+/** Answers the requests of one controller. */
+export class KeyValueStoreFront {
   private readonly api: KeyValueStore;
 
   constructor(
--- a/test/packages/detection-report.test.ts
+++ b/test/packages/detection-report.test.ts
@@ -8,7 +8,7 @@
 import { fileURLToPath } from 'node:url';
 import { gzipSync } from 'node:zlib';
 import { probeQuantiles, readHistories } from '@mothbank/detection-report';
-import { watchfulWorld } from '../world/suspicion.js';
+import { worldWithFailureDetection } from '../world/failure-detection-case.js';
 
 const CLI = join(dirname(fileURLToPath(import.meta.url)), '..', '..', 'src', 'cli.js');
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
@@ -20,15 +20,15 @@
 const run = (...args: string[]): { status: number | null; stderr: string; stdout: string } =>
   spawnSync(process.execPath, [CLI, 'detections', ...args], { encoding: 'utf8', cwd: folder });
 
-/** The histories of three nodes, of which one was frozen beyond its lease. */
+/** The histories of three controllers, of which one was frozen beyond its lease. */
 async function histories(): Promise<string[]> {
-  const { world } = await watchfulWorld(1);
-  world.freeze(world.leader, 12);
+  const { world } = await worldWithFailureDetection(1);
+  world.pause(world.leader, 12);
   await world.run(60);
   return [...world.nodes.values()].map(({ node }) => node.detection?.export() ?? '');
 }
 
-test('detections: one self-contained report of the histories of several nodes', async () => {
+test('detections: one self-contained report of the histories of several controllers', async () => {
   const [first = '', second = '', third = ''] = await histories();
   const log = `${'{"level":30,"msg":"started"}\n'}not JSON\n${first}`;
   const files = [write('n0.log', log), write('n1.gz', gzipSync(second)), write('n2', third)];
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -6,7 +6,7 @@
 import type { AssignmentRecord } from '../../src/storage/records.js';
 import {
   GANG_ATTEMPT,
-  GANG_SHARE,
+  GANG_ASSIGNMENT,
   PLAIN_ASSIGNMENT,
   JOB,
   SPEC,
@@ -25,7 +25,7 @@
   cause: state === 'exited' ? 'peerLost' : null,
 });
 
-/** A shard with a gang of so many tasks, of which it has two; `other`: the share of another shard. */
+/** A shard with a gang of so many tasks, of which it has two; `other`: the assignment of another shard. */
 async function gang(
   tasks: number,
   checkpointS: number,
@@ -35,7 +35,7 @@
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
-    { key: assignmentKey('p', JOB, 1), value: GANG_SHARE },
+    { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
     ...(other ? [{ key: assignmentKey('q', JOB, 2), value: other }] : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
@@ -44,7 +44,7 @@
   return world;
 }
 
-/** Answers all direct calls so far with a heartbeat that shows these tasks. */
+/** Answers all direct calls so far with a heartbeat of these tasks. */
 function answerCalls(world: ShardFixture, tasks: TaskStatus[]): void {
   world.answer({}, tasks);
   for (const { done } of world.sent.splice(0)) {
@@ -52,7 +52,7 @@
   }
 }
 
-/** Runs on for so long, with a heartbeat each second; the stops that were sent. */
+/** Runs on for so long, with a heartbeat each second; returns the stops that were sent. */
 async function stopsWithin(
   world: ShardFixture,
   seconds: number,
@@ -68,7 +68,7 @@
   return stops;
 }
 
-test('a gang that gathers until just before its tasks give up is withdrawn as a whole', async () => {
+test('a gang that gathers until just before its tasks give up is stopped as a whole', async () => {
   const cases: [string, TaskStatus['state'][], number, number][] = [
     ['all wait for a task elsewhere', ['gathering', 'gathering'], 34, 2],
     ['not before', ['gathering', 'gathering'], 30, 0],
@@ -80,7 +80,7 @@
       '2': ['m-8', GANG_ATTEMPT],
       '3': ['m-9', GANG_ATTEMPT],
     } as AssignmentRecord['live'];
-    const world = await gang(4, 5, { ...GANG_SHARE, ids: '2-3', live });
+    const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
     const tasks = states.map((state, index) => shown(index, state));
     answerCalls(world, tasks);
     assert.equal((await stopsWithin(world, seconds, tasks)).length, want, name);
@@ -92,10 +92,10 @@
     '2': ['m-8', GANG_ATTEMPT],
     '3': ['m-9', GANG_ATTEMPT],
   } as AssignmentRecord['live'];
-  const world = await gang(4, 5, { ...GANG_SHARE, ids: '2-3', live });
+  const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
   answerCalls(world, [shown(0), shown(1)]);
   await stopsWithin(world, 2, [shown(0), shown(1)]);
-  world.state.outage = true;
+  world.state.hasOutage = true;
   const left = [shown(0, 'exited'), shown(1)];
   assert.deepEqual(await stopsWithin(world, 6, left), [], 'in the outage');
   assert.equal(world.stored()?.stopping, undefined);
@@ -104,7 +104,7 @@
   assert.equal(world.stored()?.stopping, true);
 });
 
-test('a gang is stopped for urgent work only where that loses little', async () => {
+test('a gang is preempted for urgent work only where that loses little', async () => {
   const cases: {
     name: string;
     checkpointS: number;
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -6,7 +6,7 @@
 import {
   JOB,
   SPEC,
-  TOKEN,
+  FENCING_TOKEN,
   ended,
   shardFixture,
   ops,
@@ -17,7 +17,7 @@
 test('a start goes out only once its placement is committed', async () => {
   const world = await shardFixture();
   world.heartbeat();
-  world.state.outage = true;
+  world.state.hasOutage = true;
   await world.reconcile();
   assert.deepEqual(ops(world.heartbeat()), []);
   assert.equal(world.sent.length, 0);
@@ -37,7 +37,7 @@
   assert.equal(world.sent.length, 0);
 });
 
-test('absence proves an end only to the holder whose token the worker has shown', async () => {
+test('absence proves an end only to the owner whose fencing token the worker has shown', async () => {
   const world = await shardFixture({ placed: true });
   await world.cancel();
   world.heartbeat({ fencingToken: 3 });
@@ -68,7 +68,7 @@
   world.heartbeat();
   await world.reconcile();
   assert.ok(world.stored(), 'it may still arrive at the worker');
-  world.heartbeat({ fencingToken: TOKEN + 1 });
+  world.heartbeat({ fencingToken: FENCING_TOKEN + 1 });
   await world.reconcile();
   assert.equal(world.stored(), undefined);
 });
@@ -76,7 +76,7 @@
 test('an ended attempt is forgotten only after its end is committed', async () => {
   const world = await shardFixture({ placed: true });
   world.heartbeat({}, [running(77)]);
-  world.state.outage = true;
+  world.state.hasOutage = true;
   world.heartbeat({}, [ended(77)]);
   await world.reconcile();
   assert.deepEqual(ops(world.heartbeat({}, [ended(77)])), []);
@@ -96,10 +96,12 @@
   await world.reconcile();
   assert.equal(world.stored()?.done, '0');
   assert.deepEqual(ops(world.heartbeat({}, [ended(attempt)])), []);
-  assert.deepEqual(ops(world.heartbeat({ fencingToken: TOKEN + 1 }, [ended(attempt)])), ['forget']);
+  assert.deepEqual(ops(world.heartbeat({ fencingToken: FENCING_TOKEN + 1 }, [ended(attempt)])), [
+    'forget',
+  ]);
 });
 
-test('tasks on a machine that never heard the new holder wait for the fence', async () => {
+test('tasks on a machine that never sent the new owner a heartbeat wait for the fencing time', async () => {
   const world = await shardFixture({ placed: true });
   await world.clock.run(56_000);
   await world.reconcile();
@@ -109,7 +111,7 @@
   assert.deepEqual(world.stored()?.live, {});
 });
 
-test('services of a little-used machine move to another that has room and their image', async () => {
+test('services of a little-used machine move to another that has capacity and their image', async () => {
   const world = await shardFixture({ placed: true, spec: { kind: 'service' } });
   const job: JobRecord = { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 0 };
   const assignment = { ...world.stored(), ids: '0-2', live: { '0': ['m-2', 7], '1': ['m-2', 8] } };
@@ -174,8 +176,8 @@
 });
 
 // Seen on the one-zone site grown: the first tasks of a job that had waited long were the newest on
-// their machines, so urgent work stopped them first, again and again.
-test('urgent work stops the newest lower work, but not the first tasks of a job that waited', async () => {
+// their machines, so urgent work preempted them first, again and again.
+test('urgent work preempts the newest lower-priority work, but not the first tasks of a job that waited', async () => {
   for (const waited of [false, true]) {
     const world = await shardFixture({
       spec: { tasks: 4 },
@@ -206,7 +208,7 @@
 
 // Seen on the earlier two-zone site: a start that waited for stopped work to leave its machine was
 // sent only with the machine's next heartbeat, which cost urgent work half a second and more.
-test('a start that waited for stopped work follows the answer to the stop', async () => {
+test('a start that waited for preempted work follows the answer to the stop', async () => {
   const world = await shardFixture({ spec: { tasks: 4 }, ids: '0-3' });
   world.heartbeat();
   await world.reconcile();
@@ -238,12 +240,12 @@
 
 // A placement may be committed only while its job is there: a shard that has not heard yet of a
 // cancellation started tasks after it had been confirmed.
-test('a job that was cancelled is not placed, though its shard has not heard of it', async () => {
+test('a cancelled job is not placed, though its shard has not seen the cancellation', async () => {
   const world = await shardFixture();
   world.heartbeat();
   // Gone from the store, and no watch tells of it.
   world.state.revision++;
-  world.state.cells.delete(jobKey(JOB));
+  world.state.entries.delete(jobKey(JOB));
   await world.reconcile();
   assert.deepEqual(world.stored()?.live, {});
   assert.deepEqual(ops(world.heartbeat()), []);
--- a/test/stand-ins/gang-starts.test.ts
+++ b/test/stand-ins/gang-starts.test.ts
@@ -1,10 +1,15 @@
-/** The stand-in for gangs: waiting, the common start, and tasks that are lost. */
+/** Simulated gangs: waiting, the common start, and tasks that are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOB, playCommanded, same, type Row } from '../world/commanded-gang.js';
+import {
+  JOB,
+  playCommandedGang,
+  allThree,
+  type CommandedGangCase,
+} from '../world/commanded-gang.js';
 import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
 
-const ROWS: Row[] = [
+const ROWS: CommandedGangCase[] = [
   {
     name: 'two wait, the third completes them: common start and common end',
     act: async ({ world, start, all }) => {
@@ -15,20 +20,20 @@
       assert.equal(world.gangStarts.length, 0);
       start(2);
       await world.run(2);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       assert.deepEqual(
         world.gangStarts.map(({ job, attempt }) => [job, attempt]),
         [[JOB, 1]],
       );
       await world.run(8);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       await world.run(2);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
       assert.equal(world.completed.size, 3);
     },
   },
   {
-    name: 'waiting tasks are on their machines, and count for the limits',
+    name: 'waiting tasks are on their machines, and count against quotas',
     job: { cpus: 4, team: 'blue', tasks: 4 },
     act: async ({ world, worker, start }) => {
       start(0, 1, 2, 3);
@@ -36,13 +41,13 @@
       assert.equal([...worker(0).onMachine()].length, 0);
       await world.run(1);
       assert.equal([...worker(0).onMachine()].length, 1);
-      // The team's limit is 12.
-      assert.deepEqual(world.broken, ['quota blue 16']);
-      world.broken.length = 0;
+      // The team's quota is 12.
+      assert.deepEqual(world.violations, ['quota blue 16']);
+      world.violations.length = 0;
     },
   },
   {
-    name: 'a waiting task holds its place: another start on its machine is refused',
+    name: 'a waiting task occupies its machine: another start there is refused',
     job: { cpus: 3 },
     act: async ({ world, worker, call, start, seen }) => {
       start(0);
@@ -54,7 +59,7 @@
     },
   },
   {
-    name: 'never complete: alone, each after its own wait',
+    name: 'never complete: each exits as `alone` after its own wait',
     act: async ({ world, call, start, all }) => {
       start(0);
       await world.run(10);
@@ -73,7 +78,7 @@
       start(0, 1);
       call(2, 'launch', 2, 2);
       await world.run(5);
-      assert.deepEqual(all(), same('gathering'));
+      assert.deepEqual(all(), allThree('gathering'));
       assert.equal(world.gangStarts.length, 0);
     },
   },
@@ -90,7 +95,7 @@
     },
   },
   {
-    name: 'a waiting task disappears: the rest wait on, a replacement of the attempt completes them',
+    name: 'a waiting task disappears: the rest go on waiting, a replacement of the attempt completes them',
     act: async ({ world, worker, call, start, seen }) => {
       start(0, 1);
       await world.run(3);
@@ -100,28 +105,27 @@
       start(2);
       call(3, 'launch', 1);
       await world.run(2);
-      assert.deepEqual([seen(0), seen(2), seen(3)], same('running'));
+      assert.deepEqual([seen(0), seen(2), seen(3)], allThree('running'));
     },
   },
   {
-    name: 'a machine that hangs while the last image comes joins when it goes on',
+    name: 'a machine that hangs while the last image comes joins when it resumes',
     act: async ({ world, worker, start, all }) => {
       start(0, 1);
       await world.run(2);
       worker(0).hang(8);
       start(2);
       await world.run(5);
-      assert.deepEqual(all(), same('gathering'));
+      assert.deepEqual(all(), allThree('gathering'));
       await world.run(4);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
     },
   },
   {
     name: 'a task of a running gang disappears: mates_gone in time, back to the last checkpoint',
     job: { checkpointS: 4, runS: 30 },
-    act: async ({ world, worker, start, seen, progress }) => {
-      start(0, 1, 2);
-      await world.run(1 + 7);
+    act: async ({ world, worker, seen, progress, startAndRun }) => {
+      await startAndRun(7);
       worker(1).die();
       await world.run(1);
       assert.deepEqual([seen(0), seen(2)], ['running', 'running']);
@@ -131,7 +135,7 @@
     },
   },
   {
-    name: 'a machine hangs for 12 s: its mates go in time, it follows when it goes on',
+    name: 'a machine hangs for 12 s: its peers exit in time, it follows when it resumes',
     act: async ({ world, worker, start, all, progress }) => {
       start(0, 1, 2);
       await world.run(4);
@@ -139,7 +143,7 @@
       await world.run(GANG_PEER_S + 0.5);
       assert.deepEqual(all(), ['exited mates_gone', 'exited mates_gone', 'running']);
       await world.run(4);
-      assert.deepEqual(all(), same('exited mates_gone'));
+      assert.deepEqual(all(), allThree('exited mates_gone'));
       assert.equal(progress(), 0);
     },
   },
@@ -150,23 +154,23 @@
       await world.run(4);
       worker(2).hang(1);
       await world.run(7);
-      assert.deepEqual(all(), same('running'));
+      assert.deepEqual(all(), allThree('running'));
       await world.run(2);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
     },
   },
   {
-    name: 'a machine cut from the controllers stays a mate',
+    name: 'a machine cut from the controllers stays a peer',
     act: async ({ world, worker, start, all }) => {
       start(0, 1, 2);
       await world.run(2);
-      world.cuts.add(`n0>${worker(1).machine.name}`);
+      world.cutLinks.add(`n0>${worker(1).machine.name}`);
       await world.run(11);
-      assert.deepEqual(all(), same('exited done'));
+      assert.deepEqual(all(), allThree('exited done'));
     },
   },
 ];
 
 for (const row of ROWS) {
-  test(`the stand-in for gangs: ${row.name}`, () => playCommanded(row));
+  test(`simulated gangs: ${row.name}`, () => playCommandedGang(row));
 }
--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -1,9 +1,12 @@
-/** The judge of the simulated world notes each form of a forgotten job: a fault is put in for each. */
+/**
+ * The invariant checker of the simulated cluster notes each form of a forgotten job: a fault is put
+ * in for each.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Reply } from '../world/jobs.js';
 import type { RequestKind } from '../world/invariant-checker.js';
-import { SERVICE, names, submit } from '../world/overlapping-faults.js';
+import { SERVICE, controllerNames, submit } from '../world/overlapping-faults.js';
 import { World } from '../world/world.js';
 
 const JOB = 'j-000001';
@@ -59,16 +62,16 @@
   },
   { name: 'all polls fail for 100 s', tamper: allPolls, forS: 100, expected: null },
   {
-    name: 'all polls fail for 80 s after all troubles',
+    name: 'all polls fail for 80 s after all faults',
     tamper: allPolls,
     forS: 80,
     isOver: true,
     expected: /^forgotten j-00000[12]: no question answered for 75 s/,
   },
   {
-    name: 'all nodes are down for 80 s after all troubles',
+    name: 'all controllers are down for 80 s after all faults',
     begin: (world) => {
-      for (const name of names(world)) world.kill(name);
+      for (const name of controllerNames(world)) world.kill(name);
     },
     forS: 80,
     isOver: true,
@@ -78,7 +81,7 @@
     name: 'nothing more is placed, though machines are free',
     begin: async (world) => {
       await submit(world, LATER, { tasks: 1 });
-      for (const name of names(world)) world.kill(name);
+      for (const name of controllerNames(world)) world.kill(name);
     },
     forS: 95,
     isOver: true,
@@ -86,7 +89,7 @@
   },
 ];
 
-test('judge: each form of a forgotten job is noted, and nothing else', async () => {
+test('invariant checker: each form of a forgotten job is noted, and nothing else', async () => {
   for (const { name, tamper, begin, forS, isOver, expected } of FAULTS) {
     const world = new World(51);
     for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
@@ -105,9 +108,9 @@
       }
       await world.run(1);
     }
-    const matching = world.broken.filter((one) => expected?.test(one));
-    const told = `${name}: ${JSON.stringify(world.broken.slice(0, 3))}`;
+    const matching = world.violations.filter((one) => expected?.test(one));
+    const told = `${name}: ${JSON.stringify(world.violations.slice(0, 3))}`;
     if (expected) assert.ok(matching.length > 0, told);
-    else assert.equal(world.broken.length, 0, told);
+    else assert.equal(world.violations.length, 0, told);
   }
 });
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -9,21 +9,21 @@
 import { SimClock } from '../world/clock.js';
 import { followingReplica } from '../world/replica.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
-import { TEAMS, TYPES, silent } from '../world/settings.js';
+import { TEAMS, TYPES, silentLog } from '../world/settings.js';
 
 async function nodeStorage() {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   state.change([{ key: 'mb/live/catalog', value: TYPES }]);
   const errors: Record<string, unknown>[] = [];
-  const log: Log = { ...silent, error: (fields) => void errors.push(fields as never) };
+  const log: Log = { ...silentLog, error: (fields) => void errors.push(fields as never) };
   const store = followingReplica(clock, state, 1000, log);
   await clock.run(500);
   return { ...store, state, errors, committer: new Committer(store) };
 }
 
-// A 400 taken for a conflict was tried again for ever, unchanged.
-test('an invalid transaction is told once and not tried again; an ended lease is a conflict', async () => {
+// A 400 treated as a conflict was retried for ever, unchanged.
+test('an invalid transaction is logged once and not retried; an expired lease is a conflict', async () => {
   const put = (key: string, bytes = 10): Change => ({ key, value: 'x'.repeat(bytes) });
   const many = <T>(count: number, make: (at: number) => T): T[] =>
     Array.from({ length: count }, (_, at) => make(at));
@@ -46,7 +46,7 @@
     assert.equal(tries, 1, name);
     assert.equal(errors.length, expected === 'rejected' ? 1 : 0, name);
     if (expected !== 'rejected') continue;
-    assert.deepEqual(state.invalid.length, 1, name);
+    assert.deepEqual(state.rejectedTransactions.length, 1, name);
     assert.equal(errors[0]?.['purpose'], 'part', name);
     assert.deepEqual(
       errors[0]?.['keys'],
@@ -61,7 +61,7 @@
   }
 });
 
-test('what was in an invalid transaction pauses longer each time, and then goes alone', async () => {
+test('changes of an invalid transaction back off longer each time, and then go alone', async () => {
   const clock = new SimClock();
   const rejectedChangeBackoff = new RejectedChangeBackoff(clock);
   assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 2), 2);
@@ -108,7 +108,7 @@
     duskS: null,
   });
 
-/** The requests of users at a node that believes in these limits. */
+/** The requests of users at a controller that believes in these limits. */
 function userRequestsOn(
   {
     clock,
@@ -134,8 +134,8 @@
   });
 }
 
-test('submissions that fit no value get 422, and take none of the others down', async () => {
-  // Bytes that the node takes a value for, and those that the state service takes.
+test('submissions too large for a value get 422, and make none of the others fail', async () => {
+  // Bytes that the controller takes a value for, and those that the key-value store takes.
   for (const [believed, real] of [
     [2048, 2048],
     [8192, 2048],
@@ -153,7 +153,7 @@
       [201, 422, 201, 201],
     );
     assert.deepEqual(
-      [1, 2, 3, 4].map((id) => state.cells.has(jobKey(`j-00000${id}`))),
+      [1, 2, 3, 4].map((id) => state.entries.has(jobKey(`j-00000${id}`))),
       [true, false, true, true],
     );
   }
@@ -168,7 +168,7 @@
   await clock.run(clock.now() + 4000);
   const found = await Promise.all(replies);
   assert.ok(found.every((one) => one.status === 201));
-  assert.deepEqual(state.invalid, []);
-  const held = [...state.cells].filter(([key]) => key.startsWith('mb/live/job/'));
+  assert.deepEqual(state.rejectedTransactions, []);
+  const held = [...state.entries].filter(([key]) => key.startsWith('mb/live/job/'));
   assert.ok(Buffer.byteLength(JSON.stringify(held)) > 64 * 1024, 'more than one would hold');
 });
--- a/test/upgrade/assignment-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -1,4 +1,4 @@
-/** Chunks that go to and fro between this version and the one in production. */
+/** Assignments that go to and fro between this version and the one in production. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -7,7 +7,11 @@
 import { writtenByProduction } from '../world/production-chunks.js';
 import { OLDER } from '../world/older-versions.js';
 import type { SimKeyValueStore } from '../world/key-value-store.js';
-import { ASSIGNMENT, assertReadable, type Written } from '../world/older-readability.js';
+import {
+  ASSIGNMENT,
+  assertReadableByOlderVersions,
+  type WriteLog,
+} from '../world/readable-by-older-versions.js';
 
 const ATTEMPT = 900_000_000_000_000;
 const MACHINES = ['m-1', 'm-2', 'm-3', 'm-4', 'm-5'];
@@ -20,7 +24,7 @@
   name: string;
   tasks: number;
   transactionOps: number;
-  /** Writes a second that the state service takes; null: any. */
+  /** Writes a second that the key-value store takes; null: any. */
   writeRps: number | null;
   gang: boolean;
   /** Its pieces fit into one transaction before many of its tasks have ended. */
@@ -31,12 +35,12 @@
 type Placements = Map<number, [machine: string, attempt: number]>;
 
 const assignmentsOf = (state: SimKeyValueStore): [string, Stored][] =>
-  [...state.cells]
+  [...state.entries]
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, { value }]) => [key, value as Stored]);
 
-/** After each transaction each task is in one chunk, neither lost nor doubled. */
-function assertWhole(log: Written, before: Map<string, unknown>, tasks: number): void {
+/** After each transaction each task is in one assignment, neither lost nor doubled. */
+function assertWhole(log: WriteLog, before: Map<string, unknown>, tasks: number): void {
   const held = new Map(before);
   const revisions = [...new Set(log.map((one) => one.revision))];
   for (const revision of revisions) {
@@ -55,7 +59,7 @@
   }
 }
 
-/** This version as the owner of what is stored; `run` must leave every task in one chunk. */
+/** This version as the owner of what is stored; `run` must leave every task in one assignment. */
 async function ownedByThisVersion(
   { tasks, transactionOps, writeRps, gang }: Crossing,
   stored: Map<string, unknown>,
@@ -72,8 +76,8 @@
   await run(world);
   const log = world.state.log.slice(from);
   assertWhole(log, stored, tasks);
-  assertReadable(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
-  assert.deepEqual(world.state.invalid, []);
+  assertReadableByOlderVersions(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
+  assert.deepEqual(world.state.rejectedTransactions, []);
   const all = [...world.sent.flatMap(({ commands }) => ops(commands))];
   assert.ok(!all.includes('start'), 'what runs is not started again');
   for (const [key, value] of assignmentsOf(world.state)) {
@@ -84,7 +88,7 @@
   return new Map(assignmentsOf(world.state));
 }
 
-/** Each machine reports its tasks; of those in `done` it says that they are. */
+/** Each machine sends a heartbeat of its tasks; those in `done` are reported as done. */
 function reportAll(world: ShardFixture, placements: Placements, done: ReadonlySet<number>): void {
   for (const machine of MACHINES) {
     const tasks: TaskStatus[] = [...placements]
@@ -195,6 +199,6 @@
   },
 ];
 
-test('a chunk stored larger than the announced limits crosses versions, and no task is lost', async (t) => {
+test('an assignment stored larger than the announced limits crosses versions, and no task is lost', async (t) => {
   for (const row of CROSSINGS) await t.test(row.name, () => playCrossing(row));
 });
--- a/test/world/commanded-gang.ts
+++ b/test/world/commanded-gang.ts
@@ -7,13 +7,16 @@
 /** The job of the gang. */
 export const JOB = 'j-000001';
 
-/** A gang of three on three machines, commanded by the test: the controllers answer reports and no more. */
-export async function commandGang(job: Partial<SimJob>) {
+/**
+ * A gang of three on three machines, commanded by the test: the controllers answer heartbeats and
+ * no more.
+ */
+async function commandGang(job: Partial<SimJob>) {
   const world = new World(1, [['n0', 'a']]);
   world.kill('n0');
   await world.submit(JOB, { gang: true, tasks: 3, runS: 10, ...job });
   const answer = { status: 200, body: { mandate: 1, calls: [] } };
-  const node = { heartbeat: () => Promise.resolve(answer) };
+  const node = { handleHeartbeat: () => Promise.resolve(answer) };
   world.nodes.set('n0', { node: node as never, kill: () => undefined });
   for (let at = 0; at < 4; at++) world.addMachine('small', at < 3 ? 'a' : 'b', false, 0);
   await world.run(1);
@@ -28,7 +31,23 @@
   const start = (...indices: number[]): void => {
     for (const index of indices) assert.equal(call(index, 'launch', index), 200);
   };
-  /** What machine `at` reports of its task: "state", with cause and "stored" if there are any. */
+  /** Starts all three tasks; they run together after a second, and go on for so long. */
+  const startAndRun = async (forS: number): Promise<void> => {
+    start(0, 1, 2);
+    await world.run(1 + forS);
+  };
+  const stopAll = (graceS: number): void => {
+    for (const index of [0, 1, 2]) call(index, 'halt', index, 1, graceS);
+  };
+  /** Forgets the exited tasks of the first attempt and starts them under the second. */
+  const startSecondAttempt = (...indices: number[]): void => {
+    for (const index of indices) call(index, 'reap', index);
+    for (const index of indices) call(index, 'launch', index, 2);
+  };
+  /**
+   * The state of its task in the heartbeats of machine `at`: "state", with cause and "stored" if
+   * there are any.
+   */
   const seen = (at: number): string => {
     const reply = JSON.parse(worker(at).command(1, 1, []).body) as {
       larvae: { stage: string; cause?: string; stored?: boolean }[];
@@ -38,26 +57,27 @@
     return [one.stage, one.cause, one.stored ? 'stored' : ''].filter(Boolean).join(' ');
   };
   const all = (): string[] => [seen(0), seen(1), seen(2)];
-  const progress = (): number => (world.gangs.saved.get(JOB) ?? 0) / 1000;
-  return { world, worker, call, start, seen, all, progress };
+  const progress = (): number => (world.gangs.savedProgressMs.get(JOB) ?? 0) / 1000;
+  const steps = { call, start, startAndRun, stopAll, startSecondAttempt };
+  return { world, worker, ...steps, seen, all, progress };
 }
 
 /** The gang, its world, and what a test commands and sees of it. */
-export type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
+type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
 
 /** What is seen of three tasks in the same state. */
-export const same = (state: string): string[] => [state, state, state];
+export const allThree = (state: string): string[] => [state, state, state];
 
 /** A row: the job beside its defaults, and what happens to its gang. */
-export interface Row {
+export interface CommandedGangCase {
   name: string;
   job?: Partial<SimJob>;
   act: (gang: CommandedGang) => Promise<void>;
 }
 
 /** Plays a row; the rules must have held. */
-export async function playCommanded({ job, act }: Row): Promise<void> {
+export async function playCommandedGang({ job, act }: CommandedGangCase): Promise<void> {
   const gang = await commandGang(job ?? {});
   await act(gang);
-  assert.deepEqual(gang.world.broken, []);
+  assert.deepEqual(gang.world.violations, []);
 }
--- a/test/world/suspicion.ts
+++ b/test/world/failure-detection-case.ts
@@ -1,42 +1,45 @@
-/** The simulated world with failure detection between its nodes, and what was decided there. */
+/** The simulated cluster with failure detection between its controllers, and what was decided there. */
 import assert from 'node:assert/strict';
 import type { DetectionRecord } from '../../src/coordination/failure-detection/detection-records.js';
 import { readOperatorSettings } from '../../src/protocol/operator-settings.js';
 import type { Settings } from '../../src/protocol/settings.js';
 import { roleKey } from '../../src/storage/keys.js';
 import type { RoleRecord } from '../../src/storage/records.js';
-import { silent } from './settings.js';
+import { silentLog } from './settings.js';
 import { World, type Members } from './world.js';
 
 /** What the deploy file sets. */
-export const WATCHFUL: Partial<Settings> = {
+export const WITH_FAILURE_DETECTION: Partial<Settings> = {
   suspicion: readOperatorSettings(['deploy/suspicion.toml'], 3).suspicion,
 };
 
 /** Tasks of the work that runs in it. */
 const TASKS = 18;
 
-/** A world and the records of all its nodes. */
-export interface WatchfulWorld {
+/** A world and the records of all its controllers. */
+export interface ObservedWorld {
   world: World;
   records: DetectionRecord[];
-  /** What was logged as stepped down: the node and the role. */
+  /** Logged step-downs: the controller and the role. */
   steppedDown: string[];
 }
 
-/** A world whose nodes detect failures, with machines and work of both teams running. */
-export async function watchfulWorld(seed: number, members?: Members): Promise<WatchfulWorld> {
+/** A world whose controllers detect failures, with machines and work of both teams running. */
+export async function worldWithFailureDetection(
+  seed: number,
+  members?: Members,
+): Promise<ObservedWorld> {
   const records: DetectionRecord[] = [];
   const steppedDown: string[] = [];
-  const logOf = (node: string): typeof silent => ({
-    ...silent,
+  const logOf = (node: string): typeof silentLog => ({
+    ...silentLog,
     info: (fields, message) => {
       if ('detection' in fields) records.push(fields.detection as DetectionRecord);
       if (message === 'stepped down')
         steppedDown.push(`${node} ${(fields as { role: string }).role}`);
     },
   });
-  const world = new World(seed, members, WATCHFUL, logOf);
+  const world = new World(seed, members, WITH_FAILURE_DETECTION, logOf);
   for (const zone of ['a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(8);
   void world.submit('j-000001', { tasks: 16, runS: 60 });
@@ -45,11 +48,11 @@
   return { world, records, steppedDown };
 }
 
-/** A trouble, and what must come of it. */
-export interface SuspicionRow {
+/** A fault, and what must come of it. */
+export interface SuspicionCase {
   name: string;
-  trouble: (watched: WatchfulWorld) => Promise<void>;
-  /** Nobody's term changes over the trouble. */
+  fault: (watched: ObservedWorld) => Promise<void>;
+  /** Nobody's term changes over the fault. */
   keepsTerms?: boolean;
   /** Reasons for which roles were taken, and none but these. */
   reasons?: string[];
@@ -58,46 +61,46 @@
 }
 
 /** Plays a row: the rules must hold, all work must get done, and no task starts again without need. */
-export async function playRow(row: SuspicionRow, seed: number): Promise<void> {
-  const watched = await watchfulWorld(seed);
+export async function playSuspicionCase(row: SuspicionCase, seed: number): Promise<void> {
+  const watched = await worldWithFailureDetection(seed);
   const { world, records } = watched;
-  const before = tenures(world);
-  await row.trouble(watched);
-  if (row.keepsTerms) assert.deepEqual(tenures(world), before);
-  if (row.reasons) assert.deepEqual([...takenBecause(records)], row.reasons);
-  world.settingsFor = () => WATCHFUL;
+  const before = roleTerms(world);
+  await row.fault(watched);
+  if (row.keepsTerms) assert.deepEqual(roleTerms(world), before);
+  if (row.reasons) assert.deepEqual([...takeoverReasons(records)], row.reasons);
+  world.settingsFor = () => WITH_FAILURE_DETECTION;
   for (const [node] of world.members) if (!world.nodes.has(node)) world.boot(node);
   await world.run(25);
   world.faultsOver();
   await world.run(60);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
   const { body } = await world.poll('j-000001', 'n0');
   assert.match(JSON.stringify(body), /"done"/, `seed ${seed}`);
   const most = TASKS + (row.restarts ?? 0);
   assert.ok(world.starts.length <= most, `seed ${seed}: a task had to start again`);
 }
 
-/** Nodes of two groups can't reach each other. */
-export function split(world: World, left: readonly string[]): void {
+/** Controllers of two groups can't reach each other. */
+export function partition(world: World, left: readonly string[]): void {
   for (const one of left) {
     for (const [other] of world.members)
-      if (!left.includes(other)) world.cuts.add(`${one}>${other}`);
+      if (!left.includes(other)) world.cutLinks.add(`${one}>${other}`);
   }
 }
 
 /** Holders and terms of all roles, as the store has them. */
-export function tenures(world: World): Record<string, string> {
+export function roleTerms(world: World): Record<string, string> {
   const roles = ['leader', ...world.members.map(([name]) => `part-${name}`)];
   return Object.fromEntries(
     roles.map((role) => {
-      const record = world.state.cells.get(roleKey(role))?.value as RoleRecord | undefined;
+      const record = world.store.entries.get(roleKey(role))?.value as RoleRecord | undefined;
       return [role, `${record?.owner} ${record?.term}`];
     }),
   );
 }
 
 /** The reasons for which roles were taken. */
-export function takenBecause(records: readonly DetectionRecord[]): Set<string> {
+function takeoverReasons(records: readonly DetectionRecord[]): Set<string> {
   const reasons = new Set<string>();
   for (const record of records) {
     if (record.type === 'decision' && record.action === 'take') reasons.add(record.why);
--- a/test/world/jobs.ts
+++ b/test/world/jobs.ts
@@ -1,6 +1,6 @@
-/** Jobs of the simulated world: what is known of them, how they are sent, and what is answered. */
+/** Jobs of the simulated cluster: what is known of them, how they are sent, and what is answered. */
 
-/** An answer of a node to a user. */
+/** An answer of a controller to a user. */
 export interface Reply {
   status: number;
   body: unknown;
@@ -98,3 +98,15 @@
     ...raw,
   };
 }
+
+/** A task of a job on a machine. */
+export interface SimTask {
+  attempt: number;
+  state: 'pulling' | 'gathering' | 'running' | 'exited';
+  cause?: string;
+  cpus: number;
+  /** Gang tasks, told to stop with grace: when its progress is saved. It reports `running` until it exits. */
+  savedAt?: number;
+  /** Its progress was saved when it was stopped. */
+  stored?: boolean;
+}
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -1,4 +1,4 @@
-/** One part on its own, with its state service, and what machines report to it. */
+/** One shard on its own, with its key-value store, and the heartbeats of its machines. */
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG, assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
 import type { AssignmentRecord, JobRecord } from '../../src/storage/records.js';
@@ -8,13 +8,13 @@
 import { SimClock } from './clock.js';
 import { followingReplica } from './replica.js';
 import { SimKeyValueStore } from './key-value-store.js';
-import { TYPES, silent } from './settings.js';
+import { TYPES, silentLog } from './settings.js';
 
 /** The only job there is from the start. */
 export const JOB = 'j-000001';
 const TERM = 5;
-/** The token of the part's term. */
-export const TOKEN = TERM * FENCING_TOKENS_PER_TERM;
+/** The fencing token of the shard's term. */
+export const FENCING_TOKEN = TERM * FENCING_TOKENS_PER_TERM;
 
 /** The spec of that job. */
 export const SPEC: JobSpec = {
@@ -40,7 +40,7 @@
   deadlineS: null,
 };
 
-/** A chunk of two tasks of that job's kind, of which none is placed. */
+/** An assignment of two tasks of that job's kind, of which none is placed. */
 export const PLAIN_ASSIGNMENT: AssignmentRecord = {
   ids: '0-1',
   done: '',
@@ -54,9 +54,9 @@
 /** The attempt under which a gang's tasks start. */
 export const GANG_ATTEMPT = 900;
 /** The same as a share of a gang. */
-export const GANG_SHARE: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
+export const GANG_ASSIGNMENT: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
-/** What differs from the default: one task of one job, with room for all changes at once. */
+/** What differs from the default: one task of one job, with limits that allow all changes at once. */
 interface ShardFixtureOptions {
   /** A former owner placed the task. */
   placed?: boolean;
@@ -73,7 +73,7 @@
   held?: { key: string; value: unknown }[];
 }
 
-/** Stores what is there from the start: the role, the catalogue, a job and its only chunk. */
+/** Stores what is there from the start: the role, the catalogue, a job and its only assignment. */
 function fill(state: SimKeyValueStore, clock: SimClock, options: ShardFixtureOptions): void {
   const assignment: AssignmentRecord = {
     ids: options.ids ?? '0',
@@ -101,7 +101,7 @@
   ]);
 }
 
-/** One part on its own, with its state service. */
+/** One shard on its own, with its key-value store. */
 export async function shardFixture(options: ShardFixtureOptions = {}) {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
@@ -156,7 +156,7 @@
           }),
       },
       clock,
-      log: silent,
+      log: silentLog,
       wake: () => undefined,
     },
   );
@@ -176,7 +176,7 @@
     }
   };
   const stored = (): AssignmentRecord | undefined =>
-    state.cells.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
+    state.entries.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
   const cancel = async (): Promise<void> => {
     state.change([{ key: jobKey(JOB), remove: true }]);
     await clock.run(clock.now() + 300);
@@ -209,13 +209,13 @@
   cause: 'done',
 });
 
-/** What machines are told to do, in order. */
+/** The commands sent to machines, in order. */
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
 
-/** A part on its own, and what a test sees and does of it. */
+/** A shard on its own, and what a test sees and does of it. */
 export type ShardFixture = Awaited<ReturnType<typeof shardFixture>>;
 
-/** A report of machine m-1, the first of its first session unless told otherwise. */
+/** A heartbeat of machine m-1, the first of its first agent epoch unless told otherwise. */
 export const heartbeatOf = (change: Partial<Heartbeat>): Heartbeat => ({
   machine: 'm-1',
   address: '10.0.0.1:9',
@@ -224,7 +224,7 @@
   spot: false,
   agentEpoch: 1,
   sequence: 1,
-  fencingToken: TOKEN,
+  fencingToken: FENCING_TOKEN,
   noticeS: null,
   tasks: [],
   ...change,
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -1,4 +1,4 @@
-/** The simulated world: controllers, workers, cloud and state service in simulated time. */
+/** The simulated cluster: controllers, workers, cloud and key-value store in simulated time. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { ControllerCore } from '../../src/coordination/controller/controller-core.js';
@@ -14,18 +14,18 @@
 import { jobOf, submissionOf, unwrap, type Reply, type SimJob } from './jobs.js';
 import { InvariantChecker, type RequestKind } from './invariant-checker.js';
 import { environmentOf } from './environment.js';
-import { settingsOf, silent } from './settings.js';
+import { settingsOf, silentLog } from './settings.js';
 import { SimKeyValueStore } from './key-value-store.js';
 import type { SimulationHost } from './simulation-host.js';
 import type { SimWorker } from './worker.js';
 
-/** Names and zones of the nodes. */
+/** Names and zones of the controllers. */
 export type Members = [string, string][];
 
-/** Controllers, workers, cloud and state service in simulated time, and a judge of the rules. */
+/** Controllers, workers, cloud and key-value store in simulated time, and a checker of the invariants. */
 export class World implements SimulationHost {
   readonly clock = new SimClock();
-  readonly state;
+  readonly store;
   readonly cloud = new SimCloud(this);
   readonly nodes = new Map<string, { node: ControllerCore; kill: () => void }>();
   readonly workers = new Map<string, SimWorker>();
@@ -35,26 +35,26 @@
   /** When all tasks of a gang ran together. */
   readonly gangStarts: { job: string; attempt: number; at: number }[] = [];
   readonly gangs: SimGangs = new SimGangs(this);
-  /** Pairs "x>y" that can't reach each other; x and y are node or machine names. */
-  readonly cuts = new Set<string>();
-  /** What becomes of a message between nodes on its way. */
+  /** Pairs "x>y" that can't reach each other; x and y are controller or machine names. */
+  readonly cutLinks = new Set<string>();
+  /** What becomes of a message between controllers on its way. */
   onPeerMessage: (message: PeerMessage) => PeerMessage = (message) => message;
-  /** A fault put in on purpose: what a user gets in place of a node's reply. */
+  /** A fault put in on purpose: what a user gets in place of a controller's reply. */
   tamper: (kind: RequestKind, id: string, reply: Reply) => Reply = (_kind, _id, reply) => reply;
-  /** Pairs "x>y" of nodes whose connection stays open, while nothing that they send arrives. */
-  readonly dropped = new Set<string>();
-  /** Pairs "x>y" of nodes: what x sends y is lost, while what y sends x arrives. */
-  readonly lostOneWay = new Set<string>();
-  /** What the settings of one node say otherwise, from its next start on. */
+  /** Pairs "x>y" of controllers whose connection stays open, while nothing that they send arrives. */
+  readonly lossyLinks = new Set<string>();
+  /** Pairs "x>y" of controllers: what x sends y is lost, while what y sends x arrives. */
+  readonly oneWayLossyLinks = new Set<string>();
+  /** What the settings of one controller say otherwise, from its next start on. */
   settingsFor: (node: string) => Partial<Settings> = () => this.overrides;
-  /** Where a node logs. */
+  /** Where a controller logs. */
   private readonly logOf: (node: string) => Log;
-  /** ms that messages between nodes and workers take each way. */
-  linkMs = 1;
+  /** ms that messages between controllers and workers take each way. */
+  linkDelayMs = 1;
   readonly workerLeaseMs = 24_000;
   private readonly invariants = new InvariantChecker(this);
-  /** What waits for nodes that stand still. */
-  private readonly frozen = new Map<string, (() => void)[]>();
+  /** What waits for controllers that are paused. */
+  private readonly pendingWhilePaused = new Map<string, (() => void)[]>();
   private incarnations = 0;
   private readonly random;
 
@@ -65,44 +65,44 @@
       ['n1', 'a'],
       ['n2', 'b'],
     ],
-    /** What the nodes' settings say otherwise. */
+    /** What the controllers' settings say otherwise. */
     readonly overrides: Partial<Settings> = {},
-    logOf: (node: string) => Log = () => silent,
+    logOf: (node: string) => Log = () => silentLog,
   ) {
     this.logOf = logOf;
     this.random = xoroshiro128plus(seed);
-    this.state = new SimKeyValueStore(this.clock, seed);
+    this.store = new SimKeyValueStore(this.clock, seed);
     for (const [name] of members) this.boot(name);
   }
 
   /** A whole number below `most`, by the world's seed. */
-  chance(most: number): number {
+  randomBelow(most: number): number {
     return uniformInt(this.random, 0, most - 1);
   }
 
-  // --- Nodes ---------------------------------------------------------------------------------
+  // --- Controllers -------------------------------------------------------------------------------
 
-  /** A node stands still while clocks run on: what comes for it meanwhile is handled on waking. */
-  freeze(name: string, seconds: number): void {
+  /** A controller is paused while clocks run on: what comes for it meanwhile is handled on waking. */
+  pause(name: string, seconds: number): void {
     const held: (() => void)[] = [];
-    this.frozen.set(name, held);
+    this.pendingWhilePaused.set(name, held);
     this.clock.after(seconds * 1000, () => {
-      this.frozen.delete(name);
+      this.pendingWhilePaused.delete(name);
       // One after the other, as a process handles what it finds: promises settle in between.
       for (const run of held) this.clock.after(0, run);
     });
   }
 
-  /** Runs what comes for a node, when it can. */
-  at(name: string, run: () => void): void {
-    const held = this.frozen.get(name);
+  /** Runs what comes for a controller, when it can. */
+  deliver(name: string, run: () => void): void {
+    const held = this.pendingWhilePaused.get(name);
     if (held) held.push(run);
     else run();
   }
 
-  /** Starts a node, as a new incarnation. */
+  /** Starts a controller, as a new incarnation. */
   boot(name: string): void {
-    this.frozen.delete(name);
+    this.pendingWhilePaused.delete(name);
     const zone = this.members.find(([one]) => one === name)?.[1] ?? 'a';
     let dead = false;
     const settings = { ...settingsOf(name, zone, this.members), ...this.settingsFor(name) };
@@ -125,24 +125,26 @@
     });
   }
 
-  /** The node that holds the leader's role, by the state service. */
+  /** The controller that holds the leader's role, by the key-value store. */
   get leader(): string {
-    return (this.state.cells.get(roleKey('leader'))?.value as RoleRecord | undefined)?.owner ?? '';
+    return (
+      (this.store.entries.get(roleKey('leader'))?.value as RoleRecord | undefined)?.owner ?? ''
+    );
   }
 
-  /** A node is gone at once. */
+  /** A controller is gone at once. */
   kill(name: string): void {
     this.nodes.get(name)?.kill();
   }
 
-  /** Whether two nodes, or a node and a machine, can't reach each other. */
-  cut(x: string, y: string): boolean {
-    return this.cuts.has(`${x}>${y}`) || this.cuts.has(`${y}>${x}`);
+  /** Whether two controllers, or a controller and a machine, can't reach each other. */
+  isCut(x: string, y: string): boolean {
+    return this.cutLinks.has(`${x}>${y}`) || this.cutLinks.has(`${y}>${x}`);
   }
 
-  /** Whether what two nodes send each other is lost, though they are connected. */
+  /** Whether what two controllers send each other is lost, though they are connected. */
   drops(x: string, y: string): boolean {
-    return this.dropped.has(`${x}>${y}`) || this.dropped.has(`${y}>${x}`);
+    return this.lossyLinks.has(`${x}>${y}`) || this.lossyLinks.has(`${y}>${x}`);
   }
 
   // --- The cloud -----------------------------------------------------------------------------
@@ -157,21 +159,21 @@
   }
 
   /** The cloud takes nothing back. */
-  get cloudTrouble(): boolean {
-    return this.cloud.trouble;
+  get cloudRefusesReturns(): boolean {
+    return this.cloud.refusesReturns;
   }
 
-  set cloudTrouble(trouble: boolean) {
-    this.cloud.trouble = trouble;
+  set cloudRefusesReturns(trouble: boolean) {
+    this.cloud.refusesReturns = trouble;
   }
 
   /** The cloud tells its machine types. */
-  get catalog(): boolean {
-    return this.cloud.catalog;
+  get cloudHasCatalog(): boolean {
+    return this.cloud.hasCatalog;
   }
 
-  set catalog(known: boolean) {
-    this.cloud.catalog = known;
+  set cloudHasCatalog(known: boolean) {
+    this.cloud.hasCatalog = known;
   }
 
   /** The address of the machine of this number. */
@@ -214,13 +216,13 @@
     );
   }
 
-  /** Asks a node to cancel a job. */
+  /** Asks a controller to cancel a job. */
   cancel(id: string, at = 'n0'): Promise<Reply> {
-    this.invariants.cancelRequested(id);
+    this.invariants.recordCancelRequest(id);
     return this.request('cancel', id, null, at);
   }
 
-  /** Asks a node for the state of a job. */
+  /** Asks a controller for the state of a job. */
   poll(id: string, at = 'n0'): Promise<Reply> {
     return this.request('poll', id, null, at);
   }
@@ -228,26 +230,26 @@
   private request(kind: RequestKind, id: string, body: string | null, at: string): Promise<Reply> {
     const node = this.nodes.get(at)?.node;
     if (!node) {
-      this.invariants.unanswered(kind, id);
+      this.invariants.recordNoReply(kind, id);
       return Promise.resolve({ status: 0, body: null });
     }
     const requestedAt = this.clock.now();
     return new Promise((resolve) => {
-      this.at(at, () => {
+      this.deliver(at, () => {
         void node.handleUserRequest(kind, kind === 'submit' ? '' : id, body).then((raw) => {
           const reply = this.tamper(kind, id, unwrap(raw));
-          this.invariants.replied(kind, id, requestedAt, reply);
+          this.invariants.recordReply(kind, id, requestedAt, reply);
           resolve(reply);
         });
       });
     });
   }
 
-  // --- The judge -----------------------------------------------------------------------------
+  // --- The invariant checker ---------------------------------------------------------------------
 
-  /** Each breach of a rule. */
-  get broken(): string[] {
-    return this.invariants.broken;
+  /** Each violation of an invariant. */
+  get violations(): string[] {
+    return this.invariants.violations;
   }
 
   /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
@@ -255,17 +257,17 @@
     return this.invariants.startsAfterCancel;
   }
 
-  /** Jobs that a node called accepted. */
+  /** Jobs that a controller called accepted. */
   get accepted(): Set<string> {
     return this.invariants.accepted;
   }
 
-  /** The ends that nodes told of jobs, with the time. */
-  get told(): Map<string, { stage: string; at: number }> {
-    return this.invariants.told;
+  /** The ends that controllers told of jobs, with the time. */
+  get answeredEnds(): Map<string, { stage: string; at: number }> {
+    return this.invariants.answeredEnds;
   }
 
-  /** Tells the judge that all troubles are over. */
+  /** Tells the invariant checker that all faults are over. */
   faultsOver(): void {
     this.invariants.faultsOver();
   }
@@ -277,12 +279,12 @@
   }
 
   /** Called by a worker when a task gets on its machine. */
-  started(worker: SimWorker, task: string): void {
+  taskStarted(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name, at: this.clock.now() });
-    this.invariants.started(worker, task);
+    this.invariants.taskStarted(worker, task);
   }
 
-  /** Runs on, judging as it goes. */
+  /** Runs on, checking invariants every simulated second. */
   async run(seconds: number): Promise<void> {
     const until = this.clock.now() + seconds * 1000;
     while (this.clock.now() < until) {
