--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -69,7 +69,7 @@
     const leader = cluster.roleRecord('leader')?.owner ?? '';
     const other = MEMBERS.find(([name]) => name !== leader)?.[0] ?? '';
     await startWork(cluster, other);
-    // Its next transaction and all direct commands are on their way for longer than a takeover takes.
+    // Its next transaction and all direct commands are on their way for longer than a failover takes.
     cluster.store.delayNextTransactionMs.set(leader, LATE_MS);
     setOnAllWorkers(cluster, { directDelayMs: LATE_MS });
     void cluster.submit('j-000003', { tasks: 2, runS: 2, spot: false, team: 'blue' }, other);
--- a/test/loopback/platform-settings.ts
+++ b/test/loopback/platform-settings.ts
@@ -1,7 +1,7 @@
 /** The settings file that the platform would hand to a controller on loopback. */
 import { TEAMS } from '../world/settings.js';
 
-/** s; as in a deployment: a worker's lease outlives a takeover, so that no task has to start again. */
+/** s; as in a deployment: a worker's lease outlives a failover, so that no task has to start again. */
 export const LEASE_S = 24;
 export const CANCEL_S = 54;
 
--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -12,7 +12,7 @@
 interface Row {
   name: string;
   members?: number;
-  trouble: (network: DetectorNetwork) => Promise<void>;
+  fault: (network: DetectorNetwork) => Promise<void>;
   /** States that each member may take for any other, from the fault on. */
   allowed: Record<string, MemberState[]>;
   /** States that some observer must have seen, and how all look in the end. */
@@ -41,7 +41,7 @@
 const ROWS: Row[] = [
   ...[1, 3].map((seconds) => ({
     name: `a member whose event loop is held ${seconds} s`,
-    trouble: async (network: DetectorNetwork) => {
+    fault: async (network: DetectorNetwork) => {
       network.pause('m1', seconds);
       await network.run(20);
     },
@@ -50,7 +50,7 @@
   })),
   {
     name: 'a member held 5 s is suspected at most, and refutes',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.pause('m1', 5);
       await network.run(20);
     },
@@ -60,7 +60,7 @@
   },
   {
     name: 'a member held 10 s, and back',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.pause('m1', 10);
       await network.run(25);
     },
@@ -70,7 +70,7 @@
   },
   {
     name: 'a member that is several times slower for minutes',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.delayMs = slowed(['m2'], network);
       await network.run(180);
     },
@@ -78,7 +78,7 @@
   },
   {
     name: 'two of three members are slow',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.delayMs = slowed(['m1', 'm2'], network);
       await network.run(120);
     },
@@ -87,7 +87,7 @@
   {
     name: 'an observer that is held again and again brings nobody down',
     members: 5,
-    trouble: async (network) => {
+    fault: async (network) => {
       for (let turn = 0; turn < 20; turn++) {
         network.pause('m0', 2.5);
         await network.run(3);
@@ -97,7 +97,7 @@
   },
   {
     name: 'what one member sends another is lost: others reach it',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.delayMs = isOneWay('m0', 'm1');
       await network.run(60);
     },
@@ -106,7 +106,7 @@
   {
     name: 'a link that flaps',
     members: 4,
-    trouble: async (network) => {
+    fault: async (network) => {
       for (let turn = 0; turn < 30; turn++) {
         network.delayMs = turn % 2 === 0 ? between(['m0'], ['m1']) : () => 2;
         await network.run(1.5);
@@ -119,7 +119,7 @@
   {
     name: 'a split in which each half suspects the other, healed',
     members: 4,
-    trouble: async (network) => {
+    fault: async (network) => {
       network.delayMs = between(['m0', 'm1'], ['m2', 'm3']);
       await network.run(20);
       network.delayMs = () => 2;
@@ -134,7 +134,7 @@
   {
     name: 'a whole round of confirmations comes once more, a minute late',
     members: 4,
-    trouble: async (network) => {
+    fault: async (network) => {
       network.pause('m1', 4);
       await network.run(12);
       const late = network.sent.filter(({ message }) =>
@@ -152,7 +152,7 @@
   },
   {
     name: 'back within an instant as a new process',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.start('m1');
       await network.run(10);
       const reasons = network.transitions.filter(({ member }) => member === 'm1');
@@ -163,7 +163,7 @@
   },
   {
     name: 'answers of the process before come late',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.delayMs = ({ from, message }) =>
         from === 'm1' && message.body.kind === 'ack' ? 6000 : 2;
       await network.run(2.2);
@@ -179,7 +179,7 @@
   {
     name: 'all restarted together',
     members: 5,
-    trouble: async (network) => {
+    fault: async (network) => {
       for (const name of network.names) network.start(name);
       await network.run(10);
     },
@@ -187,7 +187,7 @@
   },
   {
     name: 'the wall clock jumps',
-    trouble: async (network) => {
+    fault: async (network) => {
       network.wallOffsetMs = 3_600_000;
       await network.run(10);
       network.wallOffsetMs = -3_600_000;
@@ -198,7 +198,7 @@
   {
     name: 'a member that is gone',
     members: 5,
-    trouble: async (network) => {
+    fault: async (network) => {
       network.kill('m3');
       await network.run(15);
     },
@@ -208,7 +208,7 @@
   },
 ];
 
-for (const { name, members = 3, trouble, allowed, seen = {}, atEnd = {} } of ROWS) {
+for (const { name, members = 3, fault: trouble, allowed, seen = {}, atEnd = {} } of ROWS) {
   test(`failure detector: ${name}`, async () => {
     for (const seed of SEEDS) {
       const network = new DetectorNetwork(named(members), seed);
--- a/test/world/failure-detection-case.ts
+++ b/test/world/failure-detection-case.ts
@@ -67,7 +67,7 @@
   const before = roleTerms(world);
   await row.fault(watched);
   if (row.keepsTerms) assert.deepEqual(roleTerms(world), before);
-  if (row.reasons) assert.deepEqual([...takeoverReasons(records)], row.reasons);
+  if (row.reasons) assert.deepEqual([...failoverReasons(records)], row.reasons);
   world.settingsFor = () => WITH_FAILURE_DETECTION;
   for (const [node] of world.members) if (!world.nodes.has(node)) world.boot(node);
   await world.run(25);
@@ -100,7 +100,7 @@
 }
 
 /** The reasons for which roles were taken. */
-function takeoverReasons(records: readonly DetectionRecord[]): Set<string> {
+function failoverReasons(records: readonly DetectionRecord[]): Set<string> {
   const reasons = new Set<string>();
   for (const record of records) {
     if (record.type === 'decision' && record.action === 'take') reasons.add(record.why);
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -163,8 +163,8 @@
     return this.cloud.refusesReturns;
   }
 
-  set cloudRefusesReturns(trouble: boolean) {
-    this.cloud.refusesReturns = trouble;
+  set cloudRefusesReturns(refuses: boolean) {
+    this.cloud.refusesReturns = refuses;
   }
 
   /** The cloud tells its machine types. */
