--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -9,6 +9,7 @@
 import { readSettings } from '../../src/protocol/settings.js';
 import { listenHttp, type HttpReply } from '../../src/transport/http-server.js';
 import { World } from '../world/world.js';
+import { SETTINGS_FILE } from '../world/settings-file.js';
 
 const GANG = 'j-000001';
 
@@ -171,42 +172,18 @@
 
 // --- Settings ----------------------------------------------------------------------------------
 
-const SETTINGS = `
-node_name = "moth-0"
-site = "a"
-front = "127.0.0.1:1"
-cluster_listen = "127.0.0.1:2"
-[services]
-cloud = "127.0.0.1:3"
-state = "127.0.0.1:4"
-[params]
-zones = ["a", "b"]
-[params.workers]
-report_s = 3.0
-lease_s = 24.0
-cancel_s = 54.0
-#workers
-[params.state]
-rps = 150.0
-write_rps = 60.0
-value_kb = 8.0
-txn_ops = 32
-#state
-[params.cloud]
-rps = 1.5
-list_lag_s = 12.0
-[params.resources]
-cores = 0.34
-mem_mb = 178.0
-fd_limit = 1500
-`;
+/** The lines of the file after which those of a section may follow. */
+const SECTION_ENDS = { workers: 'cancel_s = 54.0\n', state: 'txn_ops = 32\n' };
 const MAIN = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
 after(() => rmSync(folder, { recursive: true }));
 
 function settingsWith(place: 'workers' | 'state', lines: string): string {
   const file = join(folder, 'settings.toml');
-  writeFileSync(file, SETTINGS.replace(`#${place}`, lines));
+  writeFileSync(
+    file,
+    SETTINGS_FILE.replace(SECTION_ENDS[place], `${SECTION_ENDS[place]}${lines}\n`),
+  );
   return file;
 }
 
--- a/test/trace.ts
+++ b/test/trace.ts
@@ -5,6 +5,7 @@
  */
 import { createHash } from 'node:crypto';
 import { FAULTS } from './world/fault-sweep.js';
+import { WITH_FAILURE_DETECTION } from './world/failure-detection-case.js';
 import { Users } from './world/users.js';
 import { World } from './world/world.js';
 import type { SimJob } from './world/jobs.js';
@@ -15,16 +16,6 @@
 const WARM_UP_S = 7;
 const PLAY_S = 150;
 const LIMITS = { rps: 80, writeRps: 25 };
-const SUSPICION = {
-  probeIntervalMs: 1000,
-  probeTimeoutMs: 500,
-  suspicionLeastMs: 4500,
-  suspicionMostMs: 6000,
-  quorum: null,
-  confirmWithinMs: 3000,
-  holdNewWorkMs: 8000,
-  history: 64,
-};
 
 /** Arrays, services, gangs and urgent jobs, with and without limits of place, some of them broken. */
 function jobOf(number: number): Partial<SimJob> {
@@ -55,7 +46,7 @@
   const world = new World(seed, undefined, {
     storeRps: LIMITS.rps,
     storeWriteRps: LIMITS.writeRps,
-    suspicion: detects ? SUSPICION : null,
+    suspicion: detects ? (WITH_FAILURE_DETECTION.suspicion ?? null) : null,
   });
   world.capacity = MACHINES + 10;
   world.store.limits = LIMITS;
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -1,6 +1,7 @@
 /** Examples of the records that this version stores, and of its metrics. */
 import { Bandit } from '../../src/coordination/scheduling/bandit.js';
 import { createMetricsReader } from '../../src/coordination/controller/metrics.js';
+import { WITH_FAILURE_DETECTION } from './failure-detection-case.js';
 import { World } from './world.js';
 
 /** Examples by their names. */
@@ -81,17 +82,7 @@
 
 /** The names and help texts of all metrics. */
 export async function metricForms(): Promise<Forms> {
-  const suspicion = {
-    probeIntervalMs: 1000,
-    probeTimeoutMs: 500,
-    suspicionLeastMs: 4500,
-    suspicionMostMs: 6000,
-    quorum: null,
-    confirmWithinMs: 3000,
-    holdNewWorkMs: 8000,
-    history: 64,
-  };
-  const world = new World(3, undefined, { suspicion });
+  const world = new World(3, undefined, WITH_FAILURE_DETECTION);
   await world.run(3);
   const node = world.nodes.get('n0')?.node;
   if (!node) throw new Error('the node is gone');
