--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -1,6 +1,5 @@
 /** Built controllers as processes, against a simulated key-value store, cloud and workers over HTTP. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
-import net from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -11,13 +10,14 @@
 import { SimCloud } from '../world/cloud.js';
 import { SimGangs } from '../world/gang.js';
 import { jobOf, submissionOf, type Reply, type SimJob } from '../world/jobs.js';
-import { InvariantChecker } from '../world/invariant-checker.js';
+import { InvariantChecker, type RequestKind } from '../world/invariant-checker.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import type { HeartbeatTarget, SimulationHost } from '../world/simulation-host.js';
 import type { SimWorker } from '../world/worker.js';
 import type { WireCommand } from '../world/worker-wire.js';
 import { answerForCloud } from './cloud-front.js';
 import { ControllerProcess, type LogLine } from './controller-process.js';
+import { freePort } from './free-port.js';
 import { HttpFront, send, type FrontReply, type FrontRequest } from './http-front.js';
 import { CANCEL_S, LEASE_S, platformSettings } from './platform-settings.js';
 import { KeyValueStoreFront } from './key-value-store-front.js';
@@ -42,34 +42,8 @@
   members: readonly (readonly [string, string])[];
   /** Operators' settings files. */
   operators: readonly string[];
-}
-
-/**
- * Ports of controllers lie below those that the system gives to outgoing connections (from 32,768 on): one of
- * these could be taken by another test between the search for it and the start of the controller.
- */
-const FIRST_PORT = 20_000;
-const PORT_COUNT = 12_000;
-/** Ports that clusters of this process have been given. */
-const allocatedPorts = new Set<number>();
-let nextPort = process.pid % PORT_COUNT;
-
-function canListen(port: number): Promise<boolean> {
-  return new Promise((resolve) => {
-    const server = net.createServer();
-    server.once('error', () => resolve(false));
-    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)));
-  });
-}
-
-async function freePort(): Promise<number> {
-  for (let tries = 0; tries < PORT_COUNT; tries++) {
-    const port = FIRST_PORT + (nextPort++ % PORT_COUNT);
-    if (allocatedPorts.has(port)) continue;
-    allocatedPorts.add(port);
-    if (await canListen(port)) return port;
-  }
-  throw new Error('no port is free');
+  /** The program that controllers run first; by default this build's. */
+  program?: string;
 }
 
 /** Real controllers with all that surrounds them. */
@@ -114,7 +88,7 @@
   static async start(options: ClusterOptions): Promise<LoopbackCluster> {
     const cluster = new LoopbackCluster(options);
     await cluster.open();
-    for (const process of cluster.processes.values()) process.start();
+    for (const process of cluster.processes.values()) process.start(options.program);
     return cluster;
   }
 
@@ -194,6 +168,12 @@
     return this.ask('poll', id, at, ['GET', `/v2/runs/${id}`, null]);
   }
 
+  /** Asks a controller to cancel a job. */
+  async cancel(id: string, at: string): Promise<Reply> {
+    this.invariants.recordCancelRequest(id);
+    return this.ask('cancel', id, at, ['POST', `/v2/runs/${id}/cancel`, null]);
+  }
+
   /** Whether a controller says that it is ready. */
   async isReady(at: string): Promise<boolean> {
     return (await this.call(at, 'GET', '/ready', null, 1_000)).status === 200;
@@ -229,7 +209,7 @@
   // --- Sockets -------------------------------------------------------------------------------
 
   private async ask(
-    kind: 'submit' | 'poll',
+    kind: RequestKind,
     id: string,
     at: string,
     [method, path, body]: [string, string, string | null],
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -20,8 +20,9 @@
 
   constructor(private readonly args: readonly string[]) {}
 
-  start(): void {
-    const child = spawn(process.execPath, [MAIN, ...this.args], {
+  /** Starts it as a new process of a built program; by default this build's. */
+  start(program = MAIN): void {
+    const child = spawn(process.execPath, [program, ...this.args], {
       stdio: ['ignore', 'ignore', 'pipe'],
       env: { ...process.env, LOG_LEVEL: 'info' },
     });
