--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -1,22 +1,37 @@
-/** Constants, each with unit and reason. Placement on the machines of a shard: bandit, preemption and consolidation. */
+/** Constants of task placement on a shard's machines: bandit, preemption and consolidation. */
 
-/** Task classes that the bandit tells apart; the rest share one. The design's starting value. */
+/**
+ * Task classes with an entry of their own in the bandit's contexts; all others share one entry. The
+ * limit bounds the size of the stored matrices.
+ */
 export const MAX_TASK_CLASSES = 20;
 
-/** Share of a start target that the fetch of an image may take; the rest is for deciding and sending. */
+/**
+ * Fraction of a start target that an image fetch may take; the rest is for scheduling and for
+ * sending the start command.
+ */
 export const START_TARGET_FETCH_SHARE = 0.6;
 
-/** ms; pace at which a shard looks for little-used machines whose services could move. */
+/** ms; interval between two searches for machines with low CPU use whose services could move. */
 export const CONSOLIDATION_PERIOD_MS = 15_000;
 
-/** ms; a task that has run for less stays where it is: stopping it would undo its start. */
+/**
+ * ms; run time up to which a task is not moved by consolidation, and not preempted if its job
+ * started late: a stop would waste the start.
+ */
 export const SETTLED_AFTER_MS = 35_000;
 
-/** Tasks; the fetch of an image costs urgent work as much as so many preempted tasks cost others. */
+/**
+ * Tasks; added to the cost of preemption on a machine without the job's image, because the fetch
+ * delays urgent work as much as this many preempted tasks delay other work.
+ */
 export const IMAGE_FETCH_COST = 3;
 
-/** Share of a shard's used machines whose services may move at once; of a small fleet one machine. */
+/**
+ * Fraction of a shard's used machines whose services may move in one run of consolidation; one
+ * machine is always allowed, so that small fleets are consolidated too.
+ */
 export const CONSOLIDATION_MAX_MACHINE_SHARE = 0.05;
 
-/** Share of its CPUs in use up to which a machine's services may be moved away. */
+/** Highest fraction of a machine's CPUs in use at which its services may still be moved away. */
 export const CONSOLIDATION_MAX_CPU_USE = 0.5;
--- a/src/coordination/scheduling/arm-records.ts
+++ b/src/coordination/scheduling/arm-records.ts
@@ -1,4 +1,4 @@
-/** The stored form of what the bandit has learned of one machine type. */
+/** The stored form of a bandit's arm, which holds what was learned about one machine type. */
 
 import { bytesOf } from '../../storage/committer.js';
 
@@ -9,43 +9,46 @@
 type VectorEntries = [row: number, value: number][];
 
 /**
- * An arm as it is kept in the key-value store: A's lower triangle without zeros, and b. What does
- * not fit into one value is in further records, whose fields here are empty: the previous version
- * reads those too, and ignores records whose types differ from its own. The main record alone is a
- * valid arm.
+ * An arm as it is stored: the non-zero cells of A's lower triangle, and b. Data that exceeds the
+ * size of one value is in further records, where `classes`, `types`, `a` and `b` are empty. The
+ * previous version of this program reads further records as arms too; it ignores them because their
+ * `types` differ from its own. The main record alone is a valid arm.
  */
 export interface ArmRecord {
   classes: string[];
   types: string[];
   a: MatrixCells;
   b: VectorEntries;
-  /** Identifies the records of one snapshot; absent: this is the only record. */
+  /** Identifies the records of one snapshot; absent if this is the only record. */
   stamp?: number;
-  /** In the main record: the number of further records. */
+  /** In the main record: number of further records. */
   further?: number;
-  /** In further records: what is to be appended to the fields of the main record. */
+  /** In further records: elements to append to `classes`, `a` and `b` of the main record. */
   moreClasses?: string[];
   moreA?: MatrixCells;
   moreB?: VectorEntries;
 }
 
-/** How an arm is divided among records. */
+/** Options for dividing an arm among records. */
 interface SplitOptions {
-  /** Bytes of JSON that one record may have. */
+  /** Maximum size of one record, in bytes of JSON. */
   maxBytes: number;
   /** Identifies the records of this snapshot. */
   stamp: number;
 }
 
-/** What the main record of an arm leaves to the further ones. */
+/** Data of an arm that is not in its main record. */
 type Remainder = Required<Pick<ArmRecord, 'moreClasses' | 'moreA' | 'moreB'>>;
 
-/** Stands for the number of further records until it is known: no number takes more bytes. */
+/**
+ * Placeholder for the number of further records while the main record is sized. No actual number
+ * takes more bytes.
+ */
 const MAX_FURTHER_RECORDS = 9999;
 
 /**
- * Divides an arm among records, the main one first. None: not even the diagonal of A fits into the
- * main record.
+ * Divides an arm among records, the main one first. Returns none if not even the diagonal of A fits
+ * into the main record.
  */
 export function splitArm(arm: ArmRecord, options: SplitOptions): ArmRecord[] {
   if (bytesOf(arm) <= options.maxBytes) return [arm];
@@ -62,7 +65,11 @@
   return [{ ...main, further: further.length }, ...further];
 }
 
-/** Diagonal of A and b for as many classes as fit; the others get the diagonal of a new arm. */
+/**
+ * Returns the main record: the diagonal of A, and b, for as many classes as fit. The other classes
+ * get the diagonal cells of a new arm. Returns null if the record is too large even without
+ * classes.
+ */
 function mainRecord(arm: ArmRecord, { maxBytes, stamp }: SplitOptions): ArmRecord | null {
   for (let classCount = arm.classes.length; classCount >= 0; classCount--) {
     const isOmittedClass = (row: number): boolean => row >= classCount && row < arm.classes.length;
@@ -81,7 +88,7 @@
   return null;
 }
 
-/** Divides what the main record leaves among further records. */
+/** Divides the data that is not in the main record among further records. */
 function furtherRecords(remainder: Remainder, { maxBytes, stamp }: SplitOptions): ArmRecord[] {
   const createRecord = (): ArmRecord & Remainder => ({
     classes: [],
@@ -113,8 +120,9 @@
 }
 
 /**
- * Joins the records of one snapshot; the main record alone where a further one is missing or belongs
- * to another snapshot. `furtherRecord`: looks up the record with a number, counted from 1.
+ * Joins the records of one snapshot. Returns the main record alone if a further record is missing
+ * or belongs to another snapshot. `furtherRecord` looks up a further record by its number, from 1
+ * up.
  */
 export function joinArm(
   main: ArmRecord,
@@ -126,7 +134,8 @@
     const further = furtherRecord(number);
     if (further?.stamp !== main.stamp) return main;
     arm.classes.push(...(further.moreClasses ?? []));
-    // Later cells replace earlier ones: the main record has those of a new arm for omitted classes.
+    // For omitted classes the main record has the diagonal cells of a new arm. The cells appended
+    // here replace them when the arm is restored.
     arm.a.push(...(further.moreA ?? []));
     arm.b.push(...(further.moreB ?? []));
   }
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -6,30 +6,31 @@
 
 export type { ArmRecord } from './arm-records.js';
 
-/** What is learned of one machine type: A and b of ridge regression, with A's inverse beside it. */
+/** State of the ridge regression for one machine type: A, its inverse, and b. */
 interface Arm {
-  /** A: the identity and the outer products of all contexts. */
+  /** A: the identity matrix plus the outer products of all contexts. */
   design: Matrix;
   designInverse: Matrix;
-  /** b: the contexts weighted by their payoffs. */
+  /** b: the sum of all contexts, weighted by their payoffs. */
   response: Matrix;
 }
 
 const roundForStorage = (value: number): number => Number(value.toPrecision(5));
 
 /**
- * LinUCB over machine types, as the design says: context = class one-hot (the classes past the limit
- * share one), each type's share of queued and running tasks, type one-hot. One A and b per type.
+ * LinUCB over machine types, with one arm (A and b) per type. A context consists of the one-hot
+ * encoded task class, each type's fraction of the queued and running tasks, and the one-hot encoded
+ * machine type. Classes beyond `MAX_TASK_CLASSES` share one entry.
  */
 export class Bandit {
   private readonly arms = new Map<string, Arm>();
   private readonly classes: string[] = [];
-  /** The highest cost of a finished task, by the index of its class. */
+  /** The highest cost of a finished task, by class index. */
   private readonly highestCosts = new Map<number, number>();
 
   /**
-   * `alpha`: weight of the uncertainty of an estimate; 0: the bandit does not explore. `penalty`:
-   * what a failure costs, as a multiple of the highest cost of its class.
+   * `alpha`: weight of the uncertainty of an estimate; 0 disables exploration. `penalty`: cost of a
+   * failed task, as a multiple of the highest cost of its class.
    */
   constructor(
     private readonly types: readonly string[],
@@ -42,7 +43,7 @@
     return MAX_TASK_CLASSES + 1 + 2 * this.types.length;
   }
 
-  /** The index of a class in a context; a new class takes the next one while there are any. */
+  /** Returns the index of a class in a context. New classes share one index when all are taken. */
   private classIndex(taskClass: string): number {
     const index = this.classes.indexOf(taskClass);
     if (index >= 0) return index;
@@ -81,7 +82,7 @@
     return vector;
   }
 
-  /** The upper confidence bound of an arm's payoff in a context: the greater, the better. */
+  /** The upper confidence bound of an arm's payoff in a context; higher is better. */
   score(type: string, context: number[]): number {
     const { designInverse, response } = this.arm(type);
     const vector = Matrix.columnVector(context);
@@ -90,14 +91,14 @@
     return mean + this.alpha * Math.sqrt(Math.max(0, vector.dot(product)));
   }
 
-  /** Learns from a finished task: the payoff is minus the cost of its run. */
+  /** Learns from a finished task; the payoff is the negative cost of its run. */
   finished(type: string, context: number[], cost: number): void {
     const classIndex = context.indexOf(1);
     this.highestCosts.set(classIndex, Math.max(this.highestCosts.get(classIndex) ?? 0, cost));
     this.learn(type, context, -cost);
   }
 
-  /** Learns from a failed task: it costs a multiple of the highest cost of its class. */
+  /** Learns from a failed task, which costs `penalty` times the highest cost of its class. */
   failed(type: string, context: number[]): void {
     const highestCost = this.highestCosts.get(context.indexOf(1)) ?? 0;
     this.learn(type, context, -this.penalty * highestCost);
@@ -108,15 +109,16 @@
     const vector = Matrix.columnVector(context);
     arm.design.add(vector.mmul(vector.transpose()));
     arm.response.add(Matrix.mul(vector, payoff));
-    // Sherman–Morrison formula: updates the inverse for the added x·xᵀ without a new inversion.
+    // Sherman–Morrison formula, which updates the inverse for the added x·xᵀ without a new
+    // inversion.
     const product = arm.designInverse.mmul(vector);
     arm.designInverse.sub(product.mmul(product.transpose()).div(1 + vector.dot(product)));
   }
 
   /**
-   * What was learned of a type, in records of at most `maxBytes` bytes of JSON each, the main one
-   * first; `stamp` identifies the records of one snapshot. None: nothing was learned, or not even the
-   * diagonal of A fits.
+   * Returns a type's arm in records of at most `maxBytes` bytes of JSON each, the main one first.
+   * `stamp` identifies the records of one snapshot. Returns none if nothing was learned about the
+   * type or if not even the diagonal of A fits.
    */
   records(type: string, maxBytes: number, stamp: number): ArmRecord[] {
     const arm = this.arms.get(type);
@@ -134,8 +136,8 @@
   }
 
   /**
-   * Takes over what was stored of a type, unless it was learned with other machine types or other
-   * classes. `furtherRecord`: looks up the record with this number beside the main one.
+   * Restores a type's arm from its records, unless they were written with other machine types or
+   * with conflicting classes. `furtherRecord` looks up a further record by its number, from 1 up.
    */
   restore(
     type: string,
@@ -144,7 +146,8 @@
   ): void {
     if (main.types.join() !== this.types.join()) return;
     const record = joinArm(main, furtherRecord);
-    // Arms are written at different times: one may know more classes than another.
+    // Arms are written at different times, so one may list more classes than another. Only the
+    // classes that both lists have must agree.
     const commonCount = Math.min(this.classes.length, record.classes.length);
     const storedClasses = record.classes.slice(0, commonCount);
     if (this.classes.slice(0, commonCount).join() !== storedClasses.join()) return;
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -8,23 +8,28 @@
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
 
-/** A machine that may take tasks, and what is left of it in this cycle. */
+/** A machine that may take tasks, and its state in this scheduling cycle. */
 export interface Candidate {
   machine: Machine;
-  /** Its free resources. */
+  /** Free resources, reduced by each task that the cycle assigns. */
   free: Resources;
   /** Whether no task is placed on it. */
   isEmpty: boolean;
-  /** Its free resources are reserved for a gang that does not fit yet. */
+  /** Whether its free resources are reserved for a gang that does not fit yet. */
   isReserved: boolean;
-  /** Its free resources are reserved for the next gang: most arrays may not use them. */
+  /**
+   * Whether its free resources are reserved for a future gang, so that most arrays can't use them.
+   */
   excludesArrays: boolean;
 }
 
-/** Looks up a job's description and the time of day of its acceptance; null: it is over. */
+/** Returns a job's specification and the wall-clock time of its acceptance; null once it ended. */
 export type JobLookup = (id: string) => { spec: JobSpec; at: number } | null;
 
-/** The healthy machines of a shard in their fixed order, with what their tasks leave free. */
+/**
+ * Lists the healthy machines of a shard in their fixed order. The resources of tasks that are being
+ * stopped count as free.
+ */
 export function listCandidates(machines: Machines, tasks: Tasks): Candidate[] {
   const candidates: Candidate[] = [];
   for (const machine of machines.inOrder()) {
@@ -41,12 +46,12 @@
   return candidates;
 }
 
-/** Whether tasks of an assignment may run on a machine: in its zone, and as its job allows. */
+/** Whether a machine is in an assignment's zone and its job allows the machine. */
 export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Assignment): boolean {
   return machine.zone === assignment.record.zone && isEligible(spec, machine);
 }
 
-/** Queued and running tasks by machine type. */
+/** Counts the queued and running tasks by machine type. */
 export function countTasksByType(machines: Machines, tasks: Tasks): Map<string, number> {
   const counts = new Map<string, number>();
   for (const name of tasks.occupiedMachines()) {
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,4 +1,4 @@
-/** Consolidation of services: little-used machines are emptied, so that they can be returned. */
+/** Consolidation: moves services off machines with low CPU use, so that these can be returned. */
 
 import {
   CONSOLIDATION_MAX_CPU_USE,
@@ -14,7 +14,7 @@
 import type { Tasks } from '../shard-state/tasks.js';
 import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
 
-/** What consolidation reads and writes. */
+/** Services and state that consolidation uses. */
 interface ConsolidationDependencies {
   tasks: Tasks;
   machines: Machines;
@@ -22,18 +22,20 @@
   log: Log;
 }
 
-/** Resources taken on another machine for one task. */
+/** Resources of another machine that are reserved for one task. */
 interface Reservation {
   candidate: Candidate;
   assignment: Assignment;
 }
 
-/** Whether a task ran long enough for its start to have been worth it. */
+/**
+ * Whether a task has run for more than `SETTLED_AFTER_MS`, so that a stop doesn't waste its start.
+ */
 export function isSettled(task: Task, clock: Clock): boolean {
   return task.runningAt !== null && clock.now() - task.runningAt > SETTLED_AFTER_MS;
 }
 
-/** Moves services away from the machines of a shard that are little used. */
+/** Periodically moves services off the machines of a shard that have low CPU use. */
 export class Consolidation {
   private nextRunAt = 0;
 
@@ -43,10 +45,10 @@
   ) {}
 
   /**
-   * Moves the services of little-used machines to others that have their images and enough free, so
-   * that these machines become idle and are returned. A replica is away for well under a second; one
-   * that started a moment ago stays, and nothing moves while tasks wait. Returns the machines on
-   * which tasks must now be stopped.
+   * Stops the services of machines with low CPU use if they fit on other machines that have their
+   * images. The emptied machines become idle and are returned. A moved replica is unavailable for
+   * well under a second. Replicas that started recently stay, and nothing moves while tasks wait
+   * for a machine. Returns the machines on which tasks must now be stopped.
    */
   run(): Set<string> {
     const { tasks, machines, clock } = this.dependencies;
@@ -65,7 +67,7 @@
     return emptied;
   }
 
-  /** Stops all tasks of a machine if they may move and fit on the others; false: they stay. */
+  /** Stops all tasks of a machine if all may move and fit on the others; returns whether it did. */
   private moveAll({ machine }: Candidate, others: readonly Candidate[]): boolean {
     const { tasks, log } = this.dependencies;
     const placed = [...tasks.placedOn(machine.name)];
@@ -76,7 +78,10 @@
     if (!this.reserveCapacity(assignments, targets)) return false;
     machine.isConsolidating = true;
     for (const [task] of placed) task.isStopping = true;
-    log.info({ machine: machine.name, tasks: placed.length }, 'services stopped for consolidation');
+    log.info(
+      { machine: machine.name, taskCount: placed.length },
+      'services stopped for consolidation',
+    );
     return true;
   }
 
@@ -85,7 +90,7 @@
     return isService && isSettled(task, this.dependencies.clock) && !task.isStopping;
   }
 
-  /** Takes resources for one task of each assignment on other machines; false: not all fit. */
+  /** Reserves resources for one task of each entry on the targets; returns false if not all fit. */
   private reserveCapacity(
     assignments: readonly Assignment[],
     targets: readonly Candidate[],
@@ -105,7 +110,7 @@
     return true;
   }
 
-  /** The first machine on which a task fits and that has its image. */
+  /** The first machine that has enough free capacity for a task, and its image. */
   private targetFor(assignment: Assignment, targets: readonly Candidate[]): Candidate | undefined {
     const spec = this.findJob(assignment.job)?.spec;
     if (!spec) return undefined;
@@ -117,7 +122,7 @@
     );
   }
 
-  /** Share of a machine's CPUs in use. */
+  /** Fraction of a machine's CPUs in use. */
   private cpuUse({ machine, free }: Candidate): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
     return cpus > 0 ? 1 - free.cpus / cpus : 1;
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -1,4 +1,4 @@
-/** A gang's layout: the machines of all tasks of a shard's share, and its search without preemption. */
+/** Gang layouts: a machine for each task of a gang subset, found without preemption. */
 
 import type { JobSpec } from '../../protocol/model.js';
 import { countFittingTasks } from '../capacity/resources.js';
@@ -7,24 +7,25 @@
 import type { Candidate } from './candidates.js';
 import type { MachineVictims } from './preemption.js';
 
-/** Where a gang's tasks go, in the order of the tasks, once the victims have left. */
+/** A machine for each waiting task of a gang subset, and the preemptions that this requires. */
 export interface GangLayout {
+  /** One machine per task, in the order of the tasks. */
   targets: Candidate[];
   preemptions: MachineVictims[];
 }
 
-/** A layout that stops nothing; null: there is not enough free. */
+/** Returns a layout without preemption; null if there is too little free capacity. */
 export function layOutInFreeCapacity(
   spec: JobSpec,
   assignment: Assignment,
   group: readonly Candidate[],
 ): GangLayout | null {
   const hasImage = ({ machine }: Candidate): boolean => machine.images.has(spec.image);
-  // Ordinary machines before spot ones, then those with the image, then those in use.
+  // On-demand machines first; among equals those with the image, then those in use.
   const preference = (candidate: Candidate): number =>
     (candidate.machine.spot ? 0 : 4) + (hasImage(candidate) ? 2 : 0) + (candidate.isEmpty ? 0 : 1);
   const sorted = [...group].sort((a, b) => preference(b) - preference(a));
-  // All wait for the last fetch, so images help most where every machine has it.
+  // A gang starts after its last image fetch, so a layout without any fetch is tried first.
   for (const machines of [sorted.filter(hasImage), sorted]) {
     const targets = fillInOrder(machines, assignment.record, assignment.waitingTasks.size);
     if (targets) return { targets, preemptions: [] };
@@ -32,7 +33,7 @@
   return null;
 }
 
-/** The machines for so many tasks, filled one after the other; null: not all of them fit. */
+/** Fills the machines one after the other with `taskCount` tasks; null if not all of them fit. */
 function fillInOrder(
   candidates: readonly Candidate[],
   task: Resources,
--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -1,4 +1,4 @@
-/** Chooses the machines for a shard's share of a gang: for all of its tasks at once, or for none. */
+/** Selects the machines for all tasks of a gang subset at once, or for none of them. */
 
 import type { JobSpec } from '../../protocol/model.js';
 import type { Assignment } from '../shard-state/assignment.js';
@@ -7,32 +7,33 @@
 import { layOutInFreeCapacity, type GangLayout } from './gang-layout.js';
 import type { GangPreemption } from './gang-preemption.js';
 
-/** When the machines have a gang's image. */
+/** Checks whether a machine fetches a gang's image in time. */
 interface ImageFetches {
-  /** Whether a machine has the image soon enough for the start target of the gang's class. */
+  /** Whether the fetch is short enough for the start target of the gang's class. */
   isInTime: (machine: Machine) => boolean;
-  /** Whether it has it while tasks with the image still wait for it, at the slowest. */
+  /** Whether even a slow fetch ends before the tasks that have the image stop waiting for it. */
   isWithinGangWait: (machine: Machine) => boolean;
 }
 
-/** A shard's share of a gang and what it may use. */
+/** A gang subset that needs machines, and the machines that it may use. */
 export interface GangRequest {
   spec: JobSpec;
   assignment: Assignment;
   candidates: readonly Candidate[];
-  /** The machine types among the candidates, the best first. */
+  /** Machine types of the candidates, the best first. */
   types: readonly string[];
   fetches: ImageFetches;
 }
 
-/** Finds a layout for a shard's share of a gang. */
+/** Finds layouts for gang subsets, with and without preemption. */
 export class GangPlacement {
   constructor(private readonly preemption: Pick<GangPreemption, 'layOut'>) {}
 
   /**
-   * A machine for each waiting task, or null. A gang runs at the speed of its slowest member, so one
-   * type is tried before a mixture. A machine that has the image late delays all members: preemption
-   * on the others comes before that.
+   * Returns a machine for each waiting task; null if there is no such layout. A gang runs at the
+   * speed of its slowest task, so machines of one type are tried before a mixture of types. A late
+   * image fetch delays all tasks, so preemption on machines that have the image in time is tried
+   * before machines that fetch it late.
    */
   find(request: GangRequest): GangLayout | null {
     const { spec, candidates, types, fetches } = request;
@@ -44,8 +45,8 @@
       if (layout) return layout;
     }
     if (withinWait.length === candidates.length) return null;
-    // Where a fetch may outlast the wait of those that have the image, all of them must fetch it,
-    // on machines that are equally quick.
+    // On the remaining machines a fetch may take longer than tasks that have the image wait for the
+    // others. All tasks must fetch the image then, on machines of one type, which are equally fast.
     const withoutImage = candidates.filter(({ machine }) => !machine.images.has(spec.image));
     for (const type of types) {
       const sameType = withoutImage.filter(({ machine }) => machine.type === type);
@@ -55,7 +56,7 @@
     return null;
   }
 
-  /** A layout on machines of one type, else on a mixture; without preemption, else with it. */
+  /** Tries layouts without preemption, then with it; each on single types before a mixture. */
   private findAmong(
     { spec, assignment }: GangRequest,
     candidates: readonly Candidate[],
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption for a gang: enough tasks are stopped for all of a shard's share, or none. */
+/** Preemption for gangs: frees capacity for all tasks of a gang subset, or preempts nothing. */
 
 import { RECLAIM_VALID_MS } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
@@ -17,25 +17,25 @@
   type Victim,
 } from './preemption.js';
 
-/** A machine in planning: what the plan leaves free, what may still be stopped, and what will be. */
+/** A machine with the plan's free capacity, remaining preemption candidates, and victims. */
 interface PlannedMachine extends PreemptibleMachine {
   stoppable: Victim[];
   victims: Victim[];
 }
 
-/** Rights of which a plan takes what it uses. */
+/** Preemption rights that decrease with each array task that the plan preempts. */
 interface GangPreemptionRights extends PreemptionRights {
   arrayCpus: Map<string, number>;
 }
 
-/** Plans layouts for which other work is stopped. */
+/** Plans gang layouts that preempt other tasks. */
 export class GangPreemption {
   constructor(
     private readonly preemption: Pick<Preemption, 'victims'>,
     private readonly clock: Clock,
   ) {}
 
-  /** A layout on these machines that stops as few other tasks as will do; null: there is none. */
+  /** Returns a layout that adds one task at a time at the lowest preemption cost; null if none. */
   layOut(
     spec: JobSpec,
     assignment: Assignment,
@@ -61,8 +61,8 @@
   }
 
   /**
-   * CPUs of arrays of teams beyond their guarantee that a gang may stop, by team: only for a moment
-   * after it was handed out.
+   * CPUs of arrays that a gang may preempt, by team: those of teams above their fair shares. None
+   * once `RECLAIM_VALID_MS` have passed since the gang was assigned to the shard.
    */
   private reclaimableArrayCpus(assignment: Assignment): Record<string, number> {
     const [first] = assignment.waitingTasks;
@@ -72,7 +72,7 @@
   }
 }
 
-/** How to fit one more task where that costs the least; null: it fits on none of the machines. */
+/** The cheapest way to place one more task; null if it fits on none of the machines. */
 function cheapestOption(
   machines: readonly PlannedMachine[],
   task: Resources,
@@ -81,7 +81,7 @@
   return findCheapest(machines, 0, (machine) => selectVictims(machine, task, rights));
 }
 
-/** Frees what the victims of an option use, and takes their arrays' CPUs off the rights. */
+/** Adds an option's victims to the plan, and subtracts the CPUs of arrays from the rights. */
 function applyOption(
   { machine, victims }: PreemptionOption<PlannedMachine>,
   { arrayCpus }: GangPreemptionRights,
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Resources that a shard reserves: for a gang that does not fit yet, and for the next one. */
+/** Reserves a shard's machines for gangs that do not fit yet, and for a future gang. */
 
 import { GANG_RESERVATION_FACTOR } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -8,17 +8,17 @@
 import type { Tasks } from '../shard-state/tasks.js';
 import type { Candidate, JobLookup } from './candidates.js';
 
-/** How many of a gang's tasks fit on a machine: now, and once the arrays there have ended. */
+/** Numbers of a gang's tasks that fit on a machine: now, and once the arrays there have ended. */
 interface CandidateFit {
   candidate: Candidate;
   fitNow: number;
   fitLater: number;
 }
 
-/** Machines chosen for a reservation. */
+/** Machines selected for a reservation. */
 interface Selection {
   selected: Candidate[];
-  /** How many tasks will fit on them once the arrays there have ended. */
+  /** Number of tasks that will fit on them once the arrays there have ended. */
   fitCount: number;
 }
 
@@ -29,25 +29,26 @@
     private readonly findJob: JobLookup,
   ) {}
 
-  /** Reserves resources against arrays for the next gang, assuming that it is like this one. */
+  /** Keeps arrays off machines that a future gang like this one would need. */
   excludeArrays(spec: JobSpec, candidates: readonly Candidate[]): void {
     const { selected } = this.select(spec, candidates, spec.tasks);
     for (const candidate of selected) candidate.excludesArrays = true;
   }
 
-  /** Reserves machines where a gang will fit once arrays there have ended; false: there are none. */
+  /** Reserves machines for a gang subset; returns false if it wouldn't fit after arrays end. */
   reserve(assignment: Assignment, candidates: readonly Candidate[]): boolean {
     const taskCount = assignment.waitingTasks.size;
-    // More than it needs, since it waits for what ends first, not for all that runs there now.
+    // More capacity than needed, so that the gang can start when the first of the arrays have
+    // ended. With just enough capacity it would have to wait for all of them.
     const reservedCount = taskCount * GANG_RESERVATION_FACTOR;
     const selection = this.select(assignment.record, candidates, reservedCount);
-    // Where it will not fit in any case, it delays no other work.
+    // A gang that won't fit in any case must not delay other work.
     if (selection.fitCount < taskCount) return false;
     for (const candidate of selection.selected) candidate.isReserved = true;
     return true;
   }
 
-  /** The machines on which most such tasks fit, as many machines as so many tasks need. */
+  /** Selects machines for `taskCount` tasks, those on which the most tasks fit now first. */
   private select(task: Resources, candidates: readonly Candidate[], taskCount: number): Selection {
     const fits = candidates.map((candidate) => this.fitOn(candidate, task));
     fits.sort((a, b) => b.fitNow - a.fitNow || b.fitLater - a.fitLater);
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -1,4 +1,4 @@
-/** Chooses a machine with enough free for a task: the bandit picks the type, first fit the machine. */
+/** Selects a machine for one task: the bandit selects the machine type, first fit the machine. */
 
 import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -8,30 +8,30 @@
 import type { Bandit } from './bandit.js';
 import type { Candidate } from './candidates.js';
 
-/** What the choice of a machine depends on beside the task. */
+/** Settings for the selection of machines. */
 export interface MachineChoiceOptions {
-  /** Seconds within which tasks of a class should start: its start target. */
+  /** Start target of each class: the seconds within which its tasks should start. */
   startWithinS: Readonly<Record<string, number>>;
 }
 
 /** Queued and running tasks by machine type. */
 type TaskCounts = ReadonlyMap<string, number>;
 
-/** A machine type and the bandit's score for a class of tasks on it: the higher, the better. */
+/** A machine type and the bandit's score for a task class on it; higher is better. */
 interface ScoredType {
   type: string;
   score: number;
 }
 
-/** GB/s; assumed for a type without a fetch rate: a fetch there takes almost for ever. */
+/** GB/s; fetch rate assumed for a type without one, so slow that its fetches are never in time. */
 const MIN_FETCH_GB_PER_S = 1e-6;
 
-/** Names the class of a job's tasks for the bandit: tasks of one class are alike. */
+/** The bandit's class of a job's tasks; tasks of one class need the same CPUs and GPUs. */
 function taskClass(spec: JobSpec): string {
   return `${spec.class}/${spec.cpus}/${spec.gpus}`;
 }
 
-/** Ranks machine types by the bandit and picks machines of a type by first fit. */
+/** Ranks machine types by the bandit's score, and selects a machine of a type by first fit. */
 export class MachineChoice {
   constructor(
     private readonly options: MachineChoiceOptions,
@@ -39,7 +39,7 @@
     private readonly bandit: Bandit,
   ) {}
 
-  /** A machine on which a task fits without preemption; null: there is none. */
+  /** Returns a machine on which a task fits without preemption; null if there is none. */
   choose(
     spec: JobSpec,
     task: Resources,
@@ -48,7 +48,7 @@
   ): Candidate | null {
     const fitting = candidates.filter(({ free }) => fits(free, task));
     if (fitting.length === 0) return null;
-    // Work with a start target goes to machines that have its image in time, if there are any.
+    // Machines that have the image within the start target of the class are preferred.
     const inTime = fitting.filter(({ machine }) => this.fetchesInTime(machine, spec));
     const eligible = inTime.length > 0 ? inTime : fitting;
     const type = this.bestType(spec, eligible, taskCounts);
@@ -58,7 +58,7 @@
     );
   }
 
-  /** The machine types among some candidates, the best for a job first. */
+  /** The machine types of the candidates, in descending order of their scores for a job. */
   rankTypes(spec: JobSpec, candidates: readonly Candidate[], taskCounts: TaskCounts): string[] {
     const scored = this.scoreTypes(spec, candidates, taskCounts);
     return scored.sort((a, b) => b.score - a.score).map(({ type }) => type);
@@ -69,7 +69,9 @@
     return this.bandit.context(taskClass(spec), type, taskCounts);
   }
 
-  /** Whether a machine has a job's image soon enough for the start target of its class, if any. */
+  /**
+   * Whether the fetch of a job's image is short enough for the start target of its class, if any.
+   */
   fetchesInTime(machine: Machine, spec: JobSpec): boolean {
     const withinS = this.options.startWithinS[spec.class];
     return (
@@ -78,7 +80,7 @@
     );
   }
 
-  /** Seconds that a machine will take to fetch a job's image. */
+  /** Seconds that a machine takes to fetch a job's image; 0 if it has the image. */
   fetchSeconds(machine: Machine, spec: JobSpec): number {
     if (machine.images.has(spec.image)) return 0;
     const rate = this.machines.machineType(machine.type)?.fetchGbPerS ?? 0;
@@ -97,7 +99,7 @@
     return best.type;
   }
 
-  /** Each machine type with its score; a single type needs none, and the bandit isn't asked. */
+  /** Scores each machine type of the candidates; a single type gets 0 without any computation. */
   private scoreTypes(
     spec: JobSpec,
     candidates: readonly Candidate[],
@@ -112,9 +114,10 @@
 }
 
 /**
- * Services fill the fixed order from its start, arrays from its end, where the spot machines are:
- * what runs for long stays together, and the machines between the two become idle. A machine with
- * the image comes first, an empty one last: it may soon be returned.
+ * Selects a machine by first fit. Machines with the image are preferred, then machines in use,
+ * because an empty machine may soon be returned. Services fill the fixed order of machines from its
+ * start, arrays from its end, where the spot instances are. Services therefore share machines, and
+ * the machines in the middle become idle.
  */
 function firstFit(spec: JobSpec, candidates: readonly Candidate[]): Candidate | null {
   let chosen: Candidate | null = null;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption: which tasks are stopped to free resources for other work, and at what cost. */
+/** Preemption: selects tasks to stop so that resources become free for other work. */
 
 import { IMAGE_FETCH_COST } from '../../constants/scheduling.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
@@ -10,66 +10,67 @@
 import type { Candidate, JobLookup } from './candidates.js';
 import { isSettled } from './consolidation.js';
 
-/** What decides whether a task may be stopped for other work. */
+/** Rules on which tasks may be preempted. */
 export interface PreemptionRules {
   job: JobLookup;
-  /** Whether a job waited long to begin and none of its tasks has ended yet. */
+  /** Whether a job waited long for its start and none of its tasks is done yet. */
   beganLate: (id: string) => boolean;
-  /** Whether a gang may be stopped for other work. */
+  /** Whether a gang may be preempted. */
   mayStopGang: (assignment: Assignment) => boolean;
 }
 
-/** What preemption reads and writes. */
+/** Services and state that preemption uses. */
 interface PreemptionDependencies {
   tasks: Tasks;
   clock: Clock;
   log: Log;
 }
 
-/** What a job may preempt: work below its rank, and arrays of teams beyond their guarantee. */
+/** Work that a job may preempt: lower ranks, and arrays of teams above their fair shares. */
 export interface PreemptionRights {
+  /** Rank of the job's priority. */
   rank: number;
-  /** CPUs of arrays that may be stopped, by team. */
+  /** CPUs of arrays that may be preempted at any rank, by team. */
   arrayCpus: ReadonlyMap<string, number>;
 }
 
-/** A placed task that may be stopped for other work. */
+/** A placed task that may be preempted. */
 export interface Victim {
   task: Task;
   assignment: Assignment;
-  /** How many tasks are stopped with it: of a gang all, wherever they run. */
+  /** Cost of its preemption in tasks: 1, but for a gang its size plus 1, since all of it stops. */
   cost: number;
-  /** Whether it ranks below the work for which it may be stopped. */
+  /** Whether its job ranks below the job that preempts it. */
   isOutranked: boolean;
 }
 
-/** Tasks that are to be stopped on one machine. */
+/** The victims that are stopped on one machine for one job. */
 export interface MachineVictims {
   candidate: Candidate;
   victims: readonly Victim[];
 }
 
-/** What is free on a machine, and which tasks may be stopped there, in the order of their stop. */
+/** A machine, its free resources, and its preemption candidates in the order of preemption. */
 export interface PreemptibleMachine {
   candidate: Candidate;
   free: Resources;
   stoppable: readonly Victim[];
 }
 
-/** Tasks whose stop frees enough on a machine for one task, and what that costs. */
+/** Victims on a machine whose preemption frees enough for one task. */
 export interface PreemptionOption<Machine extends PreemptibleMachine = PreemptibleMachine> {
   machine: Machine;
   victims: Victim[];
-  /** In tasks that are stopped. */
+  /** Sum of the victims' costs, plus `IMAGE_FETCH_COST` if the machine must fetch the image. */
   cost: number;
 }
 
-/** Rounding errors of sums of decimals are smaller than this. */
+/** CPUs; tolerance for the rounding errors of sums of decimals. */
 const ROUNDING_SLACK = 1e-9;
 
 const NO_ARRAYS: ReadonlyMap<string, number> = new Map();
 
-/** Finds tasks that may be stopped for other work, and stops them. */
+/** Finds preemption candidates, and preempts the selected victims. */
 export class Preemption {
   constructor(
     private readonly rules: PreemptionRules,
@@ -77,8 +78,9 @@
   ) {}
 
   /**
-   * Frees resources for one task where that costs the least; returns that machine, or null if none
-   * has enough to stop. Adds machines on which tasks must now be stopped to `machinesWithStops`.
+   * Frees resources for one task on the machine with the lowest cost, and returns that machine;
+   * null if preemption frees enough on no machine. Adds machines on which tasks must now be stopped
+   * to `machinesWithStops`.
    */
   preemptFor(
     spec: JobSpec,
@@ -90,8 +92,8 @@
     const cheapest = findCheapest(candidates, 1, (candidate) => {
       const stoppable = this.victims(candidate, rights);
       const option = selectVictims({ candidate, free: candidate.free, stoppable }, task, rights);
-      // The fetch of an image may take as long as an urgent start may; a stopped task only loses
-      // its work.
+      // An image fetch may take as long as the start target of urgent work, while a preempted task
+      // only loses its work.
       if (option && !candidate.machine.images.has(spec.image)) option.cost += IMAGE_FETCH_COST;
       return option;
     });
@@ -101,7 +103,7 @@
     return candidate;
   }
 
-  /** The tasks on a machine that may be stopped: the cheapest first, among those the newest. */
+  /** The preemption candidates on a machine: the cheapest first, then the most recently started. */
   victims(candidate: Candidate, rights: PreemptionRights): Victim[] {
     const victims: Victim[] = [];
     for (const [task, assignment] of this.dependencies.tasks.placedOn(candidate.machine.name)) {
@@ -113,7 +115,7 @@
     );
   }
 
-  /** Null: the task may not be stopped for a job with these rights. */
+  /** Returns a task as preemption candidate; null if these rights don't cover it. */
   private victimFor(
     task: Task,
     assignment: Assignment,
@@ -122,7 +124,8 @@
     const { job, beganLate, mayStopGang } = this.rules;
     const spec = task.isStopping ? null : job(assignment.job)?.spec;
     if (!spec) return null;
-    // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
+    // The first tasks of a job that started late are the newest on their machines. Without this
+    // rule they would be preempted again and again.
     if (!isSettled(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
     const isGang = assignment.record.attempt !== undefined;
     if (isGang && !mayStopGang(assignment)) return null;
@@ -131,7 +134,7 @@
     return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, isOutranked };
   }
 
-  /** Stops tasks on a machine for a job; adds the machine to `machinesWithStops`. */
+  /** Preempts the victims on a machine for a job; adds the machine to `machinesWithStops`. */
   stop(
     spec: JobSpec,
     { candidate, victims }: MachineVictims,
@@ -141,20 +144,21 @@
     for (const { task, assignment } of victims) {
       allocate(candidate.free, assignment.record, -1);
       const isGang = assignment.record.attempt !== undefined;
-      // All of a gang is stopped together: see `GangShares.reconcile`, in the same cycle.
+      // The shard stops all tasks of a failed gang subset together, in the same cycle.
       if (isGang) assignment.hasFailed = true;
-      // What was never committed was never sent either.
+      // The start of a task is sent only after its placement was committed, so a task without a
+      // committed placement needs no stop.
       if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
       else if (!isGang) task.isStopping = true;
     }
     if (victims.length === 0) return;
     const machine = candidate.machine.name;
     machinesWithStops.add(machine);
-    log.info({ job: spec.id, machine, victims: victims.length }, 'tasks preempted');
+    log.info({ job: spec.id, machine, victimCount: victims.length }, 'tasks preempted');
   }
 }
 
-/** The first tasks on a machine whose stop frees enough for one task; null: none do. */
+/** Selects victims in order until one task fits; null if it never does. */
 export function selectVictims<Machine extends PreemptibleMachine>(
   machine: Machine,
   task: Resources,
@@ -180,8 +184,8 @@
 }
 
 /**
- * The first of the cheapest options; null: there is none. The search ends at an option that costs no
- * more than `sufficientCost`.
+ * Returns the first of the cheapest options; null if there is none. The search ends at the first
+ * option that costs at most `sufficientCost`.
  */
 export function findCheapest<Item, Option extends { cost: number }>(
   items: readonly Item[],
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,4 +1,6 @@
-/** The scheduler of one shard: assigns waiting tasks to machines, in the order of their priorities. */
+/**
+ * The scheduler of one shard: assigns waiting tasks to machines in the order of their priorities.
+ */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import { FETCH_TIME_MAX_RATIO } from '../../constants/gangs.js';
@@ -25,17 +27,17 @@
   type WaitingAssignment,
 } from './scheduling-cycle.js';
 
-/** What the scheduler needs of its shard, beside tasks and machines. */
+/** Settings and rules of a shard's scheduler. */
 export interface SchedulerOptions
   extends MachineChoiceOptions, PreemptionRules, SchedulingCycleRules {
-  /** The shard's number and the term of its owner; both are in the attempt numbers. */
+  /** The shard's number and the term of its holder; attempt numbers are derived from both. */
   number: number;
   term: number;
-  /** Seconds for which a gang's task waits for the others. */
+  /** Seconds that a gang's task waits for the other tasks to start. */
   gangWaitS: number;
 }
 
-/** What the scheduler reads and writes. */
+/** Services and state that the scheduler uses. */
 interface SchedulerDependencies {
   tasks: Tasks;
   machines: Machines;
@@ -44,7 +46,7 @@
   log: Log;
 }
 
-/** Decides on which machines a shard's waiting tasks run. */
+/** Places a shard's waiting tasks on machines, with preemption and consolidation. */
 export class Scheduler {
   private readonly attempts: TermNumbers;
   private readonly choice: MachineChoice;
@@ -67,17 +69,21 @@
     this.consolidation = new Consolidation(options.job, dependencies);
   }
 
-  /** The shard needs a new term before it has used all attempt numbers of this one. */
+  /**
+   * Whether the shard needs a new term soon, because this one is running out of attempt numbers.
+   */
   get isRunningOut(): boolean {
     return this.attempts.isRunningOut;
   }
 
-  /** Moves services off little-used machines; returns those on which tasks must now be stopped. */
+  /**
+   * Moves services off machines with low CPU use; returns machines with tasks to be stopped now.
+   */
   consolidate(): Set<string> {
     return this.consolidation.run();
   }
 
-  /** One scheduling cycle; returns the machines on which tasks must now be stopped. */
+  /** Runs one scheduling cycle; returns the machines on which tasks must now be stopped. */
   place(): Set<string> {
     const { machines, tasks } = this.dependencies;
     const waiting = waitingAssignments(tasks, this.options);
@@ -93,14 +99,14 @@
       const isPlaced = isGang ? this.placeGang(entry, cycle) : this.placeTasks(entry, cycle);
       if (!isPlaced) isCapacityShort = true;
     }
-    // Machines that consolidation is emptying are needed after all.
+    // Machines that consolidation is emptying may take tasks again where capacity is short.
     if (isCapacityShort) {
       for (const machine of machines.all.values()) machine.isConsolidating = false;
     }
     return cycle.machinesWithStops;
   }
 
-  /** Places tasks one by one; false: some fit nowhere. */
+  /** Places the tasks of an array or a service one by one; returns false if some fit nowhere. */
   private placeTasks(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
     const { record } = assignment;
@@ -110,7 +116,7 @@
       if (!target && cycle.mayPreempt(spec)) {
         target = this.preemption.preemptFor(spec, record, candidates, cycle.machinesWithStops);
       }
-      // The tasks of an assignment are alike: where one fits nowhere, the others don't either.
+      // The tasks of an assignment need the same resources, so the others don't fit either.
       if (!target) return false;
       this.assign(entry, task, target, cycle);
     }
@@ -118,8 +124,8 @@
   }
 
   /**
-   * Places all tasks of a gang's share at once, under the attempt that the leader gave it; or none:
-   * then machines are reserved for it. False: the share fits nowhere.
+   * Places all tasks of a gang subset at once, under the attempt number that the leader assigned.
+   * If they don't all fit, places none, reserves machines for them and returns false.
    */
   private placeGang(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
@@ -159,7 +165,7 @@
     });
   }
 
-  /** Assigns one task to a machine. */
+  /** Places one task on a machine. */
   private assign(
     { assignment, spec }: WaitingAssignment,
     task: Task,
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -1,4 +1,4 @@
-/** The state of one scheduling cycle of a shard. */
+/** One scheduling cycle of a shard: the waiting work, and the machines that it may use. */
 
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import { isEligible } from '../capacity/machine-capacity.js';
@@ -14,34 +14,38 @@
 } from './candidates.js';
 import type { GangReservations } from './gang-reservations.js';
 
-/** What decides which work a cycle considers, and which machines that work may use. */
+/** Rules on which work a cycle considers, and which machines that work may use. */
 export interface SchedulingCycleRules {
   job: JobLookup;
-  /** Whether nothing of a job runs long after it came. */
+  /** Whether a job was accepted long ago and none of its tasks is placed. */
   waitsLong: (id: string) => boolean;
-  /** The gang for which this shard reserves resources; null: it reserves none. */
+  /**
+   * The largest recent gang, if this shard keeps arrays off some machines so that another one like
+   * it would fit; null if it doesn't.
+   */
   nextGang: () => JobSpec | null;
-  /** Whether a job waits after failures. */
+  /** Whether a job is paused after failures. */
   pauses: (id: string) => boolean;
 }
 
-/** What a cycle reads. */
+/** Services and state that a cycle uses. */
 interface SchedulingCycleDependencies {
   tasks: Tasks;
   machines: Machines;
   reservations: GangReservations;
 }
 
-/** An assignment with tasks that wait for a machine, and its job's description. */
+/** An assignment with tasks that wait for a machine, and its job's specification. */
 export interface WaitingAssignment {
   assignment: Assignment;
   spec: JobSpec;
 }
 
 /**
- * What waits, by priority, then in the leader's order, which is that of the assignments' numbers. By
- * deadline, jobs that can't meet theirs would pass all others here, and one whose turn came late
- * would be passed until it is given back.
+ * Lists the assignments with waiting tasks by priority, then in the order in which the leader made
+ * them, which is that of their numbers. They are not sorted by deadline: jobs that can't meet
+ * theirs would be served before all others, and a job that the leader assigned late would be
+ * overtaken until it is returned to the leader.
  */
 export function waitingAssignments(tasks: Tasks, rules: SchedulingCycleRules): WaitingAssignment[] {
   const waiting: WaitingAssignment[] = [];
@@ -57,17 +61,17 @@
   );
 }
 
-/** The machines of a cycle, and what its decisions so far have changed. */
+/** The machines of a cycle, and the effects of its decisions so far. */
 export class SchedulingCycle {
   /** Queued and running tasks by machine type. */
   readonly taskCounts: Map<string, number>;
   /** Machines on which tasks must now be stopped. */
   readonly machinesWithStops = new Set<string>();
-  /** All machines that may take tasks; their free resources shrink with each task assigned. */
+  /** All machines that may take tasks; their free resources decrease with each task assigned. */
   private readonly candidates: readonly Candidate[];
-  /** The gang for which resources are reserved against arrays. */
+  /** The gang for whose successor arrays are kept off some machines; null if there is none. */
   private readonly nextGang: JobSpec | null;
-  /** The lowest rank of all placed tasks: work that doesn't rank above it can't preempt any. */
+  /** The lowest rank of all placed tasks; work must rank above it to preempt a task. */
   private readonly lowestRank: number;
 
   constructor(
@@ -86,7 +90,7 @@
     this.lowestRank = lowestPlacedRank(tasks, rules.job);
   }
 
-  /** The machines that an assignment may use, less those that are reserved for gangs. */
+  /** The machines that an assignment may use, without those that are reserved for gangs. */
   candidatesFor({ assignment, spec }: WaitingAssignment): Candidate[] {
     const isExcludedArray =
       this.nextGang !== null && spec.kind === 'array' && !this.rules.waitsLong(assignment.job);
@@ -96,7 +100,7 @@
     );
   }
 
-  /** Whether there may be tasks that a job can preempt. */
+  /** Whether any placed task ranks below a job. */
   mayPreempt(spec: JobSpec): boolean {
     return rankOf(spec.priority) > this.lowestRank;
   }
@@ -107,7 +111,7 @@
   }
 }
 
-/** The lowest rank of all placed tasks; Infinity: none is placed. */
+/** The lowest rank of all placed tasks; Infinity if none is placed. */
 function lowestPlacedRank(tasks: Tasks, findJob: JobLookup): number {
   let lowest = Infinity;
   for (const assignment of tasks.assignments.values()) {
