--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -19,7 +19,7 @@
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 
-/** Drains, returns and rents machines, one pass at a time; pauses after a failed request. */
+/** Drains, returns and rents machines in passes; a failed pass is followed by a pause. */
 export class Autoscaler {
   private readonly context: AutoscalingContext;
   private readonly backoff: Backoff;
@@ -48,7 +48,7 @@
     this.scaleOut = new ScaleOut(this.context, records);
   }
 
-  /** One pass over the fleet; skipped while another pass runs or the cloud is paused. */
+  /** Runs one pass over the fleet; skipped while another pass runs or during a pause. */
   async reconcile(snapshot: FleetSnapshot): Promise<void> {
     if (this.context.clock.now() < this.pausedUntil) return;
     await this.singleFlight.run(() => this.runPass(snapshot));
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,4 +1,4 @@
-/** What the steps of an autoscaler pass share: settings, services and the budget of requests. */
+/** Settings, services and state that the steps of an autoscaler pass share. */
 
 import { CLOUD_REQUEST_SHARE } from '../../constants/autoscaling.js';
 import { readCatalog } from '../../storage/catalog.js';
@@ -17,45 +17,45 @@
 export interface AutoscalerOptions {
   /** The leader's fencing token; part of the identifier of each rent request. */
   readonly term: number;
-  /** Commits transactions on the condition that this controller still leads. */
+  /** Commits transactions on the condition that this controller is still the leader. */
   readonly writer: GuardedWriter;
-  /** Operations that one transaction may have. */
+  /** Maximum number of operations in one transaction. */
   readonly transactionOps: number;
-  /** Bytes that one stored value may have. */
+  /** Maximum size of a stored value in bytes. */
   readonly valueBytes: number;
   /** The cloud's limit of requests per second. */
   readonly cloudRps: number;
-  /** Seconds by which the cloud's list of machines may be out of date. */
+  /** Maximum seconds by which the cloud's list of machines is out of date. */
   readonly listLagS: number;
   /** Seconds that a worker's tasks outlive its last acknowledged heartbeat. */
   readonly leaseS: number;
-  /** ms after which the machine type with the highest price per CPU is drained when idle. */
+  /** ms after which an idle machine of the type with the highest price per CPU is drained. */
   readonly idleMs: number;
-  /** Free CPUs on ordinary machines that are kept for urgent work while jobs are open. */
+  /** Free CPUs on on-demand machines that are kept for urgent work while jobs are open. */
   readonly headroomCpus: number;
   /** Whether spot machines may be rented. */
   readonly spot: boolean;
-  /** Upper bound of the number of machines. */
+  /** Maximum number of machines in the fleet. */
   readonly maxMachines: number;
-  /** The controllers; machines send their heartbeats to those of their zone. */
+  /** The controllers. Machines send their heartbeats to those of their own zone. */
   readonly members: readonly Member[];
   readonly replica: StoreReplica;
   readonly cloud: CloudApi;
   readonly clock: Clock;
   readonly log: Log;
-  /** Uniform in [0, 1); spreads the retries. */
+  /** Returns random numbers, uniform in [0, 1), which spread retries over time. */
   readonly random: () => number;
 }
 
-/** The options together with the state that several steps of a pass use. */
+/** The options, and the state that several steps of a pass use. */
 export interface AutoscalingContext extends AutoscalerOptions {
   readonly cloudRequests: CloudRequestBudget;
-  /** Machines, and keys, whose changes the key-value store rejected as invalid. */
+  /** Machine names and keys whose changes the store rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly headroom: Headroom;
 }
 
-/** The autoscaler's share of the cloud's limit of requests. */
+/** The autoscaler's part of the cloud's request limit, as a token bucket. */
 export class CloudRequestBudget {
   private readonly budget: Budget;
 
@@ -64,7 +64,7 @@
     this.budget = new Budget(clock, rate, Math.max(1, rate));
   }
 
-  /** Takes one request from the budget; false: none is left now. */
+  /** Takes one request from the budget; returns false if none is available now. */
   trySpend(): boolean {
     if (this.budget.waitFor(1) > 0) return false;
     this.budget.spend(1);
@@ -72,7 +72,7 @@
   }
 }
 
-/** The machine types of the stored catalog; empty while there is none. */
+/** The machine types of the stored catalog; empty while no catalog is stored. */
 export function machineTypes(replica: StoreReplica): MachineType[] {
   return readCatalog(replica) ?? [];
 }
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -1,4 +1,4 @@
-/** Computes for which tasks, and for how many CPUs, the present fleet does not suffice. */
+/** Computes the demand, in tasks and CPUs, that exceeds the capacity of the fleet. */
 
 import {
   EXPECTED_WORK_SHARE,
@@ -9,31 +9,31 @@
 import { rankOf, type JobSpec, type MachineType } from '../../protocol/model.js';
 import type { FleetSnapshot, MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
 
-/** Tasks of one kind. */
+/** A number of tasks with the same requirements. */
 export interface TaskDemand {
   readonly spec: JobSpec;
   readonly count: number;
 }
 
-/** What the demand is computed from. */
+/** Input of the computation of the demand. */
 export interface DemandInput {
   readonly snapshot: FleetSnapshot;
-  /** Machines that were rented and are not up yet. */
+  /** Rented machines that no shard has reported yet. */
   readonly booting: readonly MachineCapacity[];
   readonly types: readonly MachineType[];
-  /** Time of day in ms. */
+  /** Wall-clock time in ms. */
   readonly wall: number;
 }
 
-/** What is ahead of a job in the queue, and what will work on it. */
+/** The fleet's capacity, and the work that precedes a job in the queue. */
 interface QueueState {
   /** CPUs of the fleet, booting machines included. */
   readonly fleetCpus: number;
   /** Boot time of the machine type that boots fastest. */
   readonly bootS: number;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms. */
   readonly wall: number;
-  /** CPU seconds of work ahead of the job. */
+  /** CPU seconds of the work that precedes the job. */
   readonly aheadCpuS: number;
 }
 
@@ -42,7 +42,7 @@
   return types.reduce((least, type) => Math.min(least, type.bootS), Infinity);
 }
 
-/** CPU seconds that running preemptible work is taken to have left. */
+/** CPU seconds that running preemptible work is assumed to have left. */
 function remainingCpuS({ machines }: FleetSnapshot): number {
   let cpuS = 0;
   for (const machine of machines) cpuS += machine.preemptibleCpus * ASSUMED_REMAINING_RUN_S;
@@ -50,8 +50,10 @@
 }
 
 /**
- * CPUs that preemptible work needs from now until machines rented now have been up for a while: what
- * runs, what waits, and as much as came lately, since a boot takes longer than many a deadline.
+ * CPUs that preemptible work needs on average from now until `LATE_TASK_BOOT_TIMES` boot times
+ * later. The work consists of running tasks, waiting tasks, and as many new tasks as the recent
+ * rate of arrivals predicts. New tasks count in advance because many deadlines are shorter than a
+ * boot.
  */
 export function neededCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
   let workCpuS = remainingCpuS(snapshot);
@@ -63,10 +65,10 @@
 }
 
 /**
- * Of the tasks that fit nowhere, those for which the present fleet will not have capacity in time: a
- * machine takes as long to boot as many a task runs, so what the present fleet can finish by its
- * deadline waits for that. Jobs without a deadline count as due at once. Work that is expected from
- * the recent rate of arrivals comes last.
+ * Returns those of the waiting tasks that the fleet can't finish in time. Tasks that the fleet can
+ * finish by their deadlines wait for its capacity, because a new machine takes as long to boot as
+ * many tasks run. Services and jobs without a deadline count in full. Tasks that the recent rate
+ * of arrivals predicts come last.
  */
 export function demandBeyondFleet(input: DemandInput): TaskDemand[] {
   const { snapshot, booting, types, wall } = input;
@@ -88,30 +90,33 @@
   return expected ? [...demand, expected] : demand;
 }
 
-/** For how many tasks at a time of a job with a deadline machines are to be rented. */
+/** Number of concurrent tasks of a job with a deadline for which to rent machines. */
 function tasksBeyondFleet(unmet: UnmetDemand, queue: QueueState): number {
   const { spec, count } = unmet;
   const { fleetCpus, bootS, wall, aheadCpuS } = queue;
   const runS = estimatedRunS(spec);
-  // What would be late even on a machine rented now does not justify renting at any price: it is
-  // to be done within a few boots from now.
+  // Tasks that would be late even on a machine rented now don't justify renting at any price. They
+  // are planned as if they had to start `LATE_TASK_BOOT_TIMES` boot times from now.
   const untilLatestStartS = (dueAt(unmet) - wall) / 1000 - runS;
   const slackS = Math.max(untilLatestStartS, bootS * LATE_TASK_BOOT_TIMES);
   const workCpuS = count * spec.cpus * runS;
   const inTimeCpuS = Math.max(0, fleetCpus * slackS - aheadCpuS);
   const lateCount = Math.min(count, Math.ceil((workCpuS - inTimeCpuS) / (spec.cpus * runS)));
   if (lateCount <= 0) return 0;
-  // A rented machine runs several tasks one after the other where the deadline leaves time for it.
+  // A rented machine runs several tasks in sequence if the deadline leaves enough time.
   const tasksInSequence = Math.max(1, Math.floor((slackS - bootS) / runS) + 1);
   return Math.ceil(lateCount / tasksInSequence);
 }
 
-/** Seconds that a task is expected to run, with a margin for estimates that are too low. */
+/** Expected run time of a task in seconds, with a margin for estimates that are too low. */
 function estimatedRunS(spec: JobSpec): number {
   return Math.max(1, spec.estimateS) * ESTIMATE_MARGIN;
 }
 
-/** Tasks like the last one, for as many needed CPUs as fleet and demand so far lack; null: none. */
+/**
+ * Tasks like those of the last array, as many as the needed CPUs exceed the CPUs of the fleet and
+ * of the demand so far; null if they don't exceed them.
+ */
 function expectedDemand(
   { snapshot, types }: DemandInput,
   fleetCpus: number,
@@ -135,12 +140,12 @@
   return cpus;
 }
 
-/** Time of day in ms by which a job is due; -Infinity: it has no deadline and is due at once. */
+/** Wall-clock time in ms by which a job is due; -Infinity for a job without a deadline. */
 function dueAt({ spec, acceptedAt }: UnmetDemand): number {
   return spec.deadlineS === null ? -Infinity : acceptedAt + spec.deadlineS * 1000;
 }
 
-/** Higher priorities first, earlier deadlines first within a priority. */
+/** Sorts by descending priority, then by deadline. */
 function byUrgency(unmet: readonly UnmetDemand[]): UnmetDemand[] {
   return [...unmet].sort(
     (a, b) => rankOf(b.spec.priority) - rankOf(a.spec.priority) || dueAt(a) - dueAt(b),
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -1,4 +1,4 @@
-/** Keeps the catalog of machine types in the key-value store up to date with the cloud's. */
+/** Keeps the stored catalog of machine types up to date with the cloud's catalog. */
 
 import { CATALOG_PERIOD_MS } from '../../constants/autoscaling.js';
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
@@ -7,15 +7,15 @@
 import type { Change } from '../../protocol/key-value-store.js';
 import type { AutoscalingContext } from './autoscaling-context.js';
 
-/** Reads the cloud's machine types periodically and writes what changed. */
+/** Reads the cloud's machine types periodically and stores the changes. */
 export class CatalogRefresh {
   private refreshedAt = -Infinity;
 
   constructor(private readonly context: AutoscalingContext) {}
 
   /**
-   * Refreshes the catalog if that is due and the request budget allows it. Commits the changes in
-   * order and stops at the first failure.
+   * Refreshes the catalog if a refresh is due and the request budget allows it. Commits the changes
+   * in order and stops at the first failure.
    */
   async run(): Promise<void> {
     const { clock, cloud, cloudRequests, rejectedChangeBackoff, replica, valueBytes, writer } =
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Divides the changes, in their order, among transactions within the store's limits. */
+  /** Divides the changes among transactions within the store's limits, in the same order. */
   private transactions(changes: readonly Change[]): Change[][] {
     const { transactionOps, valueBytes } = this.context;
     const changesPerTransaction = Math.min(
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -1,4 +1,4 @@
-/** Capacity kept free for work to come: none once there has been no work for a while. */
+/** Headroom: capacity that the fleet keeps free for future work while jobs are open. */
 
 import { HEADROOM_RELEASE_AFTER_MS } from '../../constants/autoscaling.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -6,7 +6,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 
-/** Headroom for urgent work and for gangs like recent ones, as long as jobs are open. */
+/** Headroom for urgent work and for gangs like recent ones; released after a time without jobs. */
 export class Headroom {
   private lastWorkAt: number;
 
@@ -18,18 +18,18 @@
     this.lastWorkAt = clock.now();
   }
 
-  /** Notes whether a job is open; called in each pass. */
+  /** Records whether a job is open; called in each pass. */
   update(): void {
     const [openJob] = this.replica.openJobs();
     if (openJob !== undefined) this.lastWorkAt = this.clock.now();
   }
 
-  /** Free CPUs on ordinary machines that are kept for urgent work. */
+  /** Free CPUs to be kept on on-demand machines for urgent work. */
   get cpus(): number {
     return this.isQuiet ? 0 : this.configuredCpus;
   }
 
-  /** The gangs for whose like capacity is kept free. */
+  /** Recent gangs; capacity is kept free for future gangs like them. */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
     return this.isQuiet ? [] : snapshot.recentGangs;
   }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -1,4 +1,4 @@
-/** Decides which machines are returned because their heartbeats have stopped. */
+/** Decides which machines are returned because their heartbeats stopped. */
 
 import {
   SILENT_RETURN_MAX_MACHINES,
@@ -10,15 +10,16 @@
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 
 /**
- * Silent machines, those without heartbeats, are returned: that proves before their lease expires
- * that their tasks have ended. Only a few are returned at a time: many silent machines at once
- * indicate a network partition between them and their shard. Of those, a limited number is returned
- * once their lease has expired, since their tasks have ended by then in any case.
+ * Selects silent machines, those whose heartbeats stopped, to be returned. A return proves that the
+ * machine's tasks have ended, so that they can restart before the machine's lease expires. A few
+ * silent machines are returned soon. Many at once indicate a network partition between them and
+ * their shard, so they are returned only after a whole lease of silence, when their tasks have
+ * ended in any case. The number of returns in a period is limited.
  */
 export class HeartbeatTimeouts {
-  /** When this leader first saw each machine silent that still is. */
+  /** Steady time at which this leader first saw each of the silent machines as silent. */
   private readonly silentSince = new Map<string, number>();
-  /** When the machines were chosen that were chosen to be returned within the last period. */
+  /** Steady time at which machines were selected within the last `SILENT_RETURN_PERIOD_MS`. */
   private readonly recentReturns = new Map<string, number>();
   private readonly namesToReturn = new Set<string>();
 
@@ -27,12 +28,12 @@
     private readonly leaseS: number,
   ) {}
 
-  /** Whether the last update chose the machine to be returned. */
+  /** Whether the last update selected the machine to be returned. */
   mustReturn(name: string): boolean {
     return this.namesToReturn.has(name);
   }
 
-  /** Chooses anew which machines are to be returned. */
+  /** Updates the selection of machines to be returned. */
   update(machines: readonly MachineCapacity[]): void {
     const now = this.clock.now();
     this.trackSilence(machines, now);
@@ -40,8 +41,8 @@
       if (now - chosenAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
     }
     const affected = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
-    // Shards publish their machines' health one after the other: a partition shows only when all
-    // have done so.
+    // Shards publish the health of their machines one after the other, so a network partition is
+    // visible only after all of them have published it.
     const waitMs =
       affected.size <= SILENT_RETURN_MAX_MACHINES ? SILENT_CONFIRM_MS : this.leaseS * 1000;
     const shareOfFleet = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_SHARE);
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Notes which machines are silent, and since when. */
+  /** Records which machines are silent, and since when. */
   private trackSilence(machines: readonly MachineCapacity[], now: number): void {
     const silent = machines.filter((machine) => machine.health === 'silent');
     const names = new Set(silent.map((machine) => machine.name));
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -1,4 +1,4 @@
-/** Drains machines that are faulty, or idle and not needed. */
+/** Drains faulty machines, and idle machines that are not needed. */
 
 import { IDLE_TIME_MAX_FACTOR } from '../../constants/autoscaling.js';
 import type { MachineType } from '../../protocol/model.js';
@@ -7,10 +7,10 @@
 import { machineTypes, type AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** Lower bound of prices in ratios, for types without a price. */
+/** Lower bound of a price per CPU, so that a type without a price causes no division by 0. */
 const MIN_CPU_PRICE = 1e-9;
 
-/** Tracks how long machines have been idle, and drains them. */
+/** Tracks how long machines have been idle, and drains those that are not needed. */
 export class IdleMachines {
   private readonly idleSince = new Map<string, number>();
 
@@ -19,7 +19,7 @@
     private readonly records: MachineRecords,
   ) {}
 
-  /** Records faulty machines and unneeded idle ones as draining. */
+  /** Stores the state `drain` for faulty machines and for idle machines that are not needed. */
   async drain(snapshot: FleetSnapshot): Promise<void> {
     const { rejectedChangeBackoff, log } = this.context;
     const faulty = snapshot.machines.filter((machine) => machine.health === 'faulty');
@@ -29,11 +29,11 @@
     );
     if (due.length === 0) return;
     if ((await this.records.recordState(due, 'drain')) === 'written') {
-      log.info({ machines: due.map((machine) => machine.name) }, 'machines draining');
+      log.info({ machines: due.map((machine) => machine.name) }, 'machines marked for draining');
     }
   }
 
-  /** Idle machines without which the headroom and the needed CPUs remain, most expensive first. */
+  /** Idle machines that neither the headroom nor the needed CPUs require, most expensive first. */
   private unneededMachines(snapshot: FleetSnapshot): MachineCapacity[] {
     const { clock, idleMs, replica } = this.context;
     const now = clock.now();
@@ -49,7 +49,7 @@
     for (const machine of this.idleMachines(snapshot, types)) {
       const since = this.idleSince.get(machine.name) ?? now;
       this.idleSince.set(machine.name, since);
-      // Cheap capacity stays longer, since renting in its place would cost more.
+      // Cheap machines stay longer, because machines rented later in their place may cost more.
       const priceRatio = highestPrice / Math.max(MIN_CPU_PRICE, cpuPrice(machine, types));
       const idleLimitMs = idleMs * Math.min(IDLE_TIME_MAX_FACTOR, priceRatio);
       if (now - since < idleLimitMs) continue;
@@ -63,7 +63,7 @@
     return unneeded;
   }
 
-  /** Idle machines, the highest price per CPU first; stops tracking those that no longer are. */
+  /** Idle machines, the highest price per CPU first; stops tracking machines that aren't idle. */
   private idleMachines(snapshot: FleetSnapshot, types: readonly MachineType[]): MachineCapacity[] {
     const present = new Set(snapshot.machines.map((machine) => machine.name));
     for (const name of this.idleSince.keys()) {
@@ -77,7 +77,7 @@
     return idle.sort((a, b) => cpuPrice(b, types) - cpuPrice(a, types));
   }
 
-  /** CPUs that remain free on ordinary machines, for urgent work or for gangs like recent ones. */
+  /** CPUs to be kept free on on-demand machines, for urgent work or for gangs like recent ones. */
   private requiredFreeCpus(snapshot: FleetSnapshot): number {
     const { headroom } = this.context;
     const gangs = headroom.gangs(snapshot);
@@ -85,7 +85,7 @@
     return Math.max(headroom.cpus, gangCpus);
   }
 
-  /** CPUs of healthy machines, free or used by preemptible work, beyond what such work needs. */
+  /** CPUs of healthy machines, free or used by preemptible work, that such work doesn't need. */
   private spareCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
     let spareCpus = -neededCpus(snapshot, types);
     for (const machine of snapshot.machines) {
@@ -95,7 +95,7 @@
   }
 }
 
-/** Free CPUs of healthy ordinary machines. */
+/** Free CPUs of healthy on-demand machines. */
 function freeOrdinaryCpus(snapshot: FleetSnapshot): number {
   let cpus = 0;
   for (const machine of snapshot.machines) {
@@ -104,7 +104,7 @@
   return cpus;
 }
 
-/** Price of one CPU of the machine; 0: its type is not in the catalog. */
+/** Price per CPU of a machine; 0 if its type is not in the catalog. */
 function cpuPrice(machine: MachineCapacity, types: readonly MachineType[]): number {
   const type = types.find(({ name }) => name === machine.type);
   if (!type) return 0;
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -1,17 +1,19 @@
-/** Reads the cloud's list of machines: adopts machines without a record and notes failed ones. */
+/**
+ * Reads the cloud's list of machines, to adopt machines without a record and to find failed ones.
+ */
 
 import { machineKey } from '../../storage/keys.js';
 import type { ListedMachine } from '../../protocol/model.js';
 import type { AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** s; minimum time between two readings of the list, however short the cloud's lag is. */
+/** s; minimum time between the starts of two readings of the list, even if its lag is shorter. */
 const MIN_LIST_PERIOD_S = 5;
 
-/** The cloud's list of machines, read periodically. */
+/** Reads the cloud's list of machines periodically, page by page. */
 export class MachineList {
   private startedAt = -Infinity;
-  /** The pages of the current reading that have arrived; null: no reading is under way. */
+  /** Machines read so far in the current reading; null if no reading is in progress. */
   private reading: ListedMachine[] | null = null;
   private readonly failedNames = new Set<string>();
 
@@ -20,19 +22,19 @@
     private readonly records: MachineRecords,
   ) {}
 
-  /** Whether the cloud listed the machine as failed, and it is not returned yet. */
+  /** Whether the cloud listed the machine as failed and it has not been returned yet. */
   hasFailed(name: string): boolean {
     return this.failedNames.has(name);
   }
 
-  /** Forgets a failed machine once it is returned. */
+  /** Removes a machine from the failed ones; called after its return. */
   forgetFailed(name: string): void {
     this.failedNames.delete(name);
   }
 
   /**
-   * Continues the current reading, or begins one if it is due. Where the request budget allows only
-   * one page in a pass, a list of several pages is read over several passes.
+   * Continues the current reading, or starts one if it is due. If the request budget runs out, the
+   * reading continues with the next page in the next pass.
    */
   async refresh(): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
@@ -59,7 +61,7 @@
     await this.records.removeOld(new Set(listed.map((machine) => machine.name)));
   }
 
-  /** Begins a reading; null: none is due yet. */
+  /** Starts a reading; returns null if none is due yet. */
   private beginIfDue(): ListedMachine[] | null {
     const { clock, listLagS } = this.context;
     const now = clock.now();
@@ -69,12 +71,12 @@
     return this.reading;
   }
 
-  /** Machines without a record, as after a rent request whose reply was lost. */
+  /** Machines without a record, for example after a rent request whose response was lost. */
   private unknownMachines(listed: readonly ListedMachine[]): ListedMachine[] {
     return listed.filter((machine) => !this.context.replica.get(machineKey(machine.name)));
   }
 
-  /** Notes the machines that failed and are not returned yet. */
+  /** Records the machines that have failed and have not been returned yet. */
   private noteFailed(listed: readonly ListedMachine[]): void {
     for (const { name, state } of listed) {
       const record = this.context.replica.machine(name);
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -1,4 +1,4 @@
-/** Writes the stored records of machines: their state, and the removal of old records. */
+/** Writes the stored records of machines, and removes old ones. */
 
 import { RETURNED_RECORD_RETENTION_MS } from '../../constants/autoscaling.js';
 import { MACHINES, machineKey } from '../../storage/keys.js';
@@ -6,7 +6,7 @@
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { AutoscalingContext } from './autoscaling-context.js';
 
-/** What a machine's record holds besides its state. */
+/** Name and unchanging properties of a machine, which its record holds besides the state. */
 export interface MachineIdentity {
   readonly name: string;
   readonly type: string;
@@ -17,11 +17,11 @@
 /** Whether the records of all given machines were written. */
 export type RecordOutcome = 'written' | 'incomplete';
 
-/** The writer of machine records. */
+/** Commits changes of machine records on the condition that this controller is still the leader. */
 export class MachineRecords {
   constructor(private readonly context: AutoscalingContext) {}
 
-  /** Records `state` for the machines, except those whose changes were rejected as invalid. */
+  /** Stores `state` for the machines, except those whose changes the store recently rejected. */
   async recordState(
     machines: readonly MachineIdentity[],
     state: MachineState,
@@ -45,7 +45,7 @@
     return writable.length === machines.length ? 'written' : 'incomplete';
   }
 
-  /** What one transaction guards and changes to record `state` for a group of machines. */
+  /** Guards and changes of the transaction that stores `state` for a group of machines. */
   private stateTransaction(
     group: readonly MachineIdentity[],
     state: MachineState,
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Removes records of machines that were returned so long ago that no out-of-date list names them
-   * any more. `listed`: the names in the newest list.
+   * Removes the records of machines that were returned at least `RETURNED_RECORD_RETENTION_MS` ago
+   * and are not in the newest list. `listed`: the names in that list.
    */
   async removeOld(listed: ReadonlySet<string>): Promise<void> {
     const { clock, rejectedChangeBackoff, replica, transactionOps, writer } = this.context;
--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -1,4 +1,4 @@
-/** What the cloud offers for rent: machine types by zone, ordinary or spot. */
+/** The cloud's offers: machine types by zone, as on-demand machines or spot instances. */
 
 import { NO_CAPACITY_PAUSE_MS } from '../../constants/autoscaling.js';
 import type { JobSpec, MachineType } from '../../protocol/model.js';
@@ -7,7 +7,7 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import type { Member } from '../election/rendezvous-hashing.js';
 
-/** A machine type in a zone, ordinary or spot, with its price. */
+/** A machine type in a zone, on demand or as spot instance, with its price. */
 export interface Offer {
   readonly type: MachineType;
   readonly zone: string;
@@ -15,17 +15,17 @@
   readonly price: number;
 }
 
-/** Identifies an offer. */
+/** Identifies an offer by its machine type, its zone, and whether it is for spot instances. */
 export function offerKey(offer: Offer): string {
   return `${offer.type.name}/${offer.zone}/${offer.spot}`;
 }
 
-/** Whether tasks of the job may run on machines of the offer. */
+/** Whether a job's tasks may run on machines of an offer. */
 export function isOfferEligible(spec: JobSpec, { type, zone, spot }: Offer): boolean {
   return isEligible(spec, { type: type.name, zone, spot });
 }
 
-/** The offer with the lowest price per task, counting at most `count` tasks on a machine. */
+/** The offer with the lowest price per task if at most `count` tasks run on a machine. */
 export function cheapestOffer(
   offers: readonly Offer[],
   spec: JobSpec,
@@ -47,9 +47,10 @@
 }
 
 /**
- * The offers in the order in which equally cheap ones are taken: first those of zones with the fewest
- * machines for each controller. Machines send their heartbeats to the controllers of their zone, and
- * the busiest controller is the first to fall behind.
+ * Sorts offers by the number of machines per controller in their zones, ascending, so that the
+ * first of equally cheap offers is in the zone with the least loaded controllers. Machines send
+ * their heartbeats to the controllers of their zone, and the controller with the most machines is
+ * the first to become overloaded.
  */
 export function byControllerLoad(
   offers: readonly Offer[],
@@ -61,14 +62,14 @@
   const loads = new Map<string, number>();
   for (const { zone } of offers) {
     if (loads.has(zone)) continue;
-    // The machines of a zone without a controller are spread over all controllers.
+    // Machines in a zone without a controller are distributed over all controllers.
     const controllers = countIn(members, zone) || members.length;
     loads.set(zone, countIn(machines, zone) / controllers);
   }
   return [...offers].sort((a, b) => (loads.get(a.zone) ?? 0) - (loads.get(b.zone) ?? 0));
 }
 
-/** The offers of the catalog, except those for which the cloud lacked capacity lately. */
+/** The offers of the catalog, without those for which the cloud recently lacked capacity. */
 export class Offers {
   private readonly pausedUntil = new Map<string, number>();
 
@@ -77,7 +78,7 @@
     private readonly isSpotAllowed: boolean,
   ) {}
 
-  /** Offers that may be requested now. */
+  /** Returns the offers that may be requested now. */
   available(types: readonly MachineType[]): Offer[] {
     const now = this.clock.now();
     const offers: Offer[] = [];
@@ -90,7 +91,7 @@
     return offers.filter((offer) => (this.pausedUntil.get(offerKey(offer)) ?? 0) <= now);
   }
 
-  /** Leaves an offer out for a while: the cloud had less than was requested. */
+  /** Excludes an offer for `NO_CAPACITY_PAUSE_MS`, after the cloud had less than requested. */
   pause(offer: Offer): void {
     this.pausedUntil.set(offerKey(offer), this.clock.now() + NO_CAPACITY_PAUSE_MS);
   }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,4 +1,4 @@
-/** Scale-in: returns machines to the cloud that are drained, failed, silent, or never booted. */
+/** Scale-in: returns machines that are drained, failed or silent, or whose boot timed out. */
 
 import { BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MIN_MARGIN_MS } from '../../constants/autoscaling.js';
 import { RETURN_MAX } from '../../constants/protocol.js';
@@ -10,16 +10,16 @@
 import type { MachineList } from './machine-list.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** s; boot time assumed for a machine whose type is not in the catalog. */
+/** s; boot time assumed for a machine type that is not in the catalog. */
 const UNKNOWN_BOOT_S = 60;
 
-/** A machine with its stored record. */
+/** Name and stored record of a machine. */
 interface RecordedMachine {
   readonly name: string;
   readonly record: MachineRecord;
 }
 
-/** Finds the machines to be returned and returns them. */
+/** Selects the machines to be returned, sends the requests, and stores the results. */
 export class ScaleIn {
   private readonly heartbeatTimeouts: HeartbeatTimeouts;
 
@@ -31,7 +31,7 @@
     this.heartbeatTimeouts = new HeartbeatTimeouts(context.clock, context.leaseS);
   }
 
-  /** Returns machines that may be returned, as many as one request may name. */
+  /** Returns machines to the cloud, at most as many as one request may name. */
   async run(snapshot: FleetSnapshot): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
     this.heartbeatTimeouts.update(snapshot.machines);
@@ -47,7 +47,7 @@
     for (const name of names) this.list.forgetFailed(name);
   }
 
-  /** Machines that may be returned now. */
+  /** Machines that are to be returned now. */
   private returnableMachines(snapshot: FleetSnapshot): RecordedMachine[] {
     const { rejectedChangeBackoff, replica } = this.context;
     const isOccupied = this.occupiedMachines();
@@ -57,8 +57,8 @@
       const name = key.slice(MACHINES.length);
       const record = stored.value;
       if (record.state === 'gone' || rejectedChangeBackoff.has(name)) continue;
-      // Tasks are assigned to a machine only before its drain record commits, so a replica that has
-      // this record shows all of them.
+      // No task is placed on a machine after its `drain` record was committed, so a replica that
+      // has reached the revision of this record shows all of the machine's tasks.
       const hasAllTasks = replica.revision >= stored.revision;
       const isDrained = record.state === 'drain' && hasAllTasks && !isOccupied(name);
       const mustReturn =
@@ -72,8 +72,8 @@
   }
 
   /**
-   * A predicate: whether a machine has tasks according to the replica. It reads all assignments, but
-   * not before its first call: in most passes no machine is drained.
+   * Returns a predicate for whether a machine has tasks according to the replica. The first call of
+   * the predicate reads all assignments, so passes in which no machine is drained don't read them.
    */
   private occupiedMachines(): (name: string) => boolean {
     let occupied: Set<string> | null = null;
@@ -85,7 +85,7 @@
     };
   }
 
-  /** A predicate: whether a machine has been booting for much longer than its type takes. */
+  /** Returns a predicate for whether a machine has been booting for too long for its type. */
   private bootTimeouts(snapshot: FleetSnapshot): (name: string, record: MachineRecord) => boolean {
     const { clock, replica } = this.context;
     const wall = clock.wall();
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,4 +1,4 @@
-/** Plans how many machines of which offers to rent for given tasks and for the headroom. */
+/** Plans how many machines of each offer to rent, for given tasks and for the headroom. */
 
 import { PREEMPTIBLE_CPU_SHARE } from '../../constants/autoscaling.js';
 import { RENT_MAX } from '../../constants/protocol.js';
@@ -8,30 +8,30 @@
 import type { TaskDemand } from './capacity-demand.js';
 import { cheapestOffer, isOfferEligible, offerKey, type Offer } from './offers.js';
 
-/** Machines of one offer to be rented. */
+/** A number of machines of one offer, to be rented. */
 export interface Rental {
   readonly offer: Offer;
   readonly count: number;
 }
 
-/** A rental in planning, and what the tasks planned so far leave free on its machines. */
+/** A planned rental, and the free capacity of its machines after the tasks planned so far. */
 interface PlannedRental {
   readonly offer: Offer;
   count: number;
   readonly capacities: Resources[];
 }
 
-/** What a plan begins with. */
+/** Initial state and limits of a plan. */
 export interface ScaleOutPlanOptions {
   readonly offers: readonly Offer[];
-  /** Machines that are not up yet; the plan takes its tasks' resources from them. */
+  /** Machines that are still booting; the plan reduces their free capacity by planned tasks. */
   readonly booting: readonly MachineCapacity[];
-  /** Number of machines that there are already. */
+  /** Current number of machines. */
   readonly machineCount: number;
   readonly maxMachines: number;
 }
 
-/** Takes the tasks' resources from the machines; returns how many tasks don't fit. */
+/** Subtracts tasks from the capacities in order; returns the number of tasks that don't fit. */
 function fillMachines(capacities: readonly Resources[], spec: JobSpec, count: number): number {
   let left = count;
   for (const capacity of capacities) {
@@ -45,7 +45,7 @@
   return left;
 }
 
-/** A plan to which demand is added, in the order in which it is to be served. */
+/** A plan of rentals; demand is added to it in descending order of importance. */
 export class ScaleOutPlan {
   private readonly planned = new Map<string, PlannedRental>();
   private machineCount: number;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Plans for tasks: they go to booting machines first, then to machines planned so far, and for
-   * the rest machines of the cheapest offer are added.
+   * Adds tasks to the plan: first on booting machines, then on the machines planned so far, then on
+   * additional machines of the cheapest offers.
    */
   addTasks({ spec, count }: TaskDemand): void {
     const { booting, maxMachines, offers } = this.options;
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Plans for free CPUs on ordinary machines, so that urgent work need not wait for a boot.
-   * `healthy`: the machines that are up and healthy.
+   * Adds on-demand machines if urgent work could use fewer than `headroomCpus` on them now, so that
+   * it doesn't have to wait for a boot. `healthy`: the healthy machines of the fleet.
    */
   addHeadroom(headroomCpus: number, healthy: readonly MachineCapacity[]): void {
     const missing = headroomCpus - this.ordinaryCpus(healthy);
@@ -99,12 +99,12 @@
     rental.count = Math.min(RENT_MAX, rental.count + Math.ceil(missing / offer.type.cpus));
   }
 
-  /** CPUs of ordinary machines that are free or can be preempted, planned machines included. */
+  /** CPUs of on-demand machines that are free or preemptible, planned machines included. */
   private ordinaryCpus(healthy: readonly MachineCapacity[]): number {
     let cpus = 0;
     for (const machine of [...healthy, ...this.options.booting]) {
       if (machine.spot) continue;
-      // CPUs that urgent work may preempt count in part, since preemption loses work done.
+      // Preemptible CPUs count in part, because a preempted task loses work done.
       cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_CPU_SHARE;
     }
     for (const { offer, capacities } of this.planned.values()) {
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out: rents machines for work that the fleet can't finish in time, and for the headroom. */
+/** Scale-out: rents machines for work that the fleet can't finish in time, and for headroom. */
 
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { RentResult } from '../../protocol/cloud-api.js';
@@ -10,10 +10,10 @@
 import { Offers, byControllerLoad } from './offers.js';
 import { ScaleOutPlan, type Rental } from './scale-out-plan.js';
 
-/** Plans what to rent in each pass and sends the rent requests. */
+/** Plans the rentals of each pass, sends the requests, and records the rented machines. */
 export class ScaleOut {
   private readonly offers: Offers;
-  /** Rent requests made in this term; part of their identifiers. */
+  /** Number of rent requests in this term; part of their identifiers. */
   private requestCount = 0;
 
   constructor(
@@ -23,7 +23,7 @@
     this.offers = new Offers(context.clock, context.spot);
   }
 
-  /** Rents what is missing, as far as the request budget allows. */
+  /** Rents machines for the missing capacity, as far as the request budget allows. */
   async run(snapshot: FleetSnapshot): Promise<void> {
     const { cloud, cloudRequests, term } = this.context;
     for (const rental of this.plan(snapshot)) {
@@ -41,20 +41,20 @@
     }
   }
 
-  /** Logs the result of a rent request; pauses an offer of which there was less than requested. */
+  /** Logs the result of a rent request; pauses the offer if the cloud had less than requested. */
   private handleResult({ offer, count }: Rental, result: RentResult): void {
     const { type, zone, spot } = offer;
     const got = result.kind === 'rented' ? result.machines.length : 0;
     this.context.log.info(
-      { type: type.name, zone, spot, count, got, result: result.kind },
-      'scale-out requested',
+      { type: type.name, zone, spot, requestedCount: count, rentedCount: got, result: result.kind },
+      'rent request completed',
     );
     if (result.kind === 'noCapacity' || (result.kind === 'rented' && got < count)) {
       this.offers.pause(offer);
     }
   }
 
-  /** What to rent: the cheapest offer for each kind of task that doesn't fit on booting machines. */
+  /** Plans rentals of the cheapest offers for demand that doesn't fit on booting machines. */
   private plan(snapshot: FleetSnapshot): Rental[] {
     const { clock, headroom, maxMachines, members, replica } = this.context;
     const types = machineTypes(replica);
@@ -70,7 +70,7 @@
     });
     const demand = demandBeyondFleet({ snapshot, booting, types, wall: clock.wall() });
     for (const tasks of demand) plan.addTasks(tasks);
-    // Waiting tasks are served first; gangs like the recent ones should find capacity beside them.
+    // Waiting tasks are planned first, so that capacity for future gangs is additional to theirs.
     const missingForGangs = missingGangCapacity(headroom.gangs(snapshot), [...healthy, ...booting]);
     for (const tasks of missingForGangs) plan.addTasks(tasks);
     plan.addHeadroom(headroom.cpus, healthy);
