--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -1,8 +1,8 @@
 /** Constants of scale-out and scale-in. */
 
 /** ms; first and longest pause after a failed cloud request. No user waits for these requests. */
-export const CLOUD_BACKOFF_FIRST_MS = 500;
-export const CLOUD_BACKOFF_LAST_MS = 8_000;
+export const CLOUD_BACKOFF_MIN_MS = 500;
+export const CLOUD_BACKOFF_MAX_MS = 8_000;
 
 /**
  * ms; headroom is released once no job has been open for this long, because the machines kept for
@@ -14,16 +14,16 @@
  * Fraction of the work expected from recent arrivals for which the fleet keeps capacity. With all
  * of it, the price of the fleet rose by a seventh.
  */
-export const EXPECTED_WORK_SHARE = 0.8;
+export const EXPECTED_WORK_FRACTION = 0.8;
 
 /** ms; interval at which the catalog of machine types is read again for current spot prices. */
-export const CATALOG_PERIOD_MS = 60_000;
+export const CATALOG_REFRESH_INTERVAL_MS = 60_000;
 
 /**
  * Fraction of the cloud's request limit that the leader uses, because a former leader may still be
  * sending requests.
  */
-export const CLOUD_REQUEST_SHARE = 0.7;
+export const CLOUD_REQUEST_FRACTION = 0.7;
 
 /** ms; pause before an offer is requested again after the cloud had too little capacity for it. */
 export const NO_CAPACITY_PAUSE_MS = 15_000;
@@ -57,13 +57,13 @@
  * status records of the other shards, which show whether more machines are silent, take two of
  * their passes.
  */
-export const SILENT_CONFIRM_MS = 1_500;
+export const SILENT_CONFIRMATION_MS = 1_500;
 
 /**
  * Fraction of the fleet that may be returned for silence within `SILENT_RETURN_PERIOD_MS`, but
  * always `SILENT_RETURN_MAX_MACHINES` machines.
  */
-export const SILENT_RETURN_MAX_FLEET_SHARE = 0.1;
+export const SILENT_RETURN_MAX_FLEET_FRACTION = 0.1;
 
 /** ms; period in which the number of machines returned for silence is limited. */
 export const SILENT_RETURN_PERIOD_MS = 60_000;
@@ -72,14 +72,14 @@
  * Factor by which tasks are assumed to run longer than estimated when machines are rented, because
  * users' estimates are often wrong by half.
  */
-export const ESTIMATE_MARGIN = 1.25;
+export const RUN_ESTIMATE_FACTOR = 1.25;
 
 /**
  * Multiple of the fastest boot time. It is the period over which the needed CPUs are computed, and
  * the time until the latest start that is assumed for tasks that even a machine rented now could
  * not finish by their deadlines.
  */
-export const LATE_TASK_BOOT_TIMES = 1.5;
+export const LATE_TASK_BOOT_FACTOR = 1.5;
 
 /** s; remaining run time assumed for running tasks when the fleet's future capacity is computed. */
 export const ASSUMED_REMAINING_RUN_S = 15;
@@ -88,7 +88,7 @@
  * Fraction of the CPUs used by preemptible work that counts as headroom for urgent work, because a
  * preempted task loses work done.
  */
-export const PREEMPTIBLE_CPU_SHARE = 0.5;
+export const PREEMPTIBLE_CPU_FRACTION = 0.5;
 
 /**
  * Upper bound of the factor by which a machine with a low price per CPU stays idle longer than one
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,6 +1,6 @@
 /** The autoscaler: the leader's control loop that rents and returns machines. */
 
-import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../../constants/autoscaling.js';
+import { CLOUD_BACKOFF_MIN_MS, CLOUD_BACKOFF_MAX_MS } from '../../constants/autoscaling.js';
 import { CATALOG } from '../../storage/keys.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { Backoff } from '../../transport/backoff.js';
@@ -33,7 +33,7 @@
 
   constructor(options: AutoscalerOptions) {
     const { clock, cloudRps, headroomCpus, random, replica } = options;
-    this.backoff = new Backoff(CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS, random);
+    this.backoff = new Backoff(CLOUD_BACKOFF_MIN_MS, CLOUD_BACKOFF_MAX_MS, random);
     this.context = {
       ...options,
       cloudRequests: new CloudRequestBudget(clock, cloudRps),
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -1,6 +1,6 @@
 /** Settings, services and state that the steps of an autoscaler pass share. */
 
-import { CLOUD_REQUEST_SHARE } from '../../constants/autoscaling.js';
+import { CLOUD_REQUEST_FRACTION } from '../../constants/autoscaling.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
@@ -60,7 +60,7 @@
   private readonly budget: Budget;
 
   constructor(clock: Clock, cloudRps: number) {
-    const rate = cloudRps * CLOUD_REQUEST_SHARE;
+    const rate = cloudRps * CLOUD_REQUEST_FRACTION;
     this.budget = new Budget(clock, rate, Math.max(1, rate));
   }
 
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -1,9 +1,9 @@
 /** Computes the demand, in tasks and CPUs, that exceeds the capacity of the fleet. */
 
 import {
-  EXPECTED_WORK_SHARE,
-  ESTIMATE_MARGIN,
-  LATE_TASK_BOOT_TIMES,
+  EXPECTED_WORK_FRACTION,
+  RUN_ESTIMATE_FACTOR,
+  LATE_TASK_BOOT_FACTOR,
   ASSUMED_REMAINING_RUN_S,
 } from '../../constants/autoscaling.js';
 import { rankOf, type JobSpec, type MachineType } from '../../protocol/model.js';
@@ -22,7 +22,7 @@
   readonly booting: readonly MachineCapacity[];
   readonly types: readonly MachineType[];
   /** Wall-clock time in ms. */
-  readonly wall: number;
+  readonly wallMs: number;
 }
 
 /** The fleet's capacity, and the work that precedes a job in the queue. */
@@ -32,9 +32,9 @@
   /** Boot time of the machine type that boots fastest. */
   readonly bootS: number;
   /** Wall-clock time in ms. */
-  readonly wall: number;
+  readonly wallMs: number;
   /** CPU seconds of the work that precedes the job. */
-  readonly aheadCpuS: number;
+  readonly precedingCpuS: number;
 }
 
 /** Boot time of the machine type that boots fastest. */
@@ -50,7 +50,7 @@
 }
 
 /**
- * CPUs that preemptible work needs on average from now until `LATE_TASK_BOOT_TIMES` boot times
+ * CPUs that preemptible work needs on average from now until `LATE_TASK_BOOT_FACTOR` boot times
  * later. The work consists of running tasks, waiting tasks, and as many new tasks as the recent
  * rate of arrivals predicts. New tasks count in advance because many deadlines are shorter than a
  * boot.
@@ -60,8 +60,8 @@
   for (const { spec, count } of snapshot.unmetDemand) {
     if (spec.kind !== 'service') workCpuS += count * spec.cpus * Math.max(1, spec.estimateS);
   }
-  const periodS = fastestBootS(types) * LATE_TASK_BOOT_TIMES;
-  return workCpuS / periodS + snapshot.expectedCpus * EXPECTED_WORK_SHARE;
+  const periodS = fastestBootS(types) * LATE_TASK_BOOT_FACTOR;
+  return workCpuS / periodS + snapshot.expectedCpus * EXPECTED_WORK_FRACTION;
 }
 
 /**
@@ -71,34 +71,39 @@
  * of arrivals predicts come last.
  */
 export function demandBeyondFleet(input: DemandInput): TaskDemand[] {
-  const { snapshot, booting, types, wall } = input;
+  const { snapshot, booting, types, wallMs: wall } = input;
   const fleetCpus = cpusOfFleet(snapshot, booting);
   const bootS = fastestBootS(types);
   const demand: TaskDemand[] = [];
-  let aheadCpuS = remainingCpuS(snapshot);
-  for (const unmet of byUrgency(snapshot.unmetDemand)) {
+  let precedingCpuS = remainingCpuS(snapshot);
+  for (const unmet of sortByUrgency(snapshot.unmetDemand)) {
     const { spec, count } = unmet;
     if (spec.kind === 'service' || spec.deadlineS === null || spec.cpus <= 0) {
       demand.push({ spec, count });
       continue;
     }
-    const countBeyond = tasksBeyondFleet(unmet, { fleetCpus, bootS, wall, aheadCpuS });
+    const countBeyond = countTasksBeyondFleet(unmet, {
+      fleetCpus,
+      bootS,
+      wallMs: wall,
+      precedingCpuS,
+    });
     if (countBeyond > 0) demand.push({ spec, count: countBeyond });
-    aheadCpuS += count * spec.cpus * estimatedRunS(spec);
+    precedingCpuS += count * spec.cpus * estimatedRunS(spec);
   }
   const expected = expectedDemand(input, fleetCpus, demand);
   return expected ? [...demand, expected] : demand;
 }
 
 /** Number of concurrent tasks of a job with a deadline for which to rent machines. */
-function tasksBeyondFleet(unmet: UnmetDemand, queue: QueueState): number {
+function countTasksBeyondFleet(unmet: UnmetDemand, queue: QueueState): number {
   const { spec, count } = unmet;
-  const { fleetCpus, bootS, wall, aheadCpuS } = queue;
+  const { fleetCpus, bootS, wallMs: wall, precedingCpuS: aheadCpuS } = queue;
   const runS = estimatedRunS(spec);
   // Tasks that would be late even on a machine rented now don't justify renting at any price. They
-  // are planned as if they had to start `LATE_TASK_BOOT_TIMES` boot times from now.
+  // are planned as if they had to start `LATE_TASK_BOOT_FACTOR` boot times from now.
   const untilLatestStartS = (dueAt(unmet) - wall) / 1000 - runS;
-  const slackS = Math.max(untilLatestStartS, bootS * LATE_TASK_BOOT_TIMES);
+  const slackS = Math.max(untilLatestStartS, bootS * LATE_TASK_BOOT_FACTOR);
   const workCpuS = count * spec.cpus * runS;
   const inTimeCpuS = Math.max(0, fleetCpus * slackS - aheadCpuS);
   const lateCount = Math.min(count, Math.ceil((workCpuS - inTimeCpuS) / (spec.cpus * runS)));
@@ -110,7 +115,7 @@
 
 /** Expected run time of a task in seconds, with a margin for estimates that are too low. */
 function estimatedRunS(spec: JobSpec): number {
-  return Math.max(1, spec.estimateS) * ESTIMATE_MARGIN;
+  return Math.max(1, spec.estimateS) * RUN_ESTIMATE_FACTOR;
 }
 
 /**
@@ -146,7 +151,7 @@
 }
 
 /** Sorts by descending priority, then by deadline. */
-function byUrgency(unmet: readonly UnmetDemand[]): UnmetDemand[] {
+function sortByUrgency(unmet: readonly UnmetDemand[]): UnmetDemand[] {
   return [...unmet].sort(
     (a, b) => rankOf(b.spec.priority) - rankOf(a.spec.priority) || dueAt(a) - dueAt(b),
   );
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -1,6 +1,6 @@
 /** Keeps the stored catalog of machine types up to date with the cloud's catalog. */
 
-import { CATALOG_PERIOD_MS } from '../../constants/autoscaling.js';
+import { CATALOG_REFRESH_INTERVAL_MS } from '../../constants/autoscaling.js';
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { writeCatalog } from '../../storage/catalog.js';
 import { CATALOG } from '../../storage/keys.js';
@@ -21,7 +21,7 @@
     const { clock, cloud, cloudRequests, rejectedChangeBackoff, replica, valueBytes, writer } =
       this.context;
     const now = clock.now();
-    if (now - this.refreshedAt < CATALOG_PERIOD_MS || !cloudRequests.trySpend()) return;
+    if (now - this.refreshedAt < CATALOG_REFRESH_INTERVAL_MS || !cloudRequests.trySpend()) return;
     const types = await cloud.types();
     if (!types) return;
     this.refreshedAt = now;
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -8,33 +8,33 @@
 
 /** Headroom for urgent work and for gangs like recent ones; released after a time without jobs. */
 export class Headroom {
-  private lastWorkAt: number;
+  private lastOpenJobAt: number;
 
   constructor(
     private readonly configuredCpus: number,
     private readonly replica: StoreReplica,
     private readonly clock: Clock,
   ) {
-    this.lastWorkAt = clock.now();
+    this.lastOpenJobAt = clock.now();
   }
 
   /** Records whether a job is open; called in each pass. */
   update(): void {
     const [openJob] = this.replica.openJobs();
-    if (openJob !== undefined) this.lastWorkAt = this.clock.now();
+    if (openJob !== undefined) this.lastOpenJobAt = this.clock.now();
   }
 
   /** Free CPUs to be kept on on-demand machines for urgent work. */
   get cpus(): number {
-    return this.isQuiet ? 0 : this.configuredCpus;
+    return this.isReleased ? 0 : this.configuredCpus;
   }
 
   /** Recent gangs; capacity is kept free for future gangs like them. */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
-    return this.isQuiet ? [] : snapshot.recentGangs;
+    return this.isReleased ? [] : snapshot.recentGangs;
   }
 
-  private get isQuiet(): boolean {
-    return this.clock.now() - this.lastWorkAt >= HEADROOM_RELEASE_AFTER_MS;
+  private get isReleased(): boolean {
+    return this.clock.now() - this.lastOpenJobAt >= HEADROOM_RELEASE_AFTER_MS;
   }
 }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -3,8 +3,8 @@
 import {
   SILENT_RETURN_MAX_MACHINES,
   SILENT_RETURN_PERIOD_MS,
-  SILENT_RETURN_MAX_FLEET_SHARE,
-  SILENT_CONFIRM_MS,
+  SILENT_RETURN_MAX_FLEET_FRACTION,
+  SILENT_CONFIRMATION_MS,
 } from '../../constants/autoscaling.js';
 import type { Clock } from '../../transport/clock.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
@@ -37,19 +37,21 @@
   update(machines: readonly MachineCapacity[]): void {
     const now = this.clock.now();
     this.trackSilence(machines, now);
-    for (const [name, chosenAt] of this.recentReturns) {
-      if (now - chosenAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
+    for (const [name, selectedAt] of this.recentReturns) {
+      if (now - selectedAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
     }
-    const affected = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
+    const recentlySilent = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
     // Shards publish the health of their machines one after the other, so a network partition is
     // visible only after all of them have published it.
-    const waitMs =
-      affected.size <= SILENT_RETURN_MAX_MACHINES ? SILENT_CONFIRM_MS : this.leaseS * 1000;
-    const shareOfFleet = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_SHARE);
-    const limit = Math.max(SILENT_RETURN_MAX_MACHINES, shareOfFleet);
+    const minSilentMs =
+      recentlySilent.size <= SILENT_RETURN_MAX_MACHINES
+        ? SILENT_CONFIRMATION_MS
+        : this.leaseS * 1000;
+    const fleetLimit = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_FRACTION);
+    const limit = Math.max(SILENT_RETURN_MAX_MACHINES, fleetLimit);
     this.namesToReturn.clear();
     for (const [name, since] of this.silentSince) {
-      if (now - since < waitMs) continue;
+      if (now - since < minSilentMs) continue;
       if (!this.recentReturns.has(name)) {
         if (this.recentReturns.size >= limit) continue;
         this.recentReturns.set(name, now);
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -24,12 +24,15 @@
     const { rejectedChangeBackoff, log } = this.context;
     const faulty = snapshot.machines.filter((machine) => machine.health === 'faulty');
     const unneeded = this.unneededMachines(snapshot);
-    const due = [...faulty, ...unneeded].filter(
+    const machinesToDrain = [...faulty, ...unneeded].filter(
       (machine) => !rejectedChangeBackoff.has(machine.name),
     );
-    if (due.length === 0) return;
-    if ((await this.records.recordState(due, 'drain')) === 'written') {
-      log.info({ machines: due.map((machine) => machine.name) }, 'machines marked for draining');
+    if (machinesToDrain.length === 0) return;
+    if ((await this.records.recordState(machinesToDrain, 'drain')) === 'written') {
+      log.info(
+        { machines: machinesToDrain.map((machine) => machine.name) },
+        'machines marked for draining',
+      );
     }
   }
 
@@ -43,10 +46,10 @@
       0,
     );
     const requiredCpus = this.requiredFreeCpus(snapshot);
-    let freeCpus = freeOrdinaryCpus(snapshot);
+    let freeCpus = freeOnDemandCpus(snapshot);
     let spareCpus = this.spareCpus(snapshot, types);
     const unneeded: MachineCapacity[] = [];
-    for (const machine of this.idleMachines(snapshot, types)) {
+    for (const machine of this.listIdle(snapshot, types)) {
       const since = this.idleSince.get(machine.name) ?? now;
       this.idleSince.set(machine.name, since);
       // Cheap machines stay longer, because machines rented later in their place may cost more.
@@ -64,7 +67,7 @@
   }
 
   /** Idle machines, the highest price per CPU first; stops tracking machines that aren't idle. */
-  private idleMachines(snapshot: FleetSnapshot, types: readonly MachineType[]): MachineCapacity[] {
+  private listIdle(snapshot: FleetSnapshot, types: readonly MachineType[]): MachineCapacity[] {
     const present = new Set(snapshot.machines.map((machine) => machine.name));
     for (const name of this.idleSince.keys()) {
       if (!present.has(name)) this.idleSince.delete(name);
@@ -96,7 +99,7 @@
 }
 
 /** Free CPUs of healthy on-demand machines. */
-function freeOrdinaryCpus(snapshot: FleetSnapshot): number {
+function freeOnDemandCpus(snapshot: FleetSnapshot): number {
   let cpus = 0;
   for (const machine of snapshot.machines) {
     if (machine.health === 'ok' && !machine.spot) cpus += Math.max(0, machine.cpus);
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -12,7 +12,7 @@
 
 /** Reads the cloud's list of machines periodically, page by page. */
 export class MachineList {
-  private startedAt = -Infinity;
+  private readingStartedAt = -Infinity;
   /** Machines read so far in the current reading; null if no reading is in progress. */
   private reading: ListedMachine[] | null = null;
   private readonly failedNames = new Set<string>();
@@ -28,7 +28,7 @@
   }
 
   /** Removes a machine from the failed ones; called after its return. */
-  forgetFailed(name: string): void {
+  clearFailed(name: string): void {
     this.failedNames.delete(name);
   }
 
@@ -38,7 +38,7 @@
    */
   async refresh(): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
-    const listed = this.reading ?? this.beginIfDue();
+    const listed = this.reading ?? this.startIfDue();
     if (!listed) return;
     for (;;) {
       if (!cloudRequests.trySpend()) return;
@@ -51,33 +51,33 @@
       if (!page.more || page.machines.length === 0) break;
     }
     this.reading = null;
-    const unknown = this.unknownMachines(listed);
-    if (unknown.length > 0) {
-      const names = unknown.map((machine) => machine.name);
+    const unrecorded = this.unrecordedMachines(listed);
+    if (unrecorded.length > 0) {
+      const names = unrecorded.map((machine) => machine.name);
       log.info({ machines: names }, 'unrecorded machines adopted');
-      await this.records.recordState(unknown, 'rented');
+      await this.records.recordState(unrecorded, 'rented');
     }
-    this.noteFailed(listed);
-    await this.records.removeOld(new Set(listed.map((machine) => machine.name)));
+    this.recordFailed(listed);
+    await this.records.removeExpired(new Set(listed.map((machine) => machine.name)));
   }
 
   /** Starts a reading; returns null if none is due yet. */
-  private beginIfDue(): ListedMachine[] | null {
+  private startIfDue(): ListedMachine[] | null {
     const { clock, listLagS } = this.context;
     const now = clock.now();
-    if (now - this.startedAt < Math.max(MIN_LIST_PERIOD_S, listLagS) * 1000) return null;
-    this.startedAt = now;
+    if (now - this.readingStartedAt < Math.max(MIN_LIST_PERIOD_S, listLagS) * 1000) return null;
+    this.readingStartedAt = now;
     this.reading = [];
     return this.reading;
   }
 
   /** Machines without a record, for example after a rent request whose response was lost. */
-  private unknownMachines(listed: readonly ListedMachine[]): ListedMachine[] {
+  private unrecordedMachines(listed: readonly ListedMachine[]): ListedMachine[] {
     return listed.filter((machine) => !this.context.replica.get(machineKey(machine.name)));
   }
 
   /** Records the machines that have failed and have not been returned yet. */
-  private noteFailed(listed: readonly ListedMachine[]): void {
+  private recordFailed(listed: readonly ListedMachine[]): void {
     for (const { name, state } of listed) {
       const record = this.context.replica.machine(name);
       if (state === 'failed' && record && record.state !== 'gone') this.failedNames.add(name);
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -66,7 +66,7 @@
    * Removes the records of machines that were returned at least `RETURNED_RECORD_RETENTION_MS` ago
    * and are not in the newest list. `listed`: the names in that list.
    */
-  async removeOld(listed: ReadonlySet<string>): Promise<void> {
+  async removeExpired(listed: ReadonlySet<string>): Promise<void> {
     const { clock, rejectedChangeBackoff, replica, transactionOps, writer } = this.context;
     const wall = clock.wall();
     const changes: Change[] = [];
--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -52,7 +52,7 @@
  * their heartbeats to the controllers of their zone, and the controller with the most machines is
  * the first to become overloaded.
  */
-export function byControllerLoad(
+export function sortByControllerLoad(
   offers: readonly Offer[],
   machines: readonly { zone: string }[],
   members: readonly Member[],
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -26,7 +26,7 @@
   constructor(
     private readonly context: AutoscalingContext,
     private readonly records: MachineRecords,
-    private readonly list: MachineList,
+    private readonly machineList: MachineList,
   ) {
     this.heartbeatTimeouts = new HeartbeatTimeouts(context.clock, context.leaseS);
   }
@@ -44,14 +44,14 @@
       returned.map(({ name, record }) => ({ name, ...record })),
       'gone',
     );
-    for (const name of names) this.list.forgetFailed(name);
+    for (const name of names) this.machineList.clearFailed(name);
   }
 
   /** Machines that are to be returned now. */
   private returnableMachines(snapshot: FleetSnapshot): RecordedMachine[] {
     const { rejectedChangeBackoff, replica } = this.context;
-    const isOccupied = this.occupiedMachines();
-    const hasBootTimedOut = this.bootTimeouts(snapshot);
+    const isOccupied = this.occupancyCheck();
+    const hasBootTimedOut = this.bootTimeoutCheck(snapshot);
     const returnable: RecordedMachine[] = [];
     for (const [key, stored] of replica.below<MachineRecord>(MACHINES)) {
       const name = key.slice(MACHINES.length);
@@ -64,7 +64,7 @@
       const mustReturn =
         isDrained ||
         hasBootTimedOut(name, record) ||
-        this.list.hasFailed(name) ||
+        this.machineList.hasFailed(name) ||
         this.heartbeatTimeouts.mustReturn(name);
       if (mustReturn) returnable.push({ name, record });
     }
@@ -75,7 +75,7 @@
    * Returns a predicate for whether a machine has tasks according to the replica. The first call of
    * the predicate reads all assignments, so passes in which no machine is drained don't read them.
    */
-  private occupiedMachines(): (name: string) => boolean {
+  private occupancyCheck(): (name: string) => boolean {
     let occupied: Set<string> | null = null;
     return (name) => {
       occupied ??= new Set(
@@ -86,7 +86,9 @@
   }
 
   /** Returns a predicate for whether a machine has been booting for too long for its type. */
-  private bootTimeouts(snapshot: FleetSnapshot): (name: string, record: MachineRecord) => boolean {
+  private bootTimeoutCheck(
+    snapshot: FleetSnapshot,
+  ): (name: string, record: MachineRecord) => boolean {
     const { clock, replica } = this.context;
     const wall = clock.wall();
     const types = new Map(machineTypes(replica).map((type) => [type.name, type]));
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,6 +1,6 @@
 /** Plans how many machines of each offer to rent, for given tasks and for the headroom. */
 
-import { PREEMPTIBLE_CPU_SHARE } from '../../constants/autoscaling.js';
+import { PREEMPTIBLE_CPU_FRACTION } from '../../constants/autoscaling.js';
 import { RENT_MAX } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
@@ -33,16 +33,16 @@
 
 /** Subtracts tasks from the capacities in order; returns the number of tasks that don't fit. */
 function fillMachines(capacities: readonly Resources[], spec: JobSpec, count: number): number {
-  let left = count;
+  let remainingCount = count;
   for (const capacity of capacities) {
-    const placed = Math.min(left, countFittingTasks(capacity, spec));
+    const placed = Math.min(remainingCount, countFittingTasks(capacity, spec));
     capacity.cpus -= placed * spec.cpus;
     capacity.gpus -= placed * spec.gpus;
     capacity.memoryGb -= placed * spec.memoryGb;
-    left -= placed;
-    if (left === 0) break;
+    remainingCount -= placed;
+    if (remainingCount === 0) break;
   }
-  return left;
+  return remainingCount;
 }
 
 /** A plan of rentals; demand is added to it in descending order of importance. */
@@ -66,12 +66,13 @@
   addTasks({ spec, count }: TaskDemand): void {
     const { booting, maxMachines, offers } = this.options;
     const eligible = booting.filter((machine) => isEligible(spec, machine));
-    let left = fillMachines(eligible, spec, count);
+    let remainingCount = fillMachines(eligible, spec, count);
     for (const rental of this.planned.values()) {
-      if (isOfferEligible(spec, rental.offer)) left = fillMachines(rental.capacities, spec, left);
+      if (isOfferEligible(spec, rental.offer))
+        remainingCount = fillMachines(rental.capacities, spec, remainingCount);
     }
-    while (left > 0 && this.machineCount < maxMachines) {
-      const offer = cheapestOffer(offers, spec, left);
+    while (remainingCount > 0 && this.machineCount < maxMachines) {
+      const offer = cheapestOffer(offers, spec, remainingCount);
       if (!offer) break;
       const rental = this.rentalOf(offer);
       if (rental.count >= RENT_MAX) break;
@@ -80,7 +81,7 @@
       const { cpus, gpus, memoryGb } = offer.type;
       const capacity = { cpus, gpus, memoryGb };
       rental.capacities.push(capacity);
-      left = fillMachines([capacity], spec, left);
+      remainingCount = fillMachines([capacity], spec, remainingCount);
     }
   }
 
@@ -89,7 +90,7 @@
    * it doesn't have to wait for a boot. `healthy`: the healthy machines of the fleet.
    */
   addHeadroom(headroomCpus: number, healthy: readonly MachineCapacity[]): void {
-    const missing = headroomCpus - this.ordinaryCpus(healthy);
+    const missing = headroomCpus - this.onDemandCpus(healthy);
     if (missing <= 0) return;
     const [offer] = this.options.offers
       .filter(({ spot }) => !spot)
@@ -100,12 +101,12 @@
   }
 
   /** CPUs of on-demand machines that are free or preemptible, planned machines included. */
-  private ordinaryCpus(healthy: readonly MachineCapacity[]): number {
+  private onDemandCpus(healthy: readonly MachineCapacity[]): number {
     let cpus = 0;
     for (const machine of [...healthy, ...this.options.booting]) {
       if (machine.spot) continue;
       // Preemptible CPUs count in part, because a preempted task loses work done.
-      cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_CPU_SHARE;
+      cpus += Math.max(0, machine.cpus) + machine.preemptibleCpus * PREEMPTIBLE_CPU_FRACTION;
     }
     for (const { offer, capacities } of this.planned.values()) {
       if (offer.spot) continue;
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -7,7 +7,7 @@
 import { demandBeyondFleet } from './capacity-demand.js';
 import { machineTypes, type AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
-import { Offers, byControllerLoad } from './offers.js';
+import { Offers, sortByControllerLoad } from './offers.js';
 import { ScaleOutPlan, type Rental } from './scale-out-plan.js';
 
 /** Plans the rentals of each pass, sends the requests, and records the rented machines. */
@@ -44,12 +44,19 @@
   /** Logs the result of a rent request; pauses the offer if the cloud had less than requested. */
   private handleResult({ offer, count }: Rental, result: RentResult): void {
     const { type, zone, spot } = offer;
-    const got = result.kind === 'rented' ? result.machines.length : 0;
+    const rentedCount = result.kind === 'rented' ? result.machines.length : 0;
     this.context.log.info(
-      { type: type.name, zone, spot, requestedCount: count, rentedCount: got, result: result.kind },
+      {
+        type: type.name,
+        zone,
+        spot,
+        requestedCount: count,
+        rentedCount,
+        result: result.kind,
+      },
       'rent request completed',
     );
-    if (result.kind === 'noCapacity' || (result.kind === 'rented' && got < count)) {
+    if (result.kind === 'noCapacity' || (result.kind === 'rented' && rentedCount < count)) {
       this.offers.pause(offer);
     }
   }
@@ -63,12 +70,12 @@
       .map((machine) => ({ ...machine }));
     const healthy = snapshot.machines.filter((machine) => machine.health === 'ok');
     const plan = new ScaleOutPlan({
-      offers: byControllerLoad(this.offers.available(types), snapshot.machines, members),
+      offers: sortByControllerLoad(this.offers.available(types), snapshot.machines, members),
       booting,
       machineCount: snapshot.machines.length,
       maxMachines,
     });
-    const demand = demandBeyondFleet({ snapshot, booting, types, wall: clock.wall() });
+    const demand = demandBeyondFleet({ snapshot, booting, types, wallMs: clock.wall() });
     for (const tasks of demand) plan.addTasks(tasks);
     // Waiting tasks are planned first, so that capacity for future gangs is additional to theirs.
     const missingForGangs = missingGangCapacity(headroom.gangs(snapshot), [...healthy, ...booting]);
--- a/src/coordination/scheduling/arm-records.ts
+++ b/src/coordination/scheduling/arm-records.ts
@@ -44,7 +44,7 @@
  * Placeholder for the number of further records while the main record is sized. No actual number
  * takes more bytes.
  */
-const MAX_FURTHER_RECORDS = 9999;
+const FURTHER_COUNT_PLACEHOLDER = 9999;
 
 /**
  * Divides an arm among records, the main one first. Returns none if not even the diagonal of A fits
@@ -81,7 +81,7 @@
         .map(([row, column, value]) => [row, column, isOmittedClass(row) ? 1 : value]),
       b: arm.b.filter(([row]) => !isOmittedClass(row)),
       stamp,
-      further: MAX_FURTHER_RECORDS,
+      further: FURTHER_COUNT_PLACEHOLDER,
     };
     if (bytesOf(main) <= maxBytes) return main;
   }
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -51,7 +51,7 @@
     return this.classes.push(taskClass) - 1;
   }
 
-  private arm(type: string): Arm {
+  private armOf(type: string): Arm {
     let arm = this.arms.get(type);
     if (!arm) {
       arm = {
@@ -73,18 +73,18 @@
     vector[this.classIndex(taskClass)] = 1;
     let total = 0;
     for (const count of taskCounts.values()) total += count;
-    const firstShare = MAX_TASK_CLASSES + 1;
-    const firstType = firstShare + this.types.length;
+    const firstTaskFraction = MAX_TASK_CLASSES + 1;
+    const firstMachineType = firstTaskFraction + this.types.length;
     this.types.forEach((name, index) => {
-      vector[firstShare + index] = total === 0 ? 0 : (taskCounts.get(name) ?? 0) / total;
-      if (name === type) vector[firstType + index] = 1;
+      vector[firstTaskFraction + index] = total === 0 ? 0 : (taskCounts.get(name) ?? 0) / total;
+      if (name === type) vector[firstMachineType + index] = 1;
     });
     return vector;
   }
 
   /** The upper confidence bound of an arm's payoff in a context; higher is better. */
   score(type: string, context: number[]): number {
-    const { designInverse, response } = this.arm(type);
+    const { designInverse, response } = this.armOf(type);
     const vector = Matrix.columnVector(context);
     const product = designInverse.mmul(vector);
     const mean = product.dot(response);
@@ -95,17 +95,17 @@
   finished(type: string, context: number[], cost: number): void {
     const classIndex = context.indexOf(1);
     this.highestCosts.set(classIndex, Math.max(this.highestCosts.get(classIndex) ?? 0, cost));
-    this.learn(type, context, -cost);
+    this.updateArm(type, context, -cost);
   }
 
   /** Learns from a failed task, which costs `penalty` times the highest cost of its class. */
   failed(type: string, context: number[]): void {
     const highestCost = this.highestCosts.get(context.indexOf(1)) ?? 0;
-    this.learn(type, context, -this.penalty * highestCost);
+    this.updateArm(type, context, -this.penalty * highestCost);
   }
 
-  private learn(type: string, context: number[], payoff: number): void {
-    const arm = this.arm(type);
+  private updateArm(type: string, context: number[], payoff: number): void {
+    const arm = this.armOf(type);
     const vector = Matrix.columnVector(context);
     arm.design.add(vector.mmul(vector.transpose()));
     arm.response.add(Matrix.mul(vector, payoff));
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -9,7 +9,7 @@
 import type { Tasks } from '../shard-state/tasks.js';
 
 /** A machine that may take tasks, and its state in this scheduling cycle. */
-export interface Candidate {
+export interface CandidateMachine {
   machine: Machine;
   /** Free resources, reduced by each task that the cycle assigns. */
   free: Resources;
@@ -30,8 +30,8 @@
  * Lists the healthy machines of a shard in their fixed order. The resources of tasks that are being
  * stopped count as free.
  */
-export function listCandidates(machines: Machines, tasks: Tasks): Candidate[] {
-  const candidates: Candidate[] = [];
+export function listCandidates(machines: Machines, tasks: Tasks): CandidateMachine[] {
+  const candidates: CandidateMachine[] = [];
   for (const machine of machines.inOrder()) {
     if (machine.isConsolidating || !machines.isSchedulable(machine)) continue;
     if (machines.health(machine) !== 'ok') continue;
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,10 +1,10 @@
 /** Consolidation: moves services off machines with low CPU use, so that these can be returned. */
 
 import {
-  CONSOLIDATION_MAX_CPU_USE,
-  CONSOLIDATION_MAX_MACHINE_SHARE,
-  CONSOLIDATION_PERIOD_MS,
-  SETTLED_AFTER_MS,
+  CONSOLIDATION_MAX_CPU_FRACTION,
+  CONSOLIDATION_MAX_MACHINE_FRACTION,
+  CONSOLIDATION_INTERVAL_MS,
+  MIN_RUN_BEFORE_STOP_MS,
 } from '../../constants/scheduling.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -12,7 +12,7 @@
 import type { Assignment, Task } from '../shard-state/assignment.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
-import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
+import { listCandidates, mayRunOn, type CandidateMachine, type JobLookup } from './candidates.js';
 
 /** Services and state that consolidation uses. */
 interface ConsolidationDependencies {
@@ -24,15 +24,16 @@
 
 /** Resources of another machine that are reserved for one task. */
 interface Reservation {
-  candidate: Candidate;
+  candidate: CandidateMachine;
   assignment: Assignment;
 }
 
 /**
- * Whether a task has run for more than `SETTLED_AFTER_MS`, so that a stop doesn't waste its start.
+ * Whether a task has run for more than `MIN_RUN_BEFORE_STOP_MS`, so that a stop doesn't waste its
+ * start.
  */
-export function isSettled(task: Task, clock: Clock): boolean {
-  return task.runningAt !== null && clock.now() - task.runningAt > SETTLED_AFTER_MS;
+export function hasMinimumRunTime(task: Task, clock: Clock): boolean {
+  return task.runningAt !== null && clock.now() - task.runningAt > MIN_RUN_BEFORE_STOP_MS;
 }
 
 /** Periodically moves services off the machines of a shard that have low CPU use. */
@@ -55,20 +56,21 @@
     const now = clock.now();
     const emptied = new Set<string>();
     if (tasks.waitingAssignments.size > 0 || now < this.nextRunAt) return emptied;
-    this.nextRunAt = now + CONSOLIDATION_PERIOD_MS;
+    this.nextRunAt = now + CONSOLIDATION_INTERVAL_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ isEmpty }) => !isEmpty);
-    used.sort((a, b) => this.cpuUse(a) - this.cpuUse(b));
-    const limit = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_SHARE));
+    used.sort((a, b) => this.cpuUtilization(a) - this.cpuUtilization(b));
+    const limit = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_FRACTION));
     for (const [index, candidate] of used.entries()) {
-      if (this.cpuUse(candidate) > CONSOLIDATION_MAX_CPU_USE || emptied.size >= limit) break;
+      if (this.cpuUtilization(candidate) > CONSOLIDATION_MAX_CPU_FRACTION || emptied.size >= limit)
+        break;
       if (this.moveAll(candidate, used.slice(index + 1))) emptied.add(candidate.machine.name);
     }
     return emptied;
   }
 
   /** Stops all tasks of a machine if all may move and fit on the others; returns whether it did. */
-  private moveAll({ machine }: Candidate, others: readonly Candidate[]): boolean {
+  private moveAll({ machine }: CandidateMachine, others: readonly CandidateMachine[]): boolean {
     const { tasks, log } = this.dependencies;
     const placed = [...tasks.placedOn(machine.name)];
     const mayAllMove = placed.every(([task, assignment]) => this.mayMove(task, assignment));
@@ -87,20 +89,20 @@
 
   private mayMove(task: Task, assignment: Assignment): boolean {
     const isService = this.findJob(assignment.job)?.spec.kind === 'service';
-    return isService && isSettled(task, this.dependencies.clock) && !task.isStopping;
+    return isService && hasMinimumRunTime(task, this.dependencies.clock) && !task.isStopping;
   }
 
   /** Reserves resources for one task of each entry on the targets; returns false if not all fit. */
   private reserveCapacity(
     assignments: readonly Assignment[],
-    targets: readonly Candidate[],
+    targets: readonly CandidateMachine[],
   ): boolean {
     const reservations: Reservation[] = [];
     for (const assignment of assignments) {
       const candidate = this.targetFor(assignment, targets);
       if (!candidate) {
-        for (const taken of reservations) {
-          allocate(taken.candidate.free, taken.assignment.record, -1);
+        for (const reservation of reservations) {
+          allocate(reservation.candidate.free, reservation.assignment.record, -1);
         }
         return false;
       }
@@ -111,7 +113,10 @@
   }
 
   /** The first machine that has enough free capacity for a task, and its image. */
-  private targetFor(assignment: Assignment, targets: readonly Candidate[]): Candidate | undefined {
+  private targetFor(
+    assignment: Assignment,
+    targets: readonly CandidateMachine[],
+  ): CandidateMachine | undefined {
     const spec = this.findJob(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
@@ -123,7 +128,7 @@
   }
 
   /** Fraction of a machine's CPUs in use. */
-  private cpuUse({ machine, free }: Candidate): number {
+  private cpuUtilization({ machine, free }: CandidateMachine): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
     return cpus > 0 ? 1 - free.cpus / cpus : 1;
   }
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -4,13 +4,13 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import type { Resources } from '../capacity/resources.js';
 import type { Assignment } from '../shard-state/assignment.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 import type { MachineVictims } from './preemption.js';
 
 /** A machine for each waiting task of a gang subset, and the preemptions that this requires. */
 export interface GangLayout {
   /** One machine per task, in the order of the tasks. */
-  targets: Candidate[];
+  targets: CandidateMachine[];
   preemptions: MachineVictims[];
 }
 
@@ -18,11 +18,11 @@
 export function layOutInFreeCapacity(
   spec: JobSpec,
   assignment: Assignment,
-  group: readonly Candidate[],
+  group: readonly CandidateMachine[],
 ): GangLayout | null {
-  const hasImage = ({ machine }: Candidate): boolean => machine.images.has(spec.image);
+  const hasImage = ({ machine }: CandidateMachine): boolean => machine.images.has(spec.image);
   // On-demand machines first; among equals those with the image, then those in use.
-  const preference = (candidate: Candidate): number =>
+  const preference = (candidate: CandidateMachine): number =>
     (candidate.machine.spot ? 0 : 4) + (hasImage(candidate) ? 2 : 0) + (candidate.isEmpty ? 0 : 1);
   const sorted = [...group].sort((a, b) => preference(b) - preference(a));
   // A gang starts after its last image fetch, so a layout without any fetch is tried first.
@@ -35,14 +35,14 @@
 
 /** Fills the machines one after the other with `taskCount` tasks; null if not all of them fit. */
 function fillInOrder(
-  candidates: readonly Candidate[],
+  candidates: readonly CandidateMachine[],
   task: Resources,
   taskCount: number,
-): Candidate[] | null {
-  const targets: Candidate[] = [];
+): CandidateMachine[] | null {
+  const targets: CandidateMachine[] = [];
   for (const candidate of candidates) {
     const count = Math.min(taskCount - targets.length, countFittingTasks(candidate.free, task));
-    for (let placed = 0; placed < count; placed++) targets.push(candidate);
+    for (let index = 0; index < count; index++) targets.push(candidate);
     if (targets.length === taskCount) return targets;
   }
   return null;
--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Machine } from '../shard-state/machine.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 import { layOutInFreeCapacity, type GangLayout } from './gang-layout.js';
 import type { GangPreemption } from './gang-preemption.js';
 
@@ -19,7 +19,7 @@
 export interface GangRequest {
   spec: JobSpec;
   assignment: Assignment;
-  candidates: readonly Candidate[];
+  candidates: readonly CandidateMachine[];
   /** Machine types of the candidates, the best first. */
   types: readonly string[];
   fetches: ImageFetches;
@@ -59,7 +59,7 @@
   /** Tries layouts without preemption, then with it; each on single types before a mixture. */
   private findAmong(
     { spec, assignment }: GangRequest,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     types: readonly string[],
   ): GangLayout | null {
     const groups = types.map((type) => candidates.filter(({ machine }) => machine.type === type));
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { allocate, type Resources } from '../capacity/resources.js';
 import type { Assignment } from '../shard-state/assignment.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 import type { GangLayout } from './gang-layout.js';
 import {
   findCheapest,
@@ -14,13 +14,13 @@
   type PreemptibleMachine,
   type PreemptionOption,
   type PreemptionRights,
-  type Victim,
+  type PreemptionCandidate,
 } from './preemption.js';
 
 /** A machine with the plan's free capacity, remaining preemption candidates, and victims. */
 interface PlannedMachine extends PreemptibleMachine {
-  stoppable: Victim[];
-  victims: Victim[];
+  preemptionCandidates: PreemptionCandidate[];
+  victims: PreemptionCandidate[];
 }
 
 /** Preemption rights that decrease with each array task that the plan preempts. */
@@ -31,7 +31,7 @@
 /** Plans gang layouts that preempt other tasks. */
 export class GangPreemption {
   constructor(
-    private readonly preemption: Pick<Preemption, 'victims'>,
+    private readonly preemption: Pick<Preemption, 'preemptionCandidates'>,
     private readonly clock: Clock,
   ) {}
 
@@ -39,12 +39,12 @@
   layOut(
     spec: JobSpec,
     assignment: Assignment,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
   ): GangLayout | null {
     const arrayCpus = new Map(Object.entries(this.reclaimableArrayCpus(assignment)));
     const rights: GangPreemptionRights = { rank: rankOf(spec.priority), arrayCpus };
-    const machines = candidates.map((candidate) => this.plannedMachine(candidate, rights));
-    const targets: Candidate[] = [];
+    const machines = candidates.map((candidate) => this.createPlannedMachine(candidate, rights));
+    const targets: CandidateMachine[] = [];
     while (targets.length < assignment.waitingTasks.size) {
       const option = cheapestOption(machines, assignment.record, rights);
       if (!option) return null;
@@ -55,9 +55,12 @@
     return { targets, preemptions: machines.filter(({ victims }) => victims.length > 0) };
   }
 
-  private plannedMachine(candidate: Candidate, rights: PreemptionRights): PlannedMachine {
-    const stoppable = this.preemption.victims(candidate, rights);
-    return { candidate, free: { ...candidate.free }, stoppable, victims: [] };
+  private createPlannedMachine(
+    candidate: CandidateMachine,
+    rights: PreemptionRights,
+  ): PlannedMachine {
+    const preemptionCandidates = this.preemption.preemptionCandidates(candidate, rights);
+    return { candidate, free: { ...candidate.free }, preemptionCandidates, victims: [] };
   }
 
   /**
@@ -90,8 +93,10 @@
     const { record } = victim.assignment;
     allocate(machine.free, record, -1);
     machine.victims.push(victim);
-    if (victim.isOutranked) continue;
+    if (victim.hasLowerRank) continue;
     arrayCpus.set(record.team, (arrayCpus.get(record.team) ?? 0) - record.cpus);
   }
-  machine.stoppable = machine.stoppable.filter((victim) => !victims.includes(victim));
+  machine.preemptionCandidates = machine.preemptionCandidates.filter(
+    (preemptionCandidate) => !victims.includes(preemptionCandidate),
+  );
 }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -6,20 +6,20 @@
 import { allocate, type Resources } from '../capacity/resources.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
-import type { Candidate, JobLookup } from './candidates.js';
+import type { CandidateMachine, JobLookup } from './candidates.js';
 
 /** Numbers of a gang's tasks that fit on a machine: now, and once the arrays there have ended. */
 interface CandidateFit {
-  candidate: Candidate;
-  fitNow: number;
-  fitLater: number;
+  candidate: CandidateMachine;
+  fittingNow: number;
+  fittingLater: number;
 }
 
 /** Machines selected for a reservation. */
 interface Selection {
-  selected: Candidate[];
+  selected: CandidateMachine[];
   /** Number of tasks that will fit on them once the arrays there have ended. */
-  fitCount: number;
+  fittingLater: number;
 }
 
 /** Marks the machines whose free resources are reserved for gangs in this cycle. */
@@ -30,39 +30,43 @@
   ) {}
 
   /** Keeps arrays off machines that a future gang like this one would need. */
-  excludeArrays(spec: JobSpec, candidates: readonly Candidate[]): void {
+  excludeArrays(spec: JobSpec, candidates: readonly CandidateMachine[]): void {
     const { selected } = this.select(spec, candidates, spec.tasks);
     for (const candidate of selected) candidate.excludesArrays = true;
   }
 
   /** Reserves machines for a gang subset; returns false if it wouldn't fit after arrays end. */
-  reserve(assignment: Assignment, candidates: readonly Candidate[]): boolean {
+  reserve(assignment: Assignment, candidates: readonly CandidateMachine[]): boolean {
     const taskCount = assignment.waitingTasks.size;
     // More capacity than needed, so that the gang can start when the first of the arrays have
     // ended. With just enough capacity it would have to wait for all of them.
     const reservedCount = taskCount * GANG_RESERVATION_FACTOR;
     const selection = this.select(assignment.record, candidates, reservedCount);
     // A gang that won't fit in any case must not delay other work.
-    if (selection.fitCount < taskCount) return false;
+    if (selection.fittingLater < taskCount) return false;
     for (const candidate of selection.selected) candidate.isReserved = true;
     return true;
   }
 
   /** Selects machines for `taskCount` tasks, those on which the most tasks fit now first. */
-  private select(task: Resources, candidates: readonly Candidate[], taskCount: number): Selection {
-    const fits = candidates.map((candidate) => this.fitOn(candidate, task));
-    fits.sort((a, b) => b.fitNow - a.fitNow || b.fitLater - a.fitLater);
-    const selection: Selection = { selected: [], fitCount: 0 };
-    for (const { candidate, fitLater } of fits) {
-      if (selection.fitCount >= taskCount) break;
+  private select(
+    task: Resources,
+    candidates: readonly CandidateMachine[],
+    taskCount: number,
+  ): Selection {
+    const candidateFits = candidates.map((candidate) => this.candidateFit(candidate, task));
+    candidateFits.sort((a, b) => b.fittingNow - a.fittingNow || b.fittingLater - a.fittingLater);
+    const selection: Selection = { selected: [], fittingLater: 0 };
+    for (const { candidate, fittingLater: fitLater } of candidateFits) {
+      if (selection.fittingLater >= taskCount) break;
       if (fitLater === 0) continue;
       selection.selected.push(candidate);
-      selection.fitCount += fitLater;
+      selection.fittingLater += fitLater;
     }
     return selection;
   }
 
-  private fitOn(candidate: Candidate, task: Resources): CandidateFit {
+  private candidateFit(candidate: CandidateMachine, task: Resources): CandidateFit {
     const freeLater = { ...candidate.free };
     for (const [, assignment] of this.tasks.placedOn(candidate.machine.name)) {
       const isArray = this.findJob(assignment.job)?.spec.kind === 'array';
@@ -70,8 +74,8 @@
     }
     return {
       candidate,
-      fitNow: countFittingTasks(candidate.free, task),
-      fitLater: countFittingTasks(freeLater, task),
+      fittingNow: countFittingTasks(candidate.free, task),
+      fittingLater: countFittingTasks(freeLater, task),
     };
   }
 }
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -6,7 +6,7 @@
 import type { Machine } from '../shard-state/machine.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Bandit } from './bandit.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 
 /** Settings for the selection of machines. */
 export interface MachineChoiceOptions {
@@ -40,12 +40,12 @@
   ) {}
 
   /** Returns a machine on which a task fits without preemption; null if there is none. */
-  choose(
+  select(
     spec: JobSpec,
     task: Resources,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     taskCounts: TaskCounts,
-  ): Candidate | null {
+  ): CandidateMachine | null {
     const fitting = candidates.filter(({ free }) => fits(free, task));
     if (fitting.length === 0) return null;
     // Machines that have the image within the start target of the class are preferred.
@@ -59,7 +59,11 @@
   }
 
   /** The machine types of the candidates, in descending order of their scores for a job. */
-  rankTypes(spec: JobSpec, candidates: readonly Candidate[], taskCounts: TaskCounts): string[] {
+  rankTypes(
+    spec: JobSpec,
+    candidates: readonly CandidateMachine[],
+    taskCounts: TaskCounts,
+  ): string[] {
     const scored = this.scoreTypes(spec, candidates, taskCounts);
     return scored.sort((a, b) => b.score - a.score).map(({ type }) => type);
   }
@@ -89,7 +93,7 @@
 
   private bestType(
     spec: JobSpec,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     taskCounts: TaskCounts,
   ): string {
     let best: ScoredType = { type: '', score: -Infinity };
@@ -102,7 +106,7 @@
   /** Scores each machine type of the candidates; a single type gets 0 without any computation. */
   private scoreTypes(
     spec: JobSpec,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     taskCounts: TaskCounts,
   ): ScoredType[] {
     const types = [...new Set(candidates.map(({ machine }) => machine.type))];
@@ -119,17 +123,17 @@
  * start, arrays from its end, where the spot instances are. Services therefore share machines, and
  * the machines in the middle become idle.
  */
-function firstFit(spec: JobSpec, candidates: readonly Candidate[]): Candidate | null {
-  let chosen: Candidate | null = null;
-  let chosenPreference = -1;
+function firstFit(spec: JobSpec, candidates: readonly CandidateMachine[]): CandidateMachine | null {
+  let selected: CandidateMachine | null = null;
+  let selectedPreference = -1;
   for (const candidate of candidates) {
     const hasImage = candidate.machine.images.has(spec.image);
     const preference = (hasImage ? 2 : 0) + (candidate.isEmpty ? 0 : 1);
-    const isLastEqual = preference === chosenPreference && spec.kind === 'array';
-    if (preference > chosenPreference || isLastEqual) {
-      chosen = candidate;
-      chosenPreference = preference;
+    const isLastEqual = preference === selectedPreference && spec.kind === 'array';
+    if (preference > selectedPreference || isLastEqual) {
+      selected = candidate;
+      selectedPreference = preference;
     }
   }
-  return chosen;
+  return selected;
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,14 +1,14 @@
 /** Preemption: selects tasks to stop so that resources become free for other work. */
 
-import { IMAGE_FETCH_COST } from '../../constants/scheduling.js';
+import { IMAGE_FETCH_COST_TASKS } from '../../constants/scheduling.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
 import type { Assignment, Task } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
-import type { Candidate, JobLookup } from './candidates.js';
-import { isSettled } from './consolidation.js';
+import type { CandidateMachine, JobLookup } from './candidates.js';
+import { hasMinimumRunTime } from './consolidation.js';
 
 /** Rules on which tasks may be preempted. */
 export interface PreemptionRules {
@@ -35,40 +35,42 @@
 }
 
 /** A placed task that may be preempted. */
-export interface Victim {
+export interface PreemptionCandidate {
   task: Task;
   assignment: Assignment;
   /** Cost of its preemption in tasks: 1, but for a gang its size plus 1, since all of it stops. */
   cost: number;
   /** Whether its job ranks below the job that preempts it. */
-  isOutranked: boolean;
+  hasLowerRank: boolean;
 }
 
 /** The victims that are stopped on one machine for one job. */
 export interface MachineVictims {
-  candidate: Candidate;
-  victims: readonly Victim[];
+  candidate: CandidateMachine;
+  victims: readonly PreemptionCandidate[];
 }
 
 /** A machine, its free resources, and its preemption candidates in the order of preemption. */
 export interface PreemptibleMachine {
-  candidate: Candidate;
+  candidate: CandidateMachine;
   free: Resources;
-  stoppable: readonly Victim[];
+  preemptionCandidates: readonly PreemptionCandidate[];
 }
 
 /** Victims on a machine whose preemption frees enough for one task. */
 export interface PreemptionOption<Machine extends PreemptibleMachine = PreemptibleMachine> {
   machine: Machine;
-  victims: Victim[];
-  /** Sum of the victims' costs, plus `IMAGE_FETCH_COST` if the machine must fetch the image. */
+  victims: PreemptionCandidate[];
+  /**
+   * Sum of the victims' costs, plus `IMAGE_FETCH_COST_TASKS` if the machine must fetch the image.
+   */
   cost: number;
 }
 
 /** CPUs; tolerance for the rounding errors of sums of decimals. */
 const ROUNDING_SLACK = 1e-9;
 
-const NO_ARRAYS: ReadonlyMap<string, number> = new Map();
+const NO_ARRAY_CPUS: ReadonlyMap<string, number> = new Map();
 
 /** Finds preemption candidates, and preempts the selected victims. */
 export class Preemption {
@@ -85,57 +87,65 @@
   preemptFor(
     spec: JobSpec,
     task: Resources,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     machinesWithStops: Set<string>,
-  ): Candidate | null {
-    const rights = { rank: rankOf(spec.priority), arrayCpus: NO_ARRAYS };
+  ): CandidateMachine | null {
+    const rights = { rank: rankOf(spec.priority), arrayCpus: NO_ARRAY_CPUS };
     const cheapest = findCheapest(candidates, 1, (candidate) => {
-      const stoppable = this.victims(candidate, rights);
-      const option = selectVictims({ candidate, free: candidate.free, stoppable }, task, rights);
+      const preemptionCandidates = this.preemptionCandidates(candidate, rights);
+      const option = selectVictims(
+        { candidate, free: candidate.free, preemptionCandidates },
+        task,
+        rights,
+      );
       // An image fetch may take as long as the start target of urgent work, while a preempted task
       // only loses its work.
-      if (option && !candidate.machine.images.has(spec.image)) option.cost += IMAGE_FETCH_COST;
+      if (option && !candidate.machine.images.has(spec.image))
+        option.cost += IMAGE_FETCH_COST_TASKS;
       return option;
     });
     if (cheapest === null) return null;
     const { candidate } = cheapest.machine;
-    this.stop(spec, { candidate, victims: cheapest.victims }, machinesWithStops);
+    this.preempt(spec, { candidate, victims: cheapest.victims }, machinesWithStops);
     return candidate;
   }
 
   /** The preemption candidates on a machine: the cheapest first, then the most recently started. */
-  victims(candidate: Candidate, rights: PreemptionRights): Victim[] {
-    const victims: Victim[] = [];
+  preemptionCandidates(
+    candidate: CandidateMachine,
+    rights: PreemptionRights,
+  ): PreemptionCandidate[] {
+    const preemptionCandidates: PreemptionCandidate[] = [];
     for (const [task, assignment] of this.dependencies.tasks.placedOn(candidate.machine.name)) {
-      const victim = this.victimFor(task, assignment, rights);
-      if (victim) victims.push(victim);
+      const preemptionCandidate = this.preemptionCandidateFor(task, assignment, rights);
+      if (preemptionCandidate) preemptionCandidates.push(preemptionCandidate);
     }
-    return victims.sort(
+    return preemptionCandidates.sort(
       (a, b) => a.cost - b.cost || (b.task.runningAt ?? Infinity) - (a.task.runningAt ?? Infinity),
     );
   }
 
   /** Returns a task as preemption candidate; null if these rights don't cover it. */
-  private victimFor(
+  private preemptionCandidateFor(
     task: Task,
     assignment: Assignment,
     { rank, arrayCpus }: PreemptionRights,
-  ): Victim | null {
+  ): PreemptionCandidate | null {
     const { job, beganLate, mayStopGang } = this.rules;
     const spec = task.isStopping ? null : job(assignment.job)?.spec;
     if (!spec) return null;
     // The first tasks of a job that started late are the newest on their machines. Without this
     // rule they would be preempted again and again.
-    if (!isSettled(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
+    if (!hasMinimumRunTime(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
     const isGang = assignment.record.attempt !== undefined;
     if (isGang && !mayStopGang(assignment)) return null;
     const isOutranked = rankOf(spec.priority) < rank;
     if (!isOutranked && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
-    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, isOutranked };
+    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, hasLowerRank: isOutranked };
   }
 
   /** Preempts the victims on a machine for a job; adds the machine to `machinesWithStops`. */
-  stop(
+  preempt(
     spec: JobSpec,
     { candidate, victims }: MachineVictims,
     machinesWithStops: Set<string>,
@@ -166,19 +176,19 @@
 ): PreemptionOption<Machine> | null {
   const free = { ...machine.free };
   const usedArrayCpus = new Map<string, number>();
-  const victims: Victim[] = [];
+  const victims: PreemptionCandidate[] = [];
   let cost = 0;
-  for (const victim of machine.stoppable) {
+  for (const preemptionCandidate of machine.preemptionCandidates) {
     if (fits(free, task)) break;
-    const { record } = victim.assignment;
-    if (!victim.isOutranked) {
+    const { record } = preemptionCandidate.assignment;
+    if (!preemptionCandidate.hasLowerRank) {
       const cpus = (usedArrayCpus.get(record.team) ?? 0) + record.cpus;
       if (cpus > (arrayCpus.get(record.team) ?? 0) + ROUNDING_SLACK) continue;
       usedArrayCpus.set(record.team, cpus);
     }
     allocate(free, record, -1);
-    cost += victim.cost;
-    victims.push(victim);
+    cost += preemptionCandidate.cost;
+    victims.push(preemptionCandidate);
   }
   return fits(free, task) ? { machine, victims, cost } : null;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -12,7 +12,7 @@
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
 import type { Bandit } from './bandit.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 import { Consolidation } from './consolidation.js';
 import type { GangLayout } from './gang-layout.js';
 import { GangPlacement } from './gang-placement.js';
@@ -49,7 +49,7 @@
 /** Places a shard's waiting tasks on machines, with preemption and consolidation. */
 export class Scheduler {
   private readonly attempts: TermNumbers;
-  private readonly choice: MachineChoice;
+  private readonly machineChoice: MachineChoice;
   private readonly preemption: Preemption;
   private readonly gangPlacement: GangPlacement;
   private readonly reservations: GangReservations;
@@ -60,9 +60,9 @@
     private readonly dependencies: SchedulerDependencies,
   ) {
     const { tasks, machines, bandit, clock } = dependencies;
-    const range = options.term * SHARDS_PER_TERM + options.number;
-    this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
-    this.choice = new MachineChoice(options, machines, bandit);
+    const attemptRange = options.term * SHARDS_PER_TERM + options.number;
+    this.attempts = new TermNumbers(attemptRange * ATTEMPT_STEP, ATTEMPT_STEP);
+    this.machineChoice = new MachineChoice(options, machines, bandit);
     this.preemption = new Preemption(options, dependencies);
     this.gangPlacement = new GangPlacement(new GangPreemption(this.preemption, clock));
     this.reservations = new GangReservations(tasks, options.job);
@@ -112,7 +112,7 @@
     const { record } = assignment;
     const candidates = cycle.candidatesFor(entry);
     for (const task of [...assignment.waitingTasks]) {
-      let target = this.choice.choose(spec, record, candidates, cycle.taskCounts);
+      let target = this.machineChoice.select(spec, record, candidates, cycle.taskCounts);
       if (!target && cycle.mayPreempt(spec)) {
         target = this.preemption.preemptFor(spec, record, candidates, cycle.machinesWithStops);
       }
@@ -137,7 +137,7 @@
       return false;
     }
     for (const machineVictims of layout.preemptions) {
-      this.preemption.stop(spec, machineVictims, cycle.machinesWithStops);
+      this.preemption.preempt(spec, machineVictims, cycle.machinesWithStops);
     }
     for (const [index, task] of [...assignment.waitingTasks].entries()) {
       const target = layout.targets[index];
@@ -149,18 +149,19 @@
 
   private findGangLayout(
     { assignment, spec }: WaitingAssignment,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     { taskCounts }: SchedulingCycle,
   ): GangLayout | null {
     return this.gangPlacement.find({
       spec,
       assignment,
       candidates,
-      types: this.choice.rankTypes(spec, candidates, taskCounts),
+      types: this.machineChoice.rankTypes(spec, candidates, taskCounts),
       fetches: {
-        isInTime: (machine) => this.choice.fetchesInTime(machine, spec),
+        isInTime: (machine) => this.machineChoice.fetchesInTime(machine, spec),
         isWithinGangWait: (machine) =>
-          this.choice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <= this.options.gangWaitS,
+          this.machineChoice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <=
+          this.options.gangWaitS,
       },
     });
   }
@@ -169,14 +170,14 @@
   private assign(
     { assignment, spec }: WaitingAssignment,
     task: Task,
-    target: Candidate,
+    target: CandidateMachine,
     cycle: SchedulingCycle,
   ): void {
     allocate(target.free, assignment.record);
     target.isEmpty = false;
     const { type, name } = target.machine;
     cycle.countTask(type);
-    const banditContext = this.choice.context(spec, type, cycle.taskCounts);
+    const banditContext = this.machineChoice.context(spec, type, cycle.taskCounts);
     const attempt = assignment.record.attempt ?? this.attempts.next();
     this.dependencies.tasks.place(assignment, task, { machine: name, attempt, banditContext });
   }
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -9,7 +9,7 @@
   countTasksByType,
   listCandidates,
   mayRunOn,
-  type Candidate,
+  type CandidateMachine,
   type JobLookup,
 } from './candidates.js';
 import type { GangReservations } from './gang-reservations.js';
@@ -68,9 +68,9 @@
   /** Machines on which tasks must now be stopped. */
   readonly machinesWithStops = new Set<string>();
   /** All machines that may take tasks; their free resources decrease with each task assigned. */
-  private readonly candidates: readonly Candidate[];
+  private readonly candidates: readonly CandidateMachine[];
   /** The gang for whose successor arrays are kept off some machines; null if there is none. */
-  private readonly nextGang: JobSpec | null;
+  private readonly expectedGang: JobSpec | null;
   /** The lowest rank of all placed tasks; work must rank above it to preempt a task. */
   private readonly lowestRank: number;
 
@@ -79,21 +79,21 @@
     { machines, tasks, reservations }: SchedulingCycleDependencies,
   ) {
     this.candidates = listCandidates(machines, tasks);
-    const nextGang = rules.nextGang();
-    this.nextGang = nextGang;
-    if (nextGang) {
-      const isUsable = ({ machine }: Candidate): boolean =>
-        !machine.spot && isEligible(nextGang, machine);
-      reservations.excludeArrays(nextGang, this.candidates.filter(isUsable));
+    const expectedGang = rules.nextGang();
+    this.expectedGang = expectedGang;
+    if (expectedGang) {
+      const isUsable = ({ machine }: CandidateMachine): boolean =>
+        !machine.spot && isEligible(expectedGang, machine);
+      reservations.excludeArrays(expectedGang, this.candidates.filter(isUsable));
     }
     this.taskCounts = countTasksByType(machines, tasks);
     this.lowestRank = lowestPlacedRank(tasks, rules.job);
   }
 
   /** The machines that an assignment may use, without those that are reserved for gangs. */
-  candidatesFor({ assignment, spec }: WaitingAssignment): Candidate[] {
+  candidatesFor({ assignment, spec }: WaitingAssignment): CandidateMachine[] {
     const isExcludedArray =
-      this.nextGang !== null && spec.kind === 'array' && !this.rules.waitsLong(assignment.job);
+      this.expectedGang !== null && spec.kind === 'array' && !this.rules.waitsLong(assignment.job);
     return this.candidates.filter(
       ({ machine, isReserved, excludesArrays }) =>
         !isReserved && !(excludesArrays && isExcludedArray) && mayRunOn(machine, spec, assignment),
--- a/test/autoscaling/controller-load.test.ts
+++ b/test/autoscaling/controller-load.test.ts
@@ -1,7 +1,7 @@
 /** What keeps the controllers evenly loaded: who leads, and in which zones the fleet scales out. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { byControllerLoad, type Offer } from '../../src/coordination/autoscaling/offers.js';
+import { sortByControllerLoad, type Offer } from '../../src/coordination/autoscaling/offers.js';
 import {
   orderForLeader,
   orderForShard,
@@ -78,7 +78,7 @@
   ['fewer for each of two', fleet(59, 30), ['a', 'b']],
 ] as const) {
   test(`machines are rented where controllers have the fewest: ${name}`, () => {
-    const offers = byControllerLoad([offer('b'), offer('a')], machines, MEMBERS);
+    const offers = sortByControllerLoad([offer('b'), offer('a')], machines, MEMBERS);
     assert.deepEqual(
       offers.map(({ zone }) => zone),
       zones,
