--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -71,7 +71,7 @@
  * of arrivals predicts come last.
  */
 export function demandBeyondFleet(input: DemandInput): TaskDemand[] {
-  const { snapshot, booting, types, wallMs: wall } = input;
+  const { snapshot, booting, types, wallMs } = input;
   const fleetCpus = cpusOfFleet(snapshot, booting);
   const bootS = fastestBootS(types);
   const demand: TaskDemand[] = [];
@@ -85,7 +85,7 @@
     const countBeyond = countTasksBeyondFleet(unmet, {
       fleetCpus,
       bootS,
-      wallMs: wall,
+      wallMs,
       precedingCpuS,
     });
     if (countBeyond > 0) demand.push({ spec, count: countBeyond });
@@ -98,14 +98,14 @@
 /** Number of concurrent tasks of a job with a deadline for which to rent machines. */
 function countTasksBeyondFleet(unmet: UnmetDemand, queue: QueueState): number {
   const { spec, count } = unmet;
-  const { fleetCpus, bootS, wallMs: wall, precedingCpuS: aheadCpuS } = queue;
+  const { fleetCpus, bootS, wallMs, precedingCpuS } = queue;
   const runS = estimatedRunS(spec);
   // Tasks that would be late even on a machine rented now don't justify renting at any price. They
   // are planned as if they had to start `LATE_TASK_BOOT_FACTOR` boot times from now.
-  const untilLatestStartS = (dueAt(unmet) - wall) / 1000 - runS;
+  const untilLatestStartS = (dueAt(unmet) - wallMs) / 1000 - runS;
   const slackS = Math.max(untilLatestStartS, bootS * LATE_TASK_BOOT_FACTOR);
   const workCpuS = count * spec.cpus * runS;
-  const inTimeCpuS = Math.max(0, fleetCpus * slackS - aheadCpuS);
+  const inTimeCpuS = Math.max(0, fleetCpus * slackS - precedingCpuS);
   const lateCount = Math.min(count, Math.ceil((workCpuS - inTimeCpuS) / (spec.cpus * runS)));
   if (lateCount <= 0) return 0;
   // A rented machine runs several tasks in sequence if the deadline leaves enough time.
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -57,11 +57,11 @@
     const candidateFits = candidates.map((candidate) => this.candidateFit(candidate, task));
     candidateFits.sort((a, b) => b.fittingNow - a.fittingNow || b.fittingLater - a.fittingLater);
     const selection: Selection = { selected: [], fittingLater: 0 };
-    for (const { candidate, fittingLater: fitLater } of candidateFits) {
+    for (const { candidate, fittingLater } of candidateFits) {
       if (selection.fittingLater >= taskCount) break;
-      if (fitLater === 0) continue;
+      if (fittingLater === 0) continue;
       selection.selected.push(candidate);
-      selection.fittingLater += fitLater;
+      selection.fittingLater += fittingLater;
     }
     return selection;
   }
