--- a/test/autoscaling/controller-load.test.ts
+++ b/test/autoscaling/controller-load.test.ts
@@ -1,4 +1,8 @@
-/** What keeps the controllers evenly loaded: who leads, and in which zones the fleet scales out. */
+/**
+ * Guards against an overloaded controller. The only controller of a zone serves all machines of the
+ * zone. It fell behind when it was the leader as well, and it would do so when more machines were
+ * rented in its zone than in zones with several controllers.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { sortByControllerLoad, type Offer } from '../../src/coordination/autoscaling/offers.js';
@@ -17,8 +21,7 @@
   { node: 'n2', zone: 'a' },
 ];
 
-// The only controller of its zone serves all of its machines; leading as well, it fell behind.
-test('controllers that share their zone lead before one that is alone in its zone', () => {
+test('leader candidates: controllers that share their zone come before one that is alone in its zone', () => {
   assert.equal(orderForLeader(LEADER, MEMBERS, MEMBERS)[2], 'n1');
   const alone = MEMBERS.filter(({ node }) => node === 'n1');
   assert.deepEqual(orderForLeader(LEADER, alone, MEMBERS), ['n1']);
@@ -26,7 +29,7 @@
   assert.deepEqual([...orderForLeader(LEADER, oneZone, oneZone)].sort(), ['n0', 'n1', 'n2']);
 });
 
-test('a shard goes to controllers of its home zone first', () => {
+test('shard candidates: controllers in the zone of the preferred owner come first', () => {
   for (const [preferredOwner, last] of [
     [{ node: 'n0', zone: 'a' }, 'n1'],
     [{ node: 'n2', zone: 'a' }, 'n1'],
@@ -51,7 +54,7 @@
   });
 }
 
-test('the only controller that is up leads after a moment, wherever it is', async () => {
+test('the only running controller leads within 6 s, even if it is alone in its zone', async () => {
   const world = new World(4, [
     ['n0', 'a'],
     ['n1', 'b'],
@@ -71,13 +74,25 @@
 ];
 
 for (const [name, machines, zones] of [
-  ['an empty fleet keeps the order', fleet(0, 0), ['b', 'a']],
-  ['as many machines in both', fleet(30, 30), ['a', 'b']],
-  ['as many for each controller', fleet(60, 30), ['b', 'a']],
-  ['more for each of two', fleet(70, 30), ['b', 'a']],
-  ['fewer for each of two', fleet(59, 30), ['a', 'b']],
+  ['an empty fleet keeps the given order', fleet(0, 0), ['b', 'a']],
+  [
+    'as many machines in both zones put the zone with two controllers first',
+    fleet(30, 30),
+    ['a', 'b'],
+  ],
+  ['as many machines per controller keep the given order', fleet(60, 30), ['b', 'a']],
+  [
+    'more machines per controller put the zone with two controllers last',
+    fleet(70, 30),
+    ['b', 'a'],
+  ],
+  [
+    'fewer machines per controller put the zone with two controllers first',
+    fleet(59, 30),
+    ['a', 'b'],
+  ],
 ] as const) {
-  test(`machines are rented where controllers have the fewest: ${name}`, () => {
+  test(`offers are sorted by machines per controller in their zones: ${name}`, () => {
     const offers = sortByControllerLoad([offer('b'), offer('a')], machines, MEMBERS);
     assert.deepEqual(
       offers.map(({ zone }) => zone),
--- a/test/autoscaling/headroom.test.ts
+++ b/test/autoscaling/headroom.test.ts
@@ -1,15 +1,17 @@
-/** Headroom that is kept free for urgent work: while there is work, and not for ever after. */
+/**
+ * Guards against headroom that is never released. In a run of real processes, two idle machines
+ * stayed rented as headroom although no job was open any more.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FLEET } from '../world/settings.js';
 import { World } from '../world/world.js';
 
 const HEADROOM_CPUS = 6;
-const FOLLOWING = { ...FLEET, idleS: 12, headroomCpus: HEADROOM_CPUS };
+const FLEET_WITH_HEADROOM = { ...FLEET, idleS: 12, headroomCpus: HEADROOM_CPUS };
 
-// Two machines with nothing to do stayed rented for ever, as a run of real processes showed.
-test('the headroom stays while a job is open, and its machines go within a minute of quiet', async () => {
-  const world = new World(1, undefined, { fleet: FOLLOWING });
+test('headroom is kept while a job is open, and its machines are returned within 60 s after that', async () => {
+  const world = new World(1, undefined, { fleet: FLEET_WITH_HEADROOM });
   await world.run(2);
   void world.submit('j-000001', { service: true, tasks: 1, cpus: 1, urgent: true });
   await world.run(120);
