--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -1,6 +1,8 @@
 /** Constants of scale-out and scale-in. */
 
-/** ms; first and longest pause after a failed cloud request. No user waits for these requests. */
+/**
+ * ms; first and longest pause after a failed pass. They may be long, as no user waits for a pass.
+ */
 export const CLOUD_BACKOFF_MIN_MS = 500;
 export const CLOUD_BACKOFF_MAX_MS = 8_000;
 
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -17,7 +17,7 @@
 
 /**
  * ms; run time up to which a task is not moved by consolidation, and not preempted if its job
- * started late: a stop would waste the start.
+ * started late, because a stop would waste its start.
  */
 export const MIN_RUN_BEFORE_STOP_MS = 35_000;
 
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -27,11 +27,11 @@
   readonly cloudRps: number;
   /** Maximum seconds by which the cloud's list of machines is out of date. */
   readonly listLagS: number;
-  /** Seconds that a worker's tasks outlive its last acknowledged heartbeat. */
+  /** Seconds for which a worker's tasks may run after its last acknowledged heartbeat. */
   readonly leaseS: number;
   /** ms after which an idle machine of the type with the highest price per CPU is drained. */
   readonly idleMs: number;
-  /** Free CPUs on on-demand machines that are kept for urgent work while jobs are open. */
+  /** Free CPUs of on-demand machines that are kept for urgent work while jobs are open. */
   readonly headroomCpus: number;
   /** Whether spot machines may be rented. */
   readonly spot: boolean;
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -15,7 +15,7 @@
   readonly count: number;
 }
 
-/** Input of the computation of the demand. */
+/** Input for `demandBeyondFleet`. */
 export interface DemandInput {
   readonly snapshot: FleetSnapshot;
   /** Rented machines that no shard has reported yet. */
@@ -51,9 +51,9 @@
 
 /**
  * CPUs that preemptible work needs on average from now until `LATE_TASK_BOOT_FACTOR` boot times
- * later. The work consists of running tasks, waiting tasks, and as many new tasks as the recent
- * rate of arrivals predicts. New tasks count in advance because many deadlines are shorter than a
- * boot.
+ * later, when machines rented now have been running for a while. The work consists of running
+ * tasks, waiting tasks, and as many new tasks as the recent rate of arrivals predicts. New tasks
+ * count in advance because many deadlines are shorter than a boot.
  */
 export function neededCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
   let workCpuS = remainingCpuS(snapshot);
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -24,7 +24,7 @@
     if (openJob !== undefined) this.lastOpenJobAt = this.clock.now();
   }
 
-  /** Free CPUs to be kept on on-demand machines for urgent work. */
+  /** Free CPUs of on-demand machines to be kept for urgent work. */
   get cpus(): number {
     return this.isReleased ? 0 : this.configuredCpus;
   }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -11,15 +11,16 @@
 
 /**
  * Selects silent machines, those whose heartbeats stopped, to be returned. A return proves that the
- * machine's tasks have ended, so that they can restart before the machine's lease expires. A few
- * silent machines are returned soon. Many at once indicate a network partition between them and
- * their shard, so they are returned only after a whole lease of silence, when their tasks have
- * ended in any case. The number of returns in a period is limited.
+ * machine's tasks have ended, so that they can restart before the machine's lease expires. Up to
+ * `SILENT_RETURN_MAX_MACHINES` machines, including those returned within the last period, are
+ * returned after `SILENT_CONFIRMATION_MS` of silence. More of them indicate a network partition
+ * between them and their shard, so they are returned only after a whole lease of silence, when
+ * their tasks have ended in any case. The number of returns in a period is limited.
  */
 export class HeartbeatTimeouts {
-  /** Steady time at which this leader first saw each of the silent machines as silent. */
+  /** Steady time at which this leader first saw a machine as silent, for machines still silent. */
   private readonly silentSince = new Map<string, number>();
-  /** Steady time at which machines were selected within the last `SILENT_RETURN_PERIOD_MS`. */
+  /** Steady time of each selection within the last `SILENT_RETURN_PERIOD_MS`, by machine name. */
   private readonly recentReturns = new Map<string, number>();
   private readonly namesToReturn = new Set<string>();
 
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -10,7 +10,7 @@
 /** Lower bound of a price per CPU, so that a type without a price causes no division by 0. */
 const MIN_CPU_PRICE = 1e-9;
 
-/** Tracks how long machines have been idle, and drains those that are not needed. */
+/** Tracks how long machines have been idle; drains faulty machines and unneeded idle ones. */
 export class IdleMachines {
   private readonly idleSince = new Map<string, number>();
 
@@ -80,7 +80,7 @@
     return idle.sort((a, b) => cpuPrice(b, types) - cpuPrice(a, types));
   }
 
-  /** CPUs to be kept free on on-demand machines, for urgent work or for gangs like recent ones. */
+  /** Free CPUs of on-demand machines to be kept for urgent work or for gangs like recent ones. */
   private requiredFreeCpus(snapshot: FleetSnapshot): number {
     const { headroom } = this.context;
     const gangs = headroom.gangs(snapshot);
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -7,7 +7,7 @@
 import type { AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** s; minimum time between the starts of two readings of the list, even if its lag is shorter. */
+/** s; minimum interval between two readings of the list, even if the list's lag is shorter. */
 const MIN_LIST_PERIOD_S = 5;
 
 /** Reads the cloud's list of machines periodically, page by page. */
--- a/src/coordination/scheduling/arm-records.ts
+++ b/src/coordination/scheduling/arm-records.ts
@@ -121,8 +121,8 @@
 
 /**
  * Joins the records of one snapshot. Returns the main record alone if a further record is missing
- * or belongs to another snapshot. `furtherRecord` looks up a further record by its number, from 1
- * up.
+ * or belongs to another snapshot. `furtherRecord` looks up a further record by its number; the
+ * first is 1.
  */
 export function joinArm(
   main: ArmRecord,
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -43,7 +43,9 @@
     return MAX_TASK_CLASSES + 1 + 2 * this.types.length;
   }
 
-  /** Returns the index of a class in a context. New classes share one index when all are taken. */
+  /**
+   * Returns the index of a class in a context. Once all indexes are taken, new classes share one.
+   */
   private classIndex(taskClass: string): number {
     const index = this.classes.indexOf(taskClass);
     if (index >= 0) return index;
@@ -109,8 +111,7 @@
     const vector = Matrix.columnVector(context);
     arm.design.add(vector.mmul(vector.transpose()));
     arm.response.add(Matrix.mul(vector, payoff));
-    // Sherman–Morrison formula, which updates the inverse for the added x·xᵀ without a new
-    // inversion.
+    // Sherman–Morrison formula: updates the inverse for the added x·xᵀ without a new inversion.
     const product = arm.designInverse.mmul(vector);
     arm.designInverse.sub(product.mmul(product.transpose()).div(1 + vector.dot(product)));
   }
@@ -137,7 +138,8 @@
 
   /**
    * Restores a type's arm from its records, unless they were written with other machine types or
-   * with conflicting classes. `furtherRecord` looks up a further record by its number, from 1 up.
+   * with conflicting classes. `furtherRecord` looks up a further record by its number; the first is
+   * 1.
    */
   restore(
     type: string,
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -1,4 +1,4 @@
-/** Gang layouts: a machine for each task of a gang subset, found without preemption. */
+/** Gang layouts: a machine for each task of a gang subset. Finds layouts without preemption. */
 
 import type { JobSpec } from '../../protocol/model.js';
 import { countFittingTasks } from '../capacity/resources.js';
--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -56,7 +56,9 @@
     return null;
   }
 
-  /** Tries layouts without preemption, then with it; each on single types before a mixture. */
+  /**
+   * Tries layouts without preemption, then with it; in both cases single types before a mixture.
+   */
   private findAmong(
     { spec, assignment }: GangRequest,
     candidates: readonly CandidateMachine[],
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -17,7 +17,7 @@
   type PreemptionCandidate,
 } from './preemption.js';
 
-/** A machine with the plan's free capacity, remaining preemption candidates, and victims. */
+/** A machine during planning: its free capacity, remaining preemption candidates and victims. */
 interface PlannedMachine extends PreemptibleMachine {
   preemptionCandidates: PreemptionCandidate[];
   victims: PreemptionCandidate[];
@@ -35,7 +35,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Returns a layout that adds one task at a time at the lowest preemption cost; null if none. */
+  /** Places the tasks one by one, each at the lowest preemption cost; null if not all fit. */
   layOut(
     spec: JobSpec,
     assignment: Assignment,
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -26,7 +26,7 @@
 /** GB/s; fetch rate assumed for a type without one, so slow that its fetches are never in time. */
 const MIN_FETCH_GB_PER_S = 1e-6;
 
-/** The bandit's class of a job's tasks; tasks of one class need the same CPUs and GPUs. */
+/** The bandit's class of a job's tasks, from the job's class and the CPUs and GPUs of a task. */
 function taskClass(spec: JobSpec): string {
   return `${spec.class}/${spec.cpus}/${spec.gpus}`;
 }
@@ -48,7 +48,7 @@
   ): CandidateMachine | null {
     const fitting = candidates.filter(({ free }) => fits(free, task));
     if (fitting.length === 0) return null;
-    // Machines that have the image within the start target of the class are preferred.
+    // Machines that have the image in time for the start target of the class are preferred.
     const inTime = fitting.filter(({ machine }) => this.fetchesInTime(machine, spec));
     const eligible = inTime.length > 0 ? inTime : fitting;
     const type = this.bestType(spec, eligible, taskCounts);
@@ -120,8 +120,8 @@
 /**
  * Selects a machine by first fit. Machines with the image are preferred, then machines in use,
  * because an empty machine may soon be returned. Services fill the fixed order of machines from its
- * start, arrays from its end, where the spot instances are. Services therefore share machines, and
- * the machines in the middle become idle.
+ * start, arrays from its end, where the spot instances are. Services, which run for long,
+ * therefore share machines, and the machines in the middle of the order become idle.
  */
 function firstFit(spec: JobSpec, candidates: readonly CandidateMachine[]): CandidateMachine | null {
   let selected: CandidateMachine | null = null;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -168,7 +168,11 @@
   }
 }
 
-/** Selects victims in order until one task fits; null if it never does. */
+/**
+ * Selects victims from the preemption candidates, in their order, until one task fits; null if it
+ * doesn't fit even then. Arrays that don't rank lower are selected only up to their team's
+ * `arrayCpus`.
+ */
 export function selectVictims<Machine extends PreemptibleMachine>(
   machine: Machine,
   task: Resources,
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -99,7 +99,7 @@
       const isPlaced = isGang ? this.placeGang(entry, cycle) : this.placeTasks(entry, cycle);
       if (!isPlaced) isCapacityShort = true;
     }
-    // Machines that consolidation is emptying may take tasks again where capacity is short.
+    // If capacity is short, machines that consolidation is emptying may take tasks again.
     if (isCapacityShort) {
       for (const machine of machines.all.values()) machine.isConsolidating = false;
     }
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -69,7 +69,7 @@
   readonly machinesWithStops = new Set<string>();
   /** All machines that may take tasks; their free resources decrease with each task assigned. */
   private readonly candidates: readonly CandidateMachine[];
-  /** The gang for whose successor arrays are kept off some machines; null if there is none. */
+  /** The recent gang for which arrays are kept off some machines, as another like it may come. */
   private readonly expectedGang: JobSpec | null;
   /** The lowest rank of all placed tasks; work must rank above it to preempt a task. */
   private readonly lowestRank: number;
