--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -8,7 +8,7 @@
 import type { MachineRecords } from './machine-records.js';
 
 /** s; minimum interval between two readings of the list, even if the list's lag is shorter. */
-const MIN_LIST_PERIOD_S = 5;
+const MIN_LIST_INTERVAL_S = 5;
 
 /** Reads the cloud's list of machines periodically, page by page. */
 export class MachineList {
@@ -65,7 +65,7 @@
   private startIfDue(): ListedMachine[] | null {
     const { clock, listLagS } = this.context;
     const now = clock.now();
-    if (now - this.readingStartedAt < Math.max(MIN_LIST_PERIOD_S, listLagS) * 1000) return null;
+    if (now - this.readingStartedAt < Math.max(MIN_LIST_INTERVAL_S, listLagS) * 1000) return null;
     this.readingStartedAt = now;
     this.reading = [];
     return this.reading;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -139,9 +139,9 @@
     if (!hasMinimumRunTime(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
     const isGang = assignment.record.attempt !== undefined;
     if (isGang && !mayStopGang(assignment)) return null;
-    const isOutranked = rankOf(spec.priority) < rank;
-    if (!isOutranked && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
-    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, hasLowerRank: isOutranked };
+    const hasLowerRank = rankOf(spec.priority) < rank;
+    if (!hasLowerRank && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
+    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, hasLowerRank };
   }
 
   /** Preempts the victims on a machine for a job; adds the machine to `machinesWithStops`. */
