--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -33,7 +33,7 @@
   readonly idleMs: number;
   /** Free CPUs of on-demand machines that are kept for urgent work while jobs are open. */
   readonly headroomCpus: number;
-  /** Whether spot machines may be rented. */
+  /** Whether spot instances may be rented. */
   readonly spot: boolean;
   /** Maximum number of machines in the fleet. */
   readonly maxMachines: number;
