--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,6 +1,6 @@
 /** The autoscaler: the leader's control loop that rents and returns machines. */
 
-import { CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS } from '../../constants/autoscaling.js';
+import { CLOUD_BACKOFF_MIN_MS, CLOUD_BACKOFF_MAX_MS } from '../../constants/autoscaling.js';
 import { CATALOG } from '../../storage/keys.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { Backoff } from '../../transport/backoff.js';
@@ -19,7 +19,7 @@
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 
-/** Drains, returns and rents machines, one pass at a time; pauses after a failed request. */
+/** Drains, returns and rents machines in passes; a failed pass is followed by a pause. */
 export class Autoscaler {
   private readonly context: AutoscalingContext;
   private readonly backoff: Backoff;
@@ -33,7 +33,7 @@
 
   constructor(options: AutoscalerOptions) {
     const { clock, cloudRps, headroomCpus, random, replica } = options;
-    this.backoff = new Backoff(CLOUD_BACKOFF_FIRST_MS, CLOUD_BACKOFF_LAST_MS, random);
+    this.backoff = new Backoff(CLOUD_BACKOFF_MIN_MS, CLOUD_BACKOFF_MAX_MS, random);
     this.context = {
       ...options,
       cloudRequests: new CloudRequestBudget(clock, cloudRps),
@@ -48,7 +48,7 @@
     this.scaleOut = new ScaleOut(this.context, records);
   }
 
-  /** One pass over the fleet; skipped while another pass runs or the cloud is paused. */
+  /** Runs one pass over the fleet; skipped while another pass runs or during a pause. */
   async reconcile(snapshot: FleetSnapshot): Promise<void> {
     if (this.context.clock.now() < this.pausedUntil) return;
     await this.singleFlight.run(() => this.runPass(snapshot));
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -1,24 +1,26 @@
-/** Decides which machines are returned because their heartbeats have stopped. */
+/** Decides which machines are returned because their heartbeats stopped. */
 
 import {
   SILENT_RETURN_MAX_MACHINES,
   SILENT_RETURN_PERIOD_MS,
-  SILENT_RETURN_MAX_FLEET_SHARE,
-  SILENT_CONFIRM_MS,
+  SILENT_RETURN_MAX_FLEET_FRACTION,
+  SILENT_CONFIRMATION_MS,
 } from '../../constants/autoscaling.js';
 import type { Clock } from '../../transport/clock.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 
 /**
- * Silent machines, those without heartbeats, are returned: that proves before their lease expires
- * that their tasks have ended. Only a few are returned at a time: many silent machines at once
- * indicate a network partition between them and their shard. Of those, a limited number is returned
- * once their lease has expired, since their tasks have ended by then in any case.
+ * Selects silent machines, those whose heartbeats stopped, to be returned. A return proves that the
+ * machine's tasks have ended, so that they can restart before the machine's lease expires. Up to
+ * `SILENT_RETURN_MAX_MACHINES` machines, including those returned within the last period, are
+ * returned after `SILENT_CONFIRMATION_MS` of silence. More of them indicate a network partition
+ * between them and their shard, so they are returned only after a whole lease of silence, when
+ * their tasks have ended in any case. The number of returns in a period is limited.
  */
 export class HeartbeatTimeouts {
-  /** When this leader first saw each machine silent that still is. */
+  /** Steady time at which this leader first saw a machine as silent, for machines still silent. */
   private readonly silentSince = new Map<string, number>();
-  /** When the machines were chosen that were chosen to be returned within the last period. */
+  /** Steady time of each selection within the last `SILENT_RETURN_PERIOD_MS`, by machine name. */
   private readonly recentReturns = new Map<string, number>();
   private readonly namesToReturn = new Set<string>();
 
@@ -27,28 +29,30 @@
     private readonly leaseS: number,
   ) {}
 
-  /** Whether the last update chose the machine to be returned. */
+  /** Whether the last update selected the machine to be returned. */
   mustReturn(name: string): boolean {
     return this.namesToReturn.has(name);
   }
 
-  /** Chooses anew which machines are to be returned. */
+  /** Updates the selection of machines to be returned. */
   update(machines: readonly MachineCapacity[]): void {
     const now = this.clock.now();
     this.trackSilence(machines, now);
-    for (const [name, chosenAt] of this.recentReturns) {
-      if (now - chosenAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
+    for (const [name, selectedAt] of this.recentReturns) {
+      if (now - selectedAt >= SILENT_RETURN_PERIOD_MS) this.recentReturns.delete(name);
     }
-    const affected = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
-    // Shards publish their machines' health one after the other: a partition shows only when all
-    // have done so.
-    const waitMs =
-      affected.size <= SILENT_RETURN_MAX_MACHINES ? SILENT_CONFIRM_MS : this.leaseS * 1000;
-    const shareOfFleet = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_SHARE);
-    const limit = Math.max(SILENT_RETURN_MAX_MACHINES, shareOfFleet);
+    const recentlySilent = new Set([...this.silentSince.keys(), ...this.recentReturns.keys()]);
+    // Shards publish the health of their machines one after the other, so a network partition is
+    // visible only after all of them have published it.
+    const minSilentMs =
+      recentlySilent.size <= SILENT_RETURN_MAX_MACHINES
+        ? SILENT_CONFIRMATION_MS
+        : this.leaseS * 1000;
+    const fleetLimit = Math.floor(machines.length * SILENT_RETURN_MAX_FLEET_FRACTION);
+    const limit = Math.max(SILENT_RETURN_MAX_MACHINES, fleetLimit);
     this.namesToReturn.clear();
     for (const [name, since] of this.silentSince) {
-      if (now - since < waitMs) continue;
+      if (now - since < minSilentMs) continue;
       if (!this.recentReturns.has(name)) {
         if (this.recentReturns.size >= limit) continue;
         this.recentReturns.set(name, now);
@@ -57,7 +61,7 @@
     }
   }
 
-  /** Notes which machines are silent, and since when. */
+  /** Records which machines are silent, and since when. */
   private trackSilence(machines: readonly MachineCapacity[], now: number): void {
     const silent = machines.filter((machine) => machine.health === 'silent');
     const names = new Set(silent.map((machine) => machine.name));
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -1,17 +1,19 @@
-/** Reads the cloud's list of machines: adopts machines without a record and notes failed ones. */
+/**
+ * Reads the cloud's list of machines, to adopt machines without a record and to find failed ones.
+ */
 
 import { machineKey } from '../../storage/keys.js';
 import type { ListedMachine } from '../../protocol/model.js';
 import type { AutoscalingContext } from './autoscaling-context.js';
 import type { MachineRecords } from './machine-records.js';
 
-/** s; minimum time between two readings of the list, however short the cloud's lag is. */
-const MIN_LIST_PERIOD_S = 5;
+/** s; minimum interval between two readings of the list, even if the list's lag is shorter. */
+const MIN_LIST_INTERVAL_S = 5;
 
-/** The cloud's list of machines, read periodically. */
+/** Reads the cloud's list of machines periodically, page by page. */
 export class MachineList {
-  private startedAt = -Infinity;
-  /** The pages of the current reading that have arrived; null: no reading is under way. */
+  private readingStartedAt = -Infinity;
+  /** Machines read so far in the current reading; null if no reading is in progress. */
   private reading: ListedMachine[] | null = null;
   private readonly failedNames = new Set<string>();
 
@@ -20,23 +22,23 @@
     private readonly records: MachineRecords,
   ) {}
 
-  /** Whether the cloud listed the machine as failed, and it is not returned yet. */
+  /** Whether the cloud listed the machine as failed and it has not been returned yet. */
   hasFailed(name: string): boolean {
     return this.failedNames.has(name);
   }
 
-  /** Forgets a failed machine once it is returned. */
-  forgetFailed(name: string): void {
+  /** Removes a machine from the failed ones; called after its return. */
+  clearFailed(name: string): void {
     this.failedNames.delete(name);
   }
 
   /**
-   * Continues the current reading, or begins one if it is due. Where the request budget allows only
-   * one page in a pass, a list of several pages is read over several passes.
+   * Continues the current reading, or starts one if it is due. If the request budget runs out, the
+   * reading continues with the next page in the next pass.
    */
   async refresh(): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
-    const listed = this.reading ?? this.beginIfDue();
+    const listed = this.reading ?? this.startIfDue();
     if (!listed) return;
     for (;;) {
       if (!cloudRequests.trySpend()) return;
@@ -49,33 +51,33 @@
       if (!page.more || page.machines.length === 0) break;
     }
     this.reading = null;
-    const unknown = this.unknownMachines(listed);
-    if (unknown.length > 0) {
-      const names = unknown.map((machine) => machine.name);
+    const unrecorded = this.unrecordedMachines(listed);
+    if (unrecorded.length > 0) {
+      const names = unrecorded.map((machine) => machine.name);
       log.info({ machines: names }, 'unrecorded machines adopted');
-      await this.records.recordState(unknown, 'rented');
+      await this.records.recordState(unrecorded, 'rented');
     }
-    this.noteFailed(listed);
-    await this.records.removeOld(new Set(listed.map((machine) => machine.name)));
+    this.recordFailed(listed);
+    await this.records.removeExpired(new Set(listed.map((machine) => machine.name)));
   }
 
-  /** Begins a reading; null: none is due yet. */
-  private beginIfDue(): ListedMachine[] | null {
+  /** Starts a reading; returns null if none is due yet. */
+  private startIfDue(): ListedMachine[] | null {
     const { clock, listLagS } = this.context;
     const now = clock.now();
-    if (now - this.startedAt < Math.max(MIN_LIST_PERIOD_S, listLagS) * 1000) return null;
-    this.startedAt = now;
+    if (now - this.readingStartedAt < Math.max(MIN_LIST_INTERVAL_S, listLagS) * 1000) return null;
+    this.readingStartedAt = now;
     this.reading = [];
     return this.reading;
   }
 
-  /** Machines without a record, as after a rent request whose reply was lost. */
-  private unknownMachines(listed: readonly ListedMachine[]): ListedMachine[] {
+  /** Machines without a record, for example after a rent request whose response was lost. */
+  private unrecordedMachines(listed: readonly ListedMachine[]): ListedMachine[] {
     return listed.filter((machine) => !this.context.replica.get(machineKey(machine.name)));
   }
 
-  /** Notes the machines that failed and are not returned yet. */
-  private noteFailed(listed: readonly ListedMachine[]): void {
+  /** Records the machines that have failed and have not been returned yet. */
+  private recordFailed(listed: readonly ListedMachine[]): void {
     for (const { name, state } of listed) {
       const record = this.context.replica.machine(name);
       if (state === 'failed' && record && record.state !== 'gone') this.failedNames.add(name);
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,10 +1,10 @@
-/** Consolidation of services: little-used machines are emptied, so that they can be returned. */
+/** Consolidation: moves services off machines with low CPU use, so that these can be returned. */
 
 import {
-  CONSOLIDATION_MAX_CPU_USE,
-  CONSOLIDATION_MAX_MACHINE_SHARE,
-  CONSOLIDATION_PERIOD_MS,
-  SETTLED_AFTER_MS,
+  CONSOLIDATION_MAX_CPU_FRACTION,
+  CONSOLIDATION_MAX_MACHINE_FRACTION,
+  CONSOLIDATION_INTERVAL_MS,
+  MIN_RUN_BEFORE_STOP_MS,
 } from '../../constants/scheduling.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -12,9 +12,9 @@
 import type { Assignment, Task } from '../shard-state/assignment.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
-import { listCandidates, mayRunOn, type Candidate, type JobLookup } from './candidates.js';
+import { listCandidates, mayRunOn, type CandidateMachine, type JobLookup } from './candidates.js';
 
-/** What consolidation reads and writes. */
+/** Services and state that consolidation uses. */
 interface ConsolidationDependencies {
   tasks: Tasks;
   machines: Machines;
@@ -22,18 +22,21 @@
   log: Log;
 }
 
-/** Resources taken on another machine for one task. */
+/** Resources of another machine that are reserved for one task. */
 interface Reservation {
-  candidate: Candidate;
+  candidate: CandidateMachine;
   assignment: Assignment;
 }
 
-/** Whether a task ran long enough for its start to have been worth it. */
-export function isSettled(task: Task, clock: Clock): boolean {
-  return task.runningAt !== null && clock.now() - task.runningAt > SETTLED_AFTER_MS;
+/**
+ * Whether a task has run for more than `MIN_RUN_BEFORE_STOP_MS`, so that a stop doesn't waste its
+ * start.
+ */
+export function hasMinimumRunTime(task: Task, clock: Clock): boolean {
+  return task.runningAt !== null && clock.now() - task.runningAt > MIN_RUN_BEFORE_STOP_MS;
 }
 
-/** Moves services away from the machines of a shard that are little used. */
+/** Periodically moves services off the machines of a shard that have low CPU use. */
 export class Consolidation {
   private nextRunAt = 0;
 
@@ -43,30 +46,31 @@
   ) {}
 
   /**
-   * Moves the services of little-used machines to others that have their images and enough free, so
-   * that these machines become idle and are returned. A replica is away for well under a second; one
-   * that started a moment ago stays, and nothing moves while tasks wait. Returns the machines on
-   * which tasks must now be stopped.
+   * Stops the services of machines with low CPU use if they fit on other machines that have their
+   * images. The emptied machines become idle and are returned. A moved replica is unavailable for
+   * well under a second. Replicas that started recently stay, and nothing moves while tasks wait
+   * for a machine. Returns the machines on which tasks must now be stopped.
    */
   run(): Set<string> {
     const { tasks, machines, clock } = this.dependencies;
     const now = clock.now();
     const emptied = new Set<string>();
     if (tasks.waitingAssignments.size > 0 || now < this.nextRunAt) return emptied;
-    this.nextRunAt = now + CONSOLIDATION_PERIOD_MS;
+    this.nextRunAt = now + CONSOLIDATION_INTERVAL_MS;
     for (const machine of machines.all.values()) machine.isConsolidating = false;
     const used = listCandidates(machines, tasks).filter(({ isEmpty }) => !isEmpty);
-    used.sort((a, b) => this.cpuUse(a) - this.cpuUse(b));
-    const limit = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_SHARE));
+    used.sort((a, b) => this.cpuUtilization(a) - this.cpuUtilization(b));
+    const limit = Math.max(1, Math.round(used.length * CONSOLIDATION_MAX_MACHINE_FRACTION));
     for (const [index, candidate] of used.entries()) {
-      if (this.cpuUse(candidate) > CONSOLIDATION_MAX_CPU_USE || emptied.size >= limit) break;
+      if (this.cpuUtilization(candidate) > CONSOLIDATION_MAX_CPU_FRACTION || emptied.size >= limit)
+        break;
       if (this.moveAll(candidate, used.slice(index + 1))) emptied.add(candidate.machine.name);
     }
     return emptied;
   }
 
-  /** Stops all tasks of a machine if they may move and fit on the others; false: they stay. */
-  private moveAll({ machine }: Candidate, others: readonly Candidate[]): boolean {
+  /** Stops all tasks of a machine if all may move and fit on the others; returns whether it did. */
+  private moveAll({ machine }: CandidateMachine, others: readonly CandidateMachine[]): boolean {
     const { tasks, log } = this.dependencies;
     const placed = [...tasks.placedOn(machine.name)];
     const mayAllMove = placed.every(([task, assignment]) => this.mayMove(task, assignment));
@@ -76,26 +80,29 @@
     if (!this.reserveCapacity(assignments, targets)) return false;
     machine.isConsolidating = true;
     for (const [task] of placed) task.isStopping = true;
-    log.info({ machine: machine.name, tasks: placed.length }, 'services stopped for consolidation');
+    log.info(
+      { machine: machine.name, taskCount: placed.length },
+      'services stopped for consolidation',
+    );
     return true;
   }
 
   private mayMove(task: Task, assignment: Assignment): boolean {
     const isService = this.findJob(assignment.job)?.spec.kind === 'service';
-    return isService && isSettled(task, this.dependencies.clock) && !task.isStopping;
+    return isService && hasMinimumRunTime(task, this.dependencies.clock) && !task.isStopping;
   }
 
-  /** Takes resources for one task of each assignment on other machines; false: not all fit. */
+  /** Reserves resources for one task of each entry on the targets; returns false if not all fit. */
   private reserveCapacity(
     assignments: readonly Assignment[],
-    targets: readonly Candidate[],
+    targets: readonly CandidateMachine[],
   ): boolean {
     const reservations: Reservation[] = [];
     for (const assignment of assignments) {
       const candidate = this.targetFor(assignment, targets);
       if (!candidate) {
-        for (const taken of reservations) {
-          allocate(taken.candidate.free, taken.assignment.record, -1);
+        for (const reservation of reservations) {
+          allocate(reservation.candidate.free, reservation.assignment.record, -1);
         }
         return false;
       }
@@ -105,8 +112,11 @@
     return true;
   }
 
-  /** The first machine on which a task fits and that has its image. */
-  private targetFor(assignment: Assignment, targets: readonly Candidate[]): Candidate | undefined {
+  /** The first machine that has enough free capacity for a task, and its image. */
+  private targetFor(
+    assignment: Assignment,
+    targets: readonly CandidateMachine[],
+  ): CandidateMachine | undefined {
     const spec = this.findJob(assignment.job)?.spec;
     if (!spec) return undefined;
     return targets.find(
@@ -117,8 +127,8 @@
     );
   }
 
-  /** Share of a machine's CPUs in use. */
-  private cpuUse({ machine, free }: Candidate): number {
+  /** Fraction of a machine's CPUs in use. */
+  private cpuUtilization({ machine, free }: CandidateMachine): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
     return cpus > 0 ? 1 - free.cpus / cpus : 1;
   }
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -1,11 +1,11 @@
-/** Preemption for a gang: enough tasks are stopped for all of a shard's share, or none. */
+/** Preemption for gangs: frees capacity for all tasks of a gang subset, or preempts nothing. */
 
 import { RECLAIM_VALID_MS } from '../../constants/gangs.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { allocate, type Resources } from '../capacity/resources.js';
 import type { Assignment } from '../shard-state/assignment.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 import type { GangLayout } from './gang-layout.js';
 import {
   findCheapest,
@@ -14,37 +14,37 @@
   type PreemptibleMachine,
   type PreemptionOption,
   type PreemptionRights,
-  type Victim,
+  type PreemptionCandidate,
 } from './preemption.js';
 
-/** A machine in planning: what the plan leaves free, what may still be stopped, and what will be. */
+/** A machine during planning: its free capacity, remaining preemption candidates and victims. */
 interface PlannedMachine extends PreemptibleMachine {
-  stoppable: Victim[];
-  victims: Victim[];
+  preemptionCandidates: PreemptionCandidate[];
+  victims: PreemptionCandidate[];
 }
 
-/** Rights of which a plan takes what it uses. */
+/** Preemption rights that decrease with each array task that the plan preempts. */
 interface GangPreemptionRights extends PreemptionRights {
   arrayCpus: Map<string, number>;
 }
 
-/** Plans layouts for which other work is stopped. */
+/** Plans gang layouts that preempt other tasks. */
 export class GangPreemption {
   constructor(
-    private readonly preemption: Pick<Preemption, 'victims'>,
+    private readonly preemption: Pick<Preemption, 'preemptionCandidates'>,
     private readonly clock: Clock,
   ) {}
 
-  /** A layout on these machines that stops as few other tasks as will do; null: there is none. */
+  /** Places the tasks one by one, each at the lowest preemption cost; null if not all fit. */
   layOut(
     spec: JobSpec,
     assignment: Assignment,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
   ): GangLayout | null {
     const arrayCpus = new Map(Object.entries(this.reclaimableArrayCpus(assignment)));
     const rights: GangPreemptionRights = { rank: rankOf(spec.priority), arrayCpus };
-    const machines = candidates.map((candidate) => this.plannedMachine(candidate, rights));
-    const targets: Candidate[] = [];
+    const machines = candidates.map((candidate) => this.createPlannedMachine(candidate, rights));
+    const targets: CandidateMachine[] = [];
     while (targets.length < assignment.waitingTasks.size) {
       const option = cheapestOption(machines, assignment.record, rights);
       if (!option) return null;
@@ -55,14 +55,17 @@
     return { targets, preemptions: machines.filter(({ victims }) => victims.length > 0) };
   }
 
-  private plannedMachine(candidate: Candidate, rights: PreemptionRights): PlannedMachine {
-    const stoppable = this.preemption.victims(candidate, rights);
-    return { candidate, free: { ...candidate.free }, stoppable, victims: [] };
+  private createPlannedMachine(
+    candidate: CandidateMachine,
+    rights: PreemptionRights,
+  ): PlannedMachine {
+    const preemptionCandidates = this.preemption.preemptionCandidates(candidate, rights);
+    return { candidate, free: { ...candidate.free }, preemptionCandidates, victims: [] };
   }
 
   /**
-   * CPUs of arrays of teams beyond their guarantee that a gang may stop, by team: only for a moment
-   * after it was handed out.
+   * CPUs of arrays that a gang may preempt, by team: those of teams above their fair shares. None
+   * once `RECLAIM_VALID_MS` have passed since the gang was assigned to the shard.
    */
   private reclaimableArrayCpus(assignment: Assignment): Record<string, number> {
     const [first] = assignment.waitingTasks;
@@ -72,7 +75,7 @@
   }
 }
 
-/** How to fit one more task where that costs the least; null: it fits on none of the machines. */
+/** The cheapest way to place one more task; null if it fits on none of the machines. */
 function cheapestOption(
   machines: readonly PlannedMachine[],
   task: Resources,
@@ -81,7 +84,7 @@
   return findCheapest(machines, 0, (machine) => selectVictims(machine, task, rights));
 }
 
-/** Frees what the victims of an option use, and takes their arrays' CPUs off the rights. */
+/** Adds an option's victims to the plan, and subtracts the CPUs of arrays from the rights. */
 function applyOption(
   { machine, victims }: PreemptionOption<PlannedMachine>,
   { arrayCpus }: GangPreemptionRights,
@@ -90,8 +93,10 @@
     const { record } = victim.assignment;
     allocate(machine.free, record, -1);
     machine.victims.push(victim);
-    if (victim.isOutranked) continue;
+    if (victim.hasLowerRank) continue;
     arrayCpus.set(record.team, (arrayCpus.get(record.team) ?? 0) - record.cpus);
   }
-  machine.stoppable = machine.stoppable.filter((victim) => !victims.includes(victim));
+  machine.preemptionCandidates = machine.preemptionCandidates.filter(
+    (preemptionCandidate) => !victims.includes(preemptionCandidate),
+  );
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,75 +1,78 @@
-/** Preemption: which tasks are stopped to free resources for other work, and at what cost. */
+/** Preemption: selects tasks to stop so that resources become free for other work. */
 
-import { IMAGE_FETCH_COST } from '../../constants/scheduling.js';
+import { IMAGE_FETCH_COST_TASKS } from '../../constants/scheduling.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { fits, allocate, type Resources } from '../capacity/resources.js';
 import type { Assignment, Task } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
-import type { Candidate, JobLookup } from './candidates.js';
-import { isSettled } from './consolidation.js';
+import type { CandidateMachine, JobLookup } from './candidates.js';
+import { hasMinimumRunTime } from './consolidation.js';
 
-/** What decides whether a task may be stopped for other work. */
+/** Rules on which tasks may be preempted. */
 export interface PreemptionRules {
   job: JobLookup;
-  /** Whether a job waited long to begin and none of its tasks has ended yet. */
+  /** Whether a job waited long for its start and none of its tasks is done yet. */
   beganLate: (id: string) => boolean;
-  /** Whether a gang may be stopped for other work. */
+  /** Whether a gang may be preempted. */
   mayStopGang: (assignment: Assignment) => boolean;
 }
 
-/** What preemption reads and writes. */
+/** Services and state that preemption uses. */
 interface PreemptionDependencies {
   tasks: Tasks;
   clock: Clock;
   log: Log;
 }
 
-/** What a job may preempt: work below its rank, and arrays of teams beyond their guarantee. */
+/** Work that a job may preempt: lower ranks, and arrays of teams above their fair shares. */
 export interface PreemptionRights {
+  /** Rank of the job's priority. */
   rank: number;
-  /** CPUs of arrays that may be stopped, by team. */
+  /** CPUs of arrays that may be preempted at any rank, by team. */
   arrayCpus: ReadonlyMap<string, number>;
 }
 
-/** A placed task that may be stopped for other work. */
-export interface Victim {
+/** A placed task that may be preempted. */
+export interface PreemptionCandidate {
   task: Task;
   assignment: Assignment;
-  /** How many tasks are stopped with it: of a gang all, wherever they run. */
+  /** Cost of its preemption in tasks: 1, but for a gang its size plus 1, since all of it stops. */
   cost: number;
-  /** Whether it ranks below the work for which it may be stopped. */
-  isOutranked: boolean;
+  /** Whether its job ranks below the job that preempts it. */
+  hasLowerRank: boolean;
 }
 
-/** Tasks that are to be stopped on one machine. */
+/** The victims that are stopped on one machine for one job. */
 export interface MachineVictims {
-  candidate: Candidate;
-  victims: readonly Victim[];
+  candidate: CandidateMachine;
+  victims: readonly PreemptionCandidate[];
 }
 
-/** What is free on a machine, and which tasks may be stopped there, in the order of their stop. */
+/** A machine, its free resources, and its preemption candidates in the order of preemption. */
 export interface PreemptibleMachine {
-  candidate: Candidate;
+  candidate: CandidateMachine;
   free: Resources;
-  stoppable: readonly Victim[];
+  preemptionCandidates: readonly PreemptionCandidate[];
 }
 
-/** Tasks whose stop frees enough on a machine for one task, and what that costs. */
+/** Victims on a machine whose preemption frees enough for one task. */
 export interface PreemptionOption<Machine extends PreemptibleMachine = PreemptibleMachine> {
   machine: Machine;
-  victims: Victim[];
-  /** In tasks that are stopped. */
+  victims: PreemptionCandidate[];
+  /**
+   * Sum of the victims' costs, plus `IMAGE_FETCH_COST_TASKS` if the machine must fetch the image.
+   */
   cost: number;
 }
 
-/** Rounding errors of sums of decimals are smaller than this. */
+/** CPUs; tolerance for the rounding errors of sums of decimals. */
 const ROUNDING_SLACK = 1e-9;
 
-const NO_ARRAYS: ReadonlyMap<string, number> = new Map();
+const NO_ARRAY_CPUS: ReadonlyMap<string, number> = new Map();
 
-/** Finds tasks that may be stopped for other work, and stops them. */
+/** Finds preemption candidates, and preempts the selected victims. */
 export class Preemption {
   constructor(
     private readonly rules: PreemptionRules,
@@ -77,62 +80,72 @@
   ) {}
 
   /**
-   * Frees resources for one task where that costs the least; returns that machine, or null if none
-   * has enough to stop. Adds machines on which tasks must now be stopped to `machinesWithStops`.
+   * Frees resources for one task on the machine with the lowest cost, and returns that machine;
+   * null if preemption frees enough on no machine. Adds machines on which tasks must now be stopped
+   * to `machinesWithStops`.
    */
   preemptFor(
     spec: JobSpec,
     task: Resources,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     machinesWithStops: Set<string>,
-  ): Candidate | null {
-    const rights = { rank: rankOf(spec.priority), arrayCpus: NO_ARRAYS };
+  ): CandidateMachine | null {
+    const rights = { rank: rankOf(spec.priority), arrayCpus: NO_ARRAY_CPUS };
     const cheapest = findCheapest(candidates, 1, (candidate) => {
-      const stoppable = this.victims(candidate, rights);
-      const option = selectVictims({ candidate, free: candidate.free, stoppable }, task, rights);
-      // The fetch of an image may take as long as an urgent start may; a stopped task only loses
-      // its work.
-      if (option && !candidate.machine.images.has(spec.image)) option.cost += IMAGE_FETCH_COST;
+      const preemptionCandidates = this.preemptionCandidates(candidate, rights);
+      const option = selectVictims(
+        { candidate, free: candidate.free, preemptionCandidates },
+        task,
+        rights,
+      );
+      // An image fetch may take as long as the start target of urgent work, while a preempted task
+      // only loses its work.
+      if (option && !candidate.machine.images.has(spec.image))
+        option.cost += IMAGE_FETCH_COST_TASKS;
       return option;
     });
     if (cheapest === null) return null;
     const { candidate } = cheapest.machine;
-    this.stop(spec, { candidate, victims: cheapest.victims }, machinesWithStops);
+    this.preempt(spec, { candidate, victims: cheapest.victims }, machinesWithStops);
     return candidate;
   }
 
-  /** The tasks on a machine that may be stopped: the cheapest first, among those the newest. */
-  victims(candidate: Candidate, rights: PreemptionRights): Victim[] {
-    const victims: Victim[] = [];
+  /** The preemption candidates on a machine: the cheapest first, then the most recently started. */
+  preemptionCandidates(
+    candidate: CandidateMachine,
+    rights: PreemptionRights,
+  ): PreemptionCandidate[] {
+    const preemptionCandidates: PreemptionCandidate[] = [];
     for (const [task, assignment] of this.dependencies.tasks.placedOn(candidate.machine.name)) {
-      const victim = this.victimFor(task, assignment, rights);
-      if (victim) victims.push(victim);
+      const preemptionCandidate = this.preemptionCandidateFor(task, assignment, rights);
+      if (preemptionCandidate) preemptionCandidates.push(preemptionCandidate);
     }
-    return victims.sort(
+    return preemptionCandidates.sort(
       (a, b) => a.cost - b.cost || (b.task.runningAt ?? Infinity) - (a.task.runningAt ?? Infinity),
     );
   }
 
-  /** Null: the task may not be stopped for a job with these rights. */
-  private victimFor(
+  /** Returns a task as preemption candidate; null if these rights don't cover it. */
+  private preemptionCandidateFor(
     task: Task,
     assignment: Assignment,
     { rank, arrayCpus }: PreemptionRights,
-  ): Victim | null {
+  ): PreemptionCandidate | null {
     const { job, beganLate, mayStopGang } = this.rules;
     const spec = task.isStopping ? null : job(assignment.job)?.spec;
     if (!spec) return null;
-    // The first tasks of a job that waited long are the newest, and would be stopped repeatedly.
-    if (!isSettled(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
+    // The first tasks of a job that started late are the newest on their machines. Without this
+    // rule they would be preempted again and again.
+    if (!hasMinimumRunTime(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
     const isGang = assignment.record.attempt !== undefined;
     if (isGang && !mayStopGang(assignment)) return null;
-    const isOutranked = rankOf(spec.priority) < rank;
-    if (!isOutranked && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
-    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, isOutranked };
+    const hasLowerRank = rankOf(spec.priority) < rank;
+    if (!hasLowerRank && !(spec.kind === 'array' && arrayCpus.has(spec.team))) return null;
+    return { task, assignment, cost: isGang ? spec.tasks + 1 : 1, hasLowerRank };
   }
 
-  /** Stops tasks on a machine for a job; adds the machine to `machinesWithStops`. */
-  stop(
+  /** Preempts the victims on a machine for a job; adds the machine to `machinesWithStops`. */
+  preempt(
     spec: JobSpec,
     { candidate, victims }: MachineVictims,
     machinesWithStops: Set<string>,
@@ -141,20 +154,25 @@
     for (const { task, assignment } of victims) {
       allocate(candidate.free, assignment.record, -1);
       const isGang = assignment.record.attempt !== undefined;
-      // All of a gang is stopped together: see `GangShares.reconcile`, in the same cycle.
+      // The shard stops all tasks of a failed gang subset together, in the same cycle.
       if (isGang) assignment.hasFailed = true;
-      // What was never committed was never sent either.
+      // The start of a task is sent only after its placement was committed, so a task without a
+      // committed placement needs no stop.
       if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
       else if (!isGang) task.isStopping = true;
     }
     if (victims.length === 0) return;
     const machine = candidate.machine.name;
     machinesWithStops.add(machine);
-    log.info({ job: spec.id, machine, victims: victims.length }, 'tasks preempted');
+    log.info({ job: spec.id, machine, victimCount: victims.length }, 'tasks preempted');
   }
 }
 
-/** The first tasks on a machine whose stop frees enough for one task; null: none do. */
+/**
+ * Selects victims from the preemption candidates, in their order, until one task fits; null if it
+ * doesn't fit even then. Arrays that don't rank lower are selected only up to their team's
+ * `arrayCpus`.
+ */
 export function selectVictims<Machine extends PreemptibleMachine>(
   machine: Machine,
   task: Resources,
@@ -162,26 +180,26 @@
 ): PreemptionOption<Machine> | null {
   const free = { ...machine.free };
   const usedArrayCpus = new Map<string, number>();
-  const victims: Victim[] = [];
+  const victims: PreemptionCandidate[] = [];
   let cost = 0;
-  for (const victim of machine.stoppable) {
+  for (const preemptionCandidate of machine.preemptionCandidates) {
     if (fits(free, task)) break;
-    const { record } = victim.assignment;
-    if (!victim.isOutranked) {
+    const { record } = preemptionCandidate.assignment;
+    if (!preemptionCandidate.hasLowerRank) {
       const cpus = (usedArrayCpus.get(record.team) ?? 0) + record.cpus;
       if (cpus > (arrayCpus.get(record.team) ?? 0) + ROUNDING_SLACK) continue;
       usedArrayCpus.set(record.team, cpus);
     }
     allocate(free, record, -1);
-    cost += victim.cost;
-    victims.push(victim);
+    cost += preemptionCandidate.cost;
+    victims.push(preemptionCandidate);
   }
   return fits(free, task) ? { machine, victims, cost } : null;
 }
 
 /**
- * The first of the cheapest options; null: there is none. The search ends at an option that costs no
- * more than `sufficientCost`.
+ * Returns the first of the cheapest options; null if there is none. The search ends at the first
+ * option that costs at most `sufficientCost`.
  */
 export function findCheapest<Item, Option extends { cost: number }>(
   items: readonly Item[],
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,4 +1,6 @@
-/** The scheduler of one shard: assigns waiting tasks to machines, in the order of their priorities. */
+/**
+ * The scheduler of one shard: assigns waiting tasks to machines in the order of their priorities.
+ */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import { FETCH_TIME_MAX_RATIO } from '../../constants/gangs.js';
@@ -10,7 +12,7 @@
 import type { Machines } from '../shard-state/machines.js';
 import type { Tasks } from '../shard-state/tasks.js';
 import type { Bandit } from './bandit.js';
-import type { Candidate } from './candidates.js';
+import type { CandidateMachine } from './candidates.js';
 import { Consolidation } from './consolidation.js';
 import type { GangLayout } from './gang-layout.js';
 import { GangPlacement } from './gang-placement.js';
@@ -25,17 +27,17 @@
   type WaitingAssignment,
 } from './scheduling-cycle.js';
 
-/** What the scheduler needs of its shard, beside tasks and machines. */
+/** Settings and rules of a shard's scheduler. */
 export interface SchedulerOptions
   extends MachineChoiceOptions, PreemptionRules, SchedulingCycleRules {
-  /** The shard's number and the term of its owner; both are in the attempt numbers. */
+  /** The shard's number and the term of its holder; attempt numbers are derived from both. */
   number: number;
   term: number;
-  /** Seconds for which a gang's task waits for the others. */
+  /** Seconds that a gang's task waits for the other tasks to start. */
   gangWaitS: number;
 }
 
-/** What the scheduler reads and writes. */
+/** Services and state that the scheduler uses. */
 interface SchedulerDependencies {
   tasks: Tasks;
   machines: Machines;
@@ -44,10 +46,10 @@
   log: Log;
 }
 
-/** Decides on which machines a shard's waiting tasks run. */
+/** Places a shard's waiting tasks on machines, with preemption and consolidation. */
 export class Scheduler {
   private readonly attempts: TermNumbers;
-  private readonly choice: MachineChoice;
+  private readonly machineChoice: MachineChoice;
   private readonly preemption: Preemption;
   private readonly gangPlacement: GangPlacement;
   private readonly reservations: GangReservations;
@@ -58,26 +60,30 @@
     private readonly dependencies: SchedulerDependencies,
   ) {
     const { tasks, machines, bandit, clock } = dependencies;
-    const range = options.term * SHARDS_PER_TERM + options.number;
-    this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
-    this.choice = new MachineChoice(options, machines, bandit);
+    const attemptRange = options.term * SHARDS_PER_TERM + options.number;
+    this.attempts = new TermNumbers(attemptRange * ATTEMPT_STEP, ATTEMPT_STEP);
+    this.machineChoice = new MachineChoice(options, machines, bandit);
     this.preemption = new Preemption(options, dependencies);
     this.gangPlacement = new GangPlacement(new GangPreemption(this.preemption, clock));
     this.reservations = new GangReservations(tasks, options.job);
     this.consolidation = new Consolidation(options.job, dependencies);
   }
 
-  /** The shard needs a new term before it has used all attempt numbers of this one. */
+  /**
+   * Whether the shard needs a new term soon, because this one is running out of attempt numbers.
+   */
   get isRunningOut(): boolean {
     return this.attempts.isRunningOut;
   }
 
-  /** Moves services off little-used machines; returns those on which tasks must now be stopped. */
+  /**
+   * Moves services off machines with low CPU use; returns machines with tasks to be stopped now.
+   */
   consolidate(): Set<string> {
     return this.consolidation.run();
   }
 
-  /** One scheduling cycle; returns the machines on which tasks must now be stopped. */
+  /** Runs one scheduling cycle; returns the machines on which tasks must now be stopped. */
   place(): Set<string> {
     const { machines, tasks } = this.dependencies;
     const waiting = waitingAssignments(tasks, this.options);
@@ -93,24 +99,24 @@
       const isPlaced = isGang ? this.placeGang(entry, cycle) : this.placeTasks(entry, cycle);
       if (!isPlaced) isCapacityShort = true;
     }
-    // Machines that consolidation is emptying are needed after all.
+    // If capacity is short, machines that consolidation is emptying may take tasks again.
     if (isCapacityShort) {
       for (const machine of machines.all.values()) machine.isConsolidating = false;
     }
     return cycle.machinesWithStops;
   }
 
-  /** Places tasks one by one; false: some fit nowhere. */
+  /** Places the tasks of an array or a service one by one; returns false if some fit nowhere. */
   private placeTasks(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
     const { record } = assignment;
     const candidates = cycle.candidatesFor(entry);
     for (const task of [...assignment.waitingTasks]) {
-      let target = this.choice.choose(spec, record, candidates, cycle.taskCounts);
+      let target = this.machineChoice.select(spec, record, candidates, cycle.taskCounts);
       if (!target && cycle.mayPreempt(spec)) {
         target = this.preemption.preemptFor(spec, record, candidates, cycle.machinesWithStops);
       }
-      // The tasks of an assignment are alike: where one fits nowhere, the others don't either.
+      // The tasks of an assignment need the same resources, so the others don't fit either.
       if (!target) return false;
       this.assign(entry, task, target, cycle);
     }
@@ -118,8 +124,8 @@
   }
 
   /**
-   * Places all tasks of a gang's share at once, under the attempt that the leader gave it; or none:
-   * then machines are reserved for it. False: the share fits nowhere.
+   * Places all tasks of a gang subset at once, under the attempt number that the leader assigned.
+   * If they don't all fit, places none, reserves machines for them and returns false.
    */
   private placeGang(entry: WaitingAssignment, cycle: SchedulingCycle): boolean {
     const { assignment, spec } = entry;
@@ -131,7 +137,7 @@
       return false;
     }
     for (const machineVictims of layout.preemptions) {
-      this.preemption.stop(spec, machineVictims, cycle.machinesWithStops);
+      this.preemption.preempt(spec, machineVictims, cycle.machinesWithStops);
     }
     for (const [index, task] of [...assignment.waitingTasks].entries()) {
       const target = layout.targets[index];
@@ -143,34 +149,35 @@
 
   private findGangLayout(
     { assignment, spec }: WaitingAssignment,
-    candidates: readonly Candidate[],
+    candidates: readonly CandidateMachine[],
     { taskCounts }: SchedulingCycle,
   ): GangLayout | null {
     return this.gangPlacement.find({
       spec,
       assignment,
       candidates,
-      types: this.choice.rankTypes(spec, candidates, taskCounts),
+      types: this.machineChoice.rankTypes(spec, candidates, taskCounts),
       fetches: {
-        isInTime: (machine) => this.choice.fetchesInTime(machine, spec),
+        isInTime: (machine) => this.machineChoice.fetchesInTime(machine, spec),
         isWithinGangWait: (machine) =>
-          this.choice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <= this.options.gangWaitS,
+          this.machineChoice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <=
+          this.options.gangWaitS,
       },
     });
   }
 
-  /** Assigns one task to a machine. */
+  /** Places one task on a machine. */
   private assign(
     { assignment, spec }: WaitingAssignment,
     task: Task,
-    target: Candidate,
+    target: CandidateMachine,
     cycle: SchedulingCycle,
   ): void {
     allocate(target.free, assignment.record);
     target.isEmpty = false;
     const { type, name } = target.machine;
     cycle.countTask(type);
-    const banditContext = this.choice.context(spec, type, cycle.taskCounts);
+    const banditContext = this.machineChoice.context(spec, type, cycle.taskCounts);
     const attempt = assignment.record.attempt ?? this.attempts.next();
     this.dependencies.tasks.place(assignment, task, { machine: name, attempt, banditContext });
   }
