--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -8,18 +8,18 @@
 export const GANG_RETRY_MAX_MS = 20_000;
 
 /** Number of images for which the leader remembers where a gang used them last. */
-export const GANG_IMAGE_HISTORY_SIZE = 500;
+export const GANG_IMAGE_HISTORY_MAX_IMAGES = 500;
 
 /**
  * ms; the fleet keeps capacity for the largest gangs that arrived within this time: they cannot
  * start in the scattered capacity of small jobs, and a boot takes longer than they may wait.
  */
-export const RECENT_GANGS_MS = 150_000;
+export const GANG_ARRIVAL_WINDOW_MS = 150_000;
 
 /**
  * Share of the capacity of arrays that counts for a gang: it is not free at once, nor all of it.
  */
-export const GANG_RECLAIMABLE_SHARE = 0.5;
+export const GANG_RECLAIMABLE_FRACTION = 0.5;
 
 /** ms; a gang waits this long before capacity is reserved for it: most find theirs at once. */
 export const GANG_RESERVATION_DELAY_MS = 2_000;
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -34,7 +34,7 @@
 }
 
 /** Counts of tasks of a job that are assigned to shards, done, and placed on machines. */
-export interface Progress {
+export interface JobProgress {
   assigned: number;
   done: number;
   placed: number;
@@ -49,9 +49,9 @@
 }
 
 /** Contribution of one assignment, kept so that exactly this can be subtracted again. */
-interface Entry {
+interface Contribution {
   assignment: AssignmentSummary;
-  isLowPriority: boolean;
+  isPreemptible: boolean;
   isArray: boolean;
   /** CPUs that become free per second. */
   endingCpusPerS: number;
@@ -63,20 +63,20 @@
  * sums of decimals drift.
  */
 export class CapacityAccounting {
-  private entries = new Map<string, Entry>();
+  private contributions = new Map<string, Contribution>();
   /** Usage by machine. */
   readonly machines = new Map<string, MachineUsage>();
   /** Usage by team. */
   readonly teams = new Map<string, Usage>();
   /** Progress by job. */
-  readonly jobs = new Map<string, Progress>();
+  readonly jobs = new Map<string, JobProgress>();
   /** CPUs of arrays and gangs that become free per second, by the key of their shard zone. */
   readonly endingCpusPerS = new Map<string, number>();
   /** Assignments of open jobs with tasks that are not placed. */
   readonly waiting = new Map<string, AssignmentSummary>();
   /** Jobs that may be complete. */
   readonly completionCandidates = new Set<string>();
-  private builtAt = -Infinity;
+  private rebuiltAt = -Infinity;
 
   constructor(
     private readonly replica: StoreReplica,
@@ -86,9 +86,9 @@
   /** Recalculates the sums when that is due; called before a scheduling cycle. */
   refresh(): void {
     const now = this.clock.now();
-    if (now - this.builtAt < ACCOUNTING_REBUILD_MS) return;
-    this.builtAt = now;
-    this.entries = new Map();
+    if (now - this.rebuiltAt < ACCOUNTING_REBUILD_MS) return;
+    this.rebuiltAt = now;
+    this.contributions = new Map();
     for (const sums of [this.machines, this.teams, this.jobs, this.endingCpusPerS, this.waiting]) {
       sums.clear();
     }
@@ -106,11 +106,11 @@
   }
 
   private recount(key: string): void {
-    const entry = this.entries.get(key);
-    if (entry) {
-      this.entries.delete(key);
+    const contribution = this.contributions.get(key);
+    if (contribution) {
+      this.contributions.delete(key);
       this.waiting.delete(key);
-      this.applyEntry(entry, -1);
+      this.applyContribution(contribution, -1);
     }
     this.add(key);
   }
@@ -120,24 +120,24 @@
     if (!assignment) return;
     const spec: JobSpec | null = this.replica.job(assignment.job)?.spec ?? null;
     const hasEnd = spec !== null && spec.kind !== 'service';
-    const entry: Entry = {
+    const contribution: Contribution = {
       assignment,
-      isLowPriority: spec === null || !isUrgent(spec),
+      isPreemptible: spec === null || !isUrgent(spec),
       isArray: spec?.kind === 'array',
       endingCpusPerS: hasEnd
         ? (assignment.placedCount * assignment.cpus) / Math.max(1, spec.estimateS)
         : 0,
     };
-    this.entries.set(key, entry);
-    this.applyEntry(entry, 1);
+    this.contributions.set(key, contribution);
+    this.applyContribution(contribution, 1);
     if (spec && assignment.waiting > 0) this.waiting.set(key, assignment);
     const done = this.jobs.get(assignment.job)?.done ?? 0;
     if (spec && done >= doneTasksToComplete(spec)) this.completionCandidates.add(assignment.job);
   }
 
   /** Adds or subtracts the contribution of an assignment. */
-  private applyEntry(entry: Entry, sign: 1 | -1): void {
-    const { assignment, endingCpusPerS } = entry;
+  private applyContribution(contribution: Contribution, sign: 1 | -1): void {
+    const { assignment, endingCpusPerS } = contribution;
     this.applyToTeam(assignment, sign);
     this.applyToJob(assignment, sign);
     if (endingCpusPerS > 0) {
@@ -147,7 +147,7 @@
         (this.endingCpusPerS.get(shardZone) ?? 0) + sign * endingCpusPerS,
       );
     }
-    for (const name of assignment.machines) this.applyToMachine(name, entry, sign);
+    for (const name of assignment.machines) this.applyToMachine(name, contribution, sign);
   }
 
   private applyToTeam(assignment: AssignmentSummary, sign: 1 | -1): void {
@@ -168,23 +168,23 @@
 
   private applyToMachine(
     machine: string,
-    { assignment, isLowPriority, isArray }: Entry,
+    { assignment, isPreemptible, isArray }: Contribution,
     sign: 1 | -1,
   ): void {
-    const placed = this.machines.get(machine) ?? emptyMachineUsage();
-    this.machines.set(machine, placed);
-    placed.cpus += sign * assignment.cpus;
-    placed.gpus += sign * assignment.gpus;
-    placed.memoryGb += sign * assignment.memoryGb;
-    placed.tasks += sign;
-    if (isLowPriority) {
-      placed.preemptibleCpus += sign * assignment.cpus;
-      placed.preemptibleMemoryGb += sign * assignment.memoryGb;
+    const usage = this.machines.get(machine) ?? emptyMachineUsage();
+    this.machines.set(machine, usage);
+    usage.cpus += sign * assignment.cpus;
+    usage.gpus += sign * assignment.gpus;
+    usage.memoryGb += sign * assignment.memoryGb;
+    usage.tasks += sign;
+    if (isPreemptible) {
+      usage.preemptibleCpus += sign * assignment.cpus;
+      usage.preemptibleMemoryGb += sign * assignment.memoryGb;
     }
     if (isArray) {
-      placed.arrayCpus += sign * assignment.cpus;
-      placed.arrayMemoryGb += sign * assignment.memoryGb;
+      usage.arrayCpus += sign * assignment.cpus;
+      usage.arrayMemoryGb += sign * assignment.memoryGb;
     }
-    if (placed.tasks === 0) this.machines.delete(machine);
+    if (usage.tasks === 0) this.machines.delete(machine);
   }
 }
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -1,12 +1,12 @@
 /** Capacity for future gangs: which machines are reserved, and what the fleet lacks. */
 
-import { GANG_RECLAIMABLE_SHARE } from '../../constants/gangs.js';
+import { GANG_RECLAIMABLE_FRACTION } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import {
   isEligible,
   allocateReclaimable,
   reclaimableCapacity,
-  reclaimModeFor,
+  broadestReclaimMode,
   type MachineCapacity,
 } from './machine-capacity.js';
 import { countFittingTasks } from './resources.js';
@@ -33,11 +33,13 @@
   gangs: readonly JobSpec[],
   machines: readonly MachineCapacity[],
 ): MissingCapacity[] {
-  const remaining = machines.filter((machine) => !machine.spot).map((machine) => ({ ...machine }));
+  const machinesLeft = machines
+    .filter((machine) => !machine.spot)
+    .map((machine) => ({ ...machine }));
   const missing: MissingCapacity[] = [];
   for (const spec of [...gangs].sort((a, b) => b.tasks * b.cpus - a.tasks * a.cpus)) {
-    const zone = zoneWithMostCapacity(spec, remaining);
-    const count = allocateInZone(spec, zone, remaining);
+    const zone = zoneWithMostCapacity(spec, machinesLeft);
+    const count = allocateInZone(spec, zone, machinesLeft);
     if (count > 0) missing.push({ spec: { ...spec, zone }, count });
   }
   return missing;
@@ -50,10 +52,10 @@
     if (!isEligible(spec, machine)) continue;
     const free = countFittingTasks(machine, spec);
     const reclaimable =
-      countFittingTasks(reclaimableCapacity(machine, reclaimModeFor(spec)), spec) - free;
+      countFittingTasks(reclaimableCapacity(machine, broadestReclaimMode(spec)), spec) - free;
     zones.set(
       machine.zone,
-      (zones.get(machine.zone) ?? 0) + free + reclaimable * GANG_RECLAIMABLE_SHARE,
+      (zones.get(machine.zone) ?? 0) + free + reclaimable * GANG_RECLAIMABLE_FRACTION,
     );
   }
   const [best] = [...zones].sort((a, b) => b[1] - a[1]);
@@ -68,11 +70,11 @@
   for (const mayReclaim of [false, true]) {
     for (const machine of machines) {
       if (remaining <= 0 || machine.zone !== zone || !isEligible(spec, machine)) continue;
-      const free = mayReclaim ? reclaimableCapacity(machine, reclaimModeFor(spec)) : machine;
+      const free = mayReclaim ? reclaimableCapacity(machine, broadestReclaimMode(spec)) : machine;
       const fitting = countFittingTasks(free, spec);
       const count = Math.min(
         remaining,
-        mayReclaim ? Math.floor(fitting * GANG_RECLAIMABLE_SHARE) : fitting,
+        mayReclaim ? Math.floor(fitting * GANG_RECLAIMABLE_FRACTION) : fitting,
       );
       allocateReclaimable(machine, spec, count);
       remaining -= count;
@@ -110,7 +112,7 @@
 /** Names of the machines reserved for a gang like this one: arrays may not use them. */
 export function reservedMachines(spec: JobSpec, machines: readonly MachineCapacity[]): Set<string> {
   const shardZone = reservingShardZone(spec, machines);
-  const fits = machines
+  const machineFits = machines
     .filter(
       (machine) =>
         !machine.spot &&
@@ -124,7 +126,7 @@
     );
   const reserved = new Set<string>();
   let count = 0;
-  for (const { name, afterArraysEnd } of fits) {
+  for (const { name, afterArraysEnd } of machineFits) {
     if (count >= spec.tasks) break;
     if (afterArraysEnd === 0) continue;
     reserved.add(name);
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -68,37 +68,32 @@
 export type ReclaimMode = 'preemptArrays' | 'preempt' | 'awaitCompletion';
 
 /** The mode by which the leader counts on capacity to be reclaimed for a job. */
-export const reclaimModeFor = (spec: JobSpec): ReclaimMode =>
+export const broadestReclaimMode = (spec: JobSpec): ReclaimMode =>
   isUrgent(spec) ? 'preempt' : 'awaitCompletion';
 
 /**
  * The modes for a job, the cheapest first: a preempted task of an array loses its own work, one of
  * a gang the work of the whole gang.
  */
-export const reclaimModesFor = (spec: JobSpec): readonly ReclaimMode[] =>
-  reclaimModeFor(spec) === 'preempt' ? ['preemptArrays', 'preempt'] : ['awaitCompletion'];
+export const reclaimModesByCost = (spec: JobSpec): readonly ReclaimMode[] =>
+  broadestReclaimMode(spec) === 'preempt' ? ['preemptArrays', 'preempt'] : ['awaitCompletion'];
 
 /** What reclaiming frees on a machine. */
 function reclaimableAmounts(
   machine: MachineCapacity,
   mode: ReclaimMode,
 ): { cpus: number; memoryGb: number } {
-  const {
-    preemptibleCpus,
-    preemptibleMemoryGb,
-    arrayCpus: endingCpus,
-    arrayMemoryGb: endingMemoryGb,
-  } = machine;
+  const { preemptibleCpus, preemptibleMemoryGb, arrayCpus, arrayMemoryGb } = machine;
   switch (mode) {
     case 'preempt':
       return { cpus: preemptibleCpus, memoryGb: preemptibleMemoryGb };
     case 'awaitCompletion':
-      return { cpus: endingCpus, memoryGb: endingMemoryGb };
+      return { cpus: arrayCpus, memoryGb: arrayMemoryGb };
     case 'preemptArrays':
       // Arrays may be urgent themselves: these are not preempted.
       return {
-        cpus: Math.min(preemptibleCpus, endingCpus),
-        memoryGb: Math.min(preemptibleMemoryGb, endingMemoryGb),
+        cpus: Math.min(preemptibleCpus, arrayCpus),
+        memoryGb: Math.min(preemptibleMemoryGb, arrayMemoryGb),
       };
   }
 }
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -21,9 +21,9 @@
 export function* healthyMachines(
   replica: StoreReplica,
 ): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
-  for (const [key, held] of replica.below<StatusRecord>(STATUSES)) {
+  for (const [key, versioned] of replica.below<StatusRecord>(STATUSES)) {
     const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
-    for (const [type, zone, spot, health] of Object.values(held.value.machines)) {
+    for (const [type, zone, spot, health] of Object.values(versioned.value.machines)) {
       if (health === 'ok') yield { shard, type, zone, spot: spot === 1 };
     }
   }
@@ -40,7 +40,7 @@
    * Machines by the record that lists them. A change of a key replaces its entry in the replica, so
    * a scheduling cycle decodes only what changed.
    */
-  private readonly decoded = new WeakMap<VersionedValue, readonly MachineIdentity[]>();
+  private readonly identitiesByRecord = new WeakMap<VersionedValue, readonly MachineIdentity[]>();
 
   constructor(
     private readonly members: readonly Member[],
@@ -56,13 +56,13 @@
       const type = types.get(identity.type);
       if (type) machines.set(identity.name, this.capacityOf(identity, type));
     };
-    for (const [key, held] of this.replica.below<MachineRecord>(MACHINES)) {
-      if (held.value.state !== 'rented') continue;
-      for (const identity of this.decode(held, () => this.rentedMachine(key, held.value)))
+    for (const [key, versioned] of this.replica.below<MachineRecord>(MACHINES)) {
+      if (versioned.value.state !== 'rented') continue;
+      for (const identity of this.decode(versioned, () => this.rentedMachine(key, versioned.value)))
         add(identity);
     }
-    for (const [key, held] of this.replica.below<StatusRecord>(STATUSES)) {
-      for (const identity of this.decode(held, () => reportedMachines(key, held.value))) {
+    for (const [key, versioned] of this.replica.below<StatusRecord>(STATUSES)) {
+      for (const identity of this.decode(versioned, () => reportedMachines(key, versioned.value))) {
         const state = this.replica.machine(identity.name)?.state;
         if (state !== 'drain' && state !== 'gone') add(identity);
       }
@@ -70,11 +70,14 @@
     return machines;
   }
 
-  private decode(held: VersionedValue, read: () => MachineIdentity[]): readonly MachineIdentity[] {
-    const decodedBefore = this.decoded.get(held);
-    if (decodedBefore) return decodedBefore;
+  private decode(
+    versioned: VersionedValue,
+    read: () => MachineIdentity[],
+  ): readonly MachineIdentity[] {
+    const cached = this.identitiesByRecord.get(versioned);
+    if (cached) return cached;
     const identities = read();
-    this.decoded.set(held, identities);
+    this.identitiesByRecord.set(versioned, identities);
     return identities;
   }
 
@@ -87,7 +90,7 @@
 
   /** Copies field by field: a spread would create objects that the engine handles slowly. */
   private capacityOf(identity: MachineIdentity, type: MachineType): MachineCapacity {
-    const placed = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
+    const usage = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
     return {
       name: identity.name,
       shard: identity.shard,
@@ -95,14 +98,14 @@
       zone: identity.zone,
       spot: identity.spot,
       health: identity.health,
-      cpus: type.cpus - placed.cpus,
-      gpus: type.gpus - placed.gpus,
-      memoryGb: type.memoryGb - placed.memoryGb,
-      tasks: placed.tasks,
-      preemptibleCpus: placed.preemptibleCpus,
-      preemptibleMemoryGb: placed.preemptibleMemoryGb,
-      arrayCpus: placed.arrayCpus,
-      arrayMemoryGb: placed.arrayMemoryGb,
+      cpus: type.cpus - usage.cpus,
+      gpus: type.gpus - usage.gpus,
+      memoryGb: type.memoryGb - usage.memoryGb,
+      tasks: usage.tasks,
+      preemptibleCpus: usage.preemptibleCpus,
+      preemptibleMemoryGb: usage.preemptibleMemoryGb,
+      arrayCpus: usage.arrayCpus,
+      arrayMemoryGb: usage.arrayMemoryGb,
     };
   }
 }
--- a/src/coordination/capacity/recent-gangs.ts
+++ b/src/coordination/capacity/recent-gangs.ts
@@ -1,6 +1,6 @@
 /** Gangs that were submitted recently: the next ones may be like them. */
 
-import { RECENT_GANGS_MS } from '../../constants/gangs.js';
+import { GANG_ARRIVAL_WINDOW_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { isUrgent } from './priorities.js';
@@ -24,8 +24,8 @@
     this.expire();
     const largestByClass = new Map<string, JobSpec>();
     for (const { spec } of this.recent) {
-      const known = largestByClass.get(spec.class);
-      if (!known || totalCpus(known) < totalCpus(spec)) largestByClass.set(spec.class, spec);
+      const largest = largestByClass.get(spec.class);
+      if (!largest || totalCpus(largest) < totalCpus(spec)) largestByClass.set(spec.class, spec);
     }
     return [...largestByClass.values()];
   }
@@ -42,7 +42,7 @@
 
   private expire(): void {
     const now = this.clock.now();
-    while (this.recent[0] && now - this.recent[0].submittedAt > RECENT_GANGS_MS)
+    while (this.recent[0] && now - this.recent[0].submittedAt > GANG_ARRIVAL_WINDOW_MS)
       this.recent.shift();
   }
 }
--- a/src/coordination/capacity/shard-zone.ts
+++ b/src/coordination/capacity/shard-zone.ts
@@ -10,14 +10,14 @@
 export const shardZoneKey = (shard: string, zone: string): string => `${shard}\n${zone}`;
 
 /** The entry of a shard zone, created when there is none yet. */
-export function entryOfShardZone<Entry extends ShardZone>(
+export function getOrCreateEntry<Entry extends ShardZone>(
   entries: Map<string, Entry>,
   { shard, zone }: ShardZone,
   create: (shardZone: ShardZone) => Entry,
 ): Entry {
   const key = shardZoneKey(shard, zone);
-  const known = entries.get(key);
-  if (known) return known;
+  const existing = entries.get(key);
+  if (existing) return existing;
   const entry = create({ shard, zone });
   entries.set(key, entry);
   return entry;
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -37,7 +37,7 @@
    */
   async run(
     assignments: readonly NewAssignment[],
-    urgentKeys: ReadonlySet<string>,
+    urgentAssignmentKeys: ReadonlySet<string>,
   ): Promise<Set<string>> {
     const { rejectedChangeBackoff, log, transactionOps, writer } = this.options;
     const urgentShards = new Set<string>();
@@ -47,7 +47,7 @@
       const group = assignments.slice(start, end);
       start = end;
       const jobs = new Set(group.map(jobOf));
-      const urgent = group.some((assignment) => urgentKeys.has(assignment.key));
+      const urgent = group.some((assignment) => urgentAssignmentKeys.has(assignment.key));
       // A shard may finish an assignment and remove its record within seconds. A delayed duplicate
       // of this transaction must not create it again: its tasks may be in another assignment by
       // then.
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -32,7 +32,7 @@
   }
 
   /** The leader needs a new term before the assignment numbers of this one are used up. */
-  get isRunningOut(): boolean {
+  get needsTermRenewal(): boolean {
     return this.numbers.isRunningOut;
   }
 
--- a/src/coordination/leader/assignment-history.ts
+++ b/src/coordination/leader/assignment-history.ts
@@ -33,9 +33,9 @@
   }
 
   /** Whether no task of a job was placed or assigned for a while. Records activity as it checks. */
-  isStarved(job: OpenJob, now: number): boolean {
-    const activeAt = this.lastActiveAt.get(job.id);
-    if (activeAt !== undefined && job.placed === 0) return now - activeAt > STARVATION_MS;
+  checkStarved(job: OpenJob, now: number): boolean {
+    const lastActiveAt = this.lastActiveAt.get(job.id);
+    if (lastActiveAt !== undefined && job.placed === 0) return now - lastActiveAt > STARVATION_MS;
     this.lastActiveAt.set(job.id, now);
     return false;
   }
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -1,5 +1,5 @@
 /** Plans a scheduling cycle: which tasks of which jobs go to which shards. */
-import { ASSIGN_INTERVAL_MS, DEADLINE_CAPACITY_SHARE } from '../../constants/leader.js';
+import { ASSIGN_INTERVAL_MS, DEADLINE_CAPACITY_FRACTION } from '../../constants/leader.js';
 import type { Team } from '../../protocol/settings.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { Log } from '../../storage/log.js';
@@ -96,8 +96,8 @@
   }
 
   /** The leader needs a new term before the numbers of this one are used up. */
-  get isRunningOut(): boolean {
-    return this.assignmentFactory.isRunningOut || this.gangHistory.isRunningOut;
+  get needsTermRenewal(): boolean {
+    return this.assignmentFactory.needsTermRenewal || this.gangHistory.needsTermRenewal;
   }
 
   /** Plans a scheduling cycle with the capacity and the quotas that are left. */
@@ -129,21 +129,21 @@
       queues: queuesByShardZone(machines, accounting.endingCpusPerS),
       unmetDemand: [],
       assignments: [],
-      urgentKeys: new Set(),
+      urgentAssignmentKeys: new Set(),
     };
   }
 
   /** Jobs in scheduling order, after capacity was allocated for tasks that wait in shards. */
   private jobsInSchedulingOrder(cycle: SchedulingCycle): OpenJob[] {
     const { clock, accounting, replica } = this.options;
-    const cpus = cpusForNonUrgentWork(cycle.machines) * DEADLINE_CAPACITY_SHARE;
+    const cpus = cpusForNonUrgentWork(cycle.machines) * DEADLINE_CAPACITY_FRACTION;
     allocateForWaitingTasks(cycle, accounting, replica);
     return schedulingOrder(replica.openJobs(), {
       progress: accounting.jobs,
       teams: this.teams,
       usage: this.teamQuota.usage,
       cpus,
-      wall: clock.wall(),
+      wallClockMs: clock.wall(),
     });
   }
 
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -4,7 +4,7 @@
   isEligible,
   allocateTasks,
   allocateReclaimable,
-  reclaimModeFor,
+  broadestReclaimMode,
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
@@ -52,7 +52,7 @@
   count: number,
   machines: readonly MachineCapacity[],
 ): void {
-  const mode = reclaimModeFor(spec);
+  const mode = broadestReclaimMode(spec);
   let remaining = count;
   for (const machine of machines) {
     if (remaining === 0) return;
@@ -81,7 +81,7 @@
 }
 
 /** Allocates the free capacity of a zone for a gang that waits for more of it. */
-export function allocateInZone(
+export function reserveFreeCapacityInZone(
   spec: JobSpec,
   zone: string,
   machines: readonly MachineCapacity[],
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -2,13 +2,13 @@
 import type { JobSpec } from '../../protocol/model.js';
 import {
   isEligible,
-  reclaimModesFor,
+  reclaimModesByCost,
   reclaimableCapacity,
   type MachineCapacity,
 } from '../capacity/machine-capacity.js';
 import { isUrgent } from '../capacity/priorities.js';
 import { countFittingTasks } from '../capacity/resources.js';
-import { entryOfShardZone, type ShardZone } from '../capacity/shard-zone.js';
+import { getOrCreateEntry, type ShardZone } from '../capacity/shard-zone.js';
 
 /** How many tasks of a job a shard zone has capacity for. */
 export interface ShardZoneCapacity extends ShardZone {
@@ -29,7 +29,7 @@
 
   add(machine: ShardZone, count: number): void {
     if (count <= 0) return;
-    const sum = entryOfShardZone(this.sums, machine, ({ shard, zone }) => ({
+    const sum = getOrCreateEntry(this.sums, machine, ({ shard, zone }) => ({
       shard,
       zone,
       count: 0,
@@ -69,7 +69,7 @@
   spec: JobSpec,
   machines: readonly MachineCapacity[],
 ): void {
-  for (const mode of reclaimModesFor(spec)) {
+  for (const mode of reclaimModesByCost(spec)) {
     if (!sums.isEmpty) break;
     for (const machine of machines) {
       if (machine.preemptibleCpus <= 0 || !isEligible(spec, machine)) continue;
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -9,12 +9,12 @@
 import type { Clock } from '../../transport/clock.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import type { Resources } from '../capacity/resources.js';
-import type { GangShare } from './gang-plan.js';
+import type { GangSubset } from './gang-plan.js';
 import { gangCapacityByShardZone, type GangCapacity } from './gang-shard-zones.js';
 
 /** Where a gang fits by reclaiming capacity, and how many CPUs of each team it may preempt. */
 export interface ReclaimPlan {
-  readonly share: GangShare;
+  readonly subset: GangSubset;
   readonly reclaim: Record<string, number>;
 }
 
@@ -82,7 +82,7 @@
     if (best === null) return null;
     const { shard, zone } = best;
     const reclaim = this.deductExcess(excesses, missingCpus(spec, best));
-    return { share: { shard, zone, count: spec.tasks }, reclaim };
+    return { subset: { shard, zone, count: spec.tasks }, reclaim };
   }
 
   private excessesOfOtherTeams(ownTeam: string): TeamExcess[] {
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -4,15 +4,15 @@
 import { readCatalog } from '../../storage/catalog.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { reclaimModeFor, type MachineCapacity } from '../capacity/machine-capacity.js';
+import { broadestReclaimMode, type MachineCapacity } from '../capacity/machine-capacity.js';
 import { resourcesOf } from '../capacity/resources.js';
 import type { GangHistory } from './gang-history.js';
-import { planGang, type GangPlan, type ImageHints, type GangShare } from './gang-plan.js';
+import { planGang, type GangPlan, type ImageHints } from './gang-plan.js';
 import type { ReclaimPlan, FairShareReclaim } from './fair-share-reclaim.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import type { AssignmentFactory } from './assignment-factory.js';
-import { allocateInShardZone, allocateInZone } from './capacity-allocation.js';
+import { allocateInShardZone, reserveFreeCapacityInZone } from './capacity-allocation.js';
 import type { TeamQuota } from './team-quota.js';
 
 /** Dependencies of the assignment of gangs. */
@@ -28,7 +28,7 @@
 }
 
 /** A plan that has capacity for the whole gang, at once or after reclaiming some. */
-type PlannedShares = Extract<GangPlan, { shares: GangShare[] }>;
+type PlannedSubsets = Extract<GangPlan, { availability: unknown }>;
 
 /** Where a gang goes, and what it reclaims from other teams for that; null: nothing. */
 interface GangDecision {
@@ -57,14 +57,14 @@
     const exceedsQuota = teamQuota.wouldExceed(spec.team, resourcesOf(spec, spec.tasks));
     const decision = exceedsQuota ? null : this.decide(job, cycle.machines);
     // While it waits, quota is reserved for it too, but not for ever: small jobs go on.
-    if (decision?.plan.shares || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
+    if (decision?.plan.subsets || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
     if (!decision) {
       teamQuota.recordWaiting(job);
       return;
     }
     const { plan, reclaimPlan } = decision;
-    if (plan.shares) {
-      this.assignShares(job, plan, reclaimPlan, cycle);
+    if (plan.subsets) {
+      this.assignSubsets(job, plan, reclaimPlan, cycle);
       return;
     }
     const demand = { ...spec, zone: plan.zone };
@@ -73,39 +73,40 @@
       count: plan.missingTasks,
       acceptedAt: job.acceptedAt,
     });
-    if (reservesCapacity && plan.zone !== null) allocateInZone(spec, plan.zone, cycle.machines);
+    if (reservesCapacity && plan.zone !== null)
+      reserveFreeCapacityInZone(spec, plan.zone, cycle.machines);
   }
 
   private decide(job: OpenJob, machines: readonly MachineCapacity[]): GangDecision {
     const plan = planGang(job.spec, machines, this.imageHints(job.spec));
-    const reclaimPlan = job.isWithinGuarantee ? this.planReclaim(job.spec, plan, machines) : null;
+    const reclaimPlan = job.isWithinFairShare ? this.planReclaim(job.spec, plan, machines) : null;
     return reclaimPlan
-      ? { plan: { shares: [reclaimPlan.share], availability: 'immediate' }, reclaimPlan }
+      ? { plan: { subsets: [reclaimPlan.subset], availability: 'immediate' }, reclaimPlan }
       : { plan, reclaimPlan };
   }
 
-  private assignShares(
+  private assignSubsets(
     job: OpenJob,
-    { shares, availability }: PlannedShares,
+    { subsets, availability }: PlannedSubsets,
     reclaimPlan: ReclaimPlan | null,
     cycle: SchedulingCycle,
   ): void {
     const { assignmentFactory, gangHistory, log } = this.options;
     const { id, spec } = job;
     const attempt = gangHistory.nextAttempt(id, cycle.startedAt);
-    const [largest] = shares;
+    const [largest] = subsets;
     if (largest) gangHistory.recordPlacement(spec.image, largest);
     const reclaim = reclaimPlan && { reclaim: reclaimPlan.reclaim };
     let firstId = 0;
-    for (const share of shares) {
-      const ids = consecutiveIds(firstId, share.count);
-      firstId += share.count;
-      const assignments = assignmentFactory.create(spec, share, ids, { attempt, ...reclaim });
+    for (const subset of subsets) {
+      const ids = consecutiveIds(firstId, subset.count);
+      firstId += subset.count;
+      const assignments = assignmentFactory.create(spec, subset, ids, { attempt, ...reclaim });
       cycle.assignments.push(...assignments);
-      for (const { key } of assignments) cycle.urgentKeys.add(key);
-      allocateInShardZone(spec, share, share.count, cycle.machines);
+      for (const { key } of assignments) cycle.urgentAssignmentKeys.add(key);
+      allocateInShardZone(spec, subset, subset.count, cycle.machines);
     }
-    log.info({ job: id, attempt, shares, availability, ...reclaim }, 'gang assigned');
+    log.info({ job: id, attempt, shares: subsets, availability, ...reclaim }, 'gang assigned');
   }
 
   /**
@@ -117,8 +118,8 @@
     machines: readonly MachineCapacity[],
   ): ReclaimPlan | null {
     // Urgent gangs preempt non-urgent work anyway.
-    const mayPreempt = reclaimModeFor(spec) === 'preempt';
-    if (plan.shares && (plan.availability === 'immediate' || mayPreempt)) return null;
+    const mayPreempt = broadestReclaimMode(spec) === 'preempt';
+    if (plan.subsets && (plan.availability === 'immediate' || mayPreempt)) return null;
     return this.options.fairShareReclaim.find(spec, machines);
   }
 
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -2,13 +2,13 @@
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import {
-  GANG_IMAGE_HISTORY_SIZE,
+  GANG_IMAGE_HISTORY_MAX_IMAGES,
   GANG_RESERVATION_MS,
   GANG_RESERVATION_DELAY_MS,
   GANG_RETRY_MAX_MS,
   GANG_RETRY_MIN_MS,
 } from '../../constants/gangs.js';
-import type { GangShare } from './gang-plan.js';
+import type { GangSubset } from './gang-plan.js';
 import { shardZoneKey } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
@@ -33,7 +33,7 @@
   }
 
   /** The leader needs a new term before the attempt numbers of this one are used up. */
-  get isRunningOut(): boolean {
+  get needsTermRenewal(): boolean {
     return this.attempts.isRunningOut;
   }
 
@@ -53,11 +53,11 @@
   }
 
   /** Remembers where a gang with this image went, and drops the least recently used image. */
-  recordPlacement(image: string, share: GangShare): void {
+  recordPlacement(image: string, subset: GangSubset): void {
     this.shardZoneByImage.delete(image);
-    this.shardZoneByImage.set(image, shardZoneKey(share.shard, share.zone));
+    this.shardZoneByImage.set(image, shardZoneKey(subset.shard, subset.zone));
     const oldest = this.shardZoneByImage.keys().next();
-    if (this.shardZoneByImage.size > GANG_IMAGE_HISTORY_SIZE && !oldest.done) {
+    if (this.shardZoneByImage.size > GANG_IMAGE_HISTORY_MAX_IMAGES && !oldest.done) {
       this.shardZoneByImage.delete(oldest.value);
     }
   }
@@ -73,10 +73,12 @@
    * not, so that a gang that cannot start soon does not block other work for ever.
    */
   reservesCapacity(job: string, now: number): boolean {
-    const waitingSinceMs = this.waitingSince.get(job) ?? now;
-    this.waitingSince.set(job, waitingSinceMs);
-    const waited = now - waitingSinceMs - GANG_RESERVATION_DELAY_MS;
-    return waited >= 0 && waited % (2 * GANG_RESERVATION_MS) < GANG_RESERVATION_MS;
+    const waitingSince = this.waitingSince.get(job) ?? now;
+    this.waitingSince.set(job, waitingSince);
+    const waitedPastDelayMs = now - waitingSince - GANG_RESERVATION_DELAY_MS;
+    return (
+      waitedPastDelayMs >= 0 && waitedPastDelayMs % (2 * GANG_RESERVATION_MS) < GANG_RESERVATION_MS
+    );
   }
 
   /** Forgets gangs whose jobs are no longer open. */
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import {
   reclaimableCapacity,
-  reclaimModesFor,
+  reclaimModesByCost,
   type MachineCapacity,
   type ReclaimMode,
 } from '../capacity/machine-capacity.js';
@@ -15,7 +15,7 @@
 } from './gang-shard-zones.js';
 
 /** The tasks of a gang that one shard zone gets. */
-export interface GangShare extends ShardZone {
+export interface GangSubset extends ShardZone {
   readonly count: number;
 }
 
@@ -25,8 +25,8 @@
  * there.
  */
 export type GangPlan =
-  | { shares: GangShare[]; availability: Availability }
-  | { shares: null; zone: string | null; missingTasks: number };
+  | { subsets: GangSubset[]; availability: Availability }
+  | { subsets: null; zone: string | null; missingTasks: number };
 
 /** Where fetching the image of a gang takes little or no time. */
 export interface ImageHints {
@@ -49,10 +49,10 @@
   machines: readonly MachineCapacity[],
   hints: ImageHints = NO_HINTS,
 ): GangPlan {
-  const modes = reclaimModesFor(spec);
+  const modes = reclaimModesByCost(spec);
   for (const mode of modes.slice(0, -1)) {
     const plan = planPreferringFastFetch(spec, machines, hints, mode);
-    if (plan.shares) return plan;
+    if (plan.subsets) return plan;
   }
   return planPreferringFastFetch(spec, machines, hints, modes.at(-1) ?? 'awaitCompletion');
 }
@@ -69,9 +69,9 @@
 ): GangPlan {
   const fastFetching = machines.filter(({ type }) => hints.isFetchInTime(type));
   const plan = planOnMachines(spec, machines, hints.lastShardZone, mode);
-  if (fastFetching.length === machines.length || !plan.shares) return plan;
+  if (fastFetching.length === machines.length || !plan.subsets) return plan;
   const fastPlan = planOnMachines(spec, fastFetching, hints.lastShardZone, mode);
-  if (!fastPlan.shares) return plan;
+  if (!fastPlan.subsets) return plan;
   // Preemption takes less time than a slow fetch; waiting for tasks to end takes more.
   const isSoonEnough = fastPlan.availability === 'immediate' || mode !== 'awaitCompletion';
   return isSoonEnough || plan.availability === 'afterReclaim' ? fastPlan : plan;
@@ -95,14 +95,14 @@
   const groups = spec.oneZone ? [...zones.values()] : [allShardZones];
   const preferred = lastShardZone === null ? undefined : shardZones.get(lastShardZone);
   for (const availability of ['immediate', 'afterReclaim'] as const) {
-    const shares =
-      singleShardShare(spec, allShardZones, preferred, availability) ??
+    const subsets =
+      singleShardSubset(spec, allShardZones, preferred, availability) ??
       distributeOverGroups(spec, groups, availability);
-    if (shares) return { shares, availability };
+    if (subsets) return { subsets, availability };
   }
   return spec.oneZone
     ? shortfallInBestZone(spec, zones)
-    : { shares: null, zone: spec.zone, missingTasks: countMissingTasks(spec, allShardZones) };
+    : { subsets: null, zone: spec.zone, missingTasks: countMissingTasks(spec, allShardZones) };
 }
 
 function groupByZone(shardZones: readonly GangCapacity[]): Map<string, GangCapacity[]> {
@@ -120,12 +120,12 @@
 }
 
 /** All tasks of a gang in one shard zone; null: its spread forbids it, or none has the capacity. */
-function singleShardShare(
+function singleShardSubset(
   spec: JobSpec,
   shardZones: readonly GangCapacity[],
   preferred: GangCapacity | undefined,
   availability: Availability,
-): GangShare[] | null {
+): GangSubset[] | null {
   if (spec.spread && spec.tasks !== 1) return null;
   const largest = shardZones.reduce<GangCapacity | null>(
     (found, shardZone) =>
@@ -143,13 +143,13 @@
   spec: JobSpec,
   groups: readonly GangCapacity[][],
   availability: Availability,
-): GangShare[] | null {
+): GangSubset[] | null {
   const byCapacity = [...groups].sort(
     (a, b) => totalCapacity(b, availability) - totalCapacity(a, availability),
   );
   for (const group of byCapacity) {
-    const shares = fillShardZones(spec, group, availability);
-    if (shares) return shares;
+    const subsets = fillShardZones(spec, group, availability);
+    if (subsets) return subsets;
   }
   return null;
 }
@@ -161,19 +161,19 @@
   spec: JobSpec,
   shardZones: readonly GangCapacity[],
   availability: Availability,
-): GangShare[] | null {
+): GangSubset[] | null {
   const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
   const countByZone = new Map<string, number>();
-  const shares: GangShare[] = [];
+  const subsets: GangSubset[] = [];
   let remaining = spec.tasks;
   for (const shardZone of [...shardZones].sort((a, b) => b[availability] - a[availability])) {
     const assignedInZone = countByZone.get(shardZone.zone) ?? 0;
     const count = Math.min(remaining, shardZone[availability], maxPerZone - assignedInZone);
     if (count <= 0) continue;
     countByZone.set(shardZone.zone, assignedInZone + count);
-    shares.push({ shard: shardZone.shard, zone: shardZone.zone, count });
+    subsets.push({ shard: shardZone.shard, zone: shardZone.zone, count });
     remaining -= count;
-    if (remaining === 0) return shares;
+    if (remaining === 0) return subsets;
   }
   return null;
 }
@@ -187,7 +187,7 @@
     ([, a], [, b]) => totalCapacity(b, 'afterReclaim') - totalCapacity(a, 'afterReclaim'),
   );
   const [zone, shardZones] = byCapacity[0] ?? [spec.zone, []];
-  return { shares: null, zone, missingTasks: countMissingTasks(spec, shardZones) };
+  return { subsets: null, zone, missingTasks: countMissingTasks(spec, shardZones) };
 }
 
 /** How many tasks of a gang have no free capacity in these shard zones; at least one. */
--- a/src/coordination/leader/gang-shard-zones.ts
+++ b/src/coordination/leader/gang-shard-zones.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import { isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
 import { countFittingTasks, type Resources } from '../capacity/resources.js';
-import { entryOfShardZone, type ShardZone } from '../capacity/shard-zone.js';
+import { getOrCreateEntry, type ShardZone } from '../capacity/shard-zone.js';
 
 /**
  * When there is capacity for all of a gang. `immediate`: it is free. `afterReclaim`: it will be,
@@ -30,7 +30,7 @@
   const capacities = new Map<string, GangCapacity>();
   for (const machine of machines) {
     if (!isEligible(spec, machine)) continue;
-    const capacity = entryOfShardZone(capacities, machine, ({ shard, zone }) => {
+    const capacity = getOrCreateEntry(capacities, machine, ({ shard, zone }) => {
       return { shard, zone, immediate: 0, afterReclaim: 0 };
     });
     capacity.immediate += countFittingTasks(machine, spec);
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -76,10 +76,10 @@
     const completed: CompletedJob[] = [];
     for (const id of accounting.completionCandidates) {
       if (rejectedChangeBackoff.has(id)) continue;
-      const held = replica.get<JobRecord>(jobKey(id));
+      const versioned = replica.get<JobRecord>(jobKey(id));
       const done = accounting.jobs.get(id)?.done ?? 0;
-      if (held && done >= doneTasksToComplete(held.value.spec)) {
-        completed.push({ id, revision: held.revision, tasks: held.value.spec.tasks });
+      if (versioned && done >= doneTasksToComplete(versioned.value.spec)) {
+        completed.push({ id, revision: versioned.revision, tasks: versioned.value.spec.tasks });
       } else {
         accounting.completionCandidates.delete(id);
       }
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -36,7 +36,7 @@
   private readonly planner: AssignmentPlanner;
   private readonly jobCompletion: JobCompletion;
   private readonly assignmentCommit: AssignmentCommit;
-  private readonly reconciling = new SingleFlight();
+  private readonly singleFlight = new SingleFlight();
   /** Duration of the last planning in ms, without any wait for the key-value store. */
   lastCycleCpuMs = 0;
   /** The fleet after the last scheduling cycle, and its unmet demand. */
@@ -57,7 +57,7 @@
     const accounting = new CapacityAccounting(replica, clock);
     const arrivals = new RecentArrivals(replica, clock);
     const rejectedChangeBackoff = new RejectedChangeBackoff(clock);
-    const services = {
+    const dependencies = {
       ...options,
       accounting,
       arrivals,
@@ -69,25 +69,25 @@
     this.accounting = accounting;
     this.arrivals = arrivals;
     this.rejectedChangeBackoff = rejectedChangeBackoff;
-    this.planner = new AssignmentPlanner(services);
-    this.jobCompletion = new JobCompletion(services);
-    this.assignmentCommit = new AssignmentCommit(services);
+    this.planner = new AssignmentPlanner(dependencies);
+    this.jobCompletion = new JobCompletion(dependencies);
+    this.assignmentCommit = new AssignmentCommit(dependencies);
   }
 
   /** Half of the numbers of this term are used: the leader should continue under a new one. */
   get needsTermRenewal(): boolean {
-    return this.planner.isRunningOut;
+    return this.planner.needsTermRenewal;
   }
 
   /** Handles a change of a key in the replica. */
   changed(key: string): void {
     this.accounting.changed(key);
-    if (key.startsWith(JOBS)) this.arrivals.changed(key.slice(JOBS.length));
+    if (key.startsWith(JOBS)) this.arrivals.onJobChanged(key.slice(JOBS.length));
   }
 
   /** Runs a scheduling cycle; returns the shards for which urgent work was written. */
   async reconcile(): Promise<Set<string>> {
-    return (await this.reconciling.run(() => this.runCycle())) ?? new Set();
+    return (await this.singleFlight.run(() => this.runCycle())) ?? new Set();
   }
 
   private async runCycle(): Promise<Set<string>> {
@@ -98,7 +98,7 @@
     const cycle = this.planner.plan();
     this.snapshot = this.snapshotOf(cycle);
     this.lastCycleCpuMs = this.clock.now() - cycle.startedAt;
-    return await this.assignmentCommit.run(cycle.assignments, cycle.urgentKeys);
+    return await this.assignmentCommit.run(cycle.assignments, cycle.urgentAssignmentKeys);
   }
 
   private snapshotOf({ fleet, unmetDemand }: SchedulingCycle): FleetSnapshot {
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,5 +1,5 @@
 /** Work that arrived recently: a forecast of what the fleet should expect. */
-import { RECENT_ARRIVALS_MS } from '../../constants/leader.js';
+import { ARRIVAL_WINDOW_MS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
@@ -7,7 +7,7 @@
 import { isUrgent } from '../capacity/priorities.js';
 
 /** ms; no forecast is made from a shorter observation. */
-const MIN_OBSERVED_MS = RECENT_ARRIVALS_MS / 3;
+const MIN_OBSERVED_MS = ARRIVAL_WINDOW_MS / 3;
 
 /** An array that arrived. */
 interface ArrayArrival {
@@ -40,7 +40,7 @@
   }
 
   /** Handles a job record that was created, changed or removed. */
-  changed(job: string): void {
+  onJobChanged(job: string): void {
     const spec = this.replica.job(job)?.spec;
     if (!spec) {
       this.knownJobs.delete(job);
@@ -55,9 +55,9 @@
   /** CPUs that non-urgent arrays occupy on average if they go on arriving at this rate. */
   get expectedCpus(): number {
     const now = this.clock.now();
-    while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > RECENT_ARRIVALS_MS)
+    while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > ARRIVAL_WINDOW_MS)
       this.recentArrays.shift();
-    const observedMs = Math.min(RECENT_ARRIVALS_MS, now - this.startedAt);
+    const observedMs = Math.min(ARRIVAL_WINDOW_MS, now - this.startedAt);
     if (observedMs < MIN_OBSERVED_MS) return 0;
     return this.recentArrays.reduce((sum, { workCpuS }) => sum + workCpuS, 0) / (observedMs / 1000);
   }
--- a/src/coordination/leader/scheduling-cycle.ts
+++ b/src/coordination/leader/scheduling-cycle.ts
@@ -1,6 +1,6 @@
 /** State that the steps of one scheduling cycle share. */
 import type { MachineCapacity, UnmetDemand } from '../capacity/machine-capacity.js';
-import type { Queue } from './shard-queues.js';
+import type { ShardZoneQueue } from './shard-queues.js';
 import type { NewAssignment } from './assignment-factory.js';
 
 /** One scheduling cycle: its input, and the assignments and unmet demand that it results in. */
@@ -16,11 +16,11 @@
   /** Names of the machines reserved for the next gang. */
   readonly reservedMachineNames: ReadonlySet<string>;
   /** Queues by the key of their shard zone. */
-  readonly queues: ReadonlyMap<string, Queue>;
+  readonly queues: ReadonlyMap<string, ShardZoneQueue>;
   /** Tasks for which there is no capacity. */
   readonly unmetDemand: UnmetDemand[];
   /** New assignments, in the scheduling order of their jobs. */
   readonly assignments: NewAssignment[];
   /** Keys of the assignments of urgent work. */
-  readonly urgentKeys: Set<string>;
+  readonly urgentAssignmentKeys: Set<string>;
 }
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -1,6 +1,6 @@
 /** Assigns tasks of arrays and services to shards, within the quotas of their teams. */
 import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
-import { OVERDUE_TASK_SHARE, STARVED_TASK_SHARE } from '../../constants/leader.js';
+import { OVERDUE_TASK_FRACTION, STARVED_TASK_FRACTION } from '../../constants/leader.js';
 import type { Clock } from '../../transport/clock.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { isUrgent } from '../capacity/priorities.js';
@@ -50,7 +50,7 @@
       queues: cycle.queues,
     });
     cycle.assignments.push(...assignments);
-    if (isUrgent(job.spec)) for (const { key } of assignments) cycle.urgentKeys.add(key);
+    if (isUrgent(job.spec)) for (const { key } of assignments) cycle.urgentAssignmentKeys.add(key);
     teamQuota.recordUse(job.spec, assigned);
     const unassigned = allowed - assigned;
     if (assigned > 0) history.recordAssignment(job.id, cycle.startedAt, unassigned);
@@ -63,7 +63,9 @@
     const { spec } = job;
     const remaining = { ...teamQuota.remaining(spec.team), memoryGb: 0 };
     const task = { ...resourcesOf(spec, 1), memoryGb: 0 };
-    const wanted = job.isStartOverdue ? Math.ceil(spec.tasks * OVERDUE_TASK_SHARE) : job.unassigned;
+    const wanted = job.isStartOverdue
+      ? Math.ceil(spec.tasks * OVERDUE_TASK_FRACTION)
+      : job.unassigned;
     if (isUrgent(spec)) return Math.min(wanted, countFittingTasks(remaining, task));
     // Non-urgent work leaves a reserve of the quota to its team's urgent work, which can reclaim
     // none.
@@ -72,8 +74,8 @@
     // Where services fill the rest of the quota, non-urgent work would starve beside idle machines:
     // after a while some of it may use the reserve, though only if it is the reserve that blocks
     // it.
-    if (!history.isStarved(job, now) || fitting > 0) return Math.min(wanted, fitting);
-    const starvedLimit = Math.ceil(spec.tasks * STARVED_TASK_SHARE);
+    if (!history.checkStarved(job, now) || fitting > 0) return Math.min(wanted, fitting);
+    const starvedLimit = Math.ceil(spec.tasks * STARVED_TASK_FRACTION);
     return Math.min(wanted, starvedLimit, countFittingTasks(remaining, task));
   }
 
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -2,7 +2,7 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { isUrgent } from '../capacity/priorities.js';
-import { queueCapacity, shortQueues, type Queue } from './shard-queues.js';
+import { queueCapacity, shortQueues, type ShardZoneQueue } from './shard-queues.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { ShardZone } from '../capacity/shard-zone.js';
 import type { AssignmentFactory, NewAssignment } from './assignment-factory.js';
@@ -14,7 +14,7 @@
 export interface DistributionTarget {
   readonly machines: readonly MachineCapacity[];
   /** Queues by the key of their shard zone. */
-  readonly queues: ReadonlyMap<string, Queue>;
+  readonly queues: ReadonlyMap<string, ShardZoneQueue>;
 }
 
 /** The result of distributing tasks of a job. */
@@ -38,7 +38,7 @@
 }
 
 /** Queues that a job may join: only a non-urgent array may wait for other tasks' end. */
-function queuesFor(job: OpenJob, queues: ReadonlyMap<string, Queue>): Queue[] {
+function queuesFor(job: OpenJob, queues: ReadonlyMap<string, ShardZoneQueue>): ShardZoneQueue[] {
   const { spec } = job;
   return spec.kind === 'array' && !isUrgent(spec) ? shortQueues(job, queues) : [];
 }
@@ -51,15 +51,15 @@
     /** Tasks that may still be assigned. */
     public remaining: number,
     private readonly ids: number[],
-    private readonly zones: ZoneLimits,
+    private readonly zoneLimits: ZoneLimits,
     private readonly createAssignments: (shardZone: ShardZone, ids: number[]) => NewAssignment[],
   ) {}
 
   /** Assigns up to `limit` tasks to a shard zone, as far as its zone allows; returns how many. */
   assign(shardZone: ShardZone, limit: number): number {
-    const count = Math.min(this.remaining, limit, this.zones.remaining(shardZone.zone));
+    const count = Math.min(this.remaining, limit, this.zoneLimits.remaining(shardZone.zone));
     if (count <= 0) return 0;
-    this.zones.use(shardZone.zone, count);
+    this.zoneLimits.use(shardZone.zone, count);
     this.remaining -= count;
     this.assignments.push(...this.createAssignments(shardZone, this.ids.splice(0, count)));
     return count;
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -1,5 +1,5 @@
 /** Usage of team quotas during a scheduling cycle. */
-import { URGENT_RESERVE_QUOTA_SHARE, URGENT_RESERVE_JOBS } from '../../constants/leader.js';
+import { URGENT_RESERVE_QUOTA_FRACTION, URGENT_RESERVE_JOBS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Log } from '../../storage/log.js';
@@ -101,7 +101,7 @@
       const tasks = spec.kind === 'array' ? 1 : spec.tasks;
       const cpus = spec.cpus * tasks * URGENT_RESERVE_JOBS;
       const maxReserve =
-        (this.options.teams.get(spec.team)?.cpusMax ?? 0) * URGENT_RESERVE_QUOTA_SHARE;
+        (this.options.teams.get(spec.team)?.cpusMax ?? 0) * URGENT_RESERVE_QUOTA_FRACTION;
       const reserve = Math.min(cpus, maxReserve);
       reserves.set(spec.team, Math.max(reserves.get(spec.team) ?? 0, reserve));
     }
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -13,7 +13,7 @@
 import { allocateInShardZone } from './capacity-allocation.js';
 
 /** A shard zone's list of machines is filtered once this share of them has become full. */
-const FULL_SHARE = 1 / 4;
+const FULL_MACHINES_FRACTION = 1 / 4;
 
 /** Machines with free CPUs, by the key of their shard zone. */
 type FreeMachines = Map<string, readonly MachineCapacity[]>;
@@ -27,8 +27,8 @@
   for (const machine of machines) {
     if (machine.cpus <= 0) continue;
     const key = shardZoneKey(machine.shard, machine.zone);
-    const known = machinesByShardZone.get(key);
-    if (known) known.push(machine);
+    const existing = machinesByShardZone.get(key);
+    if (existing) existing.push(machine);
     else machinesByShardZone.set(key, [machine]);
   }
   return machinesByShardZone;
@@ -57,7 +57,7 @@
     remaining -= count;
     if (machine.cpus <= 0) fullMachines++;
   }
-  if (fullMachines > machines.length * FULL_SHARE) {
+  if (fullMachines > machines.length * FULL_MACHINES_FRACTION) {
     free.set(
       key,
       machines.filter((machine) => machine.cpus > 0),
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -82,7 +82,7 @@
     const plan = fairShareReclaim.find(spec, [machine(free, zone)]);
     assert.deepEqual(plan?.reclaim ?? null, want, name);
     if (want === null) continue;
-    assert.deepEqual(plan?.share, { shard: 'p', zone: 'a', count: 2 }, name);
+    assert.deepEqual(plan?.subset, { shard: 'p', zone: 'a', count: 2 }, name);
     // What was reclaimed is not reclaimed again before it is recounted.
     assert.equal(fairShareReclaim.find(spec, [machine(free, zone)]), null, `${name}, again`);
   }
--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -79,8 +79,8 @@
   ];
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines);
-    const got = plan.shares
-      ? `${plan.availability} ${plan.shares.map((one) => `${one.shard}:${one.count}`).join(' ')}`
+    const got = plan.subsets
+      ? `${plan.availability} ${plan.subsets.map((one) => `${one.shard}:${one.count}`).join(' ')}`
       : `missing ${plan.missingTasks}`;
     assert.equal(got, want, name);
   }
@@ -143,8 +143,8 @@
   const hints = { lastShardZone: null, isFetchInTime: (type: string) => type !== 'slow' };
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines, hints);
-    const got = plan.shares
-      ? `${plan.availability} ${plan.shares.map(({ shard }) => shard).join()}`
+    const got = plan.subsets
+      ? `${plan.availability} ${plan.subsets.map(({ shard }) => shard).join()}`
       : 'none';
     assert.equal(got, want, name);
   }
--- a/test/leader/team-quota-reserve.test.ts
+++ b/test/leader/team-quota-reserve.test.ts
@@ -17,7 +17,7 @@
   unassigned: TASKS,
   done: 0,
   placed: 0,
-  isWithinGuarantee: false,
+  isWithinFairShare: false,
   deadlineTier: 0,
   isStartOverdue: false,
 };
@@ -26,7 +26,7 @@
 function allowedTasks(remaining: number, starvedMs: number): number {
   let allowed = 0;
   const history = new AssignmentHistory();
-  history.isStarved(OPEN, 0);
+  history.checkStarved(OPEN, 0);
   const assignment = new ShardAssignment({
     teamQuota: {
       remaining: () => ({ cpus: remaining, gpus: 0 }),
