--- a/src/constants/capacity.ts
+++ b/src/constants/capacity.ts
@@ -1,7 +1,8 @@
 /** Constants, each with unit and reason. Capacity accounting. */
 
 /**
- * ms; the leader's sums are recalculated at this interval: decimals that are added and subtracted
- * drift by 1e-13 a change, far below what a task takes.
+ * ms; interval at which the leader recalculates its sums of resources. Adding and subtracting
+ * decimal fractions causes a rounding error of about 1e-13 per change; over this interval the
+ * errors stay far below the resources of one task.
  */
 export const ACCOUNTING_REBUILD_MS = 10_000;
--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -1,92 +1,109 @@
 /** Constants, each with unit and reason. Gang scheduling. */
 
 /**
- * ms; shortest and longest pause before a returned gang is assigned again: the pause doubles. Its
- * first retry follows as soon as its old attempt is proven to have ended.
+ * ms; shortest and longest pause after an assignment of a gang, before it may be assigned again.
+ * The pause doubles with each assignment, starting at twice the shortest. The shortest is small so
+ * that the first retry follows as soon as the old attempt is proven to have ended.
  */
 export const GANG_RETRY_MIN_MS = 250;
 export const GANG_RETRY_MAX_MS = 20_000;
 
-/** Number of images for which the leader remembers where a gang used them last. */
+/** Number of images for which the leader stores the shard zone where a gang used them last. */
 export const GANG_IMAGE_HISTORY_MAX_IMAGES = 500;
 
 /**
- * ms; the fleet keeps capacity for the largest gangs that arrived within this time: they cannot
- * start in the scattered capacity of small jobs, and a boot takes longer than they may wait.
+ * ms; the fleet keeps capacity for the largest gangs that arrived within this time. A gang cannot
+ * start in the scattered free capacity that small jobs leave, and booting a machine takes longer
+ * than a gang may wait.
  */
 export const GANG_ARRIVAL_WINDOW_MS = 150_000;
 
 /**
- * Share of the capacity of arrays that counts for a gang: it is not free at once, nor all of it.
+ * Fraction of the reclaimable capacity that counts as available to an expected gang: the capacity
+ * is not free at once, and not all of it becomes free in time.
  */
 export const GANG_RECLAIMABLE_FRACTION = 0.5;
 
-/** ms; a gang waits this long before capacity is reserved for it: most find theirs at once. */
+/**
+ * ms; a gang waits this long before capacity is reserved for it, because most gangs find capacity
+ * at once.
+ */
 export const GANG_RESERVATION_DELAY_MS = 2_000;
 
-/** ms; capacity is reserved for this long, two boots, and then for as long not. */
+/**
+ * ms; duration of a reservation of capacity for a waiting gang, equal to two boot times. It is
+ * followed by an equally long period without a reservation.
+ */
 export const GANG_RESERVATION_MS = 60_000;
 
 /**
- * ms; an array without any running task for this long after its arrival may use capacity reserved
- * for gangs: no job waits long beside idle machines.
+ * ms; an array that has no running task this long after its acceptance may use capacity reserved
+ * for gangs, so that no job waits long while machines are idle.
  */
 export const ARRAY_USES_RESERVED_AFTER_MS = 40_000;
 
 /**
- * ms; interval at which a shard checks whether it is the one that reserves capacity for the next
+ * ms; interval at which a shard checks whether it is the shard that reserves capacity for the next
  * gang.
  */
 export const RESERVING_SHARD_CHECK_MS = 3_000;
 
 /**
- * A shard reserves this many times the size of a gang of capacity that is to become free: of twice
- * as many tasks half end in half the time that all of them take.
+ * A shard reserves machines for this many times the tasks of a gang that waits for running arrays
+ * to end. Of twice as many running tasks, half have ended in about half the time that all of them
+ * take.
  */
 export const GANG_RESERVATION_FACTOR = 2;
 
 /**
- * ms; a shard reserves capacity for a gang that does not fit yet for this long before it gives its
- * share back: what runs there ends within the run time of a short task or two.
+ * ms; a shard reserves capacity for a gang subset that does not fit yet for this long before it
+ * returns the subset to the leader. It is the run time of one or two short tasks, so that short
+ * tasks that occupy the capacity end within it.
  */
 export const GANG_RESERVATION_TIMEOUT_MS = 20_000;
 
 /**
- * ms; a shard that has placed its share gives it back when the other shards of the gang have not
- * placed theirs after this time: they have had their time to find capacity.
+ * ms; a shard that has placed its gang subset returns it to the leader if the other shards have not
+ * placed theirs after this time. It is longer than `GANG_RESERVATION_TIMEOUT_MS`, within which they
+ * either find capacity or return their subsets.
  */
 export const GANG_PLACED_TIMEOUT_MS = 25_000;
 
 /**
- * s; defaults of the settings `gang_wait_s` and `gang_peer_s`: the usual values of workers, on the
- * safe side.
+ * s; default values of the settings `gang_wait_s` and `gang_peer_s`: how long a worker's tasks wait
+ * for the rest of their gang, and for a lost task of it. Workers usually wait this long or longer.
+ * A value that is too low is safe; with one that is too high, tasks would end by themselves before
+ * the shard expects it.
  */
 export const GANG_WAIT_S = 30;
 export const GANG_PEER_S = 4;
 
-/** A fetch may take this many times its nominal duration. */
+/** Longest assumed duration of an image fetch, as a multiple of its nominal duration. */
 export const FETCH_TIME_MAX_RATIO = 4 / 3;
 
 /**
- * ms; maximum delay until a stop reaches the shares of other shards: a record is written and seen
- * by their watches, and their direct calls go out.
+ * ms; maximum time from a shard's decision to stop a gang until the stop reaches the gang's tasks
+ * in other shards. Within it a record is written, the other shards' watches return it, and these
+ * shards send their direct calls.
  */
 export const GANG_STOP_PROPAGATION_MS = 2_500;
 
 /**
- * s; progress since the last checkpoint that a gang may lose where its stop cannot reach all of its
- * tasks in time: no more than a task that was started a moment ago loses.
+ * s; maximum progress since the last checkpoint that a gang may lose when it is stopped although
+ * the stop cannot reach all of its tasks in time. A task that was started a moment ago loses as
+ * much when it is stopped.
  */
 export const GANG_MAX_LOST_PROGRESS_S = 5;
 
 /**
- * ms; minimum interval at which the leader counts what teams run beyond their guarantees: the cost
- * grows with all that runs, and it is needed only while a gang within its guarantee waits.
+ * ms; minimum interval at which the leader recalculates the CPUs that teams use beyond their fair
+ * shares. The cost grows with the number of assignments, and the result is needed only while a gang
+ * within its team's fair share waits.
  */
 export const RECLAIM_RECOUNT_MS = 1_000;
 
 /**
- * ms; a shard preempts other teams' work for a gang only for this long after it got the gang: what
- * a team runs beyond its guarantee changes.
+ * ms; a shard preempts other teams' arrays for a gang only for this long after it received the
+ * gang's assignment, because the teams' use beyond their fair shares changes.
  */
 export const RECLAIM_VALID_MS = 3_000;
--- a/src/constants/leader.ts
+++ b/src/constants/leader.ts
@@ -3,72 +3,87 @@
  */
 
 /**
- * ms; span of arrivals of non-urgent work from which more of it is forecast: some dozens of jobs.
+ * ms; period of past arrivals of non-urgent arrays from which the CPUs for the next ones are
+ * forecast. It contains a few dozen jobs, enough for a steady average.
  */
 export const ARRIVAL_WINDOW_MS = 90_000;
 
 /**
- * Bytes that a placed task may take in the record of its assignment (number, machine, an attempt of
- * up to 14 digits); bounds the tasks of an assignment. Fewer, larger assignments need fewer writes.
+ * Bytes that one placed task may take in its assignment's record: task number, machine name, and an
+ * attempt number of up to 14 digits. It limits the tasks per assignment. An assignment gets as many
+ * tasks as fit in one value, because fewer, larger assignments need fewer writes.
  */
 export const ASSIGNMENT_TASK_BYTES = 36;
 
 /**
- * Bytes of an assignment record besides its placed tasks: its fields, and the ranges of its tasks.
+ * Bytes that an assignment's record takes besides its placed tasks: its other fields, and the
+ * ranges of its task numbers.
  */
 export const ASSIGNMENT_BASE_BYTES = 250;
 
 /**
- * s; non-urgent work is queued in a shard for the capacity that becomes free within this time:
- * longer than it takes from a task's end over the leader to a new assignment, so that no machine
- * idles and assignments are not small.
+ * s; non-urgent arrays are assigned to a shard ahead of its free capacity, up to the capacity that
+ * running tasks are expected to release within this time. The time is longer than the interval from
+ * a task's end to the leader's next assignment. With a shorter one, machines would idle during that
+ * interval and assignments would be small.
  */
 export const QUEUE_AHEAD_S = 8;
 
-/** A queue is refilled when what waits is at most this many times what is missing. */
+/**
+ * A shard zone's queue is refilled when its waiting CPUs are at most this many times the CPUs that
+ * it still lacks: at 1, when it is at most half full.
+ */
 export const QUEUE_REFILL_FACTOR = 1;
 
 /**
- * ms; minimum interval between assignments of a non-urgent job, by the supply of writes. Shards
- * queue `QUEUE_AHEAD_S` ahead, so that larger assignments idle no machines where writes are short.
+ * ms; minimum interval between two assignments of the same non-urgent job, by the supply of writes
+ * to the key-value store. Longer intervals give larger assignments and fewer writes. No machine
+ * idles meanwhile, because shards have `QUEUE_AHEAD_S` of work in their queues.
  */
 export const ASSIGN_INTERVAL_MS = { plenty: 1_000, scarce: 1_500, short: 3_000 };
 
 /**
- * s; a job without any started task for this long comes first: the largest, which yield to others,
- * must start within 4 minutes, of which a team at its quota or an outage may take most.
+ * s; a job of which no task was assigned for this long after its acceptance precedes the other jobs
+ * of its priority. The largest jobs, which smaller ones may precede, must start within 4 minutes,
+ * and most of that time may pass while the team is at its quota or during an outage.
  */
 export const START_OVERDUE_S = 100;
 
-/** Share of an overdue job's tasks that come first for that reason. */
+/** Fraction of an overdue job's tasks that is assigned ahead of other jobs for that reason. */
 export const OVERDUE_TASK_FRACTION = 0.05;
 
 /**
- * ms; a non-urgent job without any running task for this long may use the quota that is reserved
- * for urgent work: far less than users let a job wait beside idle machines.
+ * ms; a non-urgent job that had no task placed or assigned for this long may use quota that is
+ * reserved for urgent work. It is far shorter than the time that users accept for a job to wait
+ * while machines are idle.
  */
 export const STARVATION_MS = 30_000;
 
-/** Share of its tasks that may use that reserve at a time. */
+/** Fraction of such a job's tasks that may use the reserved quota in one scheduling cycle. */
 export const STARVED_TASK_FRACTION = 0.25;
 
 /**
- * Share of the capacity for non-urgent work with which deadlines are calculated: the rest goes to
- * urgent work, to gaps between tasks and to estimates that are too low.
+ * Fraction of the CPUs for non-urgent work that is assumed available when deadlines are calculated.
+ * The rest is left for urgent work, for the time between two tasks on a machine, and for run time
+ * estimates that are too low.
  */
 export const DEADLINE_CAPACITY_FRACTION = 0.75;
 
-/** Urgent jobs of the usual size for which non-urgent work of the same team leaves quota. */
+/**
+ * Number of urgent jobs for which a team's non-urgent work leaves quota unused. Each is taken to be
+ * as large as the team's largest open urgent job; of an array one task counts.
+ */
 export const URGENT_RESERVE_JOBS = 2;
 
 /**
- * Share of a team's quota that this reserve may take at most: a large urgent job that runs already
- * would else block all non-urgent work of a small team.
+ * Maximum fraction of a team's quota that is reserved for urgent work. Without this limit, a large
+ * urgent job that already runs would block all non-urgent work of a small team.
  */
 export const URGENT_RESERVE_QUOTA_FRACTION = 0.25;
 
 /**
- * A late job that yields to others comes first again once it is late by this many times its
- * deadline.
+ * A job that cannot meet its deadline is scheduled after those that can, until it is late by more
+ * than this many times its deadline. Then it is scheduled in the order of deadlines again, among
+ * the first.
  */
 export const LATE_JOB_PRIORITY_DEADLINES = 3;
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -1,4 +1,4 @@
-/** The leader's running sums over all assignments. */
+/** Keeps sums of resources and tasks over all assignments, for the leader. */
 
 import { ACCOUNTING_REBUILD_MS } from '../../constants/capacity.js';
 import { ASSIGNMENTS, JOBS } from '../../storage/keys.js';
@@ -10,16 +10,16 @@
 import { isUrgent } from './priorities.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** Resources that a team uses. */
+/** CPUs and GPUs that a team uses. */
 export interface Usage {
   cpus: number;
   gpus: number;
 }
 
-/** Resources that are placed on a machine. */
+/** Resources of the tasks that are placed on a machine. */
 export type MachineUsage = MachineResources;
 
-/** The sums of a machine on which nothing is placed. */
+/** Returns the sums for a machine without placed tasks. */
 export function emptyMachineUsage(): MachineUsage {
   return {
     cpus: 0,
@@ -33,7 +33,7 @@
   };
 }
 
-/** Counts of tasks of a job that are assigned to shards, done, and placed on machines. */
+/** Numbers of tasks of a job that are assigned to shards, done, and placed on machines. */
 export interface JobProgress {
   assigned: number;
   done: number;
@@ -41,38 +41,42 @@
 }
 
 /**
- * How many tasks must be done for a job to be complete: one of a gang, since it ends as a whole.
+ * Returns how many tasks must be done for a job to be complete. For a gang it is one, because a
+ * gang ends as a whole. A service is never complete.
  */
 export function doneTasksToComplete(spec: JobSpec): number {
   if (spec.kind === 'service') return Infinity;
   return spec.kind === 'gang' ? 1 : spec.tasks;
 }
 
-/** Contribution of one assignment, kept so that exactly this can be subtracted again. */
+/**
+ * Amounts that one assignment added to the sums, stored so that the same amounts can be subtracted
+ * later.
+ */
 interface Contribution {
   assignment: AssignmentSummary;
   isPreemptible: boolean;
   isArray: boolean;
-  /** CPUs that become free per second. */
+  /** CPUs of its placed tasks that are expected to become free per second. */
   endingCpusPerS: number;
 }
 
 /**
- * Sums over all assignments, updated with each change of one: the cost of a scheduling cycle
- * depends on what is open and free, not on all that runs. They are recalculated periodically, since
- * sums of decimals drift.
+ * Sums over all assignments, updated with each change of an assignment, so that the cost of a
+ * scheduling cycle depends on open jobs and free capacity and not on the number of running tasks.
+ * The sums are recalculated periodically, because rounding errors accumulate.
  */
 export class CapacityAccounting {
   private contributions = new Map<string, Contribution>();
-  /** Usage by machine. */
+  /** Resources of placed tasks, by machine name. */
   readonly machines = new Map<string, MachineUsage>();
-  /** Usage by team. */
+  /** Resources of assigned tasks that are not done, by team. */
   readonly teams = new Map<string, Usage>();
-  /** Progress by job. */
+  /** Task counts by job. */
   readonly jobs = new Map<string, JobProgress>();
-  /** CPUs of arrays and gangs that become free per second, by the key of their shard zone. */
+  /** CPUs of arrays and gangs that are expected to become free per second, by shard zone key. */
   readonly endingCpusPerS = new Map<string, number>();
-  /** Assignments of open jobs with tasks that are not placed. */
+  /** Assignments of open jobs that have tasks waiting to be placed, by key. */
   readonly waiting = new Map<string, AssignmentSummary>();
   /** Jobs that may be complete. */
   readonly completionCandidates = new Set<string>();
@@ -83,7 +87,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Recalculates the sums when that is due; called before a scheduling cycle. */
+  /**
+   * Recalculates the sums if the last recalculation is at least `ACCOUNTING_REBUILD_MS` ago. The
+   * leader calls it before each scheduling cycle.
+   */
   refresh(): void {
     const now = this.clock.now();
     if (now - this.rebuiltAt < ACCOUNTING_REBUILD_MS) return;
@@ -96,7 +103,7 @@
     for (const key of this.replica.assignmentKeys()) this.add(key);
   }
 
-  /** Handles a change of a key in the replica. */
+  /** Updates the sums after a change of a key in the replica. */
   changed(key: string): void {
     if (key.startsWith(ASSIGNMENTS)) this.recount(key);
     else if (key.startsWith(JOBS)) {
@@ -135,7 +142,7 @@
     if (spec && done >= doneTasksToComplete(spec)) this.completionCandidates.add(assignment.job);
   }
 
-  /** Adds or subtracts the contribution of an assignment. */
+  /** Adds (`sign` 1) or subtracts (`sign` -1) the contribution of an assignment. */
   private applyContribution(contribution: Contribution, sign: 1 | -1): void {
     const { assignment, endingCpusPerS } = contribution;
     this.applyToTeam(assignment, sign);
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -1,4 +1,7 @@
-/** Capacity for future gangs: which machines are reserved, and what the fleet lacks. */
+/**
+ * Computes which machines are reserved for future gangs, and which capacity the fleet lacks for
+ * them.
+ */
 
 import { GANG_RECLAIMABLE_FRACTION } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -12,13 +15,13 @@
 import { countFittingTasks } from './resources.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** Tasks of a gang for which capacity is missing; `spec` names the zone. */
+/** Number of tasks of a gang that lack capacity; `spec.zone` is the zone in which they lack it. */
 export interface MissingCapacity {
   spec: JobSpec;
   count: number;
 }
 
-/** How many tasks of a gang fit on a machine: at once, and after the arrays there have ended. */
+/** Numbers of tasks of a gang that fit on a machine: now, and after its arrays have ended. */
 interface MachineFit {
   name: string;
   free: number;
@@ -26,8 +29,10 @@
 }
 
 /**
- * What gangs like these would lack if they arrived now, one after the other, each in the zone that
- * lacks the least. Reclaimable capacity counts in part, since it becomes free bit by bit.
+ * Returns the capacity that would be missing if gangs like these arrived now. The gangs are placed
+ * one after the other, the largest first, each in the zone with the most capacity for it. Only
+ * `GANG_RECLAIMABLE_FRACTION` of the reclaimable capacity counts, because it becomes free
+ * gradually.
  */
 export function missingGangCapacity(
   gangs: readonly JobSpec[],
@@ -45,7 +50,10 @@
   return missing;
 }
 
-/** The zone with the most capacity for a gang, reclaimable capacity counted in part; null: any. */
+/**
+ * Returns the zone with the most capacity for a gang, counting `GANG_RECLAIMABLE_FRACTION` of the
+ * reclaimable capacity; null: any zone.
+ */
 function zoneWithMostCapacity(spec: JobSpec, machines: readonly MachineCapacity[]): string | null {
   const zones = new Map<string, number>();
   for (const machine of machines) {
@@ -63,7 +71,8 @@
 }
 
 /**
- * Allocates capacity for a gang in a zone, free capacity first; returns how many tasks found none.
+ * Allocates capacity for a gang in a zone, first free and then reclaimable capacity. Returns how
+ * many of its tasks lack capacity.
  */
 function allocateInZone(spec: JobSpec, zone: string | null, machines: MachineCapacity[]): number {
   let remaining = spec.tasks;
@@ -84,9 +93,9 @@
 }
 
 /**
- * The one shard zone that reserves capacity for such a gang: the one with the most eligible machines
- * that are no spot instances. The leader and the shards compute it alike; while they differ, arrays
- * wait a little.
+ * Returns the key of the shard zone that reserves capacity for such a gang: the one with the most
+ * eligible machines that are not spot instances. The leader and the shards compute it by this same
+ * function. While their data differ, their results may differ too, which only delays some arrays.
  */
 export function reservingShardZone(
   spec: JobSpec,
@@ -109,7 +118,10 @@
   return best;
 }
 
-/** Names of the machines reserved for a gang like this one: arrays may not use them. */
+/**
+ * Returns the names of the machines that are reserved for a gang like this one. Arrays may not use
+ * these machines.
+ */
 export function reservedMachines(spec: JobSpec, machines: readonly MachineCapacity[]): Set<string> {
   const shardZone = reservingShardZone(spec, machines);
   const machineFits = machines
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -1,22 +1,24 @@
-/** Free and reclaimable capacity of machines. */
+/** Computes and allocates the free and the reclaimable capacity of machines. */
 import type { MachineHealth } from '../../storage/records.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { isUrgent } from './priorities.js';
 import { resourcesOf, type Resources } from './resources.js';
 
-/** Resources of a machine, and those of tasks that other work may reclaim. */
+/** Resources of a machine, and the parts used by tasks from which other work may reclaim them. */
 export interface MachineResources extends Resources {
   /** Number of placed tasks. */
   tasks: number;
-  /** CPUs and memory of tasks that rank below `high`: urgent work may preempt them. */
+  /** CPUs and memory of tasks with a priority below `high`, which urgent work may preempt. */
   preemptibleCpus: number;
   preemptibleMemoryGb: number;
-  /** CPUs and memory of arrays: they become free when these end. */
+  /** CPUs and memory of tasks of arrays, which become free when these tasks end. */
   arrayCpus: number;
   arrayMemoryGb: number;
 }
 
-/** A machine as the leader counts it: the resources are those that are free. */
+/**
+ * A machine in the leader's accounting. Its `cpus`, `gpus` and `memoryGb` are those that are free.
+ */
 export interface MachineCapacity extends MachineResources {
   name: string;
   shard: string;
@@ -26,29 +28,29 @@
   health: MachineHealth | 'booting';
 }
 
-/** Tasks of a job without capacity. */
+/** Tasks of a job that have no capacity. */
 export interface UnmetDemand {
   spec: JobSpec;
   count: number;
-  /** Wall-clock time of acceptance of the job, in ms. */
+  /** Wall-clock time in ms at which the job was accepted. */
   acceptedAt: number;
 }
 
-/** The fleet after the last scheduling cycle, and the demand that it does not meet. */
+/** The machines after the last scheduling cycle, and the demand that they do not meet. */
 export interface FleetSnapshot {
   machines: MachineCapacity[];
   unmetDemand: UnmetDemand[];
-  /** CPUs that non-urgent arrays are expected to need, by their recent rate of arrival. */
+  /** CPUs that non-urgent arrays are expected to need if they arrive at their recent rate. */
   expectedCpus: number;
-  /** The non-urgent array that arrived last; null: none did. */
+  /** The non-urgent array that arrived last; null: none has arrived. */
   lastArray: JobSpec | null;
-  /** The largest gang of each class that arrived recently. */
+  /** The largest recently submitted gang of each class. */
   recentGangs: JobSpec[];
 }
 
 /**
- * Whether a job's tasks may run on a machine, by its type and zone and whether it is a spot
- * instance.
+ * Returns whether a job's tasks may run on a machine, according to the machine's type, its zone,
+ * and whether it is a spot instance. Free capacity is not considered.
  */
 export function isEligible(
   spec: JobSpec,
@@ -62,23 +64,24 @@
 }
 
 /**
- * How capacity is reclaimed: urgent work preempts arrays alone or any non-urgent work, other work
- * waits for arrays to complete.
+ * Way in which capacity is reclaimed. `preemptArrays`: by preempting non-urgent arrays; `preempt`:
+ * by preempting any non-urgent work; `awaitCompletion`: by waiting until tasks of arrays end.
+ * Urgent work uses the first two, other work the third.
  */
 export type ReclaimMode = 'preemptArrays' | 'preempt' | 'awaitCompletion';
 
-/** The mode by which the leader counts on capacity to be reclaimed for a job. */
+/** Returns the mode by which the most capacity can be reclaimed for a job. */
 export const broadestReclaimMode = (spec: JobSpec): ReclaimMode =>
   isUrgent(spec) ? 'preempt' : 'awaitCompletion';
 
 /**
- * The modes for a job, the cheapest first: a preempted task of an array loses its own work, one of
- * a gang the work of the whole gang.
+ * Returns the modes for a job, the cheapest first. Preempting a task of an array loses the work of
+ * that task, preempting a task of a gang loses the work of the whole gang.
  */
 export const reclaimModesByCost = (spec: JobSpec): readonly ReclaimMode[] =>
   broadestReclaimMode(spec) === 'preempt' ? ['preemptArrays', 'preempt'] : ['awaitCompletion'];
 
-/** What reclaiming frees on a machine. */
+/** Returns the CPUs and memory that reclaiming frees on a machine. */
 function reclaimableAmounts(
   machine: MachineCapacity,
   mode: ReclaimMode,
@@ -90,7 +93,8 @@
     case 'awaitCompletion':
       return { cpus: arrayCpus, memoryGb: arrayMemoryGb };
     case 'preemptArrays':
-      // Arrays may be urgent themselves: these are not preempted.
+      // The sums for arrays include urgent arrays, which are not preempted. The smaller of the two
+      // sums therefore limits what can be freed.
       return {
         cpus: Math.min(preemptibleCpus, arrayCpus),
         memoryGb: Math.min(preemptibleMemoryGb, arrayMemoryGb),
@@ -98,7 +102,7 @@
   }
 }
 
-/** What a machine has free after reclaiming. */
+/** Returns the resources that are free on a machine after reclaiming. */
 export function reclaimableCapacity(machine: MachineCapacity, mode: ReclaimMode): Resources {
   const { cpus, memoryGb } = reclaimableAmounts(machine, mode);
   return {
@@ -108,7 +112,7 @@
   };
 }
 
-/** Allocates tasks on a machine: what is free, and the rest from reclaimed capacity. */
+/** Allocates tasks on a machine, from its free resources first and then from reclaimable ones. */
 export function allocateReclaimable(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const allocated = resourcesOf(spec, count);
   const cpus = Math.max(0, allocated.cpus - Math.max(0, machine.cpus));
@@ -122,7 +126,7 @@
   machine.arrayMemoryGb -= memoryGb;
 }
 
-/** Allocates tasks on a machine from what is free. */
+/** Allocates tasks on a machine from its free resources. */
 export function allocateTasks(machine: MachineCapacity, spec: JobSpec, count: number): void {
   const allocated = resourcesOf(spec, count);
   machine.cpus -= allocated.cpus;
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** The fleet with its free capacity, as the leader counts it. */
+/** Lists the machines of the fleet with their free capacity, for the leader. */
 
 import { readCatalog } from '../../storage/catalog.js';
 import { MACHINES, STATUSES } from '../../storage/keys.js';
@@ -14,10 +14,10 @@
 import { shardOf, type Member } from '../election/rendezvous-hashing.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
-/** The usage of a machine without placed tasks. */
+/** Usage of machines without placed tasks. */
 const EMPTY_MACHINE_USAGE: Readonly<MachineUsage> = emptyMachineUsage();
 
-/** The machines that their shards report as healthy. */
+/** Yields the machines that their shards report as healthy. */
 export function* healthyMachines(
   replica: StoreReplica,
 ): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
@@ -29,16 +29,16 @@
   }
 }
 
-/** What identifies a machine, without its capacity. */
+/** Fields of a machine that do not depend on its capacity. */
 type MachineIdentity = Readonly<
   Pick<MachineCapacity, 'name' | 'shard' | 'type' | 'zone' | 'spot' | 'health'>
 >;
 
-/** All machines with their free capacity. */
+/** The machines of the fleet, computed from the replica's records and the leader's accounting. */
 export class MachineInventory {
   /**
-   * Machines by the record that lists them. A change of a key replaces its entry in the replica, so
-   * a scheduling cycle decodes only what changed.
+   * Decoded machines by the versioned record that lists them. A change of a key replaces its entry
+   * in the replica, so that a scheduling cycle decodes only records that changed.
    */
   private readonly identitiesByRecord = new WeakMap<VersionedValue, readonly MachineIdentity[]>();
 
@@ -48,7 +48,10 @@
     private readonly accounting: CapacityAccounting,
   ) {}
 
-  /** The current fleet: what the leader rented, and what the shards report. */
+  /**
+   * Returns the current machines by name: those that the leader rented and those that shards
+   * report, without machines that are being drained or are gone.
+   */
   machines(): Map<string, MachineCapacity> {
     const types = new Map((readCatalog(this.replica) ?? []).map((type) => [type.name, type]));
     const machines = new Map<string, MachineCapacity>();
@@ -81,14 +84,16 @@
     return identities;
   }
 
-  /** A rented machine; it counts as booting until its shard reports it. */
+  /** Returns a rented machine. It counts as booting until its shard reports it. */
   private rentedMachine(key: string, { type, zone, spot }: MachineRecord): MachineIdentity[] {
     const name = key.slice(MACHINES.length);
     const shard = shardOf(name, zone, this.members);
     return [{ name, shard, type, zone, spot, health: 'booting' }];
   }
 
-  /** Copies field by field: a spread would create objects that the engine handles slowly. */
+  /**
+   * Copies field by field, because objects created by a spread are slow in the JavaScript engine.
+   */
   private capacityOf(identity: MachineIdentity, type: MachineType): MachineCapacity {
     const usage = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
     return {
@@ -110,7 +115,7 @@
   }
 }
 
-/** The machines that a shard lists in one of its status records. */
+/** Returns the machines that a shard lists in one of its status records. */
 function reportedMachines(key: string, { machines }: StatusRecord): MachineIdentity[] {
   const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
   return Object.entries(machines).map(([name, [type, zone, spot, health]]) => {
--- a/src/coordination/capacity/priorities.ts
+++ b/src/coordination/capacity/priorities.ts
@@ -1,10 +1,10 @@
-/** Which work is urgent. */
+/** Defines which work is urgent. */
 
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 
-/** Work of this rank or above is urgent: it preempts what ranks below. */
+/** Lowest rank of urgent work. Urgent work may preempt work of a lower rank. */
 export const URGENT = rankOf('high');
 
-/** Whether a job may preempt work of lower rank. */
+/** Returns whether a job is urgent, that is, may preempt non-urgent work. */
 export const isUrgent = ({ priority }: Pick<JobSpec, 'priority'>): boolean =>
   rankOf(priority) >= URGENT;
--- a/src/coordination/capacity/recent-gangs.ts
+++ b/src/coordination/capacity/recent-gangs.ts
@@ -1,25 +1,28 @@
-/** Gangs that were submitted recently: the next ones may be like them. */
+/** Keeps the gangs that were submitted recently, as an estimate of the next ones. */
 
 import { GANG_ARRIVAL_WINDOW_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import { isUrgent } from './priorities.js';
 
-/** CPUs of all tasks of a gang. */
+/** Returns the CPUs of all tasks of a gang together. */
 const totalCpus = (spec: JobSpec): number => spec.tasks * spec.cpus;
 
-/** Gangs submitted within `RECENT_GANGS_MS`, in the order in which this controller saw them. */
+/**
+ * Gangs submitted within the last `GANG_ARRIVAL_WINDOW_MS`, in the order in which this controller
+ * read their records.
+ */
 export class RecentGangs {
   private readonly recent: { submittedAt: number; spec: JobSpec }[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Records a gang that was just submitted. */
+  /** Adds a gang that was just submitted. */
   add(spec: JobSpec): void {
     this.recent.push({ submittedAt: this.clock.now(), spec });
   }
 
-  /** The largest gang of each class. */
+  /** The largest recent gang of each class, by CPUs. */
   get largestByClass(): JobSpec[] {
     this.expire();
     const largestByClass = new Map<string, JobSpec>();
@@ -30,7 +33,10 @@
     return [...largestByClass.values()];
   }
 
-  /** The largest gang that may not preempt: capacity is reserved for one like it; null: none. */
+  /**
+   * The largest recent gang that is not urgent; null: there is none. Capacity is reserved for a
+   * gang of this size, because a non-urgent gang cannot preempt other work.
+   */
   get largestNonUrgent(): JobSpec | null {
     return this.largestByClass
       .filter((spec) => !isUrgent(spec))
--- a/src/coordination/capacity/resources.ts
+++ b/src/coordination/capacity/resources.ts
@@ -1,6 +1,6 @@
-/** Arithmetic with amounts of CPUs, GPUs and memory. */
+/** Arithmetic on amounts of CPUs, GPUs and memory. */
 
-/** What a task requires, or what a machine has free. */
+/** Resources that a task requires, or that are free on a machine. */
 export interface Resources {
   cpus: number;
   gpus: number;
@@ -8,11 +8,12 @@
 }
 
 /**
- * Rounding error that is tolerated where sums of decimals are compared; also as a share of a task.
+ * Rounding error that is tolerated when sums of decimal fractions are compared, in CPUs, GPUs or
+ * GB. When fitting tasks are counted, it is the tolerated fraction of a task.
  */
 export const ROUNDING_SLACK = 1e-9;
 
-/** Whether a task fits into what is free. */
+/** Returns whether a task fits into the free resources. */
 export function fits(free: Resources, required: Resources): boolean {
   return (
     free.cpus + ROUNDING_SLACK >= required.cpus &&
@@ -21,21 +22,21 @@
   );
 }
 
-/** Subtracts what a task requires, so many times; a negative number adds it. */
+/** Subtracts the resources of `times` tasks; a negative `times` adds them. */
 export function allocate(free: Resources, required: Resources, times = 1): void {
   free.cpus -= required.cpus * times;
   free.gpus -= required.gpus * times;
   free.memoryGb -= required.memoryGb * times;
 }
 
-/** What so many tasks require together. */
+/** Returns the resources that `count` tasks require together. */
 export const resourcesOf = (task: Resources, count: number): Resources => ({
   cpus: task.cpus * count,
   gpus: task.gpus * count,
   memoryGb: task.memoryGb * count,
 });
 
-/** How many tasks of a kind fit into what is free. */
+/** Returns how many tasks of one kind fit into the free resources. */
 export function countFittingTasks(free: Resources, task: Resources): number {
   let count = Infinity;
   if (task.cpus > 0) count = Math.min(count, Math.floor(free.cpus / task.cpus + ROUNDING_SLACK));
--- a/src/coordination/capacity/shard-zone.ts
+++ b/src/coordination/capacity/shard-zone.ts
@@ -1,15 +1,19 @@
-/** The machines of one shard in one zone: the unit to which the leader assigns tasks. */
+/**
+ * Defines the shard zone: the machines of one shard in one zone, to which the leader assigns tasks.
+ */
 
-/** A shard and one of its zones. */
+/** A shard, and a zone in which it has machines. */
 export interface ShardZone {
   readonly shard: string;
   readonly zone: string;
 }
 
-/** Identifies a shard zone in maps. */
+/** Returns the key that identifies a shard zone in maps. */
 export const shardZoneKey = (shard: string, zone: string): string => `${shard}\n${zone}`;
 
-/** The entry of a shard zone, created when there is none yet. */
+/**
+ * Returns the entry of a shard zone in a map. If there is none, `create` makes one, which is added.
+ */
 export function getOrCreateEntry<Entry extends ShardZone>(
   entries: Map<string, Entry>,
   { shard, zone }: ShardZone,
