--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -1,4 +1,4 @@
-/** Commits the assignment records of a scheduling cycle. */
+/** Commits the assignment records of a scheduling cycle to the key-value store. */
 import type { Guard } from '../../protocol/key-value-store.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { jobKey } from '../../storage/keys.js';
@@ -10,19 +10,19 @@
 /** Dependencies of the commit of assignments. */
 export interface AssignmentCommitOptions {
   readonly writer: GuardedWriter;
-  /** Limit of changes in one transaction. */
+  /** Maximum number of changes in one transaction. */
   readonly transactionOps: number;
   readonly replica: StoreReplica;
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly log: Log;
 }
 
-/** Job of an assignment, from its key. */
+/** Returns the job of an assignment, read from its key. */
 function jobOf({ key }: NewAssignment): string {
   return key.split('/').at(-2) ?? '';
 }
 
-/** Shard of an assignment, from its key. */
+/** Returns the shard of an assignment, read from its key. */
 function shardOf({ key }: NewAssignment): string {
   return key.split('/').at(-3) ?? '';
 }
@@ -32,8 +32,8 @@
   constructor(private readonly options: AssignmentCommitOptions) {}
 
   /**
-   * Commits assignments until a transaction fails; returns the shards with new urgent assignments.
-   * `urgentKeys`: keys of the assignments of urgent work.
+   * Commits assignments until a transaction fails. `urgentAssignmentKeys` are the keys of the
+   * assignments of urgent work. Returns the shards that got such assignments.
    */
   async run(
     assignments: readonly NewAssignment[],
@@ -49,29 +49,32 @@
       const jobs = new Set(group.map(jobOf));
       const urgent = group.some((assignment) => urgentAssignmentKeys.has(assignment.key));
       // A shard may finish an assignment and remove its record within seconds. A delayed duplicate
-      // of this transaction must not create it again: its tasks may be in another assignment by
-      // then.
+      // of this transaction must not create the record again, because its tasks may be in another
+      // assignment by then. Hence the last argument, `mustNotRepeat`.
       const result = await writer.commit(
         urgent ? 'urgent' : 'leader',
         this.guardsOf(group, jobs),
         group,
         true,
       );
-      log.debug({ jobs: [...jobs], result: result.kind }, 'tasks assigned');
+      log.debug({ jobs: [...jobs], result: result.kind }, 'assignment transaction finished');
       for (const job of jobs) {
         if (result.kind === 'rejected') rejectedChangeBackoff.add(job);
         else rejectedChangeBackoff.clear(job);
       }
       if (result.kind !== 'done') break;
-      // Non-urgent work is assigned ahead of free capacity: its shards read it in their next pass.
+      // Shards with non-urgent assignments only are not returned. That work is assigned ahead of
+      // free capacity, so it is soon enough when these shards read it in their next pass.
       if (urgent) for (const assignment of group) urgentShards.add(shardOf(assignment));
     }
     return urgentShards;
   }
 
   /**
-   * Conditions: the assignments are new, and their jobs were not cancelled meanwhile. With the one
-   * on the role that is at most two conditions per change plus one; a transaction may hold four.
+   * Returns guards that require each assignment to be new and each job's record to be unchanged, so
+   * that no task of a job cancelled meanwhile is assigned. Together with the guard on the leader
+   * role these are at most two guards per change plus one. The key-value store accepts four per
+   * change.
    */
   private guardsOf(assignments: readonly NewAssignment[], jobs: ReadonlySet<string>): Guard[] {
     const guards: Guard[] = assignments.map(({ key }) => ({ key, revision: 0 }));
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -8,16 +8,19 @@
 import type { ShardZone } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** An assignment record that is not committed yet. */
+/** An assignment record that is not committed yet, with its key. */
 export interface NewAssignment {
   readonly key: string;
   readonly value: AssignmentRecord;
 }
 
-/** Fields that only assignments of gangs have: the attempt, and what it may reclaim. */
+/** Fields that only assignments of gangs have: the attempt, and the CPUs that it may reclaim. */
 export type GangFields = Pick<AssignmentRecord, 'attempt' | 'reclaim'>;
 
-/** Assignment numbers of a term begin at a multiple of this: no two terms share a number. */
+/**
+ * Size of each term's range of assignment numbers. The ranges do not overlap, so numbers are
+ * unique.
+ */
 const NUMBERS_PER_TERM = 1e6;
 
 /** Creates assignment records with unique numbers. */
@@ -31,12 +34,18 @@
     this.tasksPerAssignment = Math.max(1, Math.floor(bytes / ASSIGNMENT_TASK_BYTES));
   }
 
-  /** The leader needs a new term before the assignment numbers of this one are used up. */
+  /**
+   * Whether so many of this term's assignment numbers are used that the leader should continue
+   * under a new term.
+   */
   get needsTermRenewal(): boolean {
     return this.numbers.isRunningOut;
   }
 
-  /** Records that assign these tasks to a shard zone, each small enough for one value. */
+  /**
+   * Returns records that assign these tasks to a shard zone, each small enough for one stored
+   * value.
+   */
   create(
     spec: JobSpec,
     shardZone: ShardZone,
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -1,4 +1,4 @@
-/** Plans a scheduling cycle: which tasks of which jobs go to which shards. */
+/** Plans a scheduling cycle: selects the tasks to be assigned and the shards that get them. */
 import { ASSIGN_INTERVAL_MS, DEADLINE_CAPACITY_FRACTION } from '../../constants/leader.js';
 import type { Team } from '../../protocol/settings.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
@@ -32,22 +32,24 @@
   readonly valueBytes: number;
   readonly teams: readonly Team[];
   readonly members: readonly Member[];
-  /** Start-time objective by class, in s. */
+  /** Maximum time in s from acceptance to start, by job class. */
   readonly startWithinS: Readonly<Record<string, number>>;
-  /** How scarce write capacity to the key-value store is for this controller. */
+  /** Returns how scarce writes to the key-value store currently are for this controller. */
   readonly supply: () => Supply;
-  /** Whether a shard may get new tasks: not while its holder is suspected. */
+  /**
+   * Returns whether a shard may get new tasks. It may not while its holder is suspected of failure.
+   */
   readonly acceptsNewWork: (shard: string) => boolean;
   readonly accounting: CapacityAccounting;
   readonly arrivals: RecentArrivals;
-  /** Jobs whose changes the key-value store rejected as invalid. */
+  /** Pauses for jobs whose changes the key-value store rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly replica: StoreReplica;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** CPUs of these machines that non-urgent work uses or may use. */
+/** Returns the CPUs of these machines that are free or used by non-urgent work. */
 function cpusForNonUrgentWork(machines: readonly MachineCapacity[]): number {
   return machines.reduce(
     (sum, { cpus, preemptibleCpus }) => sum + (Math.max(0, cpus) + preemptibleCpus),
@@ -56,7 +58,8 @@
 }
 
 /**
- * Plans scheduling cycles. It writes nothing, but keeps the history that later cycles depend on.
+ * Plans scheduling cycles. Writes nothing to the key-value store, but keeps the history in memory
+ * on which later cycles depend.
  */
 export class AssignmentPlanner {
   private readonly teams: ReadonlyMap<string, Team>;
@@ -95,12 +98,15 @@
     this.gangAssignment = new GangAssignment(gangOptions);
   }
 
-  /** The leader needs a new term before the numbers of this one are used up. */
+  /**
+   * Whether so many of this term's assignment or attempt numbers are used that the leader should
+   * continue under a new term.
+   */
   get needsTermRenewal(): boolean {
     return this.assignmentFactory.needsTermRenewal || this.gangHistory.needsTermRenewal;
   }
 
-  /** Plans a scheduling cycle with the capacity and the quotas that are left. */
+  /** Plans a scheduling cycle with the remaining capacity and quotas. */
   plan(): SchedulingCycle {
     const { clock, supply } = this.options;
     const startedAt = clock.now();
@@ -133,7 +139,10 @@
     };
   }
 
-  /** Jobs in scheduling order, after capacity was allocated for tasks that wait in shards. */
+  /**
+   * Allocates capacity for tasks that already wait in shards. Returns the jobs that have unassigned
+   * tasks, in scheduling order.
+   */
   private jobsInSchedulingOrder(cycle: SchedulingCycle): OpenJob[] {
     const { clock, accounting, replica } = this.options;
     const cpus = cpusForNonUrgentWork(cycle.machines) * DEADLINE_CAPACITY_FRACTION;
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -1,4 +1,7 @@
-/** Allocates capacity on the machines of a scheduling cycle: later jobs must not count on it. */
+/**
+ * Allocates capacity on the machines of a scheduling cycle, so that jobs that come later in the
+ * cycle do not count it as free.
+ */
 import type { JobSpec } from '../../protocol/model.js';
 import {
   isEligible,
@@ -11,7 +14,7 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import type { ShardZone } from '../capacity/shard-zone.js';
 
-/** Allocates free capacity machine by machine; returns how many tasks found none. */
+/** Allocates free capacity machine by machine. Returns how many tasks found none. */
 function allocateFirstFit(
   spec: JobSpec,
   count: number,
@@ -30,8 +33,8 @@
 }
 
 /**
- * Allocates free capacity, first beside other tasks and then on idle machines; returns how many
- * tasks found none.
+ * Allocates free capacity, first on machines with placed tasks and then on idle machines. Returns
+ * how many tasks found none.
  */
 function allocateFree(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): number {
   let remaining = count;
@@ -46,7 +49,9 @@
   return remaining;
 }
 
-/** Allocates capacity that other work has to free first. */
+/**
+ * Allocates free and reclaimable capacity. Other work has to release the reclaimable part first.
+ */
 function allocateReclaimed(
   spec: JobSpec,
   count: number,
@@ -66,7 +71,9 @@
   }
 }
 
-/** Allocates capacity for tasks assigned to a shard zone: what is free, then what is reclaimed. */
+/**
+ * Allocates capacity for tasks assigned to a shard zone, first free and then reclaimable capacity.
+ */
 export function allocateInShardZone(
   spec: JobSpec,
   shardZone: ShardZone,
@@ -80,7 +87,9 @@
   allocateReclaimed(spec, remaining, machinesInShardZone);
 }
 
-/** Allocates the free capacity of a zone for a gang that waits for more of it. */
+/**
+ * Allocates free capacity of a zone for a gang that waits until the zone has enough for all of it.
+ */
 export function reserveFreeCapacityInZone(
   spec: JobSpec,
   zone: string,
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -10,12 +10,12 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import { getOrCreateEntry, type ShardZone } from '../capacity/shard-zone.js';
 
-/** How many tasks of a job a shard zone has capacity for. */
+/** A shard zone, and the number of tasks of a job for which it has capacity. */
 export interface ShardZoneCapacity extends ShardZone {
   readonly count: number;
 }
 
-/** Sums of capacity, in the order in which the shard zones were found. */
+/** Sums of capacity by shard zone, in the order in which the shard zones were added. */
 class CapacitySums {
   private readonly sums = new Map<string, ShardZone & { count: number }>();
 
@@ -39,8 +39,9 @@
 }
 
 /**
- * Adds free capacity. Machines in use come first, and idle ones count only where these do not
- * suffice: machines that nothing needs thus become idle and are released.
+ * Adds free capacity of machines in use. Adds that of idle machines only if the machines in use
+ * have capacity for fewer than `wanted` tasks, so that machines that are not needed stay idle and
+ * are returned to the cloud.
  */
 function addFreeCapacity(
   sums: CapacitySums,
@@ -62,7 +63,8 @@
 }
 
 /**
- * Adds what can be reclaimed by preempting non-urgent work, by the cheapest mode that yields any.
+ * Adds capacity that can be reclaimed by preempting non-urgent work, in the cheapest mode that
+ * gives any. Adds nothing if free capacity was added before.
  */
 function addReclaimableCapacity(
   sums: CapacitySums,
@@ -79,8 +81,8 @@
 }
 
 /**
- * Shard zones with capacity for up to `wanted` tasks: what is free and, for urgent work without
- * any, what it may preempt.
+ * Returns shard zones with capacity for tasks of a job, of which `wanted` are to be assigned.
+ * Urgent work gets shard zones with reclaimable capacity if no capacity is free.
  */
 export function findCapacity(
   spec: JobSpec,
--- a/src/coordination/leader/deadline-selection.ts
+++ b/src/coordination/leader/deadline-selection.ts
@@ -1,17 +1,18 @@
-/** Selects which jobs may miss their deadlines where not all can meet them. */
+/** Selects the jobs that may miss their deadlines when not all jobs can meet theirs. */
 
-/** What a job still needs until its deadline; times in seconds from now. */
+/** Work that a job still needs before its deadline. */
 export interface DeadlineDemand {
-  /** CPU seconds. */
+  /** Remaining work of all its tasks, in CPU seconds. */
   workCpuS: number;
-  /** Run time of one task. */
+  /** Remaining run time of one task, in seconds. */
   runS: number;
+  /** Time until the deadline, in seconds; negative once it has passed. */
   dueS: number;
 }
 
 /**
- * Inserts a demand behind those with as much work or less. By binary search: a burst brings
- * hundreds of demands.
+ * Inserts a demand after those with as much work or less, by binary search because a burst of
+ * submissions causes hundreds of demands.
  */
 function insertByWork(demands: DeadlineDemand[], demand: DeadlineDemand): void {
   let start = 0;
@@ -24,9 +25,10 @@
 }
 
 /**
- * Selects the demands to be late so that as many as possible are on time, by the algorithm of Moore
- * and Hodgson: they are taken in the order of their deadlines, and whenever one would be late, the
- * one with the most work so far is dropped.
+ * Selects the demands that are to be late, such that as many demands as possible are on time. This
+ * is the Moore-Hodgson algorithm: demands are added in the order of their deadlines, and whenever
+ * the demands added so far cannot all be done by the latest deadline among them, the one with the
+ * most work is removed.
  */
 export function selectLateDemands(
   demands: readonly DeadlineDemand[],
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -1,6 +1,7 @@
 /**
- * Capacity that a gang may reclaim for its team's guarantee: arrays of other teams, as far as these
- * teams run beyond their own guarantees. Only here does work preempt work of equal priority.
+ * Finds capacity for a gang within its team's fair share, by preempting arrays of teams that use
+ * more than their own fair shares. This is the only case in which work preempts work of equal
+ * priority.
  */
 import { RECLAIM_RECOUNT_MS } from '../../constants/gangs.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -12,19 +13,20 @@
 import type { GangSubset } from './gang-plan.js';
 import { gangCapacityByShardZone, type GangCapacity } from './gang-shard-zones.js';
 
-/** Where a gang fits by reclaiming capacity, and how many CPUs of each team it may preempt. */
+/** Plan to place a gang in one shard zone by preempting arrays of other teams there. */
 export interface ReclaimPlan {
   readonly subset: GangSubset;
+  /** CPUs of arrays that the gang may preempt, by team. */
   readonly reclaim: Record<string, number>;
 }
 
-/** CPUs that a team runs beyond its guarantee. */
+/** CPUs that a team uses beyond its fair share. */
 interface TeamExcess {
   readonly team: string;
   readonly cpus: number;
 }
 
-/** What preempting a team's arrays would free on one machine. */
+/** Resources that preempting one team's arrays would free on a machine. */
 interface Reclaimable {
   cpus: number;
   memoryGb: number;
@@ -34,12 +36,15 @@
   return excesses.reduce((sum, { cpus }) => sum + cpus, 0);
 }
 
-/** CPUs that a gang lacks in a shard zone. */
+/** Returns the CPUs that a gang lacks in a shard zone. */
 function missingCpus(spec: JobSpec, { immediate }: GangCapacity): number {
   return Math.max(0, spec.tasks - immediate) * spec.cpus;
 }
 
-/** Of the shard zones in which all of a gang fits, the one with the most free capacity. */
+/**
+ * Returns the shard zone with the most free capacity among those in which all of a gang fits after
+ * reclaiming no more than `reclaimableCpus`; null: there is none.
+ */
 function bestCandidate(
   spec: JobSpec,
   candidates: Iterable<GangCapacity>,
@@ -54,12 +59,15 @@
   return best;
 }
 
-/** Finds such capacity. Its counts are valid for a moment, less what was reclaimed since. */
+/**
+ * Finds capacity that gangs may reclaim from other teams. The underlying counts are reused for
+ * `RECLAIM_RECOUNT_MS`, and CPUs granted to a gang in that time are deducted from them.
+ */
 export class FairShareReclaim {
   private countedAt = -Infinity;
-  /** CPUs that each team runs beyond its guarantee. */
+  /** CPUs that each team uses beyond its fair share; teams without any are omitted. */
   private readonly excessCpus = new Map<string, number>();
-  /** What preempting the arrays of each team would free, by machine and team. */
+  /** Resources that preempting the arrays of each such team would free, by machine and team. */
   private readonly reclaimableByMachine = new Map<string, Map<string, Reclaimable>>();
 
   constructor(
@@ -68,7 +76,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** A shard zone in which all of the gang fits once such arrays are preempted; null: none. */
+  /**
+   * Returns a plan for a shard zone in which all of the gang fits once arrays of such teams are
+   * preempted, and deducts the CPUs that the gang may preempt; null: there is no such shard zone.
+   */
   find(spec: JobSpec, machines: readonly MachineCapacity[]): ReclaimPlan | null {
     this.refresh();
     const excesses = this.excessesOfOtherTeams(spec.team);
@@ -90,7 +101,7 @@
     return excesses.filter(({ team }) => team !== ownTeam);
   }
 
-  /** What is free on a machine once the arrays of these teams are preempted there. */
+  /** Returns what is free on a machine once the arrays of these teams are preempted there. */
   private withoutArraysOf(teams: ReadonlySet<string>, machine: MachineCapacity): Resources {
     const free = { cpus: machine.cpus, gpus: machine.gpus, memoryGb: machine.memoryGb };
     for (const [team, { cpus, memoryGb }] of this.reclaimableByMachine.get(machine.name) ?? []) {
@@ -101,7 +112,10 @@
     return free;
   }
 
-  /** Deducts CPUs from what the teams run beyond their guarantees, the largest excess first. */
+  /**
+   * Deducts CPUs from the teams' excesses, the largest excess first. Returns the CPUs deducted by
+   * team.
+   */
   private deductExcess(excesses: readonly TeamExcess[], cpus: number): Record<string, number> {
     const deducted: Record<string, number> = {};
     let remaining = cpus;
@@ -115,7 +129,7 @@
     return deducted;
   }
 
-  /** Counts anew when the counts are no longer valid. */
+  /** Recalculates the counts if they are at least `RECLAIM_RECOUNT_MS` old. */
   private refresh(): void {
     const now = this.clock.now();
     if (now - this.countedAt < RECLAIM_RECOUNT_MS) return;
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -1,4 +1,6 @@
-/** Assigns gangs to shards: all tasks of a gang under one attempt number, or none. */
+/**
+ * Assigns gangs to shards. All tasks of a gang are assigned under one attempt number, or none is.
+ */
 import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
@@ -23,14 +25,14 @@
   readonly assignmentFactory: AssignmentFactory;
   readonly replica: StoreReplica;
   readonly log: Log;
-  /** Start-time objective by class, in s. */
+  /** Maximum time in s from acceptance to start, by job class. */
   readonly startWithinS: Readonly<Record<string, number>>;
 }
 
-/** A plan that has capacity for the whole gang, at once or after reclaiming some. */
+/** A plan for a gang for which there is capacity, free or after reclaiming. */
 type PlannedSubsets = Extract<GangPlan, { availability: unknown }>;
 
-/** Where a gang goes, and what it reclaims from other teams for that; null: nothing. */
+/** Decision on a gang: its plan, and the CPUs that it reclaims from other teams; null: none. */
 interface GangDecision {
   readonly plan: GangPlan;
   readonly reclaimPlan: ReclaimPlan | null;
@@ -40,23 +42,26 @@
   return Array.from({ length: count }, (_, offset) => first + offset);
 }
 
-/** Assigns gangs, one by one in scheduling order. */
+/** Assigns gangs, one after the other in scheduling order. */
 export class GangAssignment {
   constructor(private readonly options: GangAssignmentOptions) {}
 
   /**
-   * Assigns a gang if there is capacity for all of it. Otherwise, or while its quota is exhausted,
-   * what there is may be reserved for it for a while from the jobs behind it.
+   * Assigns a gang if there is capacity for all of it. Otherwise records its missing capacity as
+   * unmet demand and, during its reservation periods, allocates the free capacity of the planned
+   * zone so that jobs later in the scheduling order do not get it. While its team's quota does not
+   * suffice, nothing is assigned and only quota is reserved.
    */
   assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { gangHistory, teamQuota } = this.options;
     const { id, spec } = job;
-    // Tasks of the previous attempt that a shard still has must end first.
+    // The gang is assigned again only after no shard has any task of the previous attempt.
     if (job.unassigned < spec.tasks || !gangHistory.isRetryDue(id, cycle.startedAt)) return;
     const reservesCapacity = gangHistory.reservesCapacity(id, cycle.startedAt);
     const exceedsQuota = teamQuota.wouldExceed(spec.team, resourcesOf(spec, spec.tasks));
     const decision = exceedsQuota ? null : this.decide(job, cycle.machines);
-    // While it waits, quota is reserved for it too, but not for ever: small jobs go on.
+    // During reservation periods, the team's quota is reserved as well. These periods are limited
+    // so that the team's small jobs can continue in between.
     if (decision?.plan.subsets || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
     if (!decision) {
       teamQuota.recordWaiting(job);
@@ -106,24 +111,25 @@
       for (const { key } of assignments) cycle.urgentAssignmentKeys.add(key);
       allocateInShardZone(spec, subset, subset.count, cycle.machines);
     }
-    log.info({ job: id, attempt, shares: subsets, availability, ...reclaim }, 'gang assigned');
+    log.info({ job: id, attempt, subsets, availability, ...reclaim }, 'gang assigned');
   }
 
   /**
-   * What a gang within its guarantee may reclaim from other teams; null: nothing, or it need not.
+   * Returns a plan for a gang within its team's fair share to reclaim capacity from other teams;
+   * null: no such plan exists, or the gang does not need one.
    */
   private planReclaim(
     spec: JobSpec,
     plan: GangPlan,
     machines: readonly MachineCapacity[],
   ): ReclaimPlan | null {
-    // Urgent gangs preempt non-urgent work anyway.
+    // Urgent gangs may preempt non-urgent work regardless of fair shares.
     const mayPreempt = broadestReclaimMode(spec) === 'preempt';
     if (plan.subsets && (plan.availability === 'immediate' || mayPreempt)) return null;
     return this.options.fairShareReclaim.find(spec, machines);
   }
 
-  /** Where the image of a gang was used last, and which machine types fetch it in time. */
+  /** Returns where the image of a gang was used last, and which machine types fetch it in time. */
   private imageHints(spec: JobSpec): ImageHints {
     const { gangHistory, replica, startWithinS } = this.options;
     const startLimitS = startWithinS[spec.class];
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -1,4 +1,4 @@
-/** What the leader remembers of gangs: attempts, waiting times and where images were used. */
+/** Keeps the leader's history of gangs: attempts, waiting times, and where images were used. */
 
 import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
 import {
@@ -12,19 +12,21 @@
 import { shardZoneKey } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** How often a gang was assigned, and when last. */
+/** Number of times that a gang was assigned, and the time of the last one. */
 interface AssignmentTries {
   count: number;
   lastTriedAt: number;
 }
 
-/** History of gangs in one term; times are of the monotonic clock, in ms. */
+/** History of gangs in one term. Times are of the monotonic clock, in ms. */
 export class GangHistory {
   private readonly attempts: TermNumbers;
   private readonly triesByJob = new Map<string, AssignmentTries>();
-  /** Since when each gang waits, by job. */
+  /** Time at which each gang began to wait for capacity, by job. */
   private readonly waitingSince = new Map<string, number>();
-  /** Key of the shard zone in which a gang with each image ran last; least recently used first. */
+  /**
+   * Key of the shard zone to which a gang was last assigned, by image; least recently used first.
+   */
   private readonly shardZoneByImage = new Map<string, string>();
 
   constructor(term: number) {
@@ -32,12 +34,18 @@
     this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
   }
 
-  /** The leader needs a new term before the attempt numbers of this one are used up. */
+  /**
+   * Whether so many of this term's attempt numbers are used that the leader should continue under a
+   * new term.
+   */
   get needsTermRenewal(): boolean {
     return this.attempts.isRunningOut;
   }
 
-  /** A new attempt number for all tasks of a gang: no shard issues it, and it is never reused. */
+  /**
+   * Records an assignment of a gang, and returns a new attempt number for all of its tasks. No
+   * shard issues this number, and it is never reused.
+   */
   nextAttempt(job: string, now: number): number {
     this.triesByJob.set(job, {
       count: (this.triesByJob.get(job)?.count ?? 0) + 1,
@@ -47,12 +55,18 @@
     return this.attempts.next();
   }
 
-  /** Key of the shard zone in which a gang with this image ran last; null: not remembered. */
+  /**
+   * Returns the key of the shard zone to which a gang with this image was last assigned; null:
+   * unknown.
+   */
   lastShardZoneOf(image: string): string | null {
     return this.shardZoneByImage.get(image) ?? null;
   }
 
-  /** Remembers where a gang with this image went, and drops the least recently used image. */
+  /**
+   * Stores the shard zone to which a gang with this image was assigned, and evicts the least
+   * recently used image if there are more than `GANG_IMAGE_HISTORY_MAX_IMAGES`.
+   */
   recordPlacement(image: string, subset: GangSubset): void {
     this.shardZoneByImage.delete(image);
     this.shardZoneByImage.set(image, shardZoneKey(subset.shard, subset.zone));
@@ -62,15 +76,20 @@
     }
   }
 
-  /** Whether a gang may be assigned: the pause doubles each time that it is returned. */
+  /**
+   * Returns whether the pause since a gang's last assignment has passed. The pause doubles with
+   * each assignment up to `GANG_RETRY_MAX_MS`.
+   */
   isRetryDue(job: string, now: number): boolean {
     const { count, lastTriedAt } = this.triesByJob.get(job) ?? { count: 0, lastTriedAt: -Infinity };
     return now - lastTriedAt >= Math.min(GANG_RETRY_MAX_MS, GANG_RETRY_MIN_MS * 2 ** count);
   }
 
   /**
-   * Whether capacity is reserved for a waiting gang: after a delay for a time, then for as long
-   * not, so that a gang that cannot start soon does not block other work for ever.
+   * Returns whether capacity is reserved for a waiting gang now. The first call starts its waiting
+   * time. After a delay, periods with and without a reservation alternate, each
+   * `GANG_RESERVATION_MS` long, so that a gang that cannot start soon does not block other work
+   * permanently.
    */
   reservesCapacity(job: string, now: number): boolean {
     const waitingSince = this.waitingSince.get(job) ?? now;
@@ -81,7 +100,7 @@
     );
   }
 
-  /** Forgets gangs whose jobs are no longer open. */
+  /** Removes gangs whose jobs are no longer open. */
   forgetClosed(isOpen: (job: string) => boolean): void {
     for (const entries of [this.triesByJob, this.waitingSince]) {
       for (const job of entries.keys()) if (!isOpen(job)) entries.delete(job);
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -1,4 +1,4 @@
-/** Plans where a gang goes as a whole: which shards get how many of its tasks, in which zones. */
+/** Plans how many tasks of a gang each shard zone gets. All tasks are planned, or none is. */
 
 import type { JobSpec } from '../../protocol/model.js';
 import {
@@ -14,26 +14,28 @@
   type GangCapacity,
 } from './gang-shard-zones.js';
 
-/** The tasks of a gang that one shard zone gets. */
+/** Gang subset: the number of tasks of a gang that one shard zone gets. */
 export interface GangSubset extends ShardZone {
   readonly count: number;
 }
 
 /**
- * Where a gang goes as a whole, and when there is capacity for it. No shares: there is none; `zone`
- * is then the one that lacks the least (null: any), and `missingTasks` how many tasks lack capacity
- * there.
+ * Plan for a gang. With `subsets`, there is capacity for all tasks, and `availability` states
+ * whether it is free now or only after reclaiming. Without `subsets`, there is not enough capacity:
+ * `zone` is the zone with the most capacity for the gang (null: any zone), and `missingTasks` is
+ * the number of tasks without free capacity there.
  */
 export type GangPlan =
   | { subsets: GangSubset[]; availability: Availability }
   | { subsets: null; zone: string | null; missingTasks: number };
 
-/** Where fetching the image of a gang takes little or no time. */
+/** Information about where fetching the image of a gang takes little or no time. */
 export interface ImageHints {
-  /** Key of the shard zone in which a gang with this image ran last; null: none. */
+  /** Key of the shard zone to which a gang with this image was last assigned; null: unknown. */
   lastShardZone: string | null;
   /**
-   * Whether a machine type fetches the image within the start-time objective of the gang's class.
+   * Returns whether a machine type fetches the image soon enough for the start-time objective of
+   * the gang's class.
    */
   isFetchInTime: (type: string) => boolean;
 }
@@ -41,8 +43,8 @@
 const NO_HINTS: ImageHints = { lastShardZone: null, isFetchInTime: () => true };
 
 /**
- * Decides where a gang goes; without free capacity, by the cheapest mode of reclaiming that
- * suffices.
+ * Returns a plan for a gang. It uses free capacity if that suffices for all tasks, otherwise the
+ * cheapest mode of reclaiming that does.
  */
 export function planGang(
   spec: JobSpec,
@@ -58,8 +60,10 @@
 }
 
 /**
- * Machines that fetch the image in time come before others, since a gang starts with its last
- * fetch; others count only where these have no capacity.
+ * Returns a plan that uses only machines that fetch the image in time, if they have the capacity.
+ * All tasks of a gang wait until the last machine has fetched the image. A plan on all machines is
+ * returned if the machines that fetch in time lack the capacity, or if they have it only after
+ * running tasks end and a plan on all machines needs no such wait.
  */
 function planPreferringFastFetch(
   spec: JobSpec,
@@ -72,14 +76,15 @@
   if (fastFetching.length === machines.length || !plan.subsets) return plan;
   const fastPlan = planOnMachines(spec, fastFetching, hints.lastShardZone, mode);
   if (!fastPlan.subsets) return plan;
-  // Preemption takes less time than a slow fetch; waiting for tasks to end takes more.
+  // Preemption takes less time than a slow fetch, but waiting for running tasks to end takes more.
   const isSoonEnough = fastPlan.availability === 'immediate' || mode !== 'awaitCompletion';
   return isSoonEnough || plan.availability === 'afterReclaim' ? fastPlan : plan;
 }
 
 /**
- * A single shard with enough capacity is best, since it commits all placements at once. Several
- * shards reserve theirs, and start when all have.
+ * Returns a plan on these machines, with free capacity if possible and otherwise after reclaiming.
+ * A single shard zone with enough capacity is preferred, because its shard commits all placements
+ * at once. Several shards have to reserve their subsets first and start when all have done so.
  */
 function planOnMachines(
   spec: JobSpec,
@@ -119,7 +124,10 @@
   return shardZones.reduce((total, shardZone) => total + shardZone[availability], 0);
 }
 
-/** All tasks of a gang in one shard zone; null: its spread forbids it, or none has the capacity. */
+/**
+ * Returns one subset with all tasks of a gang; null: no shard zone has the capacity, or the gang
+ * must be spread over zones.
+ */
 function singleShardSubset(
   spec: JobSpec,
   shardZones: readonly GangCapacity[],
@@ -132,13 +140,17 @@
       found === null || shardZone[availability] > found[availability] ? shardZone : found,
     null,
   );
-  // A gang starts with its last fetch: machines that hold the image save the whole wait.
+  // A gang starts after the last of its machines has fetched the image. Machines that have the
+  // image already avoid this wait.
   const best = preferred && preferred[availability] >= spec.tasks ? preferred : largest;
   if (!best || best[availability] < spec.tasks) return null;
   return [{ shard: best.shard, zone: best.zone, count: spec.tasks }];
 }
 
-/** Shares over the shard zones of one group, the group with the most capacity first. */
+/**
+ * Distributes a gang over the shard zones of one group, trying the group with the most capacity
+ * first; null: it fits in no group.
+ */
 function distributeOverGroups(
   spec: JobSpec,
   groups: readonly GangCapacity[][],
@@ -155,7 +167,8 @@
 }
 
 /**
- * Fills the shard zones with the most capacity first; a zone gets at most half of a spread gang.
+ * Fills the shard zones with the most capacity first. For a spread gang, a zone gets at most half
+ * of the tasks. Returns null if not all tasks fit.
  */
 function fillShardZones(
   spec: JobSpec,
@@ -178,7 +191,9 @@
   return null;
 }
 
-/** What a gang that must stay in one zone lacks in the zone with the most capacity for it. */
+/**
+ * Returns the shortfall of a gang that must stay in one zone, in the zone with the most capacity.
+ */
 function shortfallInBestZone(
   spec: JobSpec,
   zones: ReadonlyMap<string, readonly GangCapacity[]>,
@@ -190,7 +205,7 @@
   return { subsets: null, zone, missingTasks: countMissingTasks(spec, shardZones) };
 }
 
-/** How many tasks of a gang have no free capacity in these shard zones; at least one. */
+/** Returns how many tasks of a gang have no free capacity in these shard zones, at least 1. */
 function countMissingTasks(spec: JobSpec, shardZones: readonly GangCapacity[]): number {
   return Math.max(1, spec.tasks - totalCapacity(shardZones, 'immediate'));
 }
--- a/src/coordination/leader/gang-shard-zones.ts
+++ b/src/coordination/leader/gang-shard-zones.ts
@@ -1,26 +1,26 @@
-/** How many tasks of a gang the shard zones have capacity for: now, and after reclaiming some. */
+/** Counts how many tasks of a gang fit in each shard zone, now and after reclaiming capacity. */
 import type { JobSpec } from '../../protocol/model.js';
 import { isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
 import { countFittingTasks, type Resources } from '../capacity/resources.js';
 import { getOrCreateEntry, type ShardZone } from '../capacity/shard-zone.js';
 
 /**
- * When there is capacity for all of a gang. `immediate`: it is free. `afterReclaim`: it will be,
- * once other work was preempted or has ended.
+ * Time at which capacity is available. `immediate`: it is free now. `afterReclaim`: it is free once
+ * other work was preempted or has ended.
  */
 export type Availability = 'immediate' | 'afterReclaim';
 
-/** How many tasks of a gang fit in a shard zone. */
+/** Numbers of tasks of a gang that fit in a shard zone. */
 export interface GangCapacity extends ShardZone {
   immediate: number;
-  /** Includes those that fit at once. */
+  /** Includes those that fit now. */
   afterReclaim: number;
 }
 
 /**
- * How many tasks of a gang fit in each shard zone, by its key. Counted machine by machine: totals
- * would include remainders in which no task fits. `reclaimed` gives what is free on a machine once
- * other work there has left.
+ * Returns how many tasks of a gang fit in each shard zone, by the key of the shard zone. They are
+ * counted machine by machine, because totals would include remainders that are too small for a
+ * task. `reclaimed` returns what is free on a machine after reclaiming.
  */
 export function gangCapacityByShardZone(
   spec: JobSpec,
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -1,4 +1,4 @@
-/** Replaces the records of jobs whose tasks are all done by final records. */
+/** Replaces the records of completed jobs by their final records. */
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
@@ -11,7 +11,7 @@
 /** Dependencies of the completion of jobs. */
 export interface JobCompletionOptions {
   readonly writer: GuardedWriter;
-  /** Limit of changes in one transaction. */
+  /** Maximum number of changes in one transaction. */
   readonly transactionOps: number;
   readonly replica: StoreReplica;
   readonly accounting: CapacityAccounting;
@@ -19,14 +19,14 @@
   readonly log: Log;
 }
 
-/** A job whose tasks are all done, with the revision of its record. */
+/** A completed job, with the revision of its record. */
 interface CompletedJob {
   readonly id: string;
   readonly revision: number;
   readonly tasks: number;
 }
 
-/** Changes per completed job: its record is removed, and its final record is written. */
+/** Changes per completed job: one removes its record, one writes its final record. */
 const CHANGES_PER_JOB = 2;
 
 function completionOf(jobs: readonly CompletedJob[]): { guards: Guard[]; changes: Change[] } {
@@ -41,7 +41,8 @@
 }
 
 /**
- * Completes jobs, several in one transaction and each on condition that its record is unchanged.
+ * Completes jobs, several in one transaction. The transaction commits only if the records of all
+ * its jobs are unchanged.
  */
 export class JobCompletion {
   private readonly jobsPerTransaction: number;
@@ -50,7 +51,7 @@
     this.jobsPerTransaction = Math.max(1, Math.floor(options.transactionOps / CHANGES_PER_JOB));
   }
 
-  /** Completes all jobs whose tasks are done, until the writer gives up. */
+  /** Completes all jobs that can be completed, unless a transaction is abandoned. */
   async run(): Promise<void> {
     const { rejectedChangeBackoff, log, writer } = this.options;
     const completed = this.completedJobs();
@@ -61,7 +62,10 @@
       start = end;
       const { guards, changes } = completionOf(group);
       const result = await writer.commit('leader', guards, changes);
-      log.info({ jobs: group.map((job) => job.id), result: result.kind }, 'jobs completed');
+      log.info(
+        { jobs: group.map((job) => job.id), result: result.kind },
+        'job completion transaction finished',
+      );
       if (result.kind === 'abandoned') return;
       for (const { id } of group) {
         if (result.kind === 'rejected') rejectedChangeBackoff.add(id);
@@ -70,7 +74,7 @@
     }
   }
 
-  /** Jobs whose tasks are all done. Candidates that turn out not to be are dropped. */
+  /** Returns the completed jobs, and removes candidates that are not complete. */
   private completedJobs(): CompletedJob[] {
     const { rejectedChangeBackoff, accounting, replica } = this.options;
     const completed: CompletedJob[] = [];
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -1,4 +1,4 @@
-/** The leader: it completes jobs whose tasks are done, and assigns tasks to shards. */
+/** Runs the leader: completes jobs whose tasks are done, and assigns tasks to shards. */
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { JOBS } from '../../storage/keys.js';
 import type { Log } from '../../storage/log.js';
@@ -14,7 +14,7 @@
 import { CapacityAccounting } from '../capacity/capacity-accounting.js';
 import { RecentArrivals } from './recent-arrivals.js';
 
-/** Options that the leader passes on to its planner. */
+/** Options that the leader passes to its planner. */
 type PlannerSettings = Pick<
   AssignmentPlannerOptions,
   'term' | 'valueBytes' | 'teams' | 'members' | 'startWithinS' | 'supply' | 'acceptsNewWork'
@@ -23,23 +23,23 @@
 /** Options of a leader in one term. */
 export interface LeaderOptions extends PlannerSettings {
   readonly writer: GuardedWriter;
-  /** Limit of changes in one transaction. */
+  /** Maximum number of changes in one transaction. */
   readonly transactionOps: number;
 }
 
-/** Completes jobs and assigns tasks to shards, in one scheduling cycle after the other. */
+/** Completes jobs and assigns tasks to shards, in successive scheduling cycles of one term. */
 export class Leader {
   private readonly accounting: CapacityAccounting;
   private readonly arrivals: RecentArrivals;
-  /** Jobs whose changes the key-value store rejected as invalid. */
+  /** Pauses for jobs whose changes the key-value store rejected as invalid. */
   private readonly rejectedChangeBackoff: RejectedChangeBackoff;
   private readonly planner: AssignmentPlanner;
   private readonly jobCompletion: JobCompletion;
   private readonly assignmentCommit: AssignmentCommit;
   private readonly singleFlight = new SingleFlight();
-  /** Duration of the last planning in ms, without any wait for the key-value store. */
+  /** Duration of planning in the last cycle in ms, without waiting for the key-value store. */
   lastCycleCpuMs = 0;
-  /** The fleet after the last scheduling cycle, and its unmet demand. */
+  /** The machines after the last scheduling cycle was planned, and the unmet demand. */
   snapshot: FleetSnapshot = {
     machines: [],
     unmetDemand: [],
@@ -74,18 +74,24 @@
     this.assignmentCommit = new AssignmentCommit(dependencies);
   }
 
-  /** Half of the numbers of this term are used: the leader should continue under a new one. */
+  /**
+   * Whether half of this term's assignment or attempt numbers are used, so that the leader should
+   * continue under a new term.
+   */
   get needsTermRenewal(): boolean {
     return this.planner.needsTermRenewal;
   }
 
-  /** Handles a change of a key in the replica. */
+  /** Updates the accounting and the recent arrivals after a change of a key in the replica. */
   changed(key: string): void {
     this.accounting.changed(key);
     if (key.startsWith(JOBS)) this.arrivals.onJobChanged(key.slice(JOBS.length));
   }
 
-  /** Runs a scheduling cycle; returns the shards for which urgent work was written. */
+  /**
+   * Runs a scheduling cycle. Returns the shards to which urgent work was assigned; none if another
+   * cycle is still running.
+   */
   async reconcile(): Promise<Set<string>> {
     return (await this.singleFlight.run(() => this.runCycle())) ?? new Set();
   }
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,4 +1,4 @@
-/** Work that arrived recently: a forecast of what the fleet should expect. */
+/** Keeps recently arrived jobs, and forecasts the work that the fleet should expect from them. */
 import { ARRIVAL_WINDOW_MS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -6,19 +6,19 @@
 import { RecentGangs } from '../capacity/recent-gangs.js';
 import { isUrgent } from '../capacity/priorities.js';
 
-/** ms; no forecast is made from a shorter observation. */
+/** ms; minimum period of observation for a forecast. */
 const MIN_OBSERVED_MS = ARRIVAL_WINDOW_MS / 3;
 
 /** An array that arrived. */
 interface ArrayArrival {
   readonly arrivedAt: number;
-  /** CPU seconds. */
+  /** Estimated work of all its tasks, in CPU seconds. */
   readonly workCpuS: number;
 }
 
 /**
- * Arrays and gangs that arrived within `RECENT_ARRIVALS_MS`: the fleet should be ready for as much
- * again.
+ * Arrays that arrived within the last `ARRIVAL_WINDOW_MS`, and gangs within the last
+ * `GANG_ARRIVAL_WINDOW_MS`. The fleet should have capacity for as many again.
  */
 export class RecentArrivals {
   private readonly knownJobs = new Set<string>();
@@ -35,11 +35,11 @@
   ) {
     this.startedAt = clock.now();
     this.recentGangs = new RecentGangs(clock);
-    // Jobs that exist already arrived at an unknown time: they are known, but not counted.
+    // Jobs that exist already are not counted as arrivals, because they may have arrived long ago.
     for (const { spec } of replica.openJobs()) this.knownJobs.add(spec.id);
   }
 
-  /** Handles a job record that was created, changed or removed. */
+  /** Updates the arrivals after a job record was created, changed or removed. */
   onJobChanged(job: string): void {
     const spec = this.replica.job(job)?.spec;
     if (!spec) {
@@ -52,7 +52,7 @@
     if (spec.kind === 'array' && !isUrgent(spec)) this.addArray(spec);
   }
 
-  /** CPUs that non-urgent arrays occupy on average if they go on arriving at this rate. */
+  /** CPUs that non-urgent arrays use on average if they continue to arrive at the recent rate. */
   get expectedCpus(): number {
     const now = this.clock.now();
     while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > ARRIVAL_WINDOW_MS)
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -1,4 +1,4 @@
-/** The order in which the leader assigns tasks of open jobs. */
+/** Determines the order in which the leader assigns tasks of open jobs. */
 import { LATE_JOB_PRIORITY_DEADLINES, START_OVERDUE_S } from '../../constants/leader.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
@@ -6,33 +6,39 @@
 import { selectLateDemands, type DeadlineDemand } from './deadline-selection.js';
 import type { JobProgress, Usage } from '../capacity/capacity-accounting.js';
 
-/** A job with tasks that are not assigned yet. */
+/** A job that is neither done nor cancelled, with its task counts and scheduling attributes. */
 export interface OpenJob {
   id: string;
   spec: JobSpec;
-  /** Wall-clock time of its acceptance, in ms. */
+  /** Wall-clock time in ms at which the job was accepted. */
   acceptedAt: number;
   unassigned: number;
   done: number;
   placed: number;
-  /** Fits into its team's guarantee together with the team's earlier jobs. */
+  /**
+   * Whether the job and all open jobs of its team accepted before it fit into the team's fair
+   * share.
+   */
   isWithinFairShare: boolean;
-  /** 0: meets its deadline in this order; 1: is late already, or would make others late. */
+  /**
+   * 0: the job is expected to meet its deadline, has none, or is so late that it has priority
+   * again; 1: the job will miss its deadline, or would make others miss theirs.
+   */
   deadlineTier: number;
-  /** No task of it was assigned for so long that it precedes all other jobs of its rank. */
+  /** Whether no task was assigned for so long that the job precedes all others of its priority. */
   isStartOverdue: boolean;
 }
 
-/** What the order depends on besides the jobs. */
+/** State of the cluster on which the scheduling order depends. */
 export interface SchedulingState {
   /** Counts of assigned, done and placed tasks, by job. */
   readonly progress: ReadonlyMap<string, JobProgress>;
   readonly teams: ReadonlyMap<string, Team>;
-  /** Usage by team. */
+  /** Resources of assigned tasks that are not done, by team. */
   readonly usage: ReadonlyMap<string, Usage>;
-  /** CPUs of the fleet that non-urgent work uses or may use. */
+  /** CPUs for non-urgent work that are assumed available when deadlines are calculated. */
   readonly cpus: number;
-  /** Wall-clock time, in ms. */
+  /** Current wall-clock time in ms. */
   readonly wallClockMs: number;
 }
 
@@ -40,11 +46,11 @@
 interface SchedulingKey {
   readonly job: OpenJob;
   readonly rank: number;
-  /** Wall-clock time of its deadline, in ms; Infinity: it has none. */
+  /** Wall-clock time of the job's deadline in ms; Infinity: it has none. */
   readonly dueAt: number;
-  /** CPU seconds of its unassigned tasks. */
+  /** Estimated work of the job's unassigned tasks, in CPU seconds. */
   readonly workCpuS: number;
-  /** Its team's usage as a share of the team's guarantee. */
+  /** CPUs that the job's team uses, as a fraction of the team's fair share. */
   readonly fairShareUsedFraction: number;
 }
 
@@ -66,13 +72,13 @@
   };
 }
 
-/** What a job needs until its deadline; null: it has no deadline. */
+/** Returns the work that a job still needs before its deadline; null: it has no deadline. */
 function demandOf(
   { spec, acceptedAt, done, placed }: OpenJob,
   wallClockMs: number,
 ): DeadlineDemand | null {
   if (spec.deadlineS === null) return null;
-  // Running tasks are assumed to be half done.
+  // A placed task is assumed to be half done.
   const tasks = spec.tasks - done - placed / 2;
   const runS = Math.max(1, spec.estimateS);
   return {
@@ -83,8 +89,9 @@
 }
 
 /**
- * Moves jobs that would be late to the second tier. A job that is very late returns to the first:
- * otherwise a large job whose team stays at its quota would never end.
+ * Sets the deadline tier of jobs that would be late to 1. Jobs that are late by more than
+ * `LATE_JOB_PRIORITY_DEADLINES` times their deadline keep tier 0, because a large job whose team is
+ * always at its quota would otherwise never end.
  */
 function setDeadlineTiers(
   jobs: readonly OpenJob[],
@@ -103,7 +110,9 @@
   }
 }
 
-/** Marks the jobs that fit into the guarantees of their teams; `jobs`: in order of acceptance. */
+/**
+ * Marks the jobs that fit into the fair shares of their teams. `jobs` are in order of acceptance.
+ */
 function setWithinFairShare(jobs: readonly OpenJob[], teams: ReadonlyMap<string, Team>): void {
   const usageByTeam = new Map<string, Usage>();
   for (const job of jobs) {
@@ -130,23 +139,27 @@
   };
 }
 
-/** Compares by rank, overdue start, guarantee and kind; negative: `a` comes first. */
+/**
+ * Compares by priority, overdue start, fair share and kind. Returns a negative number if `a` is
+ * first.
+ */
 function comparePriorityAndKind(a: SchedulingKey, b: SchedulingKey): number {
   return (
     b.rank - a.rank ||
     Number(b.job.isStartOverdue) - Number(a.job.isStartOverdue) ||
     (a.job.isStartOverdue ? a.job.acceptedAt - b.job.acceptedAt : 0) ||
     Number(b.job.isWithinFairShare) - Number(a.job.isWithinFairShare) ||
-    // A gang needs all its capacity at once: behind work that fits anywhere it would never find it.
+    // A gang needs all of its capacity at once. It would never get it after jobs whose single tasks
+    // fill every free machine.
     Number(b.job.spec.kind === 'gang') - Number(a.job.spec.kind === 'gang')
   );
 }
 
-/** Compares by deadline, team usage and age; negative: `a` comes first. */
+/** Compares by deadline, usage of the team and age. Returns a negative number if `a` is first. */
 function compareDeadlines(a: SchedulingKey, b: SchedulingKey): number {
   return (
     a.job.deadlineTier - b.job.deadlineTier ||
-    // Among late jobs the one with the least work first: most of them then end soon.
+    // Among late jobs, the one with the least work is first, so that most of them end soon.
     (a.job.deadlineTier === 1 ? a.workCpuS - b.workCpuS : 0) ||
     (a.dueAt === b.dueAt ? 0 : a.dueAt - b.dueAt) ||
     a.fairShareUsedFraction - b.fairShareUsedFraction ||
@@ -154,7 +167,7 @@
   );
 }
 
-/** Jobs with unassigned tasks, in the order in which they are scheduled. */
+/** Returns the jobs with unassigned tasks, in the order in which they are scheduled. */
 export function schedulingOrder(records: Iterable<JobRecord>, state: SchedulingState): OpenJob[] {
   const jobs = [...records].map((record) => openJobOf(record, state));
   setDeadlineTiers(jobs, state);
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -23,7 +23,7 @@
 export class ShardAssignment {
   constructor(private readonly options: ShardAssignmentOptions) {}
 
-  /** Assigns tasks of a job, and records those without capacity as unmet demand. */
+  /** Assigns tasks of a job, and records its tasks without capacity as unmet demand. */
   assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { history, teamQuota } = this.options;
     const allowed = this.allowedTasks(job, cycle.startedAt);
@@ -31,8 +31,8 @@
       teamQuota.recordWaiting(job);
       return;
     }
-    // Tasks that end one by one would each lead to an assignment of one task: their successors wait
-    // until several can be assigned together.
+    // Tasks that end one after the other would each cause an assignment of a single task.
+    // Therefore, a non-urgent job gets no tasks within `ASSIGN_INTERVAL_MS` of its last assignment.
     const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
     const tasksWithoutCapacity = recent
       ? Math.min(allowed, recent.tasksWithoutCapacity)
@@ -42,7 +42,7 @@
     cycle.unmetDemand.push({ spec, count: tasksWithoutCapacity, acceptedAt });
   }
 
-  /** Assigns up to `allowed` tasks of a job; returns how many of them have no free capacity. */
+  /** Assigns up to `allowed` tasks of a job. Returns how many of these have no free capacity. */
   private assignAllowed(job: OpenJob, allowed: number, cycle: SchedulingCycle): number {
     const { distribution, history, teamQuota } = this.options;
     const { assignments, assigned, queued } = distribution.distribute(job, allowed, {
@@ -57,7 +57,7 @@
     return unassigned + queued;
   }
 
-  /** How many tasks of a job its team's quota allows to assign now. */
+  /** Returns how many tasks of a job may be assigned now within its team's quota. */
   private allowedTasks(job: OpenJob, now: number): number {
     const { history, teamQuota } = this.options;
     const { spec } = job;
@@ -67,20 +67,21 @@
       ? Math.ceil(spec.tasks * OVERDUE_TASK_FRACTION)
       : job.unassigned;
     if (isUrgent(spec)) return Math.min(wanted, countFittingTasks(remaining, task));
-    // Non-urgent work leaves a reserve of the quota to its team's urgent work, which can reclaim
-    // none.
+    // Non-urgent work leaves a part of the quota unused for the team's urgent work, because urgent
+    // work cannot reclaim quota from running tasks.
     const unreserved = { ...remaining, cpus: remaining.cpus - teamQuota.urgentReserve(spec.team) };
     const fitting = countFittingTasks(unreserved, task);
-    // Where services fill the rest of the quota, non-urgent work would starve beside idle machines:
-    // after a while some of it may use the reserve, though only if it is the reserve that blocks
-    // it.
+    // If services use the rest of the quota, non-urgent jobs would starve although machines are
+    // idle. A starved job may therefore use some of the reserved quota, but only if no unreserved
+    // quota is left for it.
     if (!history.checkStarved(job, now) || fitting > 0) return Math.min(wanted, fitting);
     const starvedLimit = Math.ceil(spec.tasks * STARVED_TASK_FRACTION);
     return Math.min(wanted, starvedLimit, countFittingTasks(remaining, task));
   }
 
   /**
-   * Machines that a job may use. An array uses those reserved for a gang only once it waited long.
+   * Returns the machines that a job may use. An array may use machines reserved for the next gang
+   * only if it has no placed task `ARRAY_USES_RESERVED_AFTER_MS` after its acceptance.
    */
   private usableMachines(job: OpenJob, cycle: SchedulingCycle): readonly MachineCapacity[] {
     const waitsLong =
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -1,20 +1,24 @@
-/** Queues of shard zones: work that is assigned to a shard ahead of its free capacity. */
+/** Computes how much work may be assigned to shard zones ahead of their free capacity. */
 
 import { QUEUE_REFILL_FACTOR, QUEUE_AHEAD_S } from '../../constants/leader.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { shardZoneKey, type ShardZone } from '../capacity/shard-zone.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** Work that waits in a shard zone beyond its free capacity, and how fast tasks end there. */
+/**
+ * Queue of a shard zone: the work that waits for capacity there, and how fast capacity becomes
+ * free.
+ */
 export interface ShardZoneQueue extends ShardZone {
+  /** CPUs of assigned tasks that wait for capacity. */
   waitingCpus: number;
-  /** CPUs of arrays and gangs that become free per second, by the estimated run times. */
+  /** CPUs of arrays and gangs that become free per second, according to estimated run times. */
   endingCpusPerS: number;
 }
 
 /**
- * Empty queues of all shard zones with machines; `endingCpus`: CPUs that become free per second, by
- * shard zone.
+ * Returns empty queues for all shard zones with machines. `endingCpusPerS` contains the CPUs that
+ * become free per second, by the key of the shard zone.
  */
 export function queuesByShardZone(
   machines: readonly MachineCapacity[],
@@ -30,8 +34,10 @@
 }
 
 /**
- * Tasks of a job that may join a queue: as many as end there within `QUEUE_AHEAD_S`. A job whose
- * start is overdue need not wait behind the queue, since the shard takes the earliest first.
+ * Returns how many tasks of a job may be added to a queue: as many as fit into the capacity that
+ * becomes free within `QUEUE_AHEAD_S`, less the tasks that wait already. For a job whose start is
+ * overdue, the waiting tasks are not deducted, so that it need not wait until the queue is short.
+ * The shard places waiting tasks of equal priority in the order of their assignment.
  */
 export function queueCapacity(job: OpenJob, queue: ShardZoneQueue): number {
   const waitingCpus = job.isStartOverdue ? 0 : queue.waitingCpus;
@@ -47,8 +53,8 @@
 }
 
 /**
- * Queues short enough to be refilled with a job, the shortest first. They are refilled seldom but
- * with many tasks, which needs fewer writes.
+ * Returns the queues that are short enough to be refilled with tasks of a job, the shortest first.
+ * Longer queues are not refilled, so that refills are rare but large and need fewer writes.
  */
 export function shortQueues(
   job: OpenJob,
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -1,4 +1,4 @@
-/** Distributes tasks of an array or a service over the shard zones that have capacity. */
+/** Distributes tasks of an array or a service over the shard zones with capacity for them. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 import { isUrgent } from '../capacity/priorities.js';
@@ -10,7 +10,7 @@
 import { findCapacity } from './capacity-search.js';
 import { ZoneLimits } from './zone-limits.js';
 
-/** What the tasks of a job are distributed over. */
+/** Machines and queues over which the tasks of a job are distributed. */
 export interface DistributionTarget {
   readonly machines: readonly MachineCapacity[];
   /** Queues by the key of their shard zone. */
@@ -22,11 +22,11 @@
   readonly assignments: readonly NewAssignment[];
   /** Number of tasks that were assigned. */
   readonly assigned: number;
-  /** How many of them wait in their shard until other tasks end. */
+  /** Number of these tasks that have to wait in their shard until other tasks end. */
   readonly queued: number;
 }
 
-/** Numbers of a job's tasks that are in no assignment, lowest first. */
+/** Returns the numbers of a job's tasks that are in no assignment, in ascending order. */
 function unassignedIds({ id: job, spec }: OpenJob, replica: StoreReplica): number[] {
   const taken = new Uint8Array(spec.tasks);
   for (const assignment of replica.assignmentsOf(job)) {
@@ -37,25 +37,25 @@
   return ids;
 }
 
-/** Queues that a job may join: only a non-urgent array may wait for other tasks' end. */
+/** Returns the queues to which tasks of a job may be added; only non-urgent arrays are queued. */
 function queuesFor(job: OpenJob, queues: ReadonlyMap<string, ShardZoneQueue>): ShardZoneQueue[] {
   const { spec } = job;
   return spec.kind === 'array' && !isUrgent(spec) ? shortQueues(job, queues) : [];
 }
 
-/** Tasks of one job that are being assigned, and the assignments created so far. */
+/** Tasks of one job that are being assigned, and the assignments that were created for them. */
 class TaskAllotment {
   readonly assignments: NewAssignment[] = [];
 
   constructor(
-    /** Tasks that may still be assigned. */
+    /** Number of tasks that may still be assigned. */
     public remaining: number,
     private readonly ids: number[],
     private readonly zoneLimits: ZoneLimits,
     private readonly createAssignments: (shardZone: ShardZone, ids: number[]) => NewAssignment[],
   ) {}
 
-  /** Assigns up to `limit` tasks to a shard zone, as far as its zone allows; returns how many. */
+  /** Assigns up to `limit` tasks to a shard zone, within its zone's limit. Returns how many. */
   assign(shardZone: ShardZone, limit: number): number {
     const count = Math.min(this.remaining, limit, this.zoneLimits.remaining(shardZone.zone));
     if (count <= 0) return 0;
@@ -67,7 +67,8 @@
 }
 
 /**
- * Distributes tasks over shard zones: by free capacity, the largest first, then the shortest queue.
+ * Distributes tasks over shard zones, first to those with the most free capacity and then to those
+ * with the shortest queues.
  */
 export class TaskDistribution {
   constructor(
@@ -76,8 +77,9 @@
   ) {}
 
   /**
-   * Assigns up to `allowed` tasks: as many as there is free capacity for and, of non-urgent arrays,
-   * as many as there will soon be capacity for.
+   * Assigns up to `allowed` tasks, as far as there is free capacity or capacity that the job may
+   * preempt. Of non-urgent arrays, also assigns tasks for which capacity becomes free within
+   * `QUEUE_AHEAD_S`.
    */
   distribute(job: OpenJob, allowed: number, target: DistributionTarget): DistributionResult {
     const { spec } = job;
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -1,4 +1,4 @@
-/** Usage of team quotas during a scheduling cycle. */
+/** Tracks the usage of team quotas during a scheduling cycle. */
 import { URGENT_RESERVE_QUOTA_FRACTION, URGENT_RESERVE_JOBS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
@@ -9,7 +9,7 @@
 import { isUrgent } from '../capacity/priorities.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** Dependencies of the quotas. */
+/** Dependencies of `TeamQuota`. */
 export interface TeamQuotaOptions {
   readonly teams: ReadonlyMap<string, Team>;
   readonly replica: StoreReplica;
@@ -17,22 +17,22 @@
   readonly log: Log;
 }
 
-/** The quotas of all teams and their usage. */
+/** Quotas of all teams, their usage, and the parts that are reserved for urgent work. */
 export class TeamQuota {
   private readonly usageByTeam = new Map<string, Usage>();
-  /** CPUs of each quota that are reserved for urgent work of the team. */
+  /** CPUs of each team's quota that are reserved for its urgent work, by team. */
   private urgentReserves: ReadonlyMap<string, number> = new Map();
-  /** Jobs that wait for quota: each is logged once. */
+  /** Jobs that were delayed by their team's quota. Each is logged only the first time. */
   private readonly waitingJobs = new Set<string>();
 
   constructor(private readonly options: TeamQuotaOptions) {}
 
-  /** Usage by team, including what this cycle assigned. */
+  /** Usage by team, including tasks that were assigned in this cycle. */
   get usage(): ReadonlyMap<string, Usage> {
     return this.usageByTeam;
   }
 
-  /** Starts a scheduling cycle: counts usage and reserves for urgent work. */
+  /** Starts a scheduling cycle by counting the usage and the reserves for urgent work. */
   beginCycle(): void {
     this.usageByTeam.clear();
     for (const [team, usage] of this.options.accounting.teams)
@@ -40,14 +40,14 @@
     this.urgentReserves = this.countUrgentReserves();
   }
 
-  /** Forgets jobs that are no longer open. */
+  /** Removes jobs that are no longer open. */
   forgetClosed(isOpen: (job: string) => boolean): void {
     for (const job of this.waitingJobs) {
       if (!isOpen(job)) this.waitingJobs.delete(job);
     }
   }
 
-  /** What is left of a quota, its reserve for urgent work included. */
+  /** Returns the unused part of a team's quota, including its reserve for urgent work. */
   remaining(name: string): Usage {
     const team = this.options.teams.get(name);
     const usage = this.usageOf(name);
@@ -57,12 +57,12 @@
     };
   }
 
-  /** CPUs of a quota that non-urgent work must leave to the team's urgent work. */
+  /** Returns the CPUs of a team's quota that are reserved for its urgent work. */
   urgentReserve(team: string): number {
     return this.urgentReserves.get(team) ?? 0;
   }
 
-  /** Whether so much more would exceed the quota of a team. */
+  /** Returns whether `more` resources on top of its usage would exceed a team's quota. */
   wouldExceed(name: string, more: Resources): boolean {
     const team = this.options.teams.get(name);
     const usage = this.usageOf(name);
@@ -80,12 +80,12 @@
     usage.gpus += allocated.gpus;
   }
 
-  /** Records that a job waits for quota. */
+  /** Logs that a job is delayed by its team's quota, once per job. */
   recordWaiting({ id, spec }: OpenJob): void {
     if (this.waitingJobs.has(id)) return;
     this.waitingJobs.add(id);
     const usage = this.usageOf(spec.team);
-    this.options.log.info({ job: id, team: spec.team, usage }, 'job waits for team quota');
+    this.options.log.info({ job: id, team: spec.team, usage }, 'job delayed by team quota');
   }
 
   private usageOf(team: string): Usage {
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -12,15 +12,15 @@
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import { allocateInShardZone } from './capacity-allocation.js';
 
-/** A shard zone's list of machines is filtered once this share of them has become full. */
+/** A shard zone's list of machines is filtered once this fraction of them has no free CPUs left. */
 const FULL_MACHINES_FRACTION = 1 / 4;
 
 /** Machines with free CPUs, by the key of their shard zone. */
 type FreeMachines = Map<string, readonly MachineCapacity[]>;
 
 /**
- * Only machines with free CPUs: most of a busy fleet have none, and need not be visited for each
- * assignment.
+ * Returns the machines with free CPUs by shard zone. In a busy fleet most machines have none, and
+ * leaving them out saves visiting them for each assignment.
  */
 function freeMachinesByShardZone(machines: readonly MachineCapacity[]): FreeMachines {
   const machinesByShardZone = new Map<string, MachineCapacity[]>();
@@ -35,8 +35,8 @@
 }
 
 /**
- * Allocates free capacity in the order of the shard's own first fit; returns how many tasks found
- * none.
+ * Allocates free capacity of an assignment's shard zone, first fit, as the shard itself does.
+ * Returns how many tasks found none.
  */
 function allocateInShardOrder(
   spec: JobSpec,
@@ -67,8 +67,8 @@
 }
 
 /**
- * Records waiting tasks of an assignment as unmet demand. For a gang, also allocates the capacity
- * that will be reclaimed.
+ * Records waiting tasks of an assignment as unmet demand, and counts them in the queue of its shard
+ * zone. For a gang, also allocates the capacity that will be reclaimed.
  */
 function addUnmetDemand(
   { spec, at: acceptedAt }: JobRecord,
@@ -77,18 +77,18 @@
   cycle: SchedulingCycle,
 ): void {
   const isGang = assignment.attempt !== null;
-  // Its shard reserves reclaimed capacity for the gang: other jobs must not count on it.
+  // The shard reserves the reclaimed capacity for the gang, so other jobs must not count it.
   if (isGang) allocateInShardZone(spec, assignment, count, cycle.machines);
   const queue = cycle.queues.get(shardZoneKey(assignment.shard, assignment.zone));
   if (queue) queue.waitingCpus += count * spec.cpus;
-  // Machines for a gang in one zone must be rented in the zone of the gang's other tasks.
+  // Machines for a gang that must stay in one zone must be rented in the zone of its other tasks.
   const demand = isGang && spec.oneZone ? { ...spec, zone: assignment.zone } : spec;
   cycle.unmetDemand.push({ spec: demand, count, acceptedAt });
 }
 
 /**
- * Allocates capacity for all waiting tasks of open jobs. Those without free capacity join the
- * queues.
+ * Allocates capacity for all waiting tasks of open jobs. Tasks without free capacity are counted in
+ * the queues and as unmet demand.
  */
 export function allocateForWaitingTasks(
   cycle: SchedulingCycle,
--- a/src/coordination/leader/zone-limits.ts
+++ b/src/coordination/leader/zone-limits.ts
@@ -1,14 +1,14 @@
-/** How many tasks of a job each zone may get, by its `oneZone` and `spread`. */
+/** Limits how many tasks of a job each zone may get, according to its `oneZone` and `spread`. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { OpenJob } from './scheduling-order.js';
 
-/** Capacity for tasks of a job in a zone. */
+/** Number of tasks of a job for which a zone, or a part of it, has capacity. */
 export interface ZoneCapacity {
   readonly zone: string;
   readonly count: number;
 }
 
-/** Assigned tasks of a job that are not done, by zone. */
+/** Returns the numbers of assigned tasks of a job that are not done, by zone. */
 function activeTasks(job: string, replica: StoreReplica): Map<string, number> {
   const active = new Map<string, number>();
   for (const assignment of replica.assignmentsOf(job)) {
@@ -25,7 +25,8 @@
 }
 
 /**
- * The zone of a job that must stay in one: where it has tasks, else where there is most capacity.
+ * Returns the zone of a job that must stay in one zone: the zone of its assigned tasks, or if there
+ * are none, the zone with the most capacity; undefined: no zone has capacity.
  */
 function onlyZone(
   active: ReadonlyMap<string, number>,
@@ -37,7 +38,7 @@
   return best?.[0];
 }
 
-/** How many more tasks of a job each zone with capacity may get. */
+/** Number of further tasks of a job that each zone with capacity may get. */
 export class ZoneLimits {
   private readonly limits = new Map<string, number>();
 
@@ -56,12 +57,12 @@
     }
   }
 
-  /** How many more tasks a zone may get. */
+  /** Returns how many further tasks a zone may get. */
   remaining(zone: string): number {
     return this.limits.get(zone) ?? 0;
   }
 
-  /** Counts tasks that were assigned to a zone. */
+  /** Deducts tasks that were assigned to a zone. */
   use(zone: string, count: number): void {
     this.limits.set(zone, this.remaining(zone) - count);
   }
