--- a/test/capacity/machine-inventory.test.ts
+++ b/test/capacity/machine-inventory.test.ts
@@ -1,4 +1,8 @@
-/** The leader's view of the fleet: complete at any size, and decoded only where it changed. */
+/**
+ * The leader's list of machines with their free capacity. Guards against decoding all records of a
+ * large fleet in each scheduling cycle, and against listing machines that are being drained or are
+ * gone.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MachineInventory } from '../../src/coordination/capacity/machine-inventory.js';
@@ -12,7 +16,7 @@
 import { SimKeyValueStore } from '../world/key-value-store.js';
 
 const MACHINES = 4_000;
-const PER_SHARD = 100;
+const MACHINES_PER_RECORD = 100;
 const MEMBERS = [
   { node: 'p', zone: 'a' },
   { node: 'q', zone: 'b' },
@@ -20,11 +24,11 @@
 
 const nameOf = (index: number): string => `m-${String(index).padStart(6, '0')}`;
 
-/** A status record that counts how often its machines are listed. */
+/** Returns a status record that counts how often its machines are read. */
 function countedStatus(page: number, count: { reads: number }): StatusRecord {
   const machines: StatusRecord['machines'] = {};
-  for (let at = page * PER_SHARD; at < (page + 1) * PER_SHARD; at++) {
-    machines[nameOf(at)] = ['small', 'a', 0, 'ok'];
+  for (let index = page * MACHINES_PER_RECORD; index < (page + 1) * MACHINES_PER_RECORD; index++) {
+    machines[nameOf(index)] = ['small', 'a', 0, 'ok'];
   }
   const ownKeys = (target: StatusRecord['machines']): (string | symbol)[] => {
     count.reads++;
@@ -47,10 +51,12 @@
   let revision = 1;
   const record: MachineRecord = { state: 'rented', type: 'small', zone: 'a', spot: false, at: 0 };
   replica.applyOwnChanges([{ key: CATALOG, value: TYPES, revision: revision++ }]);
-  for (let at = 0; at < MACHINES; at++) {
-    replica.applyOwnChanges([{ key: machineKey(nameOf(at)), value: record, revision: revision++ }]);
+  for (let index = 0; index < MACHINES; index++) {
+    replica.applyOwnChanges([
+      { key: machineKey(nameOf(index)), value: record, revision: revision++ },
+    ]);
   }
-  for (let page = 0; page < MACHINES / PER_SHARD / 2; page++) {
+  for (let page = 0; page < MACHINES / MACHINES_PER_RECORD / 2; page++) {
     const value = countedStatus(page, count);
     replica.applyOwnChanges([{ key: statusKey('p', page), value, revision: revision++ }]);
   }
@@ -58,11 +64,11 @@
   return { replica, inventory, count, revision };
 }
 
-// Each pass of the leader decoded the records of the whole fleet anew: an eighth of its processor
-// time on a small controller, in one stretch that delayed the heartbeats of workers.
-test('a pass decodes only the records that changed, and lists 4,000 machines', () => {
+// When each scheduling cycle decoded the records of the whole fleet, this took an eighth of the CPU
+// time of a small controller, without interruption, which delayed the heartbeats of workers.
+test('repeated listings of 4,000 machines decode only records that changed', () => {
   const { replica, inventory, count, revision } = largeFleet();
-  const pages = MACHINES / PER_SHARD / 2;
+  const pages = MACHINES / MACHINES_PER_RECORD / 2;
   for (let cycle = 0; cycle < 5; cycle++) {
     const machines = [...inventory.machines().values()];
     assert.equal(machines.length, MACHINES);
@@ -74,10 +80,10 @@
   changed.machines[nameOf(0)] = ['small', 'a', 0, 'silent'];
   replica.applyOwnChanges([{ key: statusKey('p', 0), value: changed, revision }]);
   assert.equal(inventory.machines().get(nameOf(0))?.health, 'silent');
-  assert.equal(count.reads, pages + 1, 'and once more when it changes');
+  assert.equal(count.reads, pages + 1, 'a changed record is decoded once more');
 });
 
-test('a machine that drains or is gone is not counted, whatever its shard says', () => {
+test('a machine that is being drained or is gone is not listed even if its shard reports it', () => {
   const { replica, inventory, revision } = largeFleet();
   const record: MachineRecord = { state: 'drain', type: 'small', zone: 'a', spot: false, at: 0 };
   assert.ok(inventory.machines().has(nameOf(1)));
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -1,4 +1,8 @@
-/** Gangs within their team's fair share preempt arrays that other teams run beyond theirs. */
+/**
+ * Capacity that a gang within its team's fair share reclaims by preempting arrays of other teams.
+ * Guards against preempting more than these teams use beyond their fair shares, which happens when
+ * two gangs are planned from the same counts, or when a shard acts on a plan that is out of date.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineCapacity } from '../../src/coordination/capacity/machine-capacity.js';
@@ -26,7 +30,7 @@
   ].map((team) => [team.name, team]),
 );
 
-/** One machine of shard p with this much free, and arrays of blue on it. */
+/** Returns a machine of shard p in a zone, with so many free CPUs. */
 const machine = (cpus: number, zone = 'a'): MachineCapacity => ({
   name: 'm-1',
   shard: 'p',
@@ -44,17 +48,17 @@
   arrayMemoryGb: 0,
 });
 
-/** A replica that shows an array, or a service, of `team` with so many tasks of 1 CPU on m-1. */
-function running(team: string, tasks: number, kind: JobSpec['kind']): StoreReplica {
+/** Returns a replica with one job of a team, of which so many tasks of 1 CPU are placed on m-1. */
+function replicaWithPlacedTasks(team: string, tasks: number, kind: JobSpec['kind']): StoreReplica {
   const assignment = { team, cpus: 1, memoryGb: 1, placedCount: tasks, job: ARRAY_JOB };
-  const on = Array.from({ length: tasks }, () => 'm-1');
+  const machines = Array.from({ length: tasks }, () => 'm-1');
   return {
-    assignments: () => [{ ...assignment, machines: on }],
+    assignments: () => [{ ...assignment, machines }],
     job: () => ({ spec: { ...SPEC, kind, team } }),
   } as unknown as StoreReplica;
 }
 
-test('a claim preempts no more than what other teams run beyond their fair shares', () => {
+test('a gang within its fair share reclaims no more CPUs than other teams use beyond theirs', () => {
   const cases: {
     name: string;
     team?: string;
@@ -64,18 +68,18 @@
     zone?: string;
     want: Record<string, number> | null;
   }[] = [
-    { name: 'enough beyond the fair share', tasks: 8, want: { blue: 4 } },
-    { name: 'some capacity is free', tasks: 6, free: 2, want: { blue: 2 } },
-    { name: 'too little beyond it', tasks: 7, want: null },
-    { name: 'all within it', tasks: 4, want: null },
-    { name: 'its own team', team: 'red', tasks: 14, want: null },
-    { name: 'services stay', tasks: 8, kind: 'service', want: null },
-    { name: 'not where it may go', tasks: 8, zone: 'b', want: null },
+    { name: 'usage beyond the fair share suffices', tasks: 8, want: { blue: 4 } },
+    { name: 'part of the capacity is free', tasks: 6, free: 2, want: { blue: 2 } },
+    { name: 'usage beyond the fair share too small', tasks: 7, want: null },
+    { name: 'all usage within the fair share', tasks: 4, want: null },
+    { name: "excess of the gang's own team", team: 'red', tasks: 14, want: null },
+    { name: 'services are not preempted', tasks: 8, kind: 'service', want: null },
+    { name: 'machine in a zone that the gang may not use', tasks: 8, zone: 'b', want: null },
   ];
   for (const { name, team = 'blue', tasks, kind = 'array', free = 0, zone = 'a', want } of cases) {
     const fairShareReclaim = new FairShareReclaim(
       TEAMS,
-      running(team, tasks, kind),
+      replicaWithPlacedTasks(team, tasks, kind),
       new SimClock(),
     );
     const spec = { ...GANG, zone: 'a' };
@@ -83,8 +87,8 @@
     assert.deepEqual(plan?.reclaim ?? null, want, name);
     if (want === null) continue;
     assert.deepEqual(plan?.subset, { shard: 'p', zone: 'a', count: 2 }, name);
-    // What was reclaimed is not reclaimed again before it is recounted.
-    assert.equal(fairShareReclaim.find(spec, [machine(free, zone)]), null, `${name}, again`);
+    // The same CPUs are not reclaimed for a second gang before the next recount.
+    assert.equal(fairShareReclaim.find(spec, [machine(free, zone)]), null, `${name}, second gang`);
   }
 });
 
@@ -95,8 +99,12 @@
   team: 'blue',
 };
 
-/** Time of day in ms: the array came a moment ago, so that nothing protects its first tasks. */
-const LATELY = Date.UTC(2100, 0);
+/**
+ * Wall-clock time in ms at which the array is accepted, later than the simulated time. The array
+ * thus does not count as one that began late, whose tasks are not preempted shortly after their
+ * start.
+ */
+const ACCEPTED_AT = Date.UTC(2100, 0);
 
 const arrayTask = (index: number): TaskStatus => ({
   task: { job: ARRAY_JOB, index },
@@ -105,38 +113,38 @@
   cause: null,
 });
 
-test('a shard preempts only the arrays that a claim allows, and only at once', async () => {
+test('a shard preempts arrays for a gang only up to its reclaimable CPUs, and not after 3 s', async () => {
   const cases: {
     name: string;
     reclaim?: Record<string, number>;
-    lateMs?: number;
+    delayMs?: number;
     kind?: JobSpec['kind'];
     want: string[];
   }[] = [
-    { name: 'no reclaim', want: [] },
-    { name: 'a reclaim', reclaim: { blue: 1 }, want: ['stop'] },
-    { name: 'a larger reclaim', reclaim: { blue: 3 }, want: ['stop'] },
-    { name: 'too small a reclaim', reclaim: { blue: 0.5 }, want: [] },
-    { name: 'of another team', reclaim: { green: 3 }, want: [] },
-    { name: 'services stay', reclaim: { blue: 3 }, kind: 'service', want: [] },
-    { name: 'a reclaim of long ago', reclaim: { blue: 3 }, lateMs: 3500, want: [] },
+    { name: 'nothing reclaimable', want: [] },
+    { name: '1 CPU reclaimable', reclaim: { blue: 1 }, want: ['stop'] },
+    { name: '3 CPUs reclaimable, 1 needed', reclaim: { blue: 3 }, want: ['stop'] },
+    { name: 'reclaimable CPUs too few for a task', reclaim: { blue: 0.5 }, want: [] },
+    { name: 'CPUs of another team reclaimable', reclaim: { green: 3 }, want: [] },
+    { name: 'services are not preempted', reclaim: { blue: 3 }, kind: 'service', want: [] },
+    { name: 'reclaimable more than 3 s ago', reclaim: { blue: 3 }, delayMs: 3500, want: [] },
   ];
-  for (const { name, reclaim, lateMs = 0, kind = 'array', want } of cases) {
+  for (const { name, reclaim, delayMs = 0, kind = 'array', want } of cases) {
     const world = await shardFixture({
       spec: { kind: 'gang', tasks: 2 },
       held: [
         {
           key: jobKey(ARRAY_JOB),
-          value: { spec: { ...SPEC, kind, team: 'blue', tasks: 3 }, at: LATELY },
+          value: { spec: { ...SPEC, kind, team: 'blue', tasks: 3 }, at: ACCEPTED_AT },
         },
         { key: assignmentKey('p', ARRAY_JOB, 5), value: ARRAY },
       ],
     });
     world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
     await world.clock.run(world.clock.now() + 300);
-    const share = { ...GANG_ASSIGNMENT, ...(reclaim && { reclaim }) };
-    world.state.change([{ key: assignmentKey('p', JOB, 1), value: share }]);
-    await world.clock.run(world.clock.now() + 300 + lateMs);
+    const assignment = { ...GANG_ASSIGNMENT, ...(reclaim && { reclaim }) };
+    world.state.change([{ key: assignmentKey('p', JOB, 1), value: assignment }]);
+    await world.clock.run(world.clock.now() + 300 + delayMs);
     const tasks = [0, 1, 2].map(arrayTask);
     world.heartbeat({}, tasks);
     await world.reconcile(1500);
--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Plans for gangs. Guards against gangs that wait for capacity in which they never fit, that start
+ * late because a machine fetches the image slowly, and that preempt other gangs although preempting
+ * arrays suffices.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -11,9 +16,9 @@
 
 const GANG: JobSpec = { ...SPEC, kind: 'gang', tasks: 2, cpus: 2, memoryGb: 6, oneZone: true };
 
-let count = 0;
+let machineCount = 0;
 const machine = (shard: string, change: Partial<MachineCapacity> = {}): MachineCapacity => ({
-  name: `m-${++count}`,
+  name: `m-${++machineCount}`,
   shard,
   type: 'small',
   zone: 'a',
@@ -29,7 +34,9 @@
   arrayMemoryGb: 0,
   ...change,
 });
-/** Full of small array tasks, by CPUs and by memory. */
+/**
+ * Properties of a machine that is full of small array tasks: no CPU and 2 GB of memory are free.
+ */
 const FULL = {
   cpus: 0,
   memoryGb: 2,
@@ -39,54 +46,60 @@
   arrayMemoryGb: 14,
 };
 
-test('gang placement: one shard before several, free capacity before expected capacity, else none', () => {
+test('a gang is planned on one shard before several, on free before reclaimable capacity, or not at all', () => {
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
     ['one shard has the capacity', {}, [machine('p'), machine('q', { cpus: 2 })], 'immediate p:2'],
     [
-      'two shards have it together',
+      'two shards have the capacity together',
       {},
       [machine('p', { cpus: 2 }), machine('q', { cpus: 2 })],
       'immediate p:1 q:1',
     ],
     [
-      'in one zone only',
+      'two zones have the capacity together, but one zone is required',
       {},
       [machine('p', { cpus: 2 }), machine('q', { cpus: 2, zone: 'b' })],
       'missing 1',
     ],
     [
-      'over both zones',
+      'two zones have the capacity together, and any zone is allowed',
       { oneZone: false },
       [machine('p', { cpus: 2 }), machine('q', { cpus: 2, zone: 'b' })],
       'immediate p:1 q:1',
     ],
     [
-      'at most half in a zone',
+      'a spread gang gets at most half in a zone',
       { oneZone: false, spread: true },
       [machine('p'), machine('q', { zone: 'b' })],
       'immediate p:1 q:1',
     ],
-    // When CPUs alone counted as expected capacity, gangs waited in front of arrays for ever.
-    ['arrays that end, memory too', {}, [machine('p', FULL)], 'afterReclaim p:2'],
-    ['CPUs end, memory does not', {}, [machine('p', { ...FULL, arrayMemoryGb: 0 })], 'missing 2'],
+    // When reclaimable capacity was counted in CPUs only, gangs waited for ever for memory that was
+    // not released, and arrays behind them did not start.
+    ['arrays release CPUs and memory when they end', {}, [machine('p', FULL)], 'afterReclaim p:2'],
     [
-      'an urgent one may preempt them',
+      'arrays release CPUs but no memory',
+      {},
+      [machine('p', { ...FULL, arrayMemoryGb: 0 })],
+      'missing 2',
+    ],
+    [
+      'an urgent gang may preempt arrays',
       { priority: 'high' },
       [machine('p', FULL)],
       'afterReclaim p:2',
     ],
-    ['no spot machine', {}, [machine('p', { spot: true })], 'missing 2'],
+    ['a spot machine is not used', {}, [machine('p', { spot: true })], 'missing 2'],
   ];
   for (const [name, change, machines, want] of cases) {
     const plan = planGang({ ...GANG, ...change }, machines);
     const got = plan.subsets
-      ? `${plan.availability} ${plan.subsets.map((one) => `${one.shard}:${one.count}`).join(' ')}`
+      ? `${plan.availability} ${plan.subsets.map((subset) => `${subset.shard}:${subset.count}`).join(' ')}`
       : `missing ${plan.missingTasks}`;
     assert.equal(got, want, name);
   }
 });
 
-test('the shard with most on-demand machines reserves capacity, and shortages are given by zone', () => {
+test('the shard zone with the most on-demand machines reserves capacity, and missing capacity has a zone', () => {
   const fleet = [machine('p'), machine('q'), machine('q'), machine('r', { spot: true })];
   assert.equal(reservingShardZone(GANG, fleet), 'q\na');
   assert.deepEqual(missingGangCapacity([GANG], [machine('p')]), []);
@@ -97,46 +110,52 @@
   assert.deepEqual([missing?.spec.zone, missing?.count], ['a', 3]);
 });
 
-test('gang placement: machines that fetch its image in time come first, arrays are preempted first', () => {
+test('a gang is planned on machines that fetch its image in time first, and preempts arrays before gangs', () => {
   const urgent: Partial<JobSpec> = { priority: 'high' };
-  /** Full of tasks that rank lower and are no arrays: of a gang, say. */
-  const gangs = { ...FULL, arrayCpus: 0, arrayMemoryGb: 0 };
+  /** Full of preemptible tasks that belong to no array, for example to gangs. */
+  const fullOfGangs = { ...FULL, arrayCpus: 0, arrayMemoryGb: 0 };
   const slow = { type: 'slow' };
   const cases: [string, Partial<JobSpec>, MachineCapacity[], string][] = [
     [
-      'a type that fetches quickly, though another has more capacity',
+      'a type that fetches in time, although another type has more capacity',
       {},
       [machine('p', { ...slow, cpus: 16, memoryGb: 64 }), machine('q')],
       'immediate q',
     ],
     [
-      'a slow one, where no other has capacity',
+      'a slow type, if no other has capacity',
       {},
       [machine('p', slow), machine('q', { cpus: 0 })],
       'immediate p',
     ],
-    // A slow fetch takes less time than arrays need to end, and more than it takes to preempt them.
-    ['a slow one before arrays end', {}, [machine('p', slow), machine('q', FULL)], 'immediate p'],
+    // A slow fetch takes less time than arrays take to end, and more than preempting them takes.
+    [
+      'a slow type rather than waiting until arrays end',
+      {},
+      [machine('p', slow), machine('q', FULL)],
+      'immediate p',
+    ],
     [
-      'arrays are preempted before a slow fetch',
+      'arrays are preempted rather than using a slow type',
       urgent,
       [machine('p', slow), machine('q', FULL)],
       'afterReclaim q',
     ],
-    // Urgent gangs preempted normal ones that had just started, where there were more of them.
+    // Urgent gangs preempted gangs of normal priority that had just started, if these had more
+    // preemptible capacity than arrays.
     [
       'arrays are preempted before gangs',
       urgent,
       [
-        machine('p', { ...gangs, preemptibleCpus: 16, preemptibleMemoryGb: 64 }),
+        machine('p', { ...fullOfGangs, preemptibleCpus: 16, preemptibleMemoryGb: 64 }),
         machine('q', FULL),
       ],
       'afterReclaim q',
     ],
     [
-      'gangs are preempted where there are no arrays',
+      'gangs are preempted if there are no arrays',
       urgent,
-      [machine('p', gangs)],
+      [machine('p', fullOfGangs)],
       'afterReclaim p',
     ],
   ];
--- a/test/leader/team-quota-reserve.test.ts
+++ b/test/leader/team-quota-reserve.test.ts
@@ -1,4 +1,8 @@
-/** How much of its team's quota lower-priority work may use, beside the reserve for urgent work. */
+/**
+ * The part of a team's quota that is reserved for urgent work. Guards against non-urgent jobs that
+ * use it, against jobs that starve because only the reserve is left, and against the limit for
+ * starved jobs being applied while unreserved quota is left.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { STARVATION_MS } from '../../src/constants/leader.js';
@@ -22,7 +26,10 @@
   isStartOverdue: false,
 };
 
-/** How many tasks are allowed with so many CPUs left of the quota, after so long without any. */
+/**
+ * Returns how many tasks may be assigned with `remaining` CPUs of quota, after `starvedMs` without
+ * tasks.
+ */
 function allowedTasks(remaining: number, starvedMs: number): number {
   let allowed = 0;
   const history = new AssignmentHistory();
@@ -48,14 +55,14 @@
   return allowed;
 }
 
-test('lower-priority work leaves the reserve alone, except for a share of jobs starved by it', () => {
+test('non-urgent work does not use the reserve, except for a fraction of a job that is starved by it', () => {
   const cases: [string, number, number, number][] = [
-    ['the reserve stays untouched', 10, 0, 6],
-    ['only the reserve is left', 3, 0, 0],
-    // A starved job got only a quarter of its tasks, however much capacity there was.
-    ['starved, though there is quota left beside the reserve', 10, STARVATION_MS + 1, 6],
-    ['starved because of the reserve', 3, STARVATION_MS + 1, 2],
-    ['starved, and little is left at all', 1, STARVATION_MS + 1, 1],
+    ['the reserve is not used', 10, 0, 6],
+    ['only a part of the reserve is left', 3, 0, 0],
+    // A starved job once got only a quarter of its tasks, even if unreserved quota was left.
+    ['starved, unreserved quota is left', 10, STARVATION_MS + 1, 6],
+    ['starved, only a part of the reserve is left', 3, STARVATION_MS + 1, 2],
+    ['starved, quota for one task is left', 1, STARVATION_MS + 1, 1],
   ];
   for (const [name, remaining, starvedMs, want] of cases) {
     assert.equal(allowedTasks(remaining, starvedMs), want, name);
