--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -8,7 +8,9 @@
 export const GANG_RETRY_MIN_MS = 250;
 export const GANG_RETRY_MAX_MS = 20_000;
 
-/** Number of images for which the leader stores the shard zone where a gang used them last. */
+/**
+ * Maximum number of images for which the leader stores the shard zone where a gang used them last.
+ */
 export const GANG_IMAGE_HISTORY_MAX_IMAGES = 500;
 
 /**
@@ -19,8 +21,8 @@
 export const GANG_ARRIVAL_WINDOW_MS = 150_000;
 
 /**
- * Fraction of the reclaimable capacity that counts as available to an expected gang: the capacity
- * is not free at once, and not all of it becomes free in time.
+ * Fraction of the reclaimable capacity that counts as available to an expected gang, because the
+ * capacity is not free at once and not all of it becomes free in time.
  */
 export const GANG_RECLAIMABLE_FRACTION = 0.5;
 
@@ -57,8 +59,8 @@
 
 /**
  * ms; a shard reserves capacity for a gang subset that does not fit yet for this long before it
- * returns the subset to the leader. It is the run time of one or two short tasks, so that short
- * tasks that occupy the capacity end within it.
+ * returns the subset to the leader. This is the run time of one or two short tasks, so short tasks
+ * that occupy the capacity end within it.
  */
 export const GANG_RESERVATION_TIMEOUT_MS = 20_000;
 
--- a/src/constants/leader.ts
+++ b/src/constants/leader.ts
@@ -3,8 +3,8 @@
  */
 
 /**
- * ms; period of past arrivals of non-urgent arrays from which the CPUs for the next ones are
- * forecast. It contains a few dozen jobs, enough for a steady average.
+ * ms; length of the past period whose arrivals of non-urgent arrays are used to forecast the CPUs
+ * that the next ones need. Some dozens of jobs arrive in it.
  */
 export const ARRIVAL_WINDOW_MS = 90_000;
 
@@ -23,15 +23,15 @@
 
 /**
  * s; non-urgent arrays are assigned to a shard ahead of its free capacity, up to the capacity that
- * running tasks are expected to release within this time. The time is longer than the interval from
- * a task's end to the leader's next assignment. With a shorter one, machines would idle during that
- * interval and assignments would be small.
+ * running tasks are expected to release within this time. This time is longer than the interval
+ * from the end of a task until the leader has assigned a new one. With a shorter time, machines
+ * would idle during that interval and assignments would be small.
  */
 export const QUEUE_AHEAD_S = 8;
 
 /**
  * A shard zone's queue is refilled when its waiting CPUs are at most this many times the CPUs that
- * it still lacks: at 1, when it is at most half full.
+ * it still lacks. With 1, it is refilled when it is at most half full.
  */
 export const QUEUE_REFILL_FACTOR = 1;
 
@@ -49,17 +49,20 @@
  */
 export const START_OVERDUE_S = 100;
 
-/** Fraction of an overdue job's tasks that is assigned ahead of other jobs for that reason. */
+/** Fraction of the tasks of a job with an overdue start that precede the tasks of other jobs. */
 export const OVERDUE_TASK_FRACTION = 0.05;
 
 /**
  * ms; a non-urgent job that had no task placed or assigned for this long may use quota that is
- * reserved for urgent work. It is far shorter than the time that users accept for a job to wait
- * while machines are idle.
+ * reserved for urgent work. This time is far shorter than users accept that a job waits while
+ * machines are idle.
  */
 export const STARVATION_MS = 30_000;
 
-/** Fraction of such a job's tasks that may use the reserved quota in one scheduling cycle. */
+/**
+ * Fraction of the tasks of a job starved for `STARVATION_MS` that may use reserved quota in one
+ * scheduling cycle.
+ */
 export const STARVED_TASK_FRACTION = 0.25;
 
 /**
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -33,7 +33,8 @@
 
   /**
    * Commits assignments until a transaction fails. `urgentAssignmentKeys` are the keys of the
-   * assignments of urgent work. Returns the shards that got such assignments.
+   * assignments of urgent work and of gangs. Returns the shards with an assignment in a transaction
+   * that contained at least one of these.
    */
   async run(
     assignments: readonly NewAssignment[],
@@ -50,7 +51,7 @@
       const urgent = group.some((assignment) => urgentAssignmentKeys.has(assignment.key));
       // A shard may finish an assignment and remove its record within seconds. A delayed duplicate
       // of this transaction must not create the record again, because its tasks may be in another
-      // assignment by then. Hence the last argument, `mustNotRepeat`.
+      // assignment by then. The last argument, `mustNotRepeat`, prevents that.
       const result = await writer.commit(
         urgent ? 'urgent' : 'leader',
         this.guardsOf(group, jobs),
@@ -63,8 +64,8 @@
         else rejectedChangeBackoff.clear(job);
       }
       if (result.kind !== 'done') break;
-      // Shards with non-urgent assignments only are not returned. That work is assigned ahead of
-      // free capacity, so it is soon enough when these shards read it in their next pass.
+      // Other work is assigned ahead of free capacity. It is early enough if its shards read it in
+      // their next scheduling cycle.
       if (urgent) for (const assignment of group) urgentShards.add(shardOf(assignment));
     }
     return urgentShards;
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -32,7 +32,7 @@
   readonly valueBytes: number;
   readonly teams: readonly Team[];
   readonly members: readonly Member[];
-  /** Maximum time in s from acceptance to start, by job class. */
+  /** Start-time objectives: maximum time in s from acceptance to start, by job class. */
   readonly startWithinS: Readonly<Record<string, number>>;
   /** Returns how scarce writes to the key-value store currently are for this controller. */
   readonly supply: () => Supply;
@@ -58,7 +58,7 @@
 }
 
 /**
- * Plans scheduling cycles. Writes nothing to the key-value store, but keeps the history in memory
+ * Plans scheduling cycles. Writes nothing to the key-value store, but keeps in memory the history
  * on which later cycles depend.
  */
 export class AssignmentPlanner {
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -52,7 +52,7 @@
 /**
  * Allocates free and reclaimable capacity. Other work has to release the reclaimable part first.
  */
-function allocateReclaimed(
+function allocateFreeAndReclaimable(
   spec: JobSpec,
   count: number,
   machines: readonly MachineCapacity[],
@@ -84,7 +84,7 @@
     ({ shard, zone }) => shard === shardZone.shard && zone === shardZone.zone,
   );
   const remaining = allocateFree(spec, count, machinesInShardZone);
-  allocateReclaimed(spec, remaining, machinesInShardZone);
+  allocateFreeAndReclaimable(spec, remaining, machinesInShardZone);
 }
 
 /**
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -67,7 +67,10 @@
   private countedAt = -Infinity;
   /** CPUs that each team uses beyond its fair share; teams without any are omitted. */
   private readonly excessCpus = new Map<string, number>();
-  /** Resources that preempting the arrays of each such team would free, by machine and team. */
+  /**
+   * Resources that preempting the arrays of each team with an excess would free, by machine and
+   * team.
+   */
   private readonly reclaimableByMachine = new Map<string, Map<string, Reclaimable>>();
 
   constructor(
@@ -77,8 +80,9 @@
   ) {}
 
   /**
-   * Returns a plan for a shard zone in which all of the gang fits once arrays of such teams are
-   * preempted, and deducts the CPUs that the gang may preempt; null: there is no such shard zone.
+   * Returns a plan for a shard zone in which all of the gang fits once arrays of teams with an
+   * excess are preempted, and deducts the CPUs that the gang may preempt; null: there is no such
+   * shard zone.
    */
   find(spec: JobSpec, machines: readonly MachineCapacity[]): ReclaimPlan | null {
     this.refresh();
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -25,16 +25,17 @@
   readonly assignmentFactory: AssignmentFactory;
   readonly replica: StoreReplica;
   readonly log: Log;
-  /** Maximum time in s from acceptance to start, by job class. */
+  /** Start-time objectives: maximum time in s from acceptance to start, by job class. */
   readonly startWithinS: Readonly<Record<string, number>>;
 }
 
 /** A plan for a gang for which there is capacity, free or after reclaiming. */
 type PlannedSubsets = Extract<GangPlan, { availability: unknown }>;
 
-/** Decision on a gang: its plan, and the CPUs that it reclaims from other teams; null: none. */
+/** Decision on a gang. */
 interface GangDecision {
   readonly plan: GangPlan;
+  /** Plan by which the gang reclaims capacity from other teams; null: it reclaims none. */
   readonly reclaimPlan: ReclaimPlan | null;
 }
 
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -29,7 +29,7 @@
   | { subsets: GangSubset[]; availability: Availability }
   | { subsets: null; zone: string | null; missingTasks: number };
 
-/** Information about where fetching the image of a gang takes little or no time. */
+/** Hints on where fetching the image of a gang takes little or no time. */
 export interface ImageHints {
   /** Key of the shard zone to which a gang with this image was last assigned; null: unknown. */
   lastShardZone: string | null;
@@ -140,8 +140,8 @@
       found === null || shardZone[availability] > found[availability] ? shardZone : found,
     null,
   );
-  // A gang starts after the last of its machines has fetched the image. Machines that have the
-  // image already avoid this wait.
+  // A gang starts after the last of its machines has fetched the image. The machines of `preferred`
+  // probably have it already, so that no task waits.
   const best = preferred && preferred[availability] >= spec.tasks ? preferred : largest;
   if (!best || best[availability] < spec.tasks) return null;
   return [{ shard: best.shard, zone: best.zone, count: spec.tasks }];
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -51,7 +51,7 @@
     this.jobsPerTransaction = Math.max(1, Math.floor(options.transactionOps / CHANGES_PER_JOB));
   }
 
-  /** Completes all jobs that can be completed, unless a transaction is abandoned. */
+  /** Completes the jobs whose tasks are done. Stops early if a transaction is abandoned. */
   async run(): Promise<void> {
     const { rejectedChangeBackoff, log, writer } = this.options;
     const completed = this.completedJobs();
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -6,10 +6,10 @@
 import { RecentGangs } from '../capacity/recent-gangs.js';
 import { isUrgent } from '../capacity/priorities.js';
 
-/** ms; minimum period of observation for a forecast. */
+/** ms; minimum period of observation. Before it has passed, no CPUs are forecast. */
 const MIN_OBSERVED_MS = ARRIVAL_WINDOW_MS / 3;
 
-/** An array that arrived. */
+/** Arrival of a non-urgent array, at `arrivedAt` of the monotonic clock in ms. */
 interface ArrayArrival {
   readonly arrivedAt: number;
   /** Estimated work of all its tasks, in CPU seconds. */
@@ -17,16 +17,16 @@
 }
 
 /**
- * Arrays that arrived within the last `ARRIVAL_WINDOW_MS`, and gangs within the last
+ * Non-urgent arrays that arrived within the last `ARRIVAL_WINDOW_MS`, and gangs within the last
  * `GANG_ARRIVAL_WINDOW_MS`. The fleet should have capacity for as many again.
  */
 export class RecentArrivals {
   private readonly knownJobs = new Set<string>();
   private readonly recentArrays: ArrayArrival[] = [];
-  /** Gangs that arrived recently. */
+  /** Gangs that arrived within the last `GANG_ARRIVAL_WINDOW_MS`. */
   readonly recentGangs: RecentGangs;
   private readonly startedAt: number;
-  /** The non-urgent array that arrived last; null: none did. */
+  /** The non-urgent array that arrived last; null: none has arrived. */
   lastArray: JobSpec | null = null;
 
   constructor(
--- a/src/coordination/leader/scheduling-cycle.ts
+++ b/src/coordination/leader/scheduling-cycle.ts
@@ -24,6 +24,6 @@
   readonly unmetDemand: UnmetDemand[];
   /** New assignments, in the scheduling order of their jobs. */
   readonly assignments: NewAssignment[];
-  /** Keys of the assignments of urgent work. */
+  /** Keys of the assignments of urgent work and of gangs. */
   readonly urgentAssignmentKeys: Set<string>;
 }
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -56,7 +56,7 @@
 
 function openJobOf(
   { spec, at: acceptedAt }: JobRecord,
-  { progress, wallClockMs: wall }: SchedulingState,
+  { progress, wallClockMs }: SchedulingState,
 ): OpenJob {
   const { assigned = 0, done = 0, placed = 0 } = progress.get(spec.id) ?? {};
   return {
@@ -68,7 +68,7 @@
     placed,
     isWithinFairShare: false,
     deadlineTier: 0,
-    isStartOverdue: assigned === 0 && wall - acceptedAt > START_OVERDUE_S * 1000,
+    isStartOverdue: assigned === 0 && wallClockMs - acceptedAt > START_OVERDUE_S * 1000,
   };
 }
 
@@ -93,13 +93,10 @@
  * `LATE_JOB_PRIORITY_DEADLINES` times their deadline keep tier 0, because a large job whose team is
  * always at its quota would otherwise never end.
  */
-function setDeadlineTiers(
-  jobs: readonly OpenJob[],
-  { cpus, wallClockMs: wall }: SchedulingState,
-): void {
+function setDeadlineTiers(jobs: readonly OpenJob[], { cpus, wallClockMs }: SchedulingState): void {
   const demands = new Map<DeadlineDemand, OpenJob>();
   for (const job of jobs) {
-    const demand = demandOf(job, wall);
+    const demand = demandOf(job, wallClockMs);
     if (demand) demands.set(demand, job);
   }
   for (const demand of selectLateDemands([...demands.keys()], cpus)) {
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -28,12 +28,12 @@
 
 /** Returns the numbers of a job's tasks that are in no assignment, in ascending order. */
 function unassignedIds({ id: job, spec }: OpenJob, replica: StoreReplica): number[] {
-  const taken = new Uint8Array(spec.tasks);
+  const isAssigned = new Uint8Array(spec.tasks);
   for (const assignment of replica.assignmentsOf(job)) {
-    for (const id of assignment.ids) taken[id] = 1;
+    for (const id of assignment.ids) isAssigned[id] = 1;
   }
   const ids: number[] = [];
-  for (let id = 0; id < spec.tasks; id++) if (taken[id] === 0) ids.push(id);
+  for (let id = 0; id < spec.tasks; id++) if (isAssigned[id] === 0) ids.push(id);
   return ids;
 }
 
