--- a/test/leader/gang-plan.test.ts
+++ b/test/leader/gang-plan.test.ts
@@ -73,8 +73,8 @@
       [machine('p'), machine('q', { zone: 'b' })],
       'immediate p:1 q:1',
     ],
-    // When reclaimable capacity was counted in CPUs only, gangs waited for ever for memory that was
-    // not released, and arrays behind them did not start.
+    // When reclaimable capacity was counted in CPUs only, gangs waited permanently for memory that
+    // was not released, and arrays behind them did not start.
     ['arrays release CPUs and memory when they end', {}, [machine('p', FULL)], 'afterReclaim p:2'],
     [
       'arrays release CPUs but no memory',
@@ -99,7 +99,7 @@
   }
 });
 
-test('the shard zone with the most on-demand machines reserves capacity, and missing capacity has a zone', () => {
+test('the shard zone with the most on-demand machines reserves capacity, and missing capacity names its zone', () => {
   const fleet = [machine('p'), machine('q'), machine('q'), machine('r', { spot: true })];
   assert.equal(reservingShardZone(GANG, fleet), 'q\na');
   assert.deepEqual(missingGangCapacity([GANG], [machine('p')]), []);
