--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -9,7 +9,7 @@
 import { broadestReclaimMode, type MachineCapacity } from '../capacity/machine-capacity.js';
 import { resourcesOf } from '../capacity/resources.js';
 import type { GangHistory } from './gang-history.js';
-import { planGang, type GangPlan, type ImageHints } from './gang-plan.js';
+import { planGang, type GangPlan, type ImageHints, type GangSubset } from './gang-plan.js';
 import type { ReclaimPlan, FairShareReclaim } from './fair-share-reclaim.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
@@ -30,7 +30,7 @@
 }
 
 /** A plan for a gang for which there is capacity, free or after reclaiming. */
-type PlannedSubsets = Extract<GangPlan, { availability: unknown }>;
+type PlannedSubsets = Extract<GangPlan, { subsets: GangSubset[] }>;
 
 /** Decision on a gang. */
 interface GangDecision {
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -94,10 +94,8 @@
   reservesCapacity(job: string, now: number): boolean {
     const waitingSince = this.waitingSince.get(job) ?? now;
     this.waitingSince.set(job, waitingSince);
-    const waitedPastDelayMs = now - waitingSince - GANG_RESERVATION_DELAY_MS;
-    return (
-      waitedPastDelayMs >= 0 && waitedPastDelayMs % (2 * GANG_RESERVATION_MS) < GANG_RESERVATION_MS
-    );
+    const pastDelayMs = now - waitingSince - GANG_RESERVATION_DELAY_MS;
+    return pastDelayMs >= 0 && pastDelayMs % (2 * GANG_RESERVATION_MS) < GANG_RESERVATION_MS;
   }
 
   /** Removes gangs whose jobs are no longer open. */
