--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -1,4 +1,4 @@
-/** The leader's running sums over all assignments. */
+/** Keeps sums of resources and tasks over all assignments, for the leader. */
 
 import { ACCOUNTING_REBUILD_MS } from '../../constants/capacity.js';
 import { ASSIGNMENTS, JOBS } from '../../storage/keys.js';
@@ -10,16 +10,16 @@
 import { isUrgent } from './priorities.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** Resources that a team uses. */
+/** CPUs and GPUs that a team uses. */
 export interface Usage {
   cpus: number;
   gpus: number;
 }
 
-/** Resources that are placed on a machine. */
+/** Resources of the tasks that are placed on a machine. */
 export type MachineUsage = MachineResources;
 
-/** The sums of a machine on which nothing is placed. */
+/** Returns the sums for a machine without placed tasks. */
 export function emptyMachineUsage(): MachineUsage {
   return {
     cpus: 0,
@@ -33,62 +33,69 @@
   };
 }
 
-/** Counts of tasks of a job that are assigned to shards, done, and placed on machines. */
-export interface Progress {
+/** Numbers of tasks of a job that are assigned to shards, done, and placed on machines. */
+export interface JobProgress {
   assigned: number;
   done: number;
   placed: number;
 }
 
 /**
- * How many tasks must be done for a job to be complete: one of a gang, since it ends as a whole.
+ * Returns how many tasks must be done for a job to be complete. For a gang it is one, because a
+ * gang ends as a whole. A service is never complete.
  */
 export function doneTasksToComplete(spec: JobSpec): number {
   if (spec.kind === 'service') return Infinity;
   return spec.kind === 'gang' ? 1 : spec.tasks;
 }
 
-/** Contribution of one assignment, kept so that exactly this can be subtracted again. */
-interface Entry {
+/**
+ * Amounts that one assignment added to the sums, stored so that the same amounts can be subtracted
+ * later.
+ */
+interface Contribution {
   assignment: AssignmentSummary;
-  isLowPriority: boolean;
+  isPreemptible: boolean;
   isArray: boolean;
-  /** CPUs that become free per second. */
+  /** CPUs of its placed tasks that are expected to become free per second. */
   endingCpusPerS: number;
 }
 
 /**
- * Sums over all assignments, updated with each change of one: the cost of a scheduling cycle
- * depends on what is open and free, not on all that runs. They are recalculated periodically, since
- * sums of decimals drift.
+ * Sums over all assignments, updated with each change of an assignment, so that the cost of a
+ * scheduling cycle depends on open jobs and free capacity and not on the number of running tasks.
+ * The sums are recalculated periodically, because rounding errors accumulate.
  */
 export class CapacityAccounting {
-  private entries = new Map<string, Entry>();
-  /** Usage by machine. */
+  private contributions = new Map<string, Contribution>();
+  /** Resources of placed tasks, by machine name. */
   readonly machines = new Map<string, MachineUsage>();
-  /** Usage by team. */
+  /** Resources of assigned tasks that are not done, by team. */
   readonly teams = new Map<string, Usage>();
-  /** Progress by job. */
-  readonly jobs = new Map<string, Progress>();
-  /** CPUs of arrays and gangs that become free per second, by the key of their shard zone. */
+  /** Task counts by job. */
+  readonly jobs = new Map<string, JobProgress>();
+  /** CPUs of arrays and gangs that are expected to become free per second, by shard zone key. */
   readonly endingCpusPerS = new Map<string, number>();
-  /** Assignments of open jobs with tasks that are not placed. */
+  /** Assignments of open jobs that have tasks waiting to be placed, by key. */
   readonly waiting = new Map<string, AssignmentSummary>();
   /** Jobs that may be complete. */
   readonly completionCandidates = new Set<string>();
-  private builtAt = -Infinity;
+  private rebuiltAt = -Infinity;
 
   constructor(
     private readonly replica: StoreReplica,
     private readonly clock: Clock,
   ) {}
 
-  /** Recalculates the sums when that is due; called before a scheduling cycle. */
+  /**
+   * Recalculates the sums if the last recalculation is at least `ACCOUNTING_REBUILD_MS` ago. The
+   * leader calls it before each scheduling cycle.
+   */
   refresh(): void {
     const now = this.clock.now();
-    if (now - this.builtAt < ACCOUNTING_REBUILD_MS) return;
-    this.builtAt = now;
-    this.entries = new Map();
+    if (now - this.rebuiltAt < ACCOUNTING_REBUILD_MS) return;
+    this.rebuiltAt = now;
+    this.contributions = new Map();
     for (const sums of [this.machines, this.teams, this.jobs, this.endingCpusPerS, this.waiting]) {
       sums.clear();
     }
@@ -96,7 +103,7 @@
     for (const key of this.replica.assignmentKeys()) this.add(key);
   }
 
-  /** Handles a change of a key in the replica. */
+  /** Updates the sums after a change of a key in the replica. */
   changed(key: string): void {
     if (key.startsWith(ASSIGNMENTS)) this.recount(key);
     else if (key.startsWith(JOBS)) {
@@ -106,11 +113,11 @@
   }
 
   private recount(key: string): void {
-    const entry = this.entries.get(key);
-    if (entry) {
-      this.entries.delete(key);
+    const contribution = this.contributions.get(key);
+    if (contribution) {
+      this.contributions.delete(key);
       this.waiting.delete(key);
-      this.applyEntry(entry, -1);
+      this.applyContribution(contribution, -1);
     }
     this.add(key);
   }
@@ -120,24 +127,24 @@
     if (!assignment) return;
     const spec: JobSpec | null = this.replica.job(assignment.job)?.spec ?? null;
     const hasEnd = spec !== null && spec.kind !== 'service';
-    const entry: Entry = {
+    const contribution: Contribution = {
       assignment,
-      isLowPriority: spec === null || !isUrgent(spec),
+      isPreemptible: spec === null || !isUrgent(spec),
       isArray: spec?.kind === 'array',
       endingCpusPerS: hasEnd
         ? (assignment.placedCount * assignment.cpus) / Math.max(1, spec.estimateS)
         : 0,
     };
-    this.entries.set(key, entry);
-    this.applyEntry(entry, 1);
+    this.contributions.set(key, contribution);
+    this.applyContribution(contribution, 1);
     if (spec && assignment.waiting > 0) this.waiting.set(key, assignment);
     const done = this.jobs.get(assignment.job)?.done ?? 0;
     if (spec && done >= doneTasksToComplete(spec)) this.completionCandidates.add(assignment.job);
   }
 
-  /** Adds or subtracts the contribution of an assignment. */
-  private applyEntry(entry: Entry, sign: 1 | -1): void {
-    const { assignment, endingCpusPerS } = entry;
+  /** Adds (`sign` 1) or subtracts (`sign` -1) the contribution of an assignment. */
+  private applyContribution(contribution: Contribution, sign: 1 | -1): void {
+    const { assignment, endingCpusPerS } = contribution;
     this.applyToTeam(assignment, sign);
     this.applyToJob(assignment, sign);
     if (endingCpusPerS > 0) {
@@ -147,7 +154,7 @@
         (this.endingCpusPerS.get(shardZone) ?? 0) + sign * endingCpusPerS,
       );
     }
-    for (const name of assignment.machines) this.applyToMachine(name, entry, sign);
+    for (const name of assignment.machines) this.applyToMachine(name, contribution, sign);
   }
 
   private applyToTeam(assignment: AssignmentSummary, sign: 1 | -1): void {
@@ -168,23 +175,23 @@
 
   private applyToMachine(
     machine: string,
-    { assignment, isLowPriority, isArray }: Entry,
+    { assignment, isPreemptible, isArray }: Contribution,
     sign: 1 | -1,
   ): void {
-    const placed = this.machines.get(machine) ?? emptyMachineUsage();
-    this.machines.set(machine, placed);
-    placed.cpus += sign * assignment.cpus;
-    placed.gpus += sign * assignment.gpus;
-    placed.memoryGb += sign * assignment.memoryGb;
-    placed.tasks += sign;
-    if (isLowPriority) {
-      placed.preemptibleCpus += sign * assignment.cpus;
-      placed.preemptibleMemoryGb += sign * assignment.memoryGb;
+    const usage = this.machines.get(machine) ?? emptyMachineUsage();
+    this.machines.set(machine, usage);
+    usage.cpus += sign * assignment.cpus;
+    usage.gpus += sign * assignment.gpus;
+    usage.memoryGb += sign * assignment.memoryGb;
+    usage.tasks += sign;
+    if (isPreemptible) {
+      usage.preemptibleCpus += sign * assignment.cpus;
+      usage.preemptibleMemoryGb += sign * assignment.memoryGb;
     }
     if (isArray) {
-      placed.arrayCpus += sign * assignment.cpus;
-      placed.arrayMemoryGb += sign * assignment.memoryGb;
+      usage.arrayCpus += sign * assignment.cpus;
+      usage.arrayMemoryGb += sign * assignment.memoryGb;
     }
-    if (placed.tasks === 0) this.machines.delete(machine);
+    if (usage.tasks === 0) this.machines.delete(machine);
   }
 }
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** The fleet with its free capacity, as the leader counts it. */
+/** Lists the machines of the fleet with their free capacity, for the leader. */
 
 import { readCatalog } from '../../storage/catalog.js';
 import { MACHINES, STATUSES } from '../../storage/keys.js';
@@ -14,33 +14,33 @@
 import { shardOf, type Member } from '../election/rendezvous-hashing.js';
 import type { MachineCapacity } from './machine-capacity.js';
 
-/** The usage of a machine without placed tasks. */
+/** Usage of machines without placed tasks. */
 const EMPTY_MACHINE_USAGE: Readonly<MachineUsage> = emptyMachineUsage();
 
-/** The machines that their shards report as healthy. */
+/** Yields the machines that their shards report as healthy. */
 export function* healthyMachines(
   replica: StoreReplica,
 ): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
-  for (const [key, held] of replica.below<StatusRecord>(STATUSES)) {
+  for (const [key, versioned] of replica.below<StatusRecord>(STATUSES)) {
     const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
-    for (const [type, zone, spot, health] of Object.values(held.value.machines)) {
+    for (const [type, zone, spot, health] of Object.values(versioned.value.machines)) {
       if (health === 'ok') yield { shard, type, zone, spot: spot === 1 };
     }
   }
 }
 
-/** What identifies a machine, without its capacity. */
+/** Fields of a machine that do not depend on its capacity. */
 type MachineIdentity = Readonly<
   Pick<MachineCapacity, 'name' | 'shard' | 'type' | 'zone' | 'spot' | 'health'>
 >;
 
-/** All machines with their free capacity. */
+/** The machines of the fleet, computed from the replica's records and the leader's accounting. */
 export class MachineInventory {
   /**
-   * Machines by the record that lists them. A change of a key replaces its entry in the replica, so
-   * a scheduling cycle decodes only what changed.
+   * Decoded machines by the versioned record that lists them. A change of a key replaces its entry
+   * in the replica, so that a scheduling cycle decodes only records that changed.
    */
-  private readonly decoded = new WeakMap<VersionedValue, readonly MachineIdentity[]>();
+  private readonly identitiesByRecord = new WeakMap<VersionedValue, readonly MachineIdentity[]>();
 
   constructor(
     private readonly members: readonly Member[],
@@ -48,7 +48,10 @@
     private readonly accounting: CapacityAccounting,
   ) {}
 
-  /** The current fleet: what the leader rented, and what the shards report. */
+  /**
+   * Returns the current machines by name: those that the leader rented and those that shards
+   * report, without machines that are being drained or are gone.
+   */
   machines(): Map<string, MachineCapacity> {
     const types = new Map((readCatalog(this.replica) ?? []).map((type) => [type.name, type]));
     const machines = new Map<string, MachineCapacity>();
@@ -56,13 +59,13 @@
       const type = types.get(identity.type);
       if (type) machines.set(identity.name, this.capacityOf(identity, type));
     };
-    for (const [key, held] of this.replica.below<MachineRecord>(MACHINES)) {
-      if (held.value.state !== 'rented') continue;
-      for (const identity of this.decode(held, () => this.rentedMachine(key, held.value)))
+    for (const [key, versioned] of this.replica.below<MachineRecord>(MACHINES)) {
+      if (versioned.value.state !== 'rented') continue;
+      for (const identity of this.decode(versioned, () => this.rentedMachine(key, versioned.value)))
         add(identity);
     }
-    for (const [key, held] of this.replica.below<StatusRecord>(STATUSES)) {
-      for (const identity of this.decode(held, () => reportedMachines(key, held.value))) {
+    for (const [key, versioned] of this.replica.below<StatusRecord>(STATUSES)) {
+      for (const identity of this.decode(versioned, () => reportedMachines(key, versioned.value))) {
         const state = this.replica.machine(identity.name)?.state;
         if (state !== 'drain' && state !== 'gone') add(identity);
       }
@@ -70,24 +73,29 @@
     return machines;
   }
 
-  private decode(held: VersionedValue, read: () => MachineIdentity[]): readonly MachineIdentity[] {
-    const decodedBefore = this.decoded.get(held);
-    if (decodedBefore) return decodedBefore;
+  private decode(
+    versioned: VersionedValue,
+    read: () => MachineIdentity[],
+  ): readonly MachineIdentity[] {
+    const cached = this.identitiesByRecord.get(versioned);
+    if (cached) return cached;
     const identities = read();
-    this.decoded.set(held, identities);
+    this.identitiesByRecord.set(versioned, identities);
     return identities;
   }
 
-  /** A rented machine; it counts as booting until its shard reports it. */
+  /** Returns a rented machine. It counts as booting until its shard reports it. */
   private rentedMachine(key: string, { type, zone, spot }: MachineRecord): MachineIdentity[] {
     const name = key.slice(MACHINES.length);
     const shard = shardOf(name, zone, this.members);
     return [{ name, shard, type, zone, spot, health: 'booting' }];
   }
 
-  /** Copies field by field: a spread would create objects that the engine handles slowly. */
+  /**
+   * Copies field by field, because objects created by a spread are slow in the JavaScript engine.
+   */
   private capacityOf(identity: MachineIdentity, type: MachineType): MachineCapacity {
-    const placed = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
+    const usage = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
     return {
       name: identity.name,
       shard: identity.shard,
@@ -95,19 +103,19 @@
       zone: identity.zone,
       spot: identity.spot,
       health: identity.health,
-      cpus: type.cpus - placed.cpus,
-      gpus: type.gpus - placed.gpus,
-      memoryGb: type.memoryGb - placed.memoryGb,
-      tasks: placed.tasks,
-      preemptibleCpus: placed.preemptibleCpus,
-      preemptibleMemoryGb: placed.preemptibleMemoryGb,
-      arrayCpus: placed.arrayCpus,
-      arrayMemoryGb: placed.arrayMemoryGb,
+      cpus: type.cpus - usage.cpus,
+      gpus: type.gpus - usage.gpus,
+      memoryGb: type.memoryGb - usage.memoryGb,
+      tasks: usage.tasks,
+      preemptibleCpus: usage.preemptibleCpus,
+      preemptibleMemoryGb: usage.preemptibleMemoryGb,
+      arrayCpus: usage.arrayCpus,
+      arrayMemoryGb: usage.arrayMemoryGb,
     };
   }
 }
 
-/** The machines that a shard lists in one of its status records. */
+/** Returns the machines that a shard lists in one of its status records. */
 function reportedMachines(key: string, { machines }: StatusRecord): MachineIdentity[] {
   const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
   return Object.entries(machines).map(([name, [type, zone, spot, health]]) => {
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -1,18 +1,20 @@
-/** Assigns gangs to shards: all tasks of a gang under one attempt number, or none. */
+/**
+ * Assigns gangs to shards. All tasks of a gang are assigned under one attempt number, or none is.
+ */
 import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { Log } from '../../storage/log.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
-import { reclaimModeFor, type MachineCapacity } from '../capacity/machine-capacity.js';
+import { broadestReclaimMode, type MachineCapacity } from '../capacity/machine-capacity.js';
 import { resourcesOf } from '../capacity/resources.js';
 import type { GangHistory } from './gang-history.js';
-import { planGang, type GangPlan, type ImageHints, type GangShare } from './gang-plan.js';
+import { planGang, type GangPlan, type ImageHints, type GangSubset } from './gang-plan.js';
 import type { ReclaimPlan, FairShareReclaim } from './fair-share-reclaim.js';
 import type { OpenJob } from './scheduling-order.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import type { AssignmentFactory } from './assignment-factory.js';
-import { allocateInShardZone, allocateInZone } from './capacity-allocation.js';
+import { allocateInShardZone, reserveFreeCapacityInZone } from './capacity-allocation.js';
 import type { TeamQuota } from './team-quota.js';
 
 /** Dependencies of the assignment of gangs. */
@@ -23,16 +25,17 @@
   readonly assignmentFactory: AssignmentFactory;
   readonly replica: StoreReplica;
   readonly log: Log;
-  /** Start-time objective by class, in s. */
+  /** Start-time objectives: maximum time in s from acceptance to start, by job class. */
   readonly startWithinS: Readonly<Record<string, number>>;
 }
 
-/** A plan that has capacity for the whole gang, at once or after reclaiming some. */
-type PlannedShares = Extract<GangPlan, { shares: GangShare[] }>;
+/** A plan for a gang for which there is capacity, free or after reclaiming. */
+type PlannedSubsets = Extract<GangPlan, { subsets: GangSubset[] }>;
 
-/** Where a gang goes, and what it reclaims from other teams for that; null: nothing. */
+/** Decision on a gang. */
 interface GangDecision {
   readonly plan: GangPlan;
+  /** Plan by which the gang reclaims capacity from other teams; null: it reclaims none. */
   readonly reclaimPlan: ReclaimPlan | null;
 }
 
@@ -40,31 +43,34 @@
   return Array.from({ length: count }, (_, offset) => first + offset);
 }
 
-/** Assigns gangs, one by one in scheduling order. */
+/** Assigns gangs, one after the other in scheduling order. */
 export class GangAssignment {
   constructor(private readonly options: GangAssignmentOptions) {}
 
   /**
-   * Assigns a gang if there is capacity for all of it. Otherwise, or while its quota is exhausted,
-   * what there is may be reserved for it for a while from the jobs behind it.
+   * Assigns a gang if there is capacity for all of it. Otherwise records its missing capacity as
+   * unmet demand and, during its reservation periods, allocates the free capacity of the planned
+   * zone so that jobs later in the scheduling order do not get it. While its team's quota does not
+   * suffice, nothing is assigned and only quota is reserved.
    */
   assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { gangHistory, teamQuota } = this.options;
     const { id, spec } = job;
-    // Tasks of the previous attempt that a shard still has must end first.
+    // The gang is assigned again only after no shard has any task of the previous attempt.
     if (job.unassigned < spec.tasks || !gangHistory.isRetryDue(id, cycle.startedAt)) return;
     const reservesCapacity = gangHistory.reservesCapacity(id, cycle.startedAt);
     const exceedsQuota = teamQuota.wouldExceed(spec.team, resourcesOf(spec, spec.tasks));
     const decision = exceedsQuota ? null : this.decide(job, cycle.machines);
-    // While it waits, quota is reserved for it too, but not for ever: small jobs go on.
-    if (decision?.plan.shares || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
+    // During reservation periods, the team's quota is reserved as well. These periods are limited
+    // so that the team's small jobs can continue in between.
+    if (decision?.plan.subsets || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
     if (!decision) {
       teamQuota.recordWaiting(job);
       return;
     }
     const { plan, reclaimPlan } = decision;
-    if (plan.shares) {
-      this.assignShares(job, plan, reclaimPlan, cycle);
+    if (plan.subsets) {
+      this.assignSubsets(job, plan, reclaimPlan, cycle);
       return;
     }
     const demand = { ...spec, zone: plan.zone };
@@ -73,56 +79,58 @@
       count: plan.missingTasks,
       acceptedAt: job.acceptedAt,
     });
-    if (reservesCapacity && plan.zone !== null) allocateInZone(spec, plan.zone, cycle.machines);
+    if (reservesCapacity && plan.zone !== null)
+      reserveFreeCapacityInZone(spec, plan.zone, cycle.machines);
   }
 
   private decide(job: OpenJob, machines: readonly MachineCapacity[]): GangDecision {
     const plan = planGang(job.spec, machines, this.imageHints(job.spec));
-    const reclaimPlan = job.isWithinGuarantee ? this.planReclaim(job.spec, plan, machines) : null;
+    const reclaimPlan = job.isWithinFairShare ? this.planReclaim(job.spec, plan, machines) : null;
     return reclaimPlan
-      ? { plan: { shares: [reclaimPlan.share], availability: 'immediate' }, reclaimPlan }
+      ? { plan: { subsets: [reclaimPlan.subset], availability: 'immediate' }, reclaimPlan }
       : { plan, reclaimPlan };
   }
 
-  private assignShares(
+  private assignSubsets(
     job: OpenJob,
-    { shares, availability }: PlannedShares,
+    { subsets, availability }: PlannedSubsets,
     reclaimPlan: ReclaimPlan | null,
     cycle: SchedulingCycle,
   ): void {
     const { assignmentFactory, gangHistory, log } = this.options;
     const { id, spec } = job;
     const attempt = gangHistory.nextAttempt(id, cycle.startedAt);
-    const [largest] = shares;
+    const [largest] = subsets;
     if (largest) gangHistory.recordPlacement(spec.image, largest);
     const reclaim = reclaimPlan && { reclaim: reclaimPlan.reclaim };
     let firstId = 0;
-    for (const share of shares) {
-      const ids = consecutiveIds(firstId, share.count);
-      firstId += share.count;
-      const assignments = assignmentFactory.create(spec, share, ids, { attempt, ...reclaim });
+    for (const subset of subsets) {
+      const ids = consecutiveIds(firstId, subset.count);
+      firstId += subset.count;
+      const assignments = assignmentFactory.create(spec, subset, ids, { attempt, ...reclaim });
       cycle.assignments.push(...assignments);
-      for (const { key } of assignments) cycle.urgentKeys.add(key);
-      allocateInShardZone(spec, share, share.count, cycle.machines);
+      for (const { key } of assignments) cycle.urgentAssignmentKeys.add(key);
+      allocateInShardZone(spec, subset, subset.count, cycle.machines);
     }
-    log.info({ job: id, attempt, shares, availability, ...reclaim }, 'gang assigned');
+    log.info({ job: id, attempt, subsets, availability, ...reclaim }, 'gang assigned');
   }
 
   /**
-   * What a gang within its guarantee may reclaim from other teams; null: nothing, or it need not.
+   * Returns a plan for a gang within its team's fair share to reclaim capacity from other teams;
+   * null: no such plan exists, or the gang does not need one.
    */
   private planReclaim(
     spec: JobSpec,
     plan: GangPlan,
     machines: readonly MachineCapacity[],
   ): ReclaimPlan | null {
-    // Urgent gangs preempt non-urgent work anyway.
-    const mayPreempt = reclaimModeFor(spec) === 'preempt';
-    if (plan.shares && (plan.availability === 'immediate' || mayPreempt)) return null;
+    // Urgent gangs may preempt non-urgent work regardless of fair shares.
+    const mayPreempt = broadestReclaimMode(spec) === 'preempt';
+    if (plan.subsets && (plan.availability === 'immediate' || mayPreempt)) return null;
     return this.options.fairShareReclaim.find(spec, machines);
   }
 
-  /** Where the image of a gang was used last, and which machine types fetch it in time. */
+  /** Returns where the image of a gang was used last, and which machine types fetch it in time. */
   private imageHints(spec: JobSpec): ImageHints {
     const { gangHistory, replica, startWithinS } = this.options;
     const startLimitS = startWithinS[spec.class];
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -1,32 +1,32 @@
-/** Work that arrived recently: a forecast of what the fleet should expect. */
-import { RECENT_ARRIVALS_MS } from '../../constants/leader.js';
+/** Keeps recently arrived jobs, and forecasts the work that the fleet should expect from them. */
+import { ARRIVAL_WINDOW_MS } from '../../constants/leader.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
 import { isUrgent } from '../capacity/priorities.js';
 
-/** ms; no forecast is made from a shorter observation. */
-const MIN_OBSERVED_MS = RECENT_ARRIVALS_MS / 3;
+/** ms; minimum period of observation. Before it has passed, no CPUs are forecast. */
+const MIN_OBSERVED_MS = ARRIVAL_WINDOW_MS / 3;
 
-/** An array that arrived. */
+/** Arrival of a non-urgent array, at `arrivedAt` of the monotonic clock in ms. */
 interface ArrayArrival {
   readonly arrivedAt: number;
-  /** CPU seconds. */
+  /** Estimated work of all its tasks, in CPU seconds. */
   readonly workCpuS: number;
 }
 
 /**
- * Arrays and gangs that arrived within `RECENT_ARRIVALS_MS`: the fleet should be ready for as much
- * again.
+ * Non-urgent arrays that arrived within the last `ARRIVAL_WINDOW_MS`, and gangs within the last
+ * `GANG_ARRIVAL_WINDOW_MS`. The fleet should have capacity for as many again.
  */
 export class RecentArrivals {
   private readonly knownJobs = new Set<string>();
   private readonly recentArrays: ArrayArrival[] = [];
-  /** Gangs that arrived recently. */
+  /** Gangs that arrived within the last `GANG_ARRIVAL_WINDOW_MS`. */
   readonly recentGangs: RecentGangs;
   private readonly startedAt: number;
-  /** The non-urgent array that arrived last; null: none did. */
+  /** The non-urgent array that arrived last; null: none has arrived. */
   lastArray: JobSpec | null = null;
 
   constructor(
@@ -35,12 +35,12 @@
   ) {
     this.startedAt = clock.now();
     this.recentGangs = new RecentGangs(clock);
-    // Jobs that exist already arrived at an unknown time: they are known, but not counted.
+    // Jobs that exist already are not counted as arrivals, because they may have arrived long ago.
     for (const { spec } of replica.openJobs()) this.knownJobs.add(spec.id);
   }
 
-  /** Handles a job record that was created, changed or removed. */
-  changed(job: string): void {
+  /** Updates the arrivals after a job record was created, changed or removed. */
+  onJobChanged(job: string): void {
     const spec = this.replica.job(job)?.spec;
     if (!spec) {
       this.knownJobs.delete(job);
@@ -52,12 +52,12 @@
     if (spec.kind === 'array' && !isUrgent(spec)) this.addArray(spec);
   }
 
-  /** CPUs that non-urgent arrays occupy on average if they go on arriving at this rate. */
+  /** CPUs that non-urgent arrays use on average if they continue to arrive at the recent rate. */
   get expectedCpus(): number {
     const now = this.clock.now();
-    while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > RECENT_ARRIVALS_MS)
+    while (this.recentArrays[0] && now - this.recentArrays[0].arrivedAt > ARRIVAL_WINDOW_MS)
       this.recentArrays.shift();
-    const observedMs = Math.min(RECENT_ARRIVALS_MS, now - this.startedAt);
+    const observedMs = Math.min(ARRIVAL_WINDOW_MS, now - this.startedAt);
     if (observedMs < MIN_OBSERVED_MS) return 0;
     return this.recentArrays.reduce((sum, { workCpuS }) => sum + workCpuS, 0) / (observedMs / 1000);
   }
