--- a/src/constants/shard.ts
+++ b/src/constants/shard.ts
@@ -1,47 +1,59 @@
-/** Constants, each with unit and reason. A shard: heartbeats, commands to machines, and writes of its state. */
+/** Constants of a shard: heartbeats, commands to machines, and writes of the shard's state. */
 
-/** ms; placements of lower work wait this long for others by the supply of writes: a fiftieth of a
- * short task where they are scarce, hardly at all where they are plenty. */
+/** ms; time that a non-urgent placement waits to share a write with others, by the supply of
+ * writes. The delay is a fiftieth of a short task's run time when writes are scarce, and
+ * negligible when they are plentiful. */
 export const PLACEMENT_BATCH_MS = { plenty: 60, scarce: 500, short: 1_200 };
 
-/** ms; ends of tasks wait this long for others of their assignment. The last ends of an assignment
- * wait only as long as placements: users expect `done` within 3 s. */
+/** ms; time that the end of a task waits to share a write with other ends of the same assignment,
+ * by the supply of writes. The last ends of an assignment wait only `PLACEMENT_BATCH_MS`, because
+ * users expect the state `done` within 3 s. */
 export const COMPLETION_BATCH_MS = { plenty: 300, scarce: 2_500, short: 5_000 };
 
-/** ms; changes of lower work older than this queue for the store's limits like all others; younger
- * ones give way to urgent work. */
+/** ms; a non-urgent change of at most this age is written only if the store's rate limits have free
+ * capacity, so that urgent changes come first. An older change queues for the rate limits like any
+ * other request. */
 export const MAX_WRITE_DELAY_MS = 3_000;
 
-/** ms; a shard looks this often for machines that are dead or gone. */
+/** ms; interval at which a shard looks for machines that were returned to the cloud or whose lease
+ * has expired. */
 export const LOST_MACHINE_SWEEP_MS = 250;
 
-/** ms; a shard writes its machines' status this often at the most, by the supply of writes. */
+/** ms; minimum interval between two writes of the status of a shard's machines, by the supply of
+ * writes. */
 export const STATUS_INTERVAL_MS = { plenty: 500, scarce: 2_000, short: 3_000 };
 
-/** Bytes that an assignment takes in a transaction beside its placed tasks: its record, keys and
+/** Bytes that an assignment takes in a transaction besides its placed tasks: its record, keys and
  * guards. */
 export const ASSIGNMENT_OVERHEAD_BYTES = 600;
 
-/** ms; an assignment whose pieces don't fit into one transaction is tried again after this: until
- * then some of its tasks have ended, and it is not split in each reconciliation. */
+/** ms; pause of an assignment whose pieces don't fit into one transaction. Some of its tasks end
+ * during the pause, and without it the assignment would be split again in each reconciliation. */
 export const OVERSIZED_ASSIGNMENT_RETRY_MS = 1_000;
 
-/** Commands of one answer to a heartbeat: keeps the line far below 64 KiB. */
+/** Maximum number of commands in one answer to a heartbeat; keeps the answer far below 64 KiB. */
 export const MAX_COMMANDS_PER_ANSWER = 300;
 
-/** s; first pause of a job whose tasks fail on machines, doubled with each failure in a row. */
+/**
+ * s; shortest and longest pause of a job whose tasks fail. Each failure in a row doubles the pause.
+ */
 export const FAILURE_BACKOFF_S = 2;
 export const MAX_FAILURE_BACKOFF_S = 60;
 
-/** Failures of different jobs on one machine, without a success, that make it faulty. */
+/** Number of jobs of which tasks fail on one machine, without a success in between, that makes the
+ * machine faulty. */
 export const FAULTY_MACHINE_FAILURES = 3;
 
-/** ms; a task that found no machine in its shard for so long returns to the leader. */
+/** ms; an urgent task, or a gang subset that is urgent or infeasible, is returned to the leader
+ * after it has waited this long for machines in its shard. */
 export const UNPLACED_RELEASE_MS = 4_000;
 
-/** ms; lower work queued in a shard ahead of its capacity returns after this: three times the length
- * of a queue, so that only what the shard can't run any more returns. */
+/** ms; a non-urgent task is returned to the leader after it has waited this long in its shard. The
+ * leader queues such tasks in a shard before capacity is free. The time is three times the length
+ * of such a queue (`QUEUE_AHEAD_S`), so that only tasks that the shard can no longer run are
+ * returned. */
 export const QUEUED_RELEASE_MS = 24_000;
 
-/** Heartbeat intervals without a heartbeat after which a machine takes no new tasks. */
+/** Heartbeat intervals without a heartbeat after which a machine counts as silent and gets no new
+ * tasks. */
 export const MAX_MISSED_HEARTBEATS = 3;
--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -1,11 +1,13 @@
-/** Makes an assignment's record, in several pieces if one value of the store can't hold it. */
+/** Builds an assignment's record, in several pieces if one value of the store can't hold it. */
 import { bytesOf } from '../../storage/committer.js';
 import { splitKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
 import { isCommitted, type Assignment, type Task } from './assignment.js';
 
-/** A piece of an assignment as it is to be written; the first one keeps the assignment's key. */
+/**
+ * One of the records into which an assignment is split; the first one keeps the assignment's key.
+ */
 export interface Piece {
   key: string;
   record: AssignmentRecord;
@@ -13,17 +15,17 @@
   tasks: Task[];
 }
 
-/** How an assignment may be divided into pieces. */
+/** The conditions under which an assignment is split into pieces. */
 export interface SplitLimits {
-  /** Machines whose new placements are written. */
+  /** Machines on which new placements are written; those on other machines are left out. */
   newMachines: ReadonlySet<string>;
-  /** Bytes that the record of a piece may have. */
+  /** Maximum size of the record of a piece, in bytes. */
   maxBytes: number;
-  /** Whether a key belongs to another assignment already. */
+  /** Whether another assignment has this key already. */
   isKeyTaken: (key: string) => boolean;
 }
 
-/** The record of tasks in their present state; new placements only on the machines named. */
+/** The record of these tasks in their current state; new placements only on `newMachines`. */
 function writeRecord(
   assignment: Assignment,
   newMachines: ReadonlySet<string>,
@@ -48,7 +50,7 @@
   };
 }
 
-/** The last end, above `from` and up to `last`, with which a piece fits; at least one task. */
+/** The largest end of a piece, from `from + 1` to `last`, that fits; `from + 1` if none does. */
 function lastFittingEnd(from: number, last: number, fits: (end: number) => boolean): number {
   let end = from + 1;
   let least = end;
@@ -64,8 +66,9 @@
 }
 
 /**
- * The assignment's present record, in as many pieces as values of so many bytes take: the version
- * before may have stored it larger than the key-value store takes now.
+ * The assignment's current record, in as many pieces as are needed so that each fits `maxBytes`.
+ * The previous version may have stored a record that is larger than the key-value store accepts
+ * now.
  */
 export function splitAssignment(assignment: Assignment, limits: SplitLimits): Piece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
@@ -91,21 +94,27 @@
   return pieces;
 }
 
-/** Pieces on their way to the key-value store, and the assignments that they are taken from. */
+/**
+ * The pieces that are being written to the key-value store, each with the assignment it is split
+ * off.
+ */
 export class PlannedPieces {
   private readonly byKey = new Map<string, { from: Assignment; pieces: Piece[] }>();
 
-  /** To be called before the pieces are written: their keys may be seen before the answer comes. */
+  /**
+   * Adds pieces. Must be called before they are written, because the replica may show their keys
+   * before the store's answer arrives.
+   */
   add(from: Assignment, pieces: Piece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.set(key, { from, pieces });
   }
 
-  /** The pieces were written, or were not and never will be. */
+  /** Removes pieces that were written, or that were not and will never be. */
   remove(pieces: Piece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.delete(key);
   }
 
-  /** The pieces among which is the one with this key. */
+  /** The pieces that were split off together with the one that has this key. */
   get(key: string): { from: Assignment; pieces: Piece[] } | undefined {
     return this.byKey.get(key);
   }
--- a/src/coordination/shard-state/assignment.ts
+++ b/src/coordination/shard-state/assignment.ts
@@ -1,4 +1,4 @@
-/** Assignments and their tasks as the holder of a shard keeps them in memory. */
+/** Assignments and their tasks in the memory of a shard's holder. */
 import { readRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
 
@@ -6,22 +6,27 @@
 export interface Task {
   index: number;
   state: 'waiting' | 'placed' | 'done';
-  /** Name of the machine on which it is placed; empty: on none. */
+  /** Name of the machine on which the task is placed; empty: none. */
   machine: string;
   attempt: number;
-  /** Steady time at which a heartbeat first showed it running; null: not yet. */
+  /** Steady time at which a heartbeat first showed the task running; null: none has. */
   runningAt: number | null;
-  /** Of a gang: steady time at which a heartbeat first showed it waiting for the others. */
+  /**
+   * Steady time at which a heartbeat first showed the task waiting for the other tasks of its gang;
+   * null: none has.
+   */
   gatheringAt: number | null;
-  /** It is being stopped, for other work or with its gang, and waits again once it has ended. */
+  /**
+   * The task is being stopped, by preemption or with its gang; it waits again once it has ended.
+   */
   isStopping: boolean;
-  /** Its start was sent, and no later heartbeat shows that it was lost. */
+  /** The task's start was sent, and no later heartbeat shows that the start was lost. */
   isStartSent: boolean;
-  /** Its stop was sent; answers to heartbeats repeat it, direct calls don't. */
+  /** The task's stop was sent. Answers to heartbeats repeat it, direct calls don't. */
   isStopSent: boolean;
-  /** Steady time since which it waits for a machine. */
+  /** Steady time since which the task waits for a machine. */
   waitingSince: number;
-  /** What the bandit based the placement on; null: it was not placed by the bandit. */
+  /** The context vector of the bandit's decision; null: the bandit did not place the task. */
   banditContext: number[] | null;
 }
 
@@ -29,20 +34,20 @@
 export interface Assignment {
   key: string;
   job: string;
-  /** Greater than those of all assignments that the leader made before. */
+  /** Sequence number, greater than those of all assignments that the leader created before. */
   number: number;
-  /** As it was read: the job's needs, team, zone and attempt never change. */
+  /** The record as it was read; its resources, team, zone and attempt never change. */
   record: AssignmentRecord;
   tasks: Map<number, Task>;
-  /** Its tasks that wait for a machine. */
+  /** Tasks that wait for a machine. */
   waitingTasks: Set<Task>;
-  /** How many of its tasks are placed. */
+  /** Number of tasks that are placed. */
   placedCount: number;
-  /** Of a gang: its attempt failed, so that all of it ends and returns to the leader. */
+  /** Gang subset only: its attempt failed, so all tasks are stopped and returned to the leader. */
   hasFailed: boolean;
-  /** Of a gang: it will not fit here even once arrays have ended. */
+  /** Gang subset only: the shard's machines cannot hold it even after all arrays have ended. */
   isInfeasible: boolean;
-  /** Of a gang: steady time since which all of its tasks here are placed; null: they are not. */
+  /** Gang subset only: steady time since which all of its tasks are placed; null: not all are. */
   fullyPlacedAt: number | null;
   /** The record as last committed. */
   committedRecord: AssignmentRecord;
@@ -50,7 +55,7 @@
   changedSince: number | null;
 }
 
-/** An assignment as it is stored, without its tasks. */
+/** Creates an assignment from its stored record, without its tasks. */
 export function createAssignment(
   identity: Pick<Assignment, 'key' | 'job' | 'number'>,
   record: AssignmentRecord,
@@ -69,7 +74,7 @@
   };
 }
 
-/** The tasks of a stored assignment, of which no heartbeat was seen yet. */
+/** Creates the tasks of a stored assignment, none of which a heartbeat has shown yet. */
 export function readTasks(stored: AssignmentRecord, now: number): Task[] {
   const done = new Set(readRanges(stored.done));
   return readRanges(stored.ids).map((index) => {
@@ -90,7 +95,7 @@
   });
 }
 
-/** Resets what belongs to a task's placement. */
+/** Resets all fields that describe a task's placement. */
 export function clearPlacement(task: Task): void {
   task.machine = '';
   task.runningAt = null;
@@ -101,7 +106,7 @@
   task.banditContext = null;
 }
 
-/** Whether the key-value store holds this placement: only then may its start be sent. */
+/** Whether the key-value store holds this placement; the start may be sent only then. */
 export function isCommitted(assignment: Assignment, task: Task): boolean {
   return assignment.committedRecord.live[String(task.index)]?.[1] === task.attempt;
 }
--- a/src/coordination/shard-state/changed-assignments.ts
+++ b/src/coordination/shard-state/changed-assignments.ts
@@ -1,8 +1,8 @@
-/** The assignments that differ from what the key-value store holds, and since when. */
+/** The set of assignments that differ from their records in the key-value store. */
 import type { Clock } from '../../transport/clock.js';
 import type { Assignment } from './assignment.js';
 
-/** Collects the assignments that are to be written. */
+/** The assignments that must be written, each with the time of its oldest unwritten change. */
 export class ChangedAssignments {
   private readonly changed = new Set<Assignment>();
 
@@ -13,13 +13,13 @@
     return this.changed;
   }
 
-  /** Marks an assignment as changed since it was committed. */
+  /** Adds an assignment that was changed after its last commit. */
   mark(assignment: Assignment): void {
     assignment.changedSince ??= this.clock.now();
     this.changed.add(assignment);
   }
 
-  /** Marks an assignment as having no changes to be written. */
+  /** Removes an assignment that has no more changes to write. */
   clear(assignment: Assignment): void {
     assignment.changedSince = null;
     this.changed.delete(assignment);
--- a/src/coordination/shard-state/fencing-tokens.ts
+++ b/src/coordination/shard-state/fencing-tokens.ts
@@ -1,37 +1,38 @@
-/** The fencing tokens that a shard's holder gives out in one term. */
+/** The fencing tokens that a shard's holder issues in one term. */
 import { FENCING_TOKENS_PER_TERM } from '../../constants/election.js';
 import { isRunningOut } from '../election/term-numbers.js';
 import type { Machine } from './machine.js';
 
 /**
- * The fencing tokens of a shard's term: the term's base and an offset for each machine. A worker
- * carries out no command whose token is lower than one that it has seen, and its heartbeats show the
- * highest token that it has seen. So a raised token fences everything sent before, and a heartbeat
- * that shows it proves that the machine hears this holder.
+ * The fencing tokens of a shard's term. Each is the sum of the term's base and the offset of one
+ * machine. A worker refuses every command whose token is lower than the highest that it has
+ * received, and reports that highest token in its heartbeats. A raised token therefore fences all
+ * commands sent before, and a heartbeat with the raised token proves that the machine receives this
+ * holder's answers.
  */
 export class FencingTokens {
   /** The lowest token of the term. */
   readonly base: number;
-  /** New entries begin at this offset. */
+  /** The offset at which the entry of a new machine begins. */
   private nextInitialOffset = 0;
-  /** The highest offset that any machine was given in this term. */
+  /** The highest offset that was issued to any machine in this term. */
   private highestOffset = 0;
 
   constructor(term: number) {
     this.base = term * FENCING_TOKENS_PER_TERM;
   }
 
-  /** Whether the shard needs a new term before its tokens reach those of the next one. */
+  /** Whether the shard needs a new term, before its tokens reach those of the next term. */
   get isRunningOut(): boolean {
     return isRunningOut(this.highestOffset, FENCING_TOKENS_PER_TERM);
   }
 
-  /** The offset at which the entry of a machine begins: above all of entries removed before. */
+  /** The offset at which the entry of a new machine begins, above those of all removed entries. */
   get initialOffset(): number {
     return this.nextInitialOffset;
   }
 
-  /** Whether a token belongs to a later term: the shard has another holder by then. */
+  /** Whether a token belongs to a later term, so that this holder's term is over. */
   isOfLaterTerm(fencingToken: number): boolean {
     return fencingToken >= this.base + FENCING_TOKENS_PER_TERM;
   }
@@ -42,8 +43,9 @@
   }
 
   /**
-   * Raises a machine's token: all that was sent to it before is fenced as soon as the new token
-   * reaches it. Lower tokens still prove that it hears us, since nothing has gone amiss.
+   * Raises a machine's token. All commands sent before are fenced as soon as the machine receives
+   * the new token. Heartbeats with lower tokens still acknowledge the machine, because there is no
+   * sign that it missed an answer.
    */
   raise(machine: Machine): void {
     machine.fencingOffset++;
@@ -51,7 +53,7 @@
     this.highestOffset = Math.max(this.highestOffset, machine.fencingOffset);
   }
 
-  /** From now on only a heartbeat that shows a token not given out yet proves that it hears us. */
+  /** Raises a machine's token and makes the machine unacknowledged until a heartbeat shows it. */
   requireAcknowledgement(machine: Machine): void {
     this.raise(machine);
     machine.requiredFencingOffset = machine.fencingOffset;
@@ -60,8 +62,8 @@
   }
 
   /**
-   * Retires the tokens of a machine whose entry is removed: late copies of its heartbeats may still
-   * come, and an entry made anew must not take them for proof.
+   * Retires the tokens of a machine whose entry is removed. Late duplicates of its heartbeats may
+   * still arrive, and must not acknowledge an entry that is created for the machine later.
    */
   retire(machine: Machine): void {
     this.nextInitialOffset = Math.max(this.nextInitialOffset, machine.fencingOffset + 1);
--- a/src/coordination/shard-state/machine-health.ts
+++ b/src/coordination/shard-state/machine-health.ts
@@ -1,34 +1,44 @@
-/** Judges machines by the times of their heartbeats and answers: health, and lease expiry. */
+/**
+ * Derives a machine's health and lease expiry from the times of its heartbeats and their answers.
+ */
 import { LEASE_MARGIN_MS } from '../../constants/election.js';
 import { CLOCK_DRIFT } from '../../constants/protocol.js';
 import { FAULTY_MACHINE_FAILURES, MAX_MISSED_HEARTBEATS } from '../../constants/shard.js';
 import type { MachineHealth } from '../../storage/records.js';
 import type { Machine } from './machine.js';
 
-/** The times of the workers and of the shard's former holders by which machines are judged. */
+/** The times of workers and of the shard's former holders that lease expiries depend on. */
 export interface LeaseTimes {
-  /** Steady time from which no machine that never heard this holder has tasks left. */
+  /**
+   * Steady time at which the leases granted by former holders have expired, so that a machine
+   * without an answer from this holder has no tasks left.
+   */
   fenceAt: number;
   leaseS: number;
   heartbeatIntervalS: number;
 }
 
-/** A machine's health as the status record tells it to the other controllers. */
+/** A machine's health as it is stored in the shard's status records. */
 export function machineHealth(machine: Machine, times: LeaseTimes, now: number): MachineHealth {
   if (machine.isLeaving) return 'leaving';
   if (machine.failedJobs.size >= FAULTY_MACHINE_FAILURES) return 'faulty';
-  // Answers to direct calls renew no lease: a machine whose heartbeats don't arrive loses its tasks,
-  // and those that are started there by direct calls as well.
+  // A machine that answers direct calls, but whose heartbeats don't arrive, is silent too. Direct
+  // calls renew no lease, so it loses all of its tasks, including those that direct calls start
+  // there.
   const silentMs = now - Math.min(machine.acknowledgedAt, machine.heartbeatAt);
   const maxSilentMs = times.heartbeatIntervalS * 1000 * MAX_MISSED_HEARTBEATS;
   return silentMs > maxSilentMs ? 'silent' : 'ok';
 }
 
-/** The steady time from which no task can be left on a machine; undefined: a machine not known. */
+/**
+ * The steady time from which no task can be left on a machine; `machine` is undefined if the shard
+ * has no entry for it.
+ */
 export function leaseExpiry(machine: Machine | undefined, times: LeaseTimes): number {
   if (!machine) return times.fenceAt;
   const leaseMs = times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
   const ourLeaseExpiry = machine.answeredAt + leaseMs;
-  // Before it has shown our token, a former holder's answer may have renewed its lease as well.
+  // A former holder's answer may have renewed the lease as well, until the machine shows a token
+  // that this holder issued.
   return machine.hasShownOurToken ? ourLeaseExpiry : Math.max(ourLeaseExpiry, times.fenceAt);
 }
--- a/src/coordination/shard-state/machine-heartbeats.ts
+++ b/src/coordination/shard-state/machine-heartbeats.ts
@@ -1,19 +1,25 @@
-/** The order of machines' heartbeats, and what they and the answers to them prove. */
+/** Orders the heartbeats of machines and tracks which machines receive the answers to them. */
 import type { Heartbeat } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
 import type { FencingTokens } from './fencing-tokens.js';
 import type { Machine } from './machine.js';
 
-/** The workers' times: seconds of their lease, and between two of their heartbeats. */
+/** The length of a worker's lease and the interval of its heartbeats, in seconds. */
 export interface HeartbeatTimes {
   leaseS: number;
   heartbeatIntervalS: number;
 }
 
-/** Whether a heartbeat is older than what is known, newer, or newer and of a later agent epoch. */
+/**
+ * Whether a heartbeat is older than the newest one of its machine, newer, or newer and of a later
+ * worker epoch.
+ */
 export type HeartbeatFreshness = 'older' | 'newer' | 'newEpoch';
 
-/** Direct commands are over once their agent epoch has ended, or once a token has fenced them. */
+/**
+ * Clears a machine's unconfirmed direct calls if the heartbeat shows that their worker epoch has
+ * ended or that a token has fenced them.
+ */
 function confirmDirectCalls(machine: Machine, heartbeat: Heartbeat): void {
   const { directCalls } = machine;
   if (!directCalls) return;
@@ -22,9 +28,10 @@
 }
 
 /**
- * Orders heartbeats, and notes what they prove. A heartbeat shows what was on the machine when it
- * was sent. That the machine hears this holder it shows only by the latest fencing token, which is
- * raised whenever there is doubt; until then nothing new goes there.
+ * Orders heartbeats and acknowledges machines. A heartbeat lists the tasks that were on the machine
+ * when it was sent. It proves that the machine receives this holder's answers only if it shows the
+ * required fencing token. The required token is raised whenever answers may have been lost, and
+ * until a heartbeat shows it no new tasks are placed on the machine.
  */
 export class MachineHeartbeats {
   constructor(
@@ -34,16 +41,17 @@
   ) {}
 
   /**
-   * Takes over a heartbeat if it is newer than what is known of its machine. `askedAt`: steady time
-   * of the direct call that it answers; null: it came by itself.
+   * Applies a heartbeat if it is newer than the newest one of its machine. `askedAt`: steady time
+   * of the direct call that the heartbeat answers; null: the worker sent it on its own.
    */
   apply(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
     const order =
       heartbeat.agentEpoch - machine.agentEpoch || heartbeat.sequence - machine.sequence;
     const isProof =
       heartbeat.fencingToken >= this.fencingTokens.base + machine.requiredFencingOffset;
-    // A machine that is back at once may count anew. Its heartbeats then look like late copies, but
-    // a copy can't show a token that was first given out after everything known, nor answer a call.
+    // A machine that restarted at once may number its heartbeats from 1 again, so that they look
+    // like late duplicates. A duplicate can neither show a token that was issued after the newest
+    // heartbeat, nor answer a call that was made after it.
     const isSurelyNew =
       (isProof && !machine.isAcknowledged) || (askedAt !== null && machine.observedAt <= askedAt);
     if (order <= 0 && !isSurelyNew) {
@@ -54,19 +62,22 @@
     this.adopt(machine, heartbeat, isProof);
     if (askedAt === null) machine.heartbeatAt = machine.observedAt;
     confirmDirectCalls(machine, heartbeat);
-    // Its lease expired although its heartbeats were answered: perhaps it does not hear us.
+    // The worker's lease expired although its heartbeats were answered: the answers may not arrive.
     if (hasNewEpoch) this.fencingTokens.requireAcknowledgement(machine);
     return hasNewEpoch ? 'newEpoch' : 'newer';
   }
 
-  /** Where only late copies come for two intervals, the machine may have begun to count anew. */
+  /**
+   * Requires an acknowledgement if only older heartbeats have arrived for two heartbeat intervals:
+   * the machine may have restarted and number its heartbeats from 1 again.
+   */
   private requireAcknowledgementIfSilent(machine: Machine): void {
     const silentMs = this.clock.now() - machine.observedAt;
     if (machine.isAcknowledged && silentMs > 2 * this.times.heartbeatIntervalS * 1000)
       this.fencingTokens.requireAcknowledgement(machine);
   }
 
-  /** `isProof`: the heartbeat shows a token that proves that the machine hears us. */
+  /** Stores a newer heartbeat. `isProof`: the heartbeat acknowledges the machine. */
   private adopt(machine: Machine, heartbeat: Heartbeat, isProof: boolean): void {
     const now = this.clock.now();
     const { base } = this.fencingTokens;
@@ -83,10 +94,11 @@
     machine.unacknowledgedAnswers = 0;
   }
 
-  /** Notes that a heartbeat is answered with 200, which may renew the worker's lease. */
+  /** Records that a heartbeat is answered with 200, which may renew the worker's lease. */
   noteAnswer(machine: Machine, freshness: HeartbeatFreshness): void {
     const now = this.clock.now();
-    // An older heartbeat was sent before the newest one came: its answer renews to that at the most.
+    // An older heartbeat was sent before the newest one arrived, so the lease that its answer
+    // renews starts no later than that arrival.
     const renewedAt = freshness === 'older' ? machine.observedAt : now;
     machine.answeredAt = Math.max(machine.answeredAt, renewedAt);
     if (machine.isAcknowledged) return;
@@ -94,8 +106,9 @@
   }
 
   /**
-   * False for a machine that sends heartbeats for a whole lease and never shows that an answer got
-   * through. It is no longer answered, so that its lease expires and that proves the end of its tasks.
+   * Whether the machine's heartbeats may be answered. They may not once the machine has been
+   * answered for a whole lease without being acknowledged: its lease must then expire, which proves
+   * that its tasks have ended.
    */
   mayAnswer(machine: Machine): boolean {
     const { leaseS, heartbeatIntervalS } = this.times;
--- a/src/coordination/shard-state/machine-types.ts
+++ b/src/coordination/shard-state/machine-types.ts
@@ -6,14 +6,14 @@
 
 const NO_TYPES: MachineType[] = [];
 
-/** Looks up machine types; the index by name is made anew when the catalogue has changed. */
+/** Looks up machine types by name; the index is rebuilt after each change of the catalogue. */
 export class MachineTypes {
   private catalog: MachineType[] | null = null;
   private byName = new Map<string, MachineType>();
 
   constructor(private readonly replica: StoreReplica) {}
 
-  /** A machine type of the catalogue. */
+  /** The machine type with this name; undefined: the catalogue has none. */
   get(name: string): MachineType | undefined {
     const catalog = readCatalog(this.replica) ?? NO_TYPES;
     if (this.catalog !== catalog) {
@@ -23,7 +23,7 @@
     return this.byName.get(name);
   }
 
-  /** The resources of an empty machine of a type; none for a type that is not known. */
+  /** The resources of an empty machine of a type; all 0 if the catalogue has no such type. */
   capacity(name: string): Resources {
     const type = this.get(name);
     return { cpus: type?.cpus ?? 0, gpus: type?.gpus ?? 0, memoryGb: type?.memoryGb ?? 0 };
--- a/src/coordination/shard-state/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -1,19 +1,20 @@
-/** One machine as the holder of its shard knows it. */
+/** The in-memory entry of one machine at its shard's holder. */
 
 import type { TaskStatus } from '../../protocol/model.js';
 
-/** Commands sent straight to a worker of which it is not known whether they are carried out. */
+/** Commands that were sent directly to a worker and may still be carried out. */
 export interface UnconfirmedCalls {
   agentEpoch: number;
   attempts: Set<number>;
   /**
-   * The token that fences them: no answer came, and a heartbeat that shows it, or one of a later
-   * agent epoch, proves that none of them is carried out any more. Null: the call is under way.
+   * The token that fences the commands after a call without an answer. A heartbeat that shows this
+   * token, or one of a later worker epoch, proves that none of them will be carried out any more.
+   * Null: the call has not been answered and has not failed yet.
    */
   fencedBy: number | null;
 }
 
-/** A machine, its newest heartbeat, and what heartbeats and answers have proven. */
+/** A machine, its newest heartbeat, and the state of its acknowledgement and lease. */
 export interface Machine {
   name: string;
   address: string;
@@ -21,47 +22,58 @@
   zone: string;
   spot: boolean;
 
-  /** Newest heartbeat: the worker's agent epoch, and the heartbeat's number in it. */
+  /** Worker epoch of the newest heartbeat, and the heartbeat's sequence number in that epoch. */
   agentEpoch: number;
   sequence: number;
-  /** Steady time at which it came. */
+  /** Steady time at which the newest heartbeat arrived, on its own or in answer to a call. */
   observedAt: number;
-  /** Steady time of the last newer heartbeat that came by itself, not in answer to a call. */
+  /** Steady time at which the newest heartbeat that the worker sent on its own arrived. */
   heartbeatAt: number;
 
-  /** Fencing token given out: the machine's latest, less the base of the shard's term. */
+  /** The machine's current fencing token, less the base of the shard's term. */
   fencingOffset: number;
-  /** Asked: lower offsets may have been given out before this entry was made. */
+  /** The first offset of this entry; lower ones may have been issued to an entry removed before. */
   initialFencingOffset: number;
-  /** Asked: only a heartbeat that shows at least this offset proves that the machine hears us. */
+  /** The lowest offset with which a heartbeat acknowledges the machine. */
   requiredFencingOffset: number;
-  /** Proven: it has shown a token of this entry, so answers of former holders no longer count. */
+  /**
+   * The newest heartbeat shows a token of this entry, so leases of former holders no longer count.
+   */
   hasShownOurToken: boolean;
-  /** Proven: the newest heartbeat shows the required token, so an answer got through since then. */
+  /**
+   * The newest heartbeat shows the required token, so the machine receives this shard's answers.
+   */
   isAcknowledged: boolean;
-  /** Steady time of the last heartbeat that proved it. */
+  /** Steady time of the last heartbeat that acknowledged the machine. */
   acknowledgedAt: number;
-  /** Steady time of our first answer since then, and how many there were. */
+  /**
+   * Steady time of the first answer after the last acknowledgement, and the number of answers
+   * since.
+   */
   unacknowledgedSince: number;
   unacknowledgedAnswers: number;
-  /** Steady time of our last answer with 200, which may have renewed the worker's lease. */
+  /** Steady time of the last answer with 200, which may have renewed the worker's lease. */
   answeredAt: number;
-  /** A start was sent straight to it under the present token: a repeat of it would be carried out. */
+  /**
+   * A start was sent directly under the current token, so a late duplicate would be carried out.
+   */
   hasUnfencedStart: boolean;
   directCalls: UnconfirmedCalls | null;
 
   isLeaving: boolean;
-  /** Its services are being moved away: nothing is placed here for a while. */
+  /**
+   * The machine's services are being moved to other machines, so nothing is placed on it meanwhile.
+   */
   isConsolidating: boolean;
   reportedTasks: TaskStatus[];
   images: Set<string>;
-  /** Jobs whose tasks failed here since the last success. */
+  /** Jobs whose tasks have failed on the machine since a task last succeeded there. */
   failedJobs: Set<string>;
 }
 
 /**
- * An entry for a machine of which nothing was heard yet. `initialFencingOffset`: above all that
- * entries removed before have given out.
+ * Creates the entry of a machine without any heartbeat. `initialFencingOffset`: an offset above all
+ * that were issued to removed entries.
  */
 export function createMachine(
   identity: Pick<Machine, 'name' | 'type' | 'zone' | 'spot'>,
--- a/src/coordination/shard-state/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a shard, and what is known of them. */
+/** The machines of a shard: their entries, their order, and whether they may take tasks. */
 import type { MachineType } from '../../protocol/model.js';
 import type { MachineHealth, MachineRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -10,12 +10,12 @@
 import { MachineTypes } from './machine-types.js';
 import { createMachine, type Machine } from './machine.js';
 
-/** What the machines need to know of their shard. */
+/** The lease times of the workers, and the term in which the shard is held. */
 export interface MachinesOptions extends LeaseTimes {
   term: number;
 }
 
-/** A shard's machines: who is among them, in which order, and which of them may take tasks. */
+/** The machines of one shard, by name, with their types, leases and fencing tokens. */
 export class Machines {
   readonly all = new Map<string, Machine>();
   readonly fencingTokens: FencingTokens;
@@ -33,7 +33,7 @@
     this.types = new MachineTypes(replica);
   }
 
-  /** Adds a machine; it counts as answered now. */
+  /** Adds a machine; its lease is counted from now. */
   add(name: string, type: string, zone: string, spot: boolean): Machine {
     const { initialOffset } = this.fencingTokens;
     const machine = createMachine({ name, type, zone, spot }, initialOffset, this.clock.now());
@@ -48,7 +48,7 @@
     this.fencingTokens.retire(machine);
   }
 
-  /** Forgets machines that are gone, or whose lease expired a whole lease ago. */
+  /** Removes machines that were returned to the cloud, or whose lease expired a whole lease ago. */
   sweep(): void {
     const now = this.clock.now();
     for (const machine of this.all.values()) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** The shard's fixed order: on-demand machines before spot instances, each by name. */
+  /** The machines in a fixed order: on-demand machines before spot instances, each by name. */
   inOrder(): readonly Machine[] {
     this.sorted ??= [...this.all.values()].sort(
       (a, b) => Number(a.spot) - Number(b.spot) || (a.name < b.name ? -1 : 1),
@@ -65,34 +65,34 @@
     return this.sorted;
   }
 
-  /** The state that the leader recorded for a machine; without a record it may be used. */
+  /** The state that the leader recorded for a machine; `rented` if there is no record. */
   recordedState(name: string): MachineRecord['state'] {
     return this.replica.machine(name)?.state ?? 'rented';
   }
 
-  /** Whether tasks may be started on it. */
+  /** Whether tasks may be started on the machine. */
   isSchedulable(machine: Machine): boolean {
     return (
       machine.isAcknowledged && !machine.isLeaving && this.recordedState(machine.name) === 'rented'
     );
   }
 
-  /** A machine's health as the other controllers are told. */
+  /** A machine's health as it is stored for the other controllers. */
   health(machine: Machine): MachineHealth {
     return machineHealth(machine, this.options, this.clock.now());
   }
 
-  /** The steady time from which no task of the shard can be left on this machine. */
+  /** The steady time from which no task of the shard can be left on the machine. */
   leaseExpiresAt(name: string): number {
     return leaseExpiry(this.all.get(name), this.options);
   }
 
-  /** A machine type of the catalogue. */
+  /** The machine type with this name; undefined: the catalogue has none. */
   machineType(name: string): MachineType | undefined {
     return this.types.get(name);
   }
 
-  /** The resources of an empty machine of a type; none for a type that is not known. */
+  /** The resources of an empty machine of a type; all 0 if the catalogue has no such type. */
   capacity(typeName: string): Resources {
     return this.types.capacity(typeName);
   }
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -1,4 +1,4 @@
-/** Brings a shard's assignments in memory in line with those that the key-value store holds. */
+/** Keeps a shard's assignments in memory in line with the records in the key-value store. */
 import { assignmentPrefix, readAssignmentKey } from '../../storage/keys.js';
 import { readRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
@@ -9,7 +9,7 @@
 import type { ChangedAssignments } from './changed-assignments.js';
 import type { TaskIndex } from './task-index.js';
 
-/** What the loading of assignments reads and writes. */
+/** The state that the loading of assignments reads and changes. */
 interface StoredAssignmentsDependencies {
   index: TaskIndex;
   changed: ChangedAssignments;
@@ -18,7 +18,7 @@
   clock: Clock;
 }
 
-/** Loads, reloads and removes assignments as their records come and go. */
+/** Loads, reloads and removes assignments when their records are created, restored and removed. */
 export class StoredAssignments {
   constructor(
     private readonly shard: string,
@@ -33,8 +33,8 @@
   }
 
   /**
-   * A key of the replica changed. Only new assignments and removed ones count: nobody but the holder
-   * of the shard changes the others.
+   * Handles a changed key of the replica by adding or removing its assignment. Changes of existing
+   * assignments are ignored, because only the shard's holder makes them.
    */
   handleChange(key: string): void {
     if (!key.startsWith(assignmentPrefix(this.shard))) return;
@@ -52,8 +52,8 @@
     const name = readAssignmentKey(key);
     if (!name) return;
     const plan = plannedPieces.get(key);
-    // A piece whose write was given up and carried out late: its tasks must not be in two
-    // assignments here.
+    // The key of a split-off piece without a plan: its write was abandoned and applied late. The
+    // assignments that still have its tasks are reloaded, so that no task is in two assignments.
     if (!plan && !Number.isInteger(name.number)) this.reloadOverlapping(name.job, record);
     const assignment = createAssignment({ key, job: name.job, number: name.number }, record);
     index.addAssignment(assignment);
@@ -69,7 +69,10 @@
     }
   }
 
-  /** Goes back to the stored record; heartbeats show again what was learned meanwhile. */
+  /**
+   * Replaces an assignment's state by its stored record. Later heartbeats show again which of its
+   * tasks run or have ended.
+   */
   reload(assignment: Assignment): void {
     const stored = this.dependencies.replica.get<AssignmentRecord>(assignment.key);
     if (!stored) {
@@ -82,13 +85,13 @@
     this.loadTasks(assignment);
   }
 
-  /** Removes an assignment; true: it was the last of its job. */
+  /** Removes an assignment; returns whether it was the last one of its job. */
   remove(assignment: Assignment): boolean {
     this.clearTasks(assignment);
     return this.dependencies.index.removeAssignment(assignment);
   }
 
-  /** Gives an assignment the tasks of its stored record. */
+  /** Fills an assignment with the tasks of its stored record. */
   private loadTasks(assignment: Assignment): void {
     const { clock, index } = this.dependencies;
     for (const task of readTasks(assignment.committedRecord, clock.now())) {
@@ -97,14 +100,14 @@
       else if (task.state === 'waiting') assignment.waitingTasks.add(task);
     }
     index.updateWaiting(assignment);
-    // Some of a gang's tasks are placed and some no more: what is left of this attempt is no gang.
+    // A gang's tasks are all placed or all waiting. With some of each, the attempt has failed.
     assignment.hasFailed =
       assignment.record.attempt !== undefined &&
       assignment.placedCount > 0 &&
       assignment.waitingTasks.size > 0;
   }
 
-  /** Removes an assignment's tasks from it and from all indexes. */
+  /** Removes all tasks of an assignment, also from the indexes. */
   private clearTasks(assignment: Assignment): void {
     const { changed, index } = this.dependencies;
     for (const task of assignment.tasks.values()) {
@@ -117,8 +120,9 @@
   }
 
   /**
-   * Moves the tasks of a piece from the assignment that was split into the new one, in their present
-   * state: what was sent stays sent, and nothing starts again.
+   * Moves the tasks of a written piece from the assignment that was split into the new one. The
+   * tasks keep their state, so that commands that were sent are not sent again and no task
+   * restarts.
    */
   private adoptPiece(from: Assignment, pieces: Piece[], assignment: Assignment): void {
     const { changed, index } = this.dependencies;
@@ -135,7 +139,8 @@
     }
     index.updateWaiting(from);
     index.updateWaiting(assignment);
-    // Changed while it was written: which of the tasks did is not known.
+    // The split assignment changed during the write. The changed tasks may be among those that
+    // moved.
     if (changed.all.has(from)) changed.mark(assignment);
   }
 }
--- a/src/coordination/shard-state/task-index.ts
+++ b/src/coordination/shard-state/task-index.ts
@@ -1,17 +1,18 @@
-/** Indexes of a shard's assignments: by key, by job, by machine, and by what is left to do. */
+/** Indexes of a shard's assignments by key, by job, by machine and by waiting tasks. */
 import type { Assignment, Task } from './assignment.js';
 
 const NO_TASKS: ReadonlyMap<Task, Assignment> = new Map();
 
 /**
- * The assignments of a shard and the indexes of their tasks. With them a heartbeat costs what its own
- * machine has and a scheduling cycle what has changed, whatever the shard's size.
+ * The assignments of a shard and the indexes of their tasks. Because of the indexes, the cost of a
+ * heartbeat grows only with the tasks of its machine, and that of a scheduling cycle only with the
+ * assignments that have waiting tasks, whatever the shard's size.
  */
 export class TaskIndex {
   readonly assignments = new Map<string, Assignment>();
   /** Assignments with tasks that wait for a machine. */
   readonly waiting = new Set<Assignment>();
-  /** Shares of gangs. */
+  /** Gang subsets: assignments of gangs. */
   readonly gangs = new Set<Assignment>();
   private readonly byJob = new Map<string, Set<Assignment>>();
   private readonly byMachine = new Map<string, Map<Task, Assignment>>();
@@ -25,7 +26,10 @@
     else this.byJob.set(assignment.job, new Set([assignment]));
   }
 
-  /** Removes an assignment whose tasks were removed; true: it was the last of its job. */
+  /**
+   * Removes an assignment whose tasks were removed before; returns whether it was the last one of
+   * its job.
+   */
   removeAssignment(assignment: Assignment): boolean {
     this.gangs.delete(assignment);
     this.assignments.delete(assignment.key);
@@ -35,7 +39,7 @@
     return !this.byJob.has(assignment.job);
   }
 
-  /** Counts a task as placed on its machine. */
+  /** Adds a task to the tasks placed on its machine. */
   addPlacement(assignment: Assignment, task: Task): void {
     assignment.placedCount++;
     const group = this.byMachine.get(task.machine);
@@ -43,7 +47,7 @@
     else this.byMachine.set(task.machine, new Map([[task, assignment]]));
   }
 
-  /** Counts a task as no longer placed on its machine. */
+  /** Removes a task from the tasks placed on its machine. */
   removePlacement(assignment: Assignment, task: Task): void {
     assignment.placedCount--;
     const group = this.byMachine.get(task.machine);
@@ -51,7 +55,7 @@
     if (group?.size === 0) this.byMachine.delete(task.machine);
   }
 
-  /** Brings `waiting` up to date with an assignment's waiting tasks. */
+  /** Adds an assignment to `waiting` or removes it, depending on whether it has waiting tasks. */
   updateWaiting(assignment: Assignment): void {
     if (assignment.waitingTasks.size === 0) this.waiting.delete(assignment);
     else this.waiting.add(assignment);
--- a/src/coordination/shard-state/task-transitions.ts
+++ b/src/coordination/shard-state/task-transitions.ts
@@ -1,13 +1,13 @@
-/** The changes of a task's state: placed, waiting again, done, or returned to the leader. */
+/** The state transitions of tasks: placed, waiting again, done, or returned to the leader. */
 import type { Clock } from '../../transport/clock.js';
 import { clearPlacement, type Assignment, type Task } from './assignment.js';
 import type { ChangedAssignments } from './changed-assignments.js';
 import type { TaskIndex } from './task-index.js';
 
-/** Where a task is placed, under which attempt, and what the bandit based it on. */
+/** A task's machine and attempt, and the context vector of the bandit's decision. */
 export type Placement = Pick<Task, 'machine' | 'attempt' | 'banditContext'>;
 
-/** Changes the state of tasks, and with it the indexes and what is to be written. */
+/** Changes the state of tasks, updates the indexes, and marks the assignments as changed. */
 export class TaskTransitions {
   constructor(
     private readonly index: TaskIndex,
@@ -29,7 +29,8 @@
   /** Makes a task wait for a machine again. */
   requeue(assignment: Assignment, task: Task): void {
     this.endPlacement(assignment, task);
-    // The attempt of a gang is over for all of its tasks: they can't be placed one by one.
+    // Tasks of a gang are not placed one by one: once one of them has ended, the attempt has
+    // failed.
     assignment.hasFailed = assignment.record.attempt !== undefined;
     task.state = 'waiting';
     task.waitingSince = this.clock.now();
@@ -52,7 +53,7 @@
     this.changed.mark(assignment);
   }
 
-  /** Takes a task off its machine and out of the waiting ones. */
+  /** Removes a task from its machine and from the waiting tasks. */
   private endPlacement(assignment: Assignment, task: Task): void {
     if (task.state === 'placed') this.index.removePlacement(assignment, task);
     assignment.waitingTasks.delete(task);
--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -1,4 +1,4 @@
-/** The tasks assigned to one shard: look-ups, and the changes that the shard makes. */
+/** The tasks assigned to one shard, with the look-ups and state transitions that the shard uses. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
 import { PlannedPieces, splitAssignment, type Piece } from './assignment-pieces.js';
@@ -14,7 +14,7 @@
   task: Task;
 }
 
-/** The tasks assigned to one shard, as its holder keeps them in memory. */
+/** The assignments and tasks of one shard in its holder's memory. */
 export class Tasks {
   /** Pieces of assignments that are being written. */
   readonly plannedPieces = new PlannedPieces();
@@ -49,7 +49,7 @@
     return this.index.waiting;
   }
 
-  /** Shares of gangs. */
+  /** Gang subsets: assignments of gangs. */
   get gangAssignments(): ReadonlySet<Assignment> {
     return this.index.gangs;
   }
@@ -64,7 +64,7 @@
     return this.index.ofJob(job);
   }
 
-  /** A task of a job; null: it is not assigned to this shard. */
+  /** A task of a job; null: the task is not assigned to this shard. */
   findTask(job: string, index: number): AssignedTask | null {
     for (const assignment of this.assignmentsOf(job)) {
       const task = assignment.tasks.get(index);
@@ -83,12 +83,12 @@
     return this.index.onMachine(machine);
   }
 
-  /** Whether the key-value store holds this placement: only then may its start be sent. */
+  /** Whether the key-value store holds this placement; the start may be sent only then. */
   isCommitted(assignment: Assignment, task: Task): boolean {
     return isCommitted(assignment, task);
   }
 
-  /** How many tasks are placed, and how many wait for a machine. */
+  /** The number of placed tasks, and of tasks that wait for a machine. */
   counts(): { placed: number; waiting: number } {
     let placed = 0;
     let waiting = 0;
@@ -99,38 +99,38 @@
     return { placed, waiting };
   }
 
-  // --- What the key-value store holds --------------------------------------------------------
+  // --- Changes of stored records -------------------------------------------------------------
 
-  /** A key of the replica changed. */
+  /** Handles a changed key of the replica: adds or removes its assignment. */
   handleChange(key: string): void {
     this.storedAssignments.handleChange(key);
   }
 
-  /** Goes back to the stored record of an assignment. */
+  /** Replaces an assignment's state by its stored record. */
   reload(assignment: Assignment): void {
     this.storedAssignments.reload(assignment);
   }
 
-  /** Removes an assignment; true: it was the last of its job. */
+  /** Removes an assignment; returns whether it was the last one of its job. */
   remove(assignment: Assignment): boolean {
     return this.storedAssignments.remove(assignment);
   }
 
-  // --- What is to be written -----------------------------------------------------------------
+  // --- Changes to be written -----------------------------------------------------------------
 
-  /** Marks an assignment as changed since it was committed. */
+  /** Marks an assignment as changed after its last commit. */
   markChanged(assignment: Assignment): void {
     this.changed.mark(assignment);
   }
 
-  /** Marks an assignment as having no changes to be written. */
+  /** Marks an assignment as having no changes to write. */
   clearChanged(assignment: Assignment): void {
     this.changed.clear(assignment);
   }
 
   /**
-   * The assignment's present record, in pieces of at most so many bytes; new placements only on the
-   * machines that are named.
+   * The assignment's current record, in pieces of at most `maxBytes` bytes. New placements are
+   * included only on `newMachines`.
    */
   split(assignment: Assignment, newMachines: ReadonlySet<string>, maxBytes: number): Piece[] {
     const isKeyTaken = (key: string): boolean =>
@@ -138,7 +138,7 @@
     return splitAssignment(assignment, { newMachines, maxBytes, isKeyTaken });
   }
 
-  // --- Changes of a task's state -------------------------------------------------------------
+  // --- State transitions of tasks ------------------------------------------------------------
 
   /** Places a task on a machine. */
   place(assignment: Assignment, task: Task, placement: Placement): void {
