--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -9,44 +9,49 @@
 import type { Piece } from '../shard-state/assignment-pieces.js';
 import { uncommittedMachines, type Assignment } from '../shard-state/assignment.js';
 
-/** An assignment on its way to the key-value store; no pieces: it is removed. */
+/** An assignment that a transaction writes in these pieces, or removes if there are none. */
 export interface WrittenAssignment {
   assignment: Assignment;
   pieces: Piece[];
 }
 
-/** Whether an assignment was added, must wait for the next transaction, or fits in none. */
+/**
+ * Whether an assignment was added, must wait for the next transaction because this one is full, or
+ * is too large for any.
+ */
 export type AddResult = { kind: 'added' } | { kind: 'full' } | { kind: 'tooLarge'; pieces: number };
 
-/** A transaction of changes of assignments. Everything guards the shard's role. */
+/** A transaction that writes and removes assignments while the shard's role is unchanged. */
 export class AssignmentTransaction {
   readonly changes: Change[] = [];
   readonly written: WrittenAssignment[] = [];
   /** Machines on which new placements are written. */
   readonly machines = new Set<string>();
-  /** Jobs of which new placements are written. */
+  /** Jobs with new placements in this transaction. */
   private readonly jobs = new Set<string>();
   private estimatedBytes = 0;
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Adds an assignment's changes; `isOver`: it is removed. */
+  /** Adds an assignment's changes; `isOver`: the assignment is removed. */
   add(assignment: Assignment, isOver: boolean): AddResult {
     const { options, tasks } = this.context;
     this.estimatedBytes +=
       ASSIGNMENT_OVERHEAD_BYTES + assignment.placedCount * ASSIGNMENT_TASK_BYTES;
     if (this.estimatedBytes > TRANSACTION_BYTES && this.changes.length > 0) return { kind: 'full' };
     const uncommitted = isOver ? new Set<string>() : uncommittedMachines(assignment);
-    // A machine that the leader takes out of use meanwhile gets no new task: each is guarded, and a
-    // transaction may have only so many guards. New placements on further machines wait for the next
-    // transaction: all in one would be refused, again and again.
+    // The record of each machine with new placements is guarded, so that no task is placed on a
+    // machine that the leader drains or returns meanwhile. The store rejects a transaction with too
+    // many guards, also when it is retried, so placements on further machines wait for the next
+    // transaction.
     const maxMachines = options.transactionOps * (GUARDS_PER_OP - 2) - 1;
     const allMachines = new Set([...this.machines, ...uncommitted]);
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
     const newMachines = new Set([...uncommitted].slice(0, maxMachines));
     const maxBytes = options.valueBytes * VALUE_SHARE;
     const pieces = isOver ? [] : tasks.split(assignment, newMachines, maxBytes);
-    // All in one transaction, or a task would be in two assignments or in none for a while.
+    // All pieces go into one transaction. Otherwise a task would be in two assignments or in none
+    // between two transactions.
     if (this.changes.length + Math.max(1, pieces.length) > options.transactionOps) {
       if (this.changes.length > 0) return { kind: 'full' };
       return { kind: 'tooLarge', pieces: pieces.length };
@@ -56,7 +61,10 @@
     return { kind: 'added' };
   }
 
-  /** The role, the assignments, and the machines and jobs of new placements, as they are known. */
+  /**
+   * Guards on the role, the assignments, and the machines and jobs of new placements, each at the
+   * revision that the replica shows.
+   */
   guards(): Guard[] {
     const { options, replica } = this.context;
     const role: Guard = { key: options.roleKey, revision: options.roleRevision };
@@ -74,7 +82,8 @@
     newMachines: ReadonlySet<string>,
   ): void {
     for (const machine of newMachines) this.machines.add(machine);
-    // Nor is a job placed that was cancelled a moment ago, which this replica does not show yet.
+    // The job's record is guarded, so that no task is placed of a job whose cancellation this
+    // replica does not show yet.
     if (newMachines.size > 0) this.jobs.add(assignment.job);
     if (pieces.length === 0) this.changes.push({ key: assignment.key, remove: true });
     for (const { key, record } of pieces) this.changes.push({ key, value: record });
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -7,18 +7,19 @@
 import type { ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/assignment.js';
 
-/** What the writer tells its shard. */
+/** The events of a writer that its shard handles. */
 export interface AssignmentWriterCallbacks {
-  /** Placements on these machines are committed: their starts may be sent. */
+  /** Called when placements on these machines are committed, so that their starts may be sent. */
   readonly onCommitted: (machines: ReadonlySet<string>, urgent: boolean) => void;
 }
 
 /**
- * Writes a shard's assignments: what starts tasks at once, ends in batches, each assignment within
- * the limits of values and transactions. Everything guards the shard's role.
+ * Writes a shard's changed assignments in transactions that are guarded by the shard's role.
+ * Placements are written early and ends of tasks in batches, and an assignment that is larger than
+ * the store's limit for values is split.
  */
 export class AssignmentWriter {
-  /** Assignments whose changes were called invalid, or are too large to be written yet. */
+  /** Assignments that are paused, because the store rejected them or they are too large for now. */
   private readonly withheld: RejectedChangeBackoff;
   private readonly schedule: WriteSchedule;
 
@@ -30,19 +31,20 @@
     this.schedule = new WriteSchedule(context, this.withheld);
   }
 
-  /** Forgets pauses that are long over. */
+  /** Removes pauses of assignments that ended long ago. */
   sweep(): void {
     this.withheld.sweep();
   }
 
-  /** Writes what is due. */
+  /** Writes all assignments that are due. */
   async flush(): Promise<void> {
     const { committer, options } = this.context;
     for (;;) {
       const due = this.schedule.dueAssignments();
       const [first] = due;
       if (!first) return;
-      // Urgent work shares no transaction with other work, which may have to wait for its turn.
+      // Urgent and non-urgent assignments share no transaction, because the non-urgent ones may
+      // have to wait for the rate limit.
       const urgent = this.schedule.isUrgent(first);
       if (!urgent && !this.schedule.mayWriteOrdinary(due)) return;
       const transaction = this.build(due, urgent);
@@ -66,7 +68,7 @@
     }
   }
 
-  /** The next transaction: the first due assignments that are as urgent as the first one. */
+  /** Builds the next transaction from the first due assignments that have this urgency. */
   private build(due: readonly Assignment[], urgent: boolean): AssignmentTransaction {
     const { log, options } = this.context;
     const transaction = new AssignmentTransaction(this.context);
@@ -85,7 +87,7 @@
     return transaction;
   }
 
-  /** Nothing of this was written, or another's change is newer: what is stored counts again. */
+  /** Reloads assignments from the replica after a transaction that was not committed. */
   private reloadRejected(written: readonly WrittenAssignment[], result: CommitResult): void {
     const { log, options, tasks } = this.context;
     log.info({ shard: options.shard, result }, 'assignments not committed');
@@ -95,7 +97,7 @@
     }
   }
 
-  /** Takes an assignment as stored the way it was written. */
+  /** Updates an assignment after its commit: stores its committed record, or removes it. */
   private recordCommitted({ assignment, pieces }: WrittenAssignment): void {
     const { assignmentsOfEndedJobs, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
--- a/src/coordination/shard/bandit-snapshot.ts
+++ b/src/coordination/shard/bandit-snapshot.ts
@@ -1,4 +1,4 @@
-/** Stores what a shard's bandit has learned, so that the next holder goes on with it. */
+/** Stores the arms of a shard's bandit, so that the shard's next holder can continue with them. */
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { VALUE_SHARE } from '../../constants/storage.js';
 import type { Change } from '../../protocol/key-value-store.js';
@@ -8,23 +8,23 @@
 import type { ArmRecord, Bandit } from '../scheduling/bandit.js';
 import type { HolderRecords } from './holder-records.js';
 
-/** What the snapshots need to know of their shard. */
+/** The shard, the store's limits, and the interval of snapshots. */
 export interface BanditSnapshotOptions {
   shard: string;
   transactionOps: number;
   valueBytes: number;
-  /** ms between two snapshots. */
+  /** Interval between two snapshots, in ms. */
   snapshotMs: number;
 }
 
-/** What the snapshots read and write. */
+/** The records, replica and clock that the snapshots use. */
 export interface BanditSnapshotDependencies {
   readonly records: HolderRecords;
   readonly replica: StoreReplica;
   readonly clock: Clock;
 }
 
-/** Writes the arms of a shard's bandit from time to time, each in one record or several. */
+/** Writes the arms of a shard's bandit periodically, each in one or more records. */
 export class BanditSnapshot {
   private nextAt: number;
 
@@ -35,7 +35,7 @@
     this.nextAt = dependencies.clock.now() + options.snapshotMs;
   }
 
-  /** Writes the arms of these machine types that changed, if a snapshot is due. */
+  /** Writes the changed arms of these machine types, if a snapshot is due. */
   async writeIfDue(bandit: Bandit | null, types: readonly string[]): Promise<void> {
     const now = this.dependencies.clock.now();
     if (now < this.nextAt || !bandit) return;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Bytes that a record may have. */
+  /** Maximum size of a record, in bytes. */
   private get maxBytes(): number {
     return Math.floor(this.options.valueBytes * VALUE_SHARE);
   }
@@ -59,12 +59,15 @@
     return Math.max(1, Math.min(this.options.transactionOps, fitting));
   }
 
-  /** The key of a record of an arm; the first one is its main record. */
+  /** The key of one of an arm's records; number 0 is the main record. */
   private keyOf(type: string, number: number): string {
     return armKey(this.options.shard, number === 0 ? type : `${type}+${number}`);
   }
 
-  /** The changes that store a type's arm; none if it is stored already, or was called invalid. */
+  /**
+   * The changes that store the arm of a machine type; none if the stored arm is equal, or if the
+   * store rejected one of these keys recently.
+   */
   private changesOf(bandit: Bandit, type: string): Change[] {
     const { records, replica } = this.dependencies;
     const stamp = replica.get<ArmRecord>(this.keyOf(type, 0))?.value.stamp ?? 0;
@@ -78,7 +81,8 @@
       value,
     }));
     if (changes.some(({ key }) => records.isRejected(key))) return [];
-    // The main record last: the others count only with it.
+    // The main record is written last, because further records are read only if their stamp is that
+    // of the main record.
     return changes.reverse();
   }
 }
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -1,4 +1,4 @@
-/** Tells the bandit what tasks cost that it placed. */
+/** Reports the cost and the failures of tasks to the bandit that placed them. */
 import type { Clock } from '../../transport/clock.js';
 import type { Bandit } from '../scheduling/bandit.js';
 import type { Machine } from '../shard-state/machine.js';
@@ -6,9 +6,9 @@
 import type { Resources } from '../capacity/resources.js';
 import type { AssignedTask } from '../shard-state/tasks.js';
 
-/** Passes the ends of tasks on to the bandit, once it is loaded. */
+/** Reports the ends of tasks to the bandit; ends before the bandit is loaded are not reported. */
 export class CostLearning {
-  /** Null until it is loaded. */
+  /** The shard's bandit; null until it is loaded. */
   bandit: Bandit | null = null;
 
   constructor(
@@ -16,7 +16,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** A task ended well on the machine. */
+  /** Reports the cost of a task that ended successfully on the machine. */
   recordSuccess(machine: Machine, { assignment, task }: AssignedTask): void {
     if (!task.banditContext || task.runningAt === null || !this.bandit) return;
     const ranS = (this.clock.now() - task.runningAt) / 1000;
@@ -27,14 +27,16 @@
     );
   }
 
-  /** A task failed on the machine. */
+  /** Reports a task that failed on the machine. */
   recordFailure(machine: Machine, { task }: AssignedTask): void {
     if (task.banditContext) this.bandit?.failed(machine.type, task.banditContext);
   }
 
   /**
-   * What a task costs per second on a machine. The paper's workers run one task at a time; here tasks
-   * share a machine, so a task pays for the share that it keeps others from.
+   * The cost per second of a task on a machine. In the paper on which the bandit is based, a worker
+   * runs one task at a time. Here tasks share a machine, so a task is charged a fraction of the
+   * machine's price: the largest of the fractions that it takes of the machine's CPUs, GPUs and
+   * memory.
    */
   private pricePerS(machine: Machine, task: Resources): number {
     const type = this.machines.machineType(machine.type);
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -1,4 +1,4 @@
-/** Sends new commands straight to workers instead of waiting for their next heartbeats. */
+/** Sends new commands directly to workers instead of waiting for their next heartbeats. */
 import type { Command } from '../../protocol/model.js';
 import type { UnconfirmedCalls, Machine } from '../shard-state/machine.js';
 import type { MachineCommands } from './machine-commands.js';
@@ -6,9 +6,9 @@
 import type { HeartbeatObserver } from './heartbeat-observer.js';
 
 /**
- * Calls workers with what is new for them. One call to a machine at a time; until it was answered
- * or is fenced, none of its attempts is placed anew or forgotten, since it may be carried out
- * minutes late.
+ * Sends new commands to workers, with at most one call per machine at a time. Until a call has been
+ * answered or fenced, its commands may still be carried out, even minutes later, so none of its
+ * attempts is placed again or forgotten.
  */
 export class DirectCalls {
   constructor(
@@ -17,7 +17,7 @@
     private readonly observer: HeartbeatObserver,
   ) {}
 
-  /** Sends what is new for the machines that are marked for commands. */
+  /** Sends the new commands of all machines that are marked for commands. */
   sendPending(): void {
     const { machinesToCommand, machines, options, workers } = this.context;
     if (!options.isHolder() || !options.isReplicaCurrent()) return;
@@ -26,7 +26,8 @@
       const machine = machines.all.get(name);
       if (machine?.directCalls) continue;
       machinesToCommand.delete(name);
-      // The answer to the heartbeat that proves that it hears us carries all that is missing.
+      // An unacknowledged machine gets all missing commands in the answer to the heartbeat that
+      // acknowledges it.
       if (!machine?.isAcknowledged || machine.address === '') continue;
       const commands = this.newCommandsFor(machine);
       if (commands.length > 0) void this.send(machine, commands);
@@ -35,7 +36,8 @@
 
   private newCommandsFor(machine: Machine): Command[] {
     const commands = this.commands.commandsFor(machine, { resend: false });
-    // A silent machine may still hear calls: it gets stops, but no starts.
+    // A silent machine may still receive calls. It gets stops, but no starts, because its lease may
+    // expire soon.
     if (this.context.machines.health(machine) !== 'silent') return commands;
     return commands.filter(({ op }) => op === 'stop');
   }
@@ -65,7 +67,7 @@
       if (machine.directCalls !== call) return;
       machines.fencingTokens.requireAcknowledgement(machine);
       call.fencedBy = machines.fencingTokens.tokenOf(machine);
-      log.info({ machine: machine.name, error: String(error) }, 'direct commands got no answer');
+      log.info({ machine: machine.name, error: String(error) }, 'direct call to worker failed');
     }
   }
 }
--- a/src/coordination/shard/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -1,10 +1,11 @@
-/** Withdraws the tasks of jobs that are over. */
+/** Withdraws the placed tasks of jobs that have ended. */
 import type { Assignment } from '../shard-state/assignment.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
 /**
- * If the assignment's job is over: what was never sent is withdrawn at once, the rest when heartbeats
- * prove its end.
+ * Withdraws an assignment's placed tasks if its job has ended. Tasks whose starts cannot have been
+ * sent are requeued at once. The others are stopped, and are requeued when heartbeats prove their
+ * ends.
  */
 export function withdrawIfEnded(context: ShardContext, assignment: Assignment): void {
   const { machinesToCommand, assignmentsOfEndedJobs, tasks } = context;
@@ -12,7 +13,7 @@
   assignmentsOfEndedJobs.add(assignment);
   for (const task of [...assignment.tasks.values()]) {
     if (task.state !== 'placed') continue;
-    // Not committed, so nobody can have sent it.
+    // A start is sent only after its placement is committed.
     if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
     else machinesToCommand.add(task.machine);
   }
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -1,4 +1,4 @@
-/** Decides when a shard's shares of gangs start, when they stop, and when they return to the leader. */
+/** Decides when a shard's gang subsets start, stop and are returned to the leader. */
 
 import { GANG_RESERVATION_TIMEOUT_MS, GANG_PLACED_TIMEOUT_MS } from '../../constants/gangs.js';
 import { UNPLACED_RELEASE_MS } from '../../constants/shard.js';
@@ -10,13 +10,15 @@
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
 
-/** The workers' times for gangs. */
+/**
+ * The workers' heartbeat interval, and the time that a gang's task waits for the others; seconds.
+ */
 export interface GangTimes {
   heartbeatIntervalS: number;
   gangWaitS: number;
 }
 
-/** What the shares read and write. */
+/** The tasks, replica, clock and log that the gang subsets use. */
 export interface GangShareDependencies {
   tasks: Tasks;
   replica: StoreReplica;
@@ -25,11 +27,11 @@
 }
 
 /**
- * A shard's shares of gangs: the tasks of a gang that are assigned to this shard. A share's
- * placements are reserved when they are committed; they start once every task of the gang is
- * reserved, here and in other shards, all under one attempt. When one of its tasks ends otherwise
- * than done, all end, and the whole share returns to the leader, which assigns the gang anew under a
- * new attempt when nothing of the old one is left anywhere.
+ * A shard's gang subsets, each of which consists of the tasks of one gang that are assigned to this
+ * shard. Committed placements of a gang are reservations. The tasks start once every task of the
+ * gang is placed, here and in other shards, under the same attempt. When one task ends otherwise
+ * than done, all tasks of the gang are stopped and returned to the leader. Once none is left in any
+ * shard, the leader assigns the gang again under a new attempt.
  */
 export class GangShares {
   constructor(
@@ -41,13 +43,13 @@
     return this.dependencies.replica.job(assignment.job)?.spec ?? null;
   }
 
-  /** Whether tasks of this assignment may start now. */
+  /** Whether tasks of this assignment may start now; always true for one that is not of a gang. */
   mayStart(assignment: Assignment): boolean {
     if (assignment.record.attempt === undefined) return true;
     return !assignment.hasFailed && this.isFullyPlaced(assignment);
   }
 
-  /** Whether all tasks of the gang have their machines, by what the key-value store holds. */
+  /** Whether the stored records of all shards show a placement for each task of the gang. */
   private isFullyPlaced(assignment: Assignment): boolean {
     let placed = 0;
     for (const share of this.dependencies.replica.assignmentsOf(assignment.job)) {
@@ -58,8 +60,9 @@
   }
 
   /**
-   * Stops shares that failed, and returns those that found no machines in time to the leader. Gives
-   * the machines on which tasks must now be stopped: all at once, so that their progress is saved.
+   * Stops failed subsets, and returns subsets that found no machines in time to the leader. Returns
+   * the machines on which tasks must now be stopped. All tasks of a subset are stopped at once, so
+   * that their progress is saved.
    */
   reconcile(): Set<string> {
     const stopped = new Set<string>();
@@ -76,7 +79,7 @@
     return stopped;
   }
 
-  /** Fails a share if the rest of its gang was not reserved, or did not start, in time. */
+  /** Fails a subset if the rest of its gang was not placed, or did not start, in time. */
   private failOverdue(assignment: Assignment, now: number): void {
     const { log } = this.dependencies;
     const isPlacedHere = assignment.waitingTasks.size === 0;
@@ -94,14 +97,15 @@
   }
 
   /**
-   * Fails a share if another shard stops its own, and announces a failed one to the other shards.
-   * Returns whether they can see the stop. No task is told before that: progress is saved only where
-   * all are told at about the same time, which an outage of the key-value store would prevent.
+   * Fails a subset if another shard stops its own subset of the gang, and marks a failed subset to
+   * be written as stopping. Returns whether the key-value store shows the stop to the other shards.
+   * No task is stopped before that, because progress is saved only if all tasks of the gang are
+   * stopped at about the same time, which an outage of the store could prevent.
    */
   private propagateFailure(assignment: Assignment, spec: JobSpec): boolean {
     const { replica, tasks } = this.dependencies;
     if (assignment.tasks.size === spec.tasks) return true;
-    // All shards must stop their shares within the time that tasks wait for lost peers.
+    // All shards must stop their subsets within the time that tasks wait for lost peers.
     const isStored = replica.assignmentsOf(assignment.job).some((share) => share.stopping);
     if (isStored) assignment.hasFailed = true;
     if (assignment.hasFailed && !assignment.committedRecord.stopping) tasks.markChanged(assignment);
@@ -109,8 +113,9 @@
   }
 
   /**
-   * Whether tasks here have waited for the others until just before they end by themselves, one by
-   * one. Stopped together they free their machines sooner, and nothing is lost.
+   * Whether the subset's tasks have waited for the others until shortly before they time out one by
+   * one. If they are stopped together instead, their machines become free sooner, and no progress
+   * is lost because none of them has run.
    */
   private hasWaitedTooLong(assignment: Assignment, now: number): boolean {
     const { gangWaitS, heartbeatIntervalS } = this.options;
@@ -123,12 +128,12 @@
     return now - since >= maxWaitMs;
   }
 
-  /** Stops all tasks of a failed share; once none is left it returns to the leader. */
+  /** Stops all tasks of a failed subset; returns the subset to the leader once none is placed. */
   private stopTasks(assignment: Assignment, stopped: Set<string>): void {
     const machines: string[] = [];
     for (const task of [...assignment.tasks.values()]) {
       if (task.state !== 'placed' || task.isStopping) continue;
-      // What was never committed was never sent either.
+      // A start is sent only after its placement is committed; other placements need no stop.
       if (this.dependencies.tasks.isCommitted(assignment, task)) {
         task.isStopping = true;
         machines.push(task.machine);
@@ -138,18 +143,21 @@
     if (machines.length > 0) {
       this.dependencies.log.info(
         { job: assignment.job, attempt: assignment.record.attempt, machines },
-        'stopping gang',
+        'gang stop started',
       );
     }
     if (assignment.placedCount > 0) return;
     this.dependencies.log.info(
       { job: assignment.job, attempt: assignment.record.attempt },
-      'gang returned to leader',
+      'gang subset returned to leader',
     );
     this.returnWaitingTasks(assignment);
   }
 
-  /** Returns a share that has waited for machines for its time; infeasible ones wait less. */
+  /**
+   * Returns a subset to the leader if it has waited too long for machines; urgent and infeasible
+   * ones wait less.
+   */
   private returnOverdue(assignment: Assignment, spec: JobSpec, now: number): void {
     const isUrgent = rankOf(spec.priority) >= URGENT;
     const patienceMs =
--- a/src/coordination/shard/gang-stop-cost.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -1,24 +1,24 @@
-/** Judges whether a gang may be preempted, by what the stop would cost it. */
+/** Decides whether a gang may be preempted, by the progress that the stop may lose. */
 import { GANG_MAX_LOST_PROGRESS_S, GANG_STOP_PROPAGATION_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Machine } from '../shard-state/machine.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
-/** What the judgement reads. */
+/** The parts of a shard's context that the decision reads. */
 type GangStopCostContext = Pick<
   ShardContext,
   'options' | 'gangs' | 'machines' | 'replica' | 'clock'
 >;
 
-/** Weighs a stop of a gang for other work. */
+/** Estimates the progress that a gang loses if it is preempted. */
 export class GangStopCost {
   constructor(private readonly context: GangStopCostContext) {}
 
   /**
-   * Whether a stop of the gang for other work is worth what it costs. Its progress is saved only if
-   * all of its tasks are told within `gang_peer_s`; else what it did since its last checkpoint is
-   * lost, and it goes on unless that is little.
+   * Whether the gang may be stopped for other work. Its progress is saved only if all of its tasks
+   * receive the stop within `gang_peer_s`. Otherwise the progress since its last checkpoint is
+   * lost, and the gang may be stopped only if that is at most `GANG_MAX_LOST_PROGRESS_S`.
    */
   mayStop(assignment: Assignment): boolean {
     const spec = jobSpec(this.context, assignment.job);
@@ -27,7 +27,7 @@
     return this.progressAtRiskS(assignment, spec) <= GANG_MAX_LOST_PROGRESS_S;
   }
 
-  /** Whether a stop reaches all tasks of the gang in time. */
+  /** Whether a stop is likely to reach all tasks of the gang within `gang_peer_s`. */
   private isReachable(assignment: Assignment, spec: JobSpec): boolean {
     const { gangs, machines, options } = this.context;
     const isShared = assignment.tasks.size < spec.tasks;
@@ -43,14 +43,15 @@
     return this.context.machines.health(machine) === 'ok';
   }
 
-  /** Seconds that the gang ran since its last checkpoint, at the most; 0 where it never saves. */
+  /** Upper bound of the seconds since the gang's last checkpoint; 0 if it never saves. */
   private progressAtRiskS(assignment: Assignment, spec: JobSpec): number {
     let since = Infinity;
     for (const task of assignment.tasks.values()) {
       since = Math.min(since, task.runningAt ?? Infinity);
     }
     if (since === Infinity) return 0;
-    // Where its last attempt ended is not known here: its checkpoints may come at any moment.
+    // A checkpoint may be due at any moment, because the progress from which the attempt continued
+    // is not known here.
     return Math.min(spec.checkpointS, (this.context.clock.now() - since) / 1000);
   }
 }
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -1,4 +1,4 @@
-/** Takes over what workers' heartbeats show of machines and tasks. */
+/** Updates a shard's machines and tasks from the heartbeats of workers. */
 import type { TaskStatus, Heartbeat } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { HeartbeatFreshness } from '../shard-state/machine-heartbeats.js';
@@ -7,14 +7,14 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
-/** Brings machines and tasks up to date with the workers' heartbeats. */
+/** Applies heartbeats to the machines and tasks of a shard. */
 export class HeartbeatObserver {
   constructor(private readonly context: ShardContext) {}
 
   /**
-   * Takes over what a heartbeat shows. `askedAt`: steady time of the direct call that it answers;
-   * null: it came by itself. Returns whether it is newer than what was known; an older one changes
-   * nothing.
+   * Applies a heartbeat, unless it is older than the newest one of its machine, and returns which
+   * of these it is. `askedAt`: steady time of the direct call that the heartbeat answers; null: the
+   * worker sent it on its own.
    */
   observe(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
@@ -25,12 +25,10 @@
       log.debug(
         {
           machine: machine.name,
-          agentEpoch: machine.agentEpoch,
+          workerEpoch: machine.agentEpoch,
           acknowledged: machine.isAcknowledged,
         },
-        freshness === 'newEpoch'
-          ? 'machine began a new agent epoch'
-          : 'machine acknowledgement changed',
+        freshness === 'newEpoch' ? 'worker epoch changed' : 'machine acknowledgement changed',
       );
       wake();
     }
@@ -45,7 +43,7 @@
     return freshness;
   }
 
-  /** Takes over the states of the machine's tasks; returns the placements that it listed. */
+  /** Applies the task states of the newest heartbeat; returns the placed tasks that it lists. */
   private observeTasks(machine: Machine): Set<Task> {
     const listed = new Set<Task>();
     for (const status of machine.reportedTasks) {
@@ -54,7 +52,7 @@
       listed.add(assigned.task);
       if (status.state === 'exited') {
         this.taskExited(machine, assigned, status);
-        // A start on this machine may have waited for its resources.
+        // A start on this machine may wait for the resources of the exited task.
         this.context.machinesToCommand.add(machine.name);
         this.context.wake();
       } else if (status.state !== 'fetching') this.taskFetched(machine, assigned, status);
@@ -62,7 +60,9 @@
     return listed;
   }
 
-  /** A task has its image, and runs or waits for the others of its gang. */
+  /**
+   * Records that a task's image is on the machine, and that the task runs or waits for its gang.
+   */
   private taskFetched(
     machine: Machine,
     { assignment, task }: AssignedTask,
@@ -97,14 +97,18 @@
     tasks.requeue(assignment, task);
   }
 
-  /** Requeues or starts again placements that are not on the machine, where that is proven. */
+  /**
+   * Handles placed tasks that the newest heartbeat does not list: tasks that are proven to be
+   * missing on the machine are started again, or requeued if they may not start there any more.
+   */
   private requeueMissing(machine: Machine, listed: ReadonlySet<Task>): void {
     const { machines, tasks, wake } = this.context;
     const isUsable = machines.isSchedulable(machine);
     for (const [task, assignment] of [...tasks.placedOn(machine.name)]) {
       if (listed.has(task)) continue;
-      // That it is not listed is proof only where the worker has heard no other holder since, and
-      // where no command sent straight to it is still on its way.
+      // A task that is not listed is proven to be missing only if the worker has shown a token of
+      // this holder, which fences the starts of former holders, and if no direct call with the
+      // task's start may still arrive.
       if (!machine.hasShownOurToken || machine.directCalls?.attempts.has(task.attempt)) continue;
       task.isStartSent = false;
       if (jobSpec(this.context, assignment.job) === null || !isUsable || task.isStopping) {
--- a/src/coordination/shard/holder-records.ts
+++ b/src/coordination/shard/holder-records.ts
@@ -1,26 +1,26 @@
-/** Writes the records of a shard that only its holder writes, beside its assignments. */
+/** Writes the records of a shard that only its holder writes, apart from assignments. */
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Committer } from '../../storage/committer.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 
-/** The holder's identity, which guards its writes. */
+/** The role and its revision, which guard the holder's writes. */
 export interface HolderOptions {
   roleKey: string;
   roleRevision: number;
-  /** Whether it still holds the shard, as far as the replica knows. */
+  /** Whether this controller still holds the shard, according to the replica. */
   isHolder: () => boolean;
 }
 
-/** The services that such writes use. */
+/** The services that these writes use. */
 export interface HolderRecordsServices {
   readonly replica: StoreReplica;
   readonly committer: Committer;
   readonly clock: Clock;
 }
 
-/** Commits records under the guard of the holder's role. */
+/** Commits records in transactions that are guarded by the shard's role. */
 export class HolderRecords {
   private readonly rejected: RejectedChangeBackoff;
 
@@ -31,12 +31,12 @@
     this.rejected = new RejectedChangeBackoff(services.clock);
   }
 
-  /** Whether the store called a change of this key invalid a while ago, so that it must wait. */
+  /** Whether changes of this key are paused because the store rejected one recently. */
   isRejected(key: string): boolean {
     return this.rejected.has(key);
   }
 
-  /** False: not written; what the store calls invalid is left alone for a while. */
+  /** Commits changes; returns whether they were. Keys that the store rejects are paused. */
   async write(purpose: 'status' | 'part', changes: Change[]): Promise<boolean> {
     const { committer, replica } = this.services;
     const { roleKey, roleRevision, isHolder } = this.options;
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,10 +1,10 @@
-/** Pauses of jobs whose tasks failed. */
+/** The backoff of jobs whose tasks fail. */
 
 import { MAX_FAILURE_BACKOFF_S, FAILURE_BACKOFF_S } from '../../constants/shard.js';
 import { KeyedBackoff } from '../../transport/backoff.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** Pauses a job after failures of its tasks, longer after each until one succeeds. */
+/** Pauses a job after each failure of its tasks, longer each time until a task succeeds. */
 export class JobFailureBackoff {
   private readonly backoff: KeyedBackoff;
 
@@ -12,17 +12,17 @@
     this.backoff = new KeyedBackoff(clock, FAILURE_BACKOFF_S * 1000, MAX_FAILURE_BACKOFF_S * 1000);
   }
 
-  /** A task of the job failed now; returns for how many seconds the job is paused. */
+  /** Records a failure of one of the job's tasks; returns the length of the pause in seconds. */
   add(job: string): number {
     return this.backoff.recordFailure(job) / 1000;
   }
 
-  /** A task of the job succeeded, or the shard has no task of the job any more. */
+  /** Ends the pause: a task of the job succeeded, or the shard has no more tasks of the job. */
   clear(job: string): void {
     this.backoff.clear(job);
   }
 
-  /** Whether the job is paused after failures. */
+  /** Whether the job is paused now. */
   isPaused(job: string): boolean {
     return this.backoff.isPaused(job);
   }
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -1,8 +1,8 @@
-/** Requeues the tasks of machines that are lost. */
+/** Requeues the tasks of lost machines. */
 import { LOST_MACHINE_SWEEP_MS } from '../../constants/shard.js';
 import type { ShardContext } from './shard-context.js';
 
-/** Looks periodically for machines that are gone or whose lease has surely expired. */
+/** Looks periodically for machines that were returned to the cloud or whose lease has expired. */
 export class LostMachines {
   private sweptAt = -Infinity;
 
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -1,4 +1,4 @@
-/** Makes the commands that bring a machine to its desired state. */
+/** Builds the commands that bring a machine to its desired state. */
 import { MAX_COMMANDS_PER_ANSWER } from '../../constants/shard.js';
 import type { Command, TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
@@ -8,30 +8,33 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 import { findReported } from './reported-task.js';
 
-/** The commands for one machine while they are collected. */
+/** The commands for one machine while they are being collected. */
 interface CommandBatch {
   readonly machine: Machine;
-  /** Whether what was sent before is sent again if it is still missing. */
+  /** Whether commands that were sent before are sent again if they still have had no effect. */
   readonly resend: boolean;
-  /** Resources of the machine that the tasks counted so far leave free. */
+  /** Resources of the machine that are not taken by the tasks counted so far. */
   readonly free: Resources;
-  /** Placements that the machine's newest heartbeat lists. */
+  /** Placed tasks that the machine's newest heartbeat lists. */
   readonly listed: Set<Task>;
   readonly commands: Command[];
 }
 
-/** Compares the desired state of a machine with its newest heartbeat. */
+/** Compares the placements on a machine with its newest heartbeat. */
 export class MachineCommands {
   constructor(private readonly context: ShardContext) {}
 
-  /** The commands that are missing on the machine; `resend`: also those that were sent before. */
+  /**
+   * The commands by which the machine's tasks become those that are placed on it; `resend`:
+   * includes commands that were sent before.
+   */
   commandsFor(machine: Machine, { resend }: { resend: boolean }): Command[] {
     const { machines } = this.context;
     const free = machines.capacity(machine.type);
     const batch: CommandBatch = { machine, resend, free, listed: new Set(), commands: [] };
     for (const status of machine.reportedTasks) this.addForReported(batch, status);
-    // Once forgotten, a start that was sent straight to the worker and is delivered once more would
-    // run again: what forgets it carries a token that makes all earlier direct calls powerless.
+    // After a `forget`, a duplicate of a start that was sent directly would start the task again.
+    // Raising the token first fences all earlier direct calls.
     if (machine.hasUnfencedStart && batch.commands.some(({ op }) => op === 'forget')) {
       machines.fencingTokens.raise(machine);
     }
@@ -39,12 +42,12 @@
     return batch.commands.slice(0, MAX_COMMANDS_PER_ANSWER);
   }
 
-  /** Counts the resources of a task on the machine, and stops it if it is not wanted there. */
+  /** Counts the resources of a reported task, and stops or removes it if it must not run there. */
   private addForReported(batch: CommandBatch, status: TaskStatus): void {
     const { tasks } = this.context;
     const { machine, resend, free } = batch;
     const assignment = tasks.findTask(status.task.job, status.task.index)?.assignment;
-    // What an unknown task needs is not known: it counts as if it took all of the machine.
+    // The resources of a task without an assignment are unknown, so it counts as the whole machine.
     if (status.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
     const assigned = findReported(tasks, machine, status);
     if (!assigned) {
@@ -55,7 +58,7 @@
     this.addStop(batch, status, assigned);
   }
 
-  /** Stops a placed task whose job is over, or which was preempted. */
+  /** Stops a placed task if its job has ended, or if it is being stopped and does not save yet. */
   private addStop(
     batch: CommandBatch,
     status: TaskStatus,
@@ -69,16 +72,16 @@
     batch.commands.push({ op: 'stop', task: status.task, attempt: status.attempt, graceS });
   }
 
-  /** A task on the machine that is not wanted there: stopped, or forgotten once it has ended. */
+  /** Stops a reported task that is not placed on the machine, or forgets it once it has exited. */
   private addRemoval({ machine, commands }: CommandBatch, status: TaskStatus): void {
     const { task, attempt } = status;
     if (status.state !== 'exited') {
       commands.push({ op: 'stop', task, attempt, graceS: 0 });
       return;
     }
-    // Forgotten only after the key-value store has the end: until then a new holder of this shard
-    // would take the placement for one whose start was lost. Nor while a start sent straight to the
-    // worker may still arrive: it would run once more.
+    // An exited task is forgotten only after its end is stored. Before that, a new holder of this
+    // shard would treat the placement as one whose start was lost, and start it again. The task is
+    // not forgotten either while a direct call with its start may still arrive and start it again.
     const assignment = this.context.tasks.findTask(task.job, task.index)?.assignment;
     const stored = assignment?.committedRecord.live[String(task.index)];
     if (stored?.[1] !== attempt && !machine.directCalls?.attempts.has(attempt)) {
@@ -86,7 +89,7 @@
     }
   }
 
-  /** Starts what is placed on the machine and not there, where its resources allow. */
+  /** Starts tasks that are placed on the machine but missing there, as far as they fit. */
   private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
     const { gangs, tasks } = this.context;
     const missing = [...tasks.placedOn(machine.name)].filter(([task]) => !listed.has(task));
--- a/src/coordination/shard/reported-task.ts
+++ b/src/coordination/shard/reported-task.ts
@@ -1,9 +1,12 @@
-/** Finds the placement to which a reported task belongs. */
+/** Finds the placed task to which a reported task status belongs. */
 import type { TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Tasks, AssignedTask } from '../shard-state/tasks.js';
 
-/** The placement of a task that the machine reported; null: no such placement is known. */
+/**
+ * The task that is placed on the machine under the reported attempt; null: the reported attempt is
+ * not placed there.
+ */
 export function findReported(
   tasks: Tasks,
   machine: Machine,
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -1,4 +1,4 @@
-/** Decides for which gang the shard keeps some capacity free. */
+/** Selects the gang for which a shard reserves free capacity. */
 import { RESERVING_SHARD_CHECK_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { reservingShardZone } from '../capacity/gang-capacity.js';
@@ -7,7 +7,10 @@
 import type { ShardContext } from './shard-context.js';
 import { RecentGangs } from '../capacity/recent-gangs.js';
 
-/** Some capacity for the next gang is kept free by the shard that has most machines for it. */
+/**
+ * The reservation of free capacity for the next gang, which is expected to be like the largest
+ * recent one. Only the shard and zone with the most machines for such a gang reserve capacity.
+ */
 export class ReservedGang {
   private readonly recentGangs: RecentGangs;
   private reserved: JobSpec | null = null;
@@ -17,12 +20,12 @@
     this.recentGangs = new RecentGangs(context.clock);
   }
 
-  /** Notes a job that is new or has changed. */
+  /** Records a job that is new or has changed; jobs that are not gangs are ignored. */
   noteJob(spec: JobSpec | null): void {
     if (spec?.kind === 'gang') this.recentGangs.add(spec);
   }
 
-  /** The gang for which this shard keeps some capacity free; null: it keeps none. */
+  /** The gang for which this shard reserves capacity; null: the shard reserves none. */
   next(): JobSpec | null {
     const now = this.context.clock.now();
     if (now < this.checkAgainAt) return this.reserved;
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -1,4 +1,4 @@
-/** Creates a shard's scheduler with what its bandit has learned. */
+/** Creates a shard's scheduler and restores the stored arms of its bandit. */
 import { ARRAY_USES_RESERVED_AFTER_MS } from '../../constants/gangs.js';
 import { START_OVERDUE_S } from '../../constants/leader.js';
 import { ARMS } from '../../storage/keys.js';
@@ -8,7 +8,7 @@
 import type { ReservedGang } from './reserved-gang.js';
 import { machineTypeNames, type ShardContext } from './shard-context.js';
 
-/** Creates the scheduler once the catalog of machine types is known. */
+/** Creates the scheduler once the replica holds the catalogue of machine types. */
 export class SchedulerLoader {
   private loaded: Scheduler | null = null;
 
@@ -17,17 +17,18 @@
     private readonly reservation: ReservedGang,
   ) {}
 
-  /** The scheduler; null: it is not loaded yet. */
+  /** The scheduler; null until it is loaded. */
   get scheduler(): Scheduler | null {
     return this.loaded;
   }
 
-  /** Creates the scheduler; null: there is no catalog yet. */
+  /** Creates the scheduler; null: there is no catalogue yet. */
   async load(): Promise<Scheduler | null> {
     const types = machineTypeNames(this.context);
     if (types.length === 0) return null;
     const { clock, costLearning, log, machines, options, tasks } = this.context;
-    // Imported late: the matrix library is the largest dependency, and start-up must be quick.
+    // Imported here, not at start-up, because the matrix library is the largest dependency and
+    // would slow the start down.
     const module = await import('../scheduling/bandit.js');
     const bandit = new module.Bandit(types, options.alpha, options.penalty);
     this.restore(bandit);
@@ -37,7 +38,7 @@
     return this.loaded;
   }
 
-  /** Gives the bandit what was stored of its arms. */
+  /** Restores the bandit's arms from the stored records. */
   private restore(bandit: Bandit): void {
     const { options, replica } = this.context;
     for (const [key, stored] of replica.below<ArmRecord>(`${ARMS}${options.shard}/`)) {
@@ -63,21 +64,27 @@
     };
   }
 
-  /** Whether a job waited long to begin and none of its tasks has ended yet. */
+  /**
+   * Whether a job was accepted at least `START_OVERDUE_S` ago and none of its tasks is done, so
+   * that its first running tasks started late.
+   */
   private beganLate(job: string): boolean {
     const { replica } = this.context;
     if (!this.isOlderThan(job, START_OVERDUE_S * 1000)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.done === 0);
   }
 
-  /** Whether nothing of a job runs long after it came. */
+  /**
+   * Whether a job was accepted at least `ARRAY_USES_RESERVED_AFTER_MS` ago and none of its tasks is
+   * placed.
+   */
   private waitsLong(job: string): boolean {
     const { replica } = this.context;
     if (!this.isOlderThan(job, ARRAY_USES_RESERVED_AFTER_MS)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.placedCount === 0);
   }
 
-  /** Whether a job was accepted at least so many ms ago and is not over. */
+  /** Whether a job was accepted at least `ageMs` ago and has not ended. */
   private isOlderThan(job: string, ageMs: number): boolean {
     const { clock, replica } = this.context;
     const record = replica.job(job);
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -1,4 +1,4 @@
-/** What the steps of a shard have in common: its options, the services that it uses, its state. */
+/** The options, services and state that the parts of a shard share. */
 import { readCatalog } from '../../storage/catalog.js';
 import type { Committer } from '../../storage/committer.js';
 import type { Log } from '../../storage/log.js';
@@ -14,47 +14,50 @@
 import type { CostLearning } from './cost-learning.js';
 import type { JobFailureBackoff } from './job-failure-backoff.js';
 
-/** A shard's identity and settings, and what its controller tells it. */
+/** A shard's identity and settings, and the queries and callbacks that its controller provides. */
 export interface ShardOptions {
   /** Name of the shard. */
   shard: string;
-  /** Number of the shard among all, which its attempts carry. */
+  /** Number of the shard among all shards; it is part of the shard's attempt numbers. */
   number: number;
-  /** Term in which the holder has the shard's role. */
+  /** Term in which this controller holds the shard's role. */
   term: number;
   /** Key of the shard's role, which guards every write. */
   roleKey: string;
-  /** Revision at which this holder has the role. */
+  /** Revision of the role's record that made this controller the holder. */
   roleRevision: number;
-  /** Steady time from which no machine that never heard this holder has tasks left. */
+  /**
+   * Steady time at which the leases granted by former holders have expired, so that a machine
+   * without an answer from this holder has no tasks left.
+   */
   fenceAt: number;
-  /** Seconds that a worker's tasks outlive its last answered heartbeat. */
+  /** Seconds for which a worker's tasks continue after its last answered heartbeat. */
   leaseS: number;
   /** Seconds between a worker's heartbeats. */
   heartbeatIntervalS: number;
-  /** Seconds for which a gang's task waits for the others. */
+  /** Seconds for which a gang's task waits for the other tasks before it exits. */
   gangWaitS: number;
-  /** Seconds within which all tasks of a gang must be told to stop for its progress to be saved. */
+  /** Seconds within which all tasks of a gang must receive a stop for its progress to be saved. */
   gangPeerS: number;
-  /** Operations that one transaction may have. */
+  /** Maximum number of operations in one transaction. */
   transactionOps: number;
-  /** Bytes that one stored value may have. */
+  /** Maximum size of a stored value, in bytes. */
   valueBytes: number;
-  /** How much the bandit explores; 0: never. */
+  /** Weight of exploration in the bandit's choices; 0: no exploration. */
   alpha: number;
-  /** Cost of a failure, in worst costs of the task's class. */
+  /** Cost of a failed task, as a multiple of the highest cost of the task's class. */
   penalty: number;
-  /** ms between two writes of what the bandit has learned. */
+  /** Interval between two snapshots of the bandit's arms, in ms. */
   snapshotMs: number;
-  /** Seconds within which tasks of a class should start. */
+  /** Seconds within which tasks of a class should start, by class. */
   startWithinS: Readonly<Record<string, number>>;
-  /** Whether it still holds the shard, as far as the replica knows. */
+  /** Whether this controller still holds the shard, according to the replica. */
   isHolder: () => boolean;
-  /** Whether the replica is recent enough for commands to workers. */
+  /** Whether the replica is current enough for commands to be sent to workers. */
   isReplicaCurrent: () => boolean;
-  /** What the store's rate limit leaves for this controller's writes. */
+  /** The capacity that the store's rate limits leave for this controller's writes. */
   limiter: Pick<RateLimiter, 'supply' | 'hasCapacity'>;
-  /** Something urgent was written: the leader should reconcile without delay. */
+  /** Called after urgent assignments were written, so that the leader reconciles without delay. */
   onUrgentWrite: () => void;
 }
 
@@ -65,11 +68,11 @@
   readonly workers: WorkerApi;
   readonly clock: Clock;
   readonly log: Log;
-  /** Asks for a reconciliation soon: there may be something to do. */
+  /** Requests a reconciliation soon. */
   readonly wake: () => void;
 }
 
-/** The services together with the state that several steps use. */
+/** The services together with the state that several parts of a shard use. */
 export interface ShardContext extends ShardServices {
   readonly options: ShardOptions;
   readonly machines: Machines;
@@ -77,18 +80,18 @@
   readonly gangs: GangShares;
   readonly jobFailureBackoff: JobFailureBackoff;
   readonly costLearning: CostLearning;
-  /** Machines for which there may be commands that are not in any answer yet. */
+  /** Machines for which there may be commands that have not been sent yet. */
   readonly machinesToCommand: Set<string>;
-  /** Assignments of jobs that are over. */
+  /** Assignments of jobs that have ended. */
   readonly assignmentsOfEndedJobs: Set<Assignment>;
 }
 
-/** A job's description; null: it is over. */
+/** A job's specification; null: the job has ended. */
 export function jobSpec({ replica }: Pick<ShardContext, 'replica'>, job: string): JobSpec | null {
   return replica.job(job)?.spec ?? null;
 }
 
-/** Notes that there may be commands for these machines. */
+/** Marks machines for which there may be new commands. */
 export function markForCommands(
   { machinesToCommand: dirtyMachines }: Pick<ShardContext, 'machinesToCommand'>,
   machines: Iterable<string>,
@@ -96,7 +99,7 @@
   for (const machine of machines) dirtyMachines.add(machine);
 }
 
-/** Names of the machine types in the stored catalog; none while there is no catalog. */
+/** Names of the machine types in the stored catalogue; empty while there is no catalogue. */
 export function machineTypeNames({ replica }: Pick<ShardContext, 'replica'>): string[] {
   return (readCatalog(replica) ?? []).map((type) => type.name);
 }
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -1,4 +1,4 @@
-/** Writes the health of a shard's machines for the other controllers. */
+/** Writes the status records from which other controllers read the health of a shard's machines. */
 import { STATUS_INTERVAL_MS } from '../../constants/shard.js';
 import { VALUE_SHARE } from '../../constants/storage.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
@@ -10,14 +10,14 @@
 import type { HolderRecords } from './holder-records.js';
 import { StatusPagePlan, type StatusEntries, type StatusEntry } from './status-pages.js';
 
-/** What the status needs to know of its shard. */
+/** The shard, the store's limit for values, and the limiter that gives the supply of writes. */
 export interface ShardStatusOptions {
   shard: string;
   valueBytes: number;
   limiter: Pick<RateLimiter, 'supply'>;
 }
 
-/** What the status reads and writes. */
+/** The machines, records, replica and clock that the status uses. */
 export interface ShardStatusDependencies {
   readonly machines: Machines;
   readonly records: HolderRecords;
@@ -25,9 +25,9 @@
   readonly clock: Clock;
 }
 
-/** Keeps a shard's status records, in numbered pages, in line with its machines. */
+/** Keeps a shard's status records, which are numbered pages, in line with its machines. */
 export class ShardStatus {
-  /** The pages as the key-value store holds them, as far as is known, by number. */
+  /** The pages as last read or written, by number. */
   private readonly written = new Map<number, StatusEntries>();
   private writtenAt = -Infinity;
 
@@ -39,9 +39,9 @@
   }
 
   /**
-   * The machines that the former holder knew are ours from the start, heard of or not. Without this
-   * the first status of a new holder is empty, and the leader takes a shard's whole fleet for
-   * machines that never came up, and returns it.
+   * Adds the machines of the stored status records, also those that have sent no heartbeat to this
+   * holder. Otherwise the first status of a new holder would be empty, and the leader would treat
+   * all machines of the shard as machines that failed to boot, and return them to the cloud.
    */
   private adoptFormerMachines(): void {
     const { machines, replica } = this.dependencies;
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Writes the pages that changed, if a write is due. */
+  /** Writes the changed pages, if a write is due. */
   async writeIfDue(): Promise<void> {
     const { clock, records } = this.dependencies;
     const now = clock.now();
@@ -69,8 +69,9 @@
       const machines = pages[number] ?? {};
       if (JSON.stringify(this.written.get(number)) === JSON.stringify(machines)) continue;
       const key = statusKey(this.options.shard, number);
-      // The page that gains a machine is written before the one that loses it, and if it can't be,
-      // neither is: missing from all, a machine would be taken for one that never came up.
+      // The page that gains a machine is written before the page that loses it, and a failed write
+      // ends the loop. Otherwise the machine could be missing from all pages, and the leader would
+      // treat it as one that failed to boot.
       if (records.isRejected(key)) return;
       const value: StatusRecord = { machines };
       if (!(await records.write('status', [{ key, value }]))) return;
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,4 +1,4 @@
-/** One shard of the cluster as its holder runs it: machines and the tasks assigned to them. */
+/** One shard of the cluster, with its machines and tasks, at the controller that holds it. */
 import { ASSIGNMENTS, JOBS, readAssignmentKey } from '../../storage/keys.js';
 import type { Command, Heartbeat } from '../../protocol/model.js';
 import { SingleFlight } from '../../transport/concurrency.js';
@@ -32,14 +32,16 @@
 
 export type { ShardOptions } from './shard-context.js';
 
-/** The answer to a worker's heartbeat; not ok: the heartbeat must not be answered. */
+/**
+ * The answer to a worker's heartbeat; `ok: false` means that the heartbeat must not be answered.
+ */
 export type HeartbeatAnswer =
   { ok: true; fencingToken: number; commands: Command[] } | { ok: false };
 
 /**
- * One shard as its holder runs it: its machines and the tasks assigned to it. The desired state is
- * that every task runs on one machine and that machines run nothing else; heartbeats show the actual
- * state, and the answers to them carry the commands that make up the difference.
+ * One shard at its holder: its machines and the tasks assigned to it. In the desired state every
+ * task runs on exactly one machine, and no machine runs anything else. Heartbeats show the actual
+ * state, and the answers to them contain the commands that bring about the desired one.
  */
 export class Shard {
   private readonly context: ShardContext;
@@ -77,12 +79,15 @@
     this.banditSnapshot = new BanditSnapshot(options, { ...services, records });
   }
 
-  /** The machines whose heartbeats come to this shard. */
+  /** The machines whose workers send their heartbeats to this shard. */
   get machines(): Machines {
     return this.context.machines;
   }
 
-  /** Half of the numbers of this term are used: the shard should go on under a new one. */
+  /**
+   * Whether half of this term's fencing tokens or attempt numbers are used, so that a new term is
+   * needed.
+   */
   get needsTermRenewal(): boolean {
     return (
       this.machines.fencingTokens.isRunningOut ||
@@ -90,14 +95,14 @@
     );
   }
 
-  /** How many machines the shard has, and how many tasks are placed and wait, for the metrics. */
+  /** The numbers of machines, of placed tasks and of waiting tasks, for the metrics. */
   counts(): { machines: number; placed: number; waiting: number } {
     return { machines: this.machines.all.size, ...this.context.tasks.counts() };
   }
 
-  // --- What the key-value store holds --------------------------------------------------------
+  // --- Changes of stored records -------------------------------------------------------------
 
-  /** A key of the replica changed; true: this shard may have something to do. */
+  /** Handles a changed key of the replica; returns whether the shard should reconcile. */
   changed(key: string): boolean {
     if (key.startsWith(JOBS)) return this.jobChanged(key.slice(JOBS.length));
     const { assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
@@ -110,7 +115,9 @@
     return before !== assignment;
   }
 
-  /** A job is new, has changed or is over; true: it has tasks in this shard. */
+  /**
+   * Handles a job that is new, has changed or has ended; returns whether the shard has tasks of it.
+   */
   private jobChanged(job: string): boolean {
     this.gangReservation.noteJob(jobSpec(this.context, job));
     let hasTasks = false;
@@ -118,12 +125,16 @@
       withdrawIfEnded(this.context, assignment);
       hasTasks = true;
     }
-    // A reconciliation that waits for the key-value store must not hold up what ends tasks.
+    // Stops are sent now if a reconciliation is running, because that one may be waiting for the
+    // key-value store.
     if (hasTasks && this.reconciliation.isRunning) this.directCalls.sendPending();
     return hasTasks;
   }
 
-  /** True: another shard's share of a gang of ours changed, so that ours may start. */
+  /**
+   * Marks the machines of a gang for commands if another shard's subset of it changed, because this
+   * shard's subset may start now. Returns whether any were marked.
+   */
   private otherShareChanged(key: string): boolean {
     const { gangs, options } = this.context;
     const name = key.startsWith(ASSIGNMENTS) ? readAssignmentKey(key) : null;
@@ -135,7 +146,7 @@
 
   // --- Heartbeats ----------------------------------------------------------------------------
 
-  /** Takes over a worker's heartbeat; the answer carries the commands for its machine. */
+  /** Applies a worker's heartbeat; the answer contains the commands for its machine. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
     const hasLaterHolder = this.machines.fencingTokens.isOfLaterTerm(heartbeat.fencingToken);
     if (hasLaterHolder || this.machines.recordedState(heartbeat.machine) === 'gone')
@@ -144,7 +155,8 @@
     const freshness = this.observer.observe(machine, heartbeat, null);
     if (!this.machines.heartbeats.mayAnswer(machine)) return { ok: false };
     this.machines.heartbeats.noteAnswer(machine, freshness);
-    // What is put into the answer to a late copy is lost.
+    // The answer to a late duplicate contains no commands, because the worker no longer waits for
+    // it.
     const commands =
       freshness === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
     return { ok: true, fencingToken: this.machines.fencingTokens.tokenOf(machine), commands };
@@ -160,7 +172,7 @@
     );
     log.info(
       { shard: options.shard, machine: heartbeat.machine, type: heartbeat.type },
-      'machine joined shard',
+      'machine added to shard',
     );
     wake();
     return machine;
@@ -168,7 +180,7 @@
 
   // --- Reconciliation ------------------------------------------------------------------------
 
-  /** Compares the desired state with the actual one and commits the difference. */
+  /** Places, stops and releases tasks, commits the changes and sends the commands that result. */
   async reconcile(): Promise<void> {
     await this.reconciliation.run(() => this.reconcileOnce());
   }
@@ -187,7 +199,9 @@
     await this.publish(this.context.costLearning.bandit, machineTypeNames(this.context));
   }
 
-  /** Writes what others read beside the assignments: the machines' health, and what was learned. */
+  /**
+   * Writes the machines' health for other controllers, and the bandit's arms for the next holder.
+   */
   private async publish(bandit: Bandit | null, types: readonly string[]): Promise<void> {
     await this.status.writeIfDue();
     await this.banditSnapshot.writeIfDue(bandit, types);
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -1,4 +1,4 @@
-/** Divides a shard's machines among its status records, each of which fits one stored value. */
+/** Distributes a shard's machines among its status records, each of which fits one stored value. */
 import { bytesOf } from '../../storage/committer.js';
 import type { MachineHealth, StatusRecord } from '../../storage/records.js';
 
@@ -8,26 +8,28 @@
 /** A machine's type, zone, spot flag and health as they are stored. */
 export type StatusEntry = StatusEntries[string];
 
-/** One status record as it is to be: its machines, and the bytes that are left in it. */
+/** One planned status record: the names of its machines, and the bytes that are free in it. */
 export interface StatusPage {
   names: Set<string>;
   freeBytes: number;
-  /** It loses machines to other pages this time, and takes none. */
+  /** Machines of this page move to other pages in this plan, so none are added to it. */
   isLosing: boolean;
 }
 
-/** The longest health of all: a change of health must not make a machine change its page. */
+/**
+ * The longest health value; used for all machines so that a change of health never changes a page.
+ */
 const LONGEST_HEALTH: MachineHealth = 'leaving';
 
-/** Bytes that a machine takes in a status record at the most, with its comma. */
+/** Upper bound of the bytes that a machine takes in a status record, including its comma. */
 function entryBytes(name: string, [type, zone, spot]: StatusEntry): number {
   return bytesOf({ [name]: [type, zone, spot, LONGEST_HEALTH] });
 }
 
 /**
- * Plans in which page each machine is to be. It stays where it is while that record fits its value;
- * what the version before wrote larger is divided here. The pages are numbered without gaps, since
- * that version counts them to find those that it must empty.
+ * Plans the page of each machine. A machine keeps its page as long as the page fits its stored
+ * value. Pages that the previous version wrote larger are divided. The pages are numbered without
+ * gaps, because the previous version counts them to find those that it must empty.
  */
 export class StatusPagePlan {
   readonly pages: StatusPage[] = [];
@@ -35,7 +37,7 @@
   private readonly movers = new Set<string>();
   private readonly staying = new Set<string>();
 
-  /** `written`: the pages as they are stored; `maxBytes`: bytes that a page may have. */
+  /** `written`: the pages as they are stored; `maxBytes`: the maximum size of a page, in bytes. */
   constructor(
     private readonly entries: ReadonlyMap<string, StatusEntry>,
     written: ReadonlyMap<number, StatusEntries>,
@@ -47,7 +49,7 @@
     this.addMovers();
   }
 
-  /** The numbers of the pages in the order of their writes: those that lose machines last. */
+  /** The numbers of the pages in the order of their writes; pages that lose machines come last. */
   writeOrder(): number[] {
     const numbers = [...this.pages.keys()];
     return [
@@ -56,7 +58,7 @@
     ];
   }
 
-  /** The record of a page. */
+  /** The machines of a page's record, sorted by name. */
   machinesOf(number: number): StatusEntries {
     const machines: StatusEntries = {};
     for (const name of [...(this.pages[number]?.names ?? [])].sort()) {
@@ -66,7 +68,7 @@
     return machines;
   }
 
-  /** Leaves the machines in their pages; those that don't fit there any more are to move. */
+  /** Keeps the machines in their pages, except those that no longer fit there, which must move. */
   private keepWritten(written: ReadonlyMap<number, StatusEntries>): void {
     const last = Math.max(0, ...written.keys());
     for (let number = 0; number <= last; number++) {
@@ -84,13 +86,17 @@
     }
   }
 
-  /** The machines of the last page in use move to the others once these have plenty of room. */
+  /**
+   * Moves the machines of the last page in use to earlier pages if these have enough free bytes for
+   * a full page more than that.
+   */
   private emptyLastPage(): void {
     const { capacity, pages } = this;
     const last = pages.findLast((page) => page.names.size > 0);
     if (!last || last === pages[0] || pages.some((page) => page.isLosing)) return;
     const others = pages.slice(0, pages.indexOf(last));
-    // Pages that are nearly full don't count: what is left of them may fit no machine.
+    // Pages with less than a quarter of their bytes free don't count, because a machine's entry may
+    // not fit there.
     const usable = others.filter(({ freeBytes }) => freeBytes >= capacity / 4);
     const free = usable.reduce((sum, { freeBytes }) => sum + freeBytes, 0);
     if (free < capacity - last.freeBytes + capacity) return;
@@ -101,9 +107,10 @@
   }
 
   /**
-   * Gives new machines and those that move a page, by name and the last pages first: names grow with
-   * time, and the version before orders its pages by name. So little moves when it takes the shard
-   * over, and nothing to a later page.
+   * Assigns new machines and machines that move to pages, in the order of their names and
+   * preferring the last pages. Names grow with time, and the previous version orders its pages by
+   * name. When a controller of that version becomes the holder, it therefore moves few machines
+   * between pages, and none to a later page.
    */
   private addMovers(): void {
     for (const name of this.entries.keys()) if (!this.staying.has(name)) this.movers.add(name);
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,4 +1,4 @@
-/** Decides which of a shard's assignments are to be written now. */
+/** Decides which of a shard's changed assignments are written now. */
 import {
   COMPLETION_BATCH_MS,
   PLACEMENT_BATCH_MS,
@@ -9,15 +9,17 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/assignment.js';
 
-/** Orders the changed assignments by urgency and holds back those that may share later writes. */
+/** Orders the changed assignments by urgency, and delays those that can share a later write. */
 export class WriteSchedule {
   constructor(
     private readonly context: ShardContext,
-    /** Assignments whose changes were called invalid, or are too large to be written yet. */
+    /**
+     * Assignments that are paused, because the store rejected them or they are too large for now.
+     */
     private readonly withheld: RejectedChangeBackoff,
   ) {}
 
-  /** The assignments that are due, urgent ones first. */
+  /** The assignments that are due to be written, urgent ones first. */
   dueAssignments(): Assignment[] {
     const { clock, assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
     const now = clock.now();
@@ -30,7 +32,10 @@
     return due.sort((a, b) => Number(this.isUrgent(b)) - Number(this.isUrgent(a)));
   }
 
-  /** Whether work that is not urgent may be written now, or has to wait for its turn. */
+  /**
+   * Whether non-urgent assignments may be written now: one of them is overdue, or the store's rate
+   * limits have free capacity for them.
+   */
   mayWriteOrdinary(due: readonly Assignment[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
@@ -40,7 +45,10 @@
     return isOverdue || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
   }
 
-  /** Whether it is to be removed: its job is over and no task is placed, or all tasks were returned. */
+  /**
+   * Whether the assignment must be removed: all of its tasks were returned to the leader, or its
+   * job has ended and no task is placed.
+   */
   isOver(assignment: Assignment): boolean {
     if (assignment.tasks.size === 0) return true;
     return assignment.placedCount === 0 && jobSpec(this.context, assignment.job) === null;
@@ -54,15 +62,16 @@
   }
 
   /**
-   * Whether an assignment's changes should be written now. What starts tasks is; ends wait a moment
-   * for others, since a write for each short task is more than the key-value store takes.
+   * Whether an assignment's changes should be written now. Placements are written soon. Ends of
+   * tasks wait to share a write, because one write for each short task would exceed the key-value
+   * store's limits.
    */
   private isDue(assignment: Assignment, now: number): boolean {
     if (this.isOver(assignment)) return true;
     const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= COMPLETION_BATCH_MS[supply]) return true;
-    // Other shards with tasks of the gang stop theirs when they see this.
+    // Other shards stop their subsets of the gang when they see that this one is stopping.
     const isShared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
     if (assignment.hasFailed && isShared && !assignment.committedRecord.stopping) return true;
     if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
