--- a/src/constants/shard.ts
+++ b/src/constants/shard.ts
@@ -17,7 +17,7 @@
 
 /** ms; interval at which a shard looks for machines that were returned to the cloud or whose lease
  * has expired. */
-export const LOST_MACHINE_SWEEP_MS = 250;
+export const LOST_MACHINE_SWEEP_INTERVAL_MS = 250;
 
 /** ms; minimum interval between two writes of the status of a shard's machines, by the supply of
  * writes. */
@@ -37,12 +37,12 @@
 /**
  * s; shortest and longest pause of a job whose tasks fail. Each failure in a row doubles the pause.
  */
-export const FAILURE_BACKOFF_S = 2;
+export const MIN_FAILURE_BACKOFF_S = 2;
 export const MAX_FAILURE_BACKOFF_S = 60;
 
 /** Number of jobs of which tasks fail on one machine, without a success in between, that makes the
  * machine faulty. */
-export const FAULTY_MACHINE_FAILURES = 3;
+export const FAULTY_MACHINE_FAILED_JOBS = 3;
 
 /** ms; an urgent task, or a gang subset that is urgent or infeasible, is returned to the leader
  * after it has waited this long for machines in its shard. */
--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -8,7 +8,7 @@
 /**
  * One of the records into which an assignment is split; the first one keeps the assignment's key.
  */
-export interface Piece {
+export interface AssignmentPiece {
   key: string;
   record: AssignmentRecord;
   /** The tasks that move to this piece; empty if the assignment is written as a whole. */
@@ -26,7 +26,7 @@
 }
 
 /** The record of these tasks in their current state; new placements only on `newMachines`. */
-function writeRecord(
+function buildRecord(
   assignment: Assignment,
   newMachines: ReadonlySet<string>,
   tasks: Iterable<Task>,
@@ -53,14 +53,14 @@
 /** The largest end of a piece, from `from + 1` to `last`, that fits; `from + 1` if none does. */
 function lastFittingEnd(from: number, last: number, fits: (end: number) => boolean): number {
   let end = from + 1;
-  let least = end;
-  let most = last;
-  while (least <= most) {
-    const middle = Math.floor((least + most) / 2);
+  let low = end;
+  let high = last;
+  while (low <= high) {
+    const middle = Math.floor((low + high) / 2);
     if (fits(middle)) {
       end = middle;
-      least = middle + 1;
-    } else most = middle - 1;
+      low = middle + 1;
+    } else high = middle - 1;
   }
   return end;
 }
@@ -70,12 +70,12 @@
  * The previous version may have stored a record that is larger than the key-value store accepts
  * now.
  */
-export function splitAssignment(assignment: Assignment, limits: SplitLimits): Piece[] {
+export function splitAssignment(assignment: Assignment, limits: SplitLimits): AssignmentPiece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
-  const record = writeRecord(assignment, newMachines, assignment.tasks.values());
+  const record = buildRecord(assignment, newMachines, assignment.tasks.values());
   if (bytesOf(record) <= maxBytes) return [{ key: assignment.key, record, tasks: [] }];
   const tasks = [...assignment.tasks.values()].sort((a, b) => a.index - b.index);
-  const pieces: Piece[] = [];
+  const pieces: AssignmentPiece[] = [];
   let count = 0;
   let from = 0;
   while (from < tasks.length) {
@@ -83,12 +83,12 @@
     const end = lastFittingEnd(
       start,
       tasks.length,
-      (to) => bytesOf(writeRecord(assignment, newMachines, tasks.slice(start, to))) <= maxBytes,
+      (to) => bytesOf(buildRecord(assignment, newMachines, tasks.slice(start, to))) <= maxBytes,
     );
     let key = assignment.key;
     while (pieces.length > 0 && isKeyTaken(key)) key = splitKey(assignment.key, ++count);
     const taken = tasks.slice(start, end);
-    pieces.push({ key, record: writeRecord(assignment, newMachines, taken), tasks: taken });
+    pieces.push({ key, record: buildRecord(assignment, newMachines, taken), tasks: taken });
     from = end;
   }
   return pieces;
@@ -99,23 +99,23 @@
  * off.
  */
 export class PlannedPieces {
-  private readonly byKey = new Map<string, { from: Assignment; pieces: Piece[] }>();
+  private readonly byKey = new Map<string, { source: Assignment; pieces: AssignmentPiece[] }>();
 
   /**
    * Adds pieces. Must be called before they are written, because the replica may show their keys
    * before the store's answer arrives.
    */
-  add(from: Assignment, pieces: Piece[]): void {
-    for (const { key } of pieces.slice(1)) this.byKey.set(key, { from, pieces });
+  add(source: Assignment, pieces: AssignmentPiece[]): void {
+    for (const { key } of pieces.slice(1)) this.byKey.set(key, { source, pieces });
   }
 
   /** Removes pieces that were written, or that were not and will never be. */
-  remove(pieces: Piece[]): void {
+  remove(pieces: AssignmentPiece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.delete(key);
   }
 
   /** The pieces that were split off together with the one that has this key. */
-  get(key: string): { from: Assignment; pieces: Piece[] } | undefined {
+  get(key: string): { source: Assignment; pieces: AssignmentPiece[] } | undefined {
     return this.byKey.get(key);
   }
 }
--- a/src/coordination/shard-state/machine-health.ts
+++ b/src/coordination/shard-state/machine-health.ts
@@ -3,7 +3,7 @@
  */
 import { LEASE_MARGIN_MS } from '../../constants/election.js';
 import { CLOCK_DRIFT } from '../../constants/protocol.js';
-import { FAULTY_MACHINE_FAILURES, MAX_MISSED_HEARTBEATS } from '../../constants/shard.js';
+import { FAULTY_MACHINE_FAILED_JOBS, MAX_MISSED_HEARTBEATS } from '../../constants/shard.js';
 import type { MachineHealth } from '../../storage/records.js';
 import type { Machine } from './machine.js';
 
@@ -21,7 +21,7 @@
 /** A machine's health as it is stored in the shard's status records. */
 export function machineHealth(machine: Machine, times: LeaseTimes, now: number): MachineHealth {
   if (machine.isLeaving) return 'leaving';
-  if (machine.failedJobs.size >= FAULTY_MACHINE_FAILURES) return 'faulty';
+  if (machine.failedJobs.size >= FAULTY_MACHINE_FAILED_JOBS) return 'faulty';
   // A machine that answers direct calls, but whose heartbeats don't arrive, is silent too. Direct
   // calls renew no lease, so it loses all of its tasks, including those that direct calls start
   // there.
@@ -37,8 +37,10 @@
 export function leaseExpiry(machine: Machine | undefined, times: LeaseTimes): number {
   if (!machine) return times.fenceAt;
   const leaseMs = times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
-  const ourLeaseExpiry = machine.answeredAt + leaseMs;
+  const currentLeaseExpiry = machine.answeredAt + leaseMs;
   // A former holder's answer may have renewed the lease as well, until the machine shows a token
   // that this holder issued.
-  return machine.hasShownOurToken ? ourLeaseExpiry : Math.max(ourLeaseExpiry, times.fenceAt);
+  return machine.hasShownTokenOfEntry
+    ? currentLeaseExpiry
+    : Math.max(currentLeaseExpiry, times.fenceAt);
 }
--- a/src/coordination/shard-state/machine-heartbeats.ts
+++ b/src/coordination/shard-state/machine-heartbeats.ts
@@ -20,11 +20,12 @@
  * Clears a machine's unconfirmed direct calls if the heartbeat shows that their worker epoch has
  * ended or that a token has fenced them.
  */
-function confirmDirectCalls(machine: Machine, heartbeat: Heartbeat): void {
-  const { directCalls } = machine;
-  if (!directCalls) return;
-  const isFenced = directCalls.fencedBy !== null && heartbeat.fencingToken >= directCalls.fencedBy;
-  if (heartbeat.agentEpoch > directCalls.agentEpoch || isFenced) machine.directCalls = null;
+function clearEndedCall(machine: Machine, heartbeat: Heartbeat): void {
+  const { unconfirmedCall } = machine;
+  if (!unconfirmedCall) return;
+  const isFenced =
+    unconfirmedCall.fencedBy !== null && heartbeat.fencingToken >= unconfirmedCall.fencedBy;
+  if (heartbeat.agentEpoch > unconfirmedCall.agentEpoch || isFenced) machine.unconfirmedCall = null;
 }
 
 /**
@@ -41,27 +42,28 @@
   ) {}
 
   /**
-   * Applies a heartbeat if it is newer than the newest one of its machine. `askedAt`: steady time
-   * of the direct call that the heartbeat answers; null: the worker sent it on its own.
+   * Applies a heartbeat if it is newer than the newest one of its machine. `callSentAt`: steady
+   * time of the direct call that the heartbeat answers; null: the worker sent it on its own.
    */
-  apply(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
+  apply(machine: Machine, heartbeat: Heartbeat, callSentAt: number | null): HeartbeatFreshness {
     const order =
       heartbeat.agentEpoch - machine.agentEpoch || heartbeat.sequence - machine.sequence;
-    const isProof =
+    const acknowledgesMachine =
       heartbeat.fencingToken >= this.fencingTokens.base + machine.requiredFencingOffset;
     // A machine that restarted at once may number its heartbeats from 1 again, so that they look
     // like late duplicates. A duplicate can neither show a token that was issued after the newest
     // heartbeat, nor answer a call that was made after it.
-    const isSurelyNew =
-      (isProof && !machine.isAcknowledged) || (askedAt !== null && machine.observedAt <= askedAt);
-    if (order <= 0 && !isSurelyNew) {
+    const isProvenNewer =
+      (acknowledgesMachine && !machine.isAcknowledged) ||
+      (callSentAt !== null && machine.observedAt <= callSentAt);
+    if (order <= 0 && !isProvenNewer) {
       this.requireAcknowledgementIfSilent(machine);
       return 'older';
     }
     const hasNewEpoch = machine.agentEpoch > 0 && heartbeat.agentEpoch > machine.agentEpoch;
-    this.adopt(machine, heartbeat, isProof);
-    if (askedAt === null) machine.heartbeatAt = machine.observedAt;
-    confirmDirectCalls(machine, heartbeat);
+    this.storeHeartbeat(machine, heartbeat, acknowledgesMachine);
+    if (callSentAt === null) machine.heartbeatAt = machine.observedAt;
+    clearEndedCall(machine, heartbeat);
     // The worker's lease expired although its heartbeats were answered: the answers may not arrive.
     if (hasNewEpoch) this.fencingTokens.requireAcknowledgement(machine);
     return hasNewEpoch ? 'newEpoch' : 'newer';
@@ -77,25 +79,29 @@
       this.fencingTokens.requireAcknowledgement(machine);
   }
 
-  /** Stores a newer heartbeat. `isProof`: the heartbeat acknowledges the machine. */
-  private adopt(machine: Machine, heartbeat: Heartbeat, isProof: boolean): void {
+  /** Stores a newer heartbeat. `acknowledgesMachine`: the heartbeat acknowledges the machine. */
+  private storeHeartbeat(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    acknowledgesMachine: boolean,
+  ): void {
     const now = this.clock.now();
     const { base } = this.fencingTokens;
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.sequence = heartbeat.sequence;
     machine.observedAt = now;
-    machine.hasShownOurToken = heartbeat.fencingToken >= base + machine.initialFencingOffset;
-    if (machine.hasShownOurToken) {
+    machine.hasShownTokenOfEntry = heartbeat.fencingToken >= base + machine.initialFencingOffset;
+    if (machine.hasShownTokenOfEntry) {
       machine.fencingOffset = Math.max(machine.fencingOffset, heartbeat.fencingToken - base);
     }
-    machine.isAcknowledged = isProof;
-    if (!isProof) return;
+    machine.isAcknowledged = acknowledgesMachine;
+    if (!acknowledgesMachine) return;
     machine.acknowledgedAt = now;
     machine.unacknowledgedAnswers = 0;
   }
 
   /** Records that a heartbeat is answered with 200, which may renew the worker's lease. */
-  noteAnswer(machine: Machine, freshness: HeartbeatFreshness): void {
+  recordAnswer(machine: Machine, freshness: HeartbeatFreshness): void {
     const now = this.clock.now();
     // An older heartbeat was sent before the newest one arrived, so the lease that its answer
     // renews starts no later than that arrival.
--- a/src/coordination/shard-state/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -3,7 +3,7 @@
 import type { TaskStatus } from '../../protocol/model.js';
 
 /** Commands that were sent directly to a worker and may still be carried out. */
-export interface UnconfirmedCalls {
+export interface UnconfirmedCall {
   agentEpoch: number;
   attempts: Set<number>;
   /**
@@ -39,7 +39,7 @@
   /**
    * The newest heartbeat shows a token of this entry, so leases of former holders no longer count.
    */
-  hasShownOurToken: boolean;
+  hasShownTokenOfEntry: boolean;
   /**
    * The newest heartbeat shows the required token, so the machine receives this shard's answers.
    */
@@ -58,7 +58,7 @@
    * A start was sent directly under the current token, so a late duplicate would be carried out.
    */
   hasUnfencedStart: boolean;
-  directCalls: UnconfirmedCalls | null;
+  unconfirmedCall: UnconfirmedCall | null;
 
   isLeaving: boolean;
   /**
@@ -94,14 +94,14 @@
     fencingOffset: initialFencingOffset,
     initialFencingOffset,
     requiredFencingOffset: initialFencingOffset,
-    hasShownOurToken: false,
+    hasShownTokenOfEntry: false,
     isAcknowledged: false,
     acknowledgedAt: now,
     unacknowledgedSince: now,
     unacknowledgedAnswers: 0,
     answeredAt: now,
     hasUnfencedStart: false,
-    directCalls: null,
+    unconfirmedCall: null,
     isLeaving: false,
     isConsolidating: false,
     reportedTasks: [],
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -4,7 +4,7 @@
 import type { AssignmentRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Piece, PlannedPieces } from './assignment-pieces.js';
+import type { AssignmentPiece, PlannedPieces } from './assignment-pieces.js';
 import { createAssignment, readTasks, type Assignment } from './assignment.js';
 import type { ChangedAssignments } from './changed-assignments.js';
 import type { TaskIndex } from './task-index.js';
@@ -39,12 +39,12 @@
   handleChange(key: string): void {
     if (!key.startsWith(assignmentPrefix(this.shard))) return;
     const stored = this.dependencies.replica.get<AssignmentRecord>(key);
-    const known = this.dependencies.index.assignments.get(key);
+    const existing = this.dependencies.index.assignments.get(key);
     if (!stored) {
-      if (known) this.remove(known);
+      if (existing) this.remove(existing);
       return;
     }
-    if (!known) this.add(key, stored.value);
+    if (!existing) this.add(key, stored.value);
   }
 
   private add(key: string, record: AssignmentRecord): void {
@@ -57,7 +57,7 @@
     if (!plan && !Number.isInteger(name.number)) this.reloadOverlapping(name.job, record);
     const assignment = createAssignment({ key, job: name.job, number: name.number }, record);
     index.addAssignment(assignment);
-    if (plan) this.adoptPiece(plan.from, plan.pieces, assignment);
+    if (plan) this.adoptPiece(plan.source, plan.pieces, assignment);
     else this.loadTasks(assignment);
   }
 
@@ -124,23 +124,23 @@
    * tasks keep their state, so that commands that were sent are not sent again and no task
    * restarts.
    */
-  private adoptPiece(from: Assignment, pieces: Piece[], assignment: Assignment): void {
+  private adoptPiece(source: Assignment, pieces: AssignmentPiece[], assignment: Assignment): void {
     const { changed, index } = this.dependencies;
-    from.committedRecord = pieces[0]?.record ?? from.committedRecord;
+    source.committedRecord = pieces[0]?.record ?? source.committedRecord;
     for (const task of pieces.find((piece) => piece.key === assignment.key)?.tasks ?? []) {
-      if (from.tasks.get(task.index) !== task) continue;
-      from.tasks.delete(task.index);
+      if (source.tasks.get(task.index) !== task) continue;
+      source.tasks.delete(task.index);
       assignment.tasks.set(task.index, task);
       if (task.state === 'placed') {
-        index.removePlacement(from, task);
+        index.removePlacement(source, task);
         index.addPlacement(assignment, task);
       }
-      if (from.waitingTasks.delete(task)) assignment.waitingTasks.add(task);
+      if (source.waitingTasks.delete(task)) assignment.waitingTasks.add(task);
     }
-    index.updateWaiting(from);
+    index.updateWaiting(source);
     index.updateWaiting(assignment);
     // The split assignment changed during the write. The changed tasks may be among those that
     // moved.
-    if (changed.all.has(from)) changed.mark(assignment);
+    if (changed.all.has(source)) changed.mark(assignment);
   }
 }
--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -1,7 +1,7 @@
 /** The tasks assigned to one shard, with the look-ups and state transitions that the shard uses. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
-import { PlannedPieces, splitAssignment, type Piece } from './assignment-pieces.js';
+import { PlannedPieces, splitAssignment, type AssignmentPiece } from './assignment-pieces.js';
 import { isCommitted, type Assignment, type Task } from './assignment.js';
 import { ChangedAssignments } from './changed-assignments.js';
 import { StoredAssignments } from './stored-assignments.js';
@@ -132,7 +132,11 @@
    * The assignment's current record, in pieces of at most `maxBytes` bytes. New placements are
    * included only on `newMachines`.
    */
-  split(assignment: Assignment, newMachines: ReadonlySet<string>, maxBytes: number): Piece[] {
+  split(
+    assignment: Assignment,
+    newMachines: ReadonlySet<string>,
+    maxBytes: number,
+  ): AssignmentPiece[] {
     const isKeyTaken = (key: string): boolean =>
       this.assignments.has(key) || this.replica.get(key) !== null;
     return splitAssignment(assignment, { newMachines, maxBytes, isKeyTaken });
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -6,13 +6,13 @@
 import { jobKey, machineKey } from '../../storage/keys.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { ShardContext } from './shard-context.js';
-import type { Piece } from '../shard-state/assignment-pieces.js';
+import type { AssignmentPiece } from '../shard-state/assignment-pieces.js';
 import { uncommittedMachines, type Assignment } from '../shard-state/assignment.js';
 
 /** An assignment that a transaction writes in these pieces, or removes if there are none. */
-export interface WrittenAssignment {
+export interface AssignmentWrite {
   assignment: Assignment;
-  pieces: Piece[];
+  pieces: AssignmentPiece[];
 }
 
 /**
@@ -24,7 +24,7 @@
 /** A transaction that writes and removes assignments while the shard's role is unchanged. */
 export class AssignmentTransaction {
   readonly changes: Change[] = [];
-  readonly written: WrittenAssignment[] = [];
+  readonly writes: AssignmentWrite[] = [];
   /** Machines on which new placements are written. */
   readonly machines = new Set<string>();
   /** Jobs with new placements in this transaction. */
@@ -33,13 +33,13 @@
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Adds an assignment's changes; `isOver`: the assignment is removed. */
-  add(assignment: Assignment, isOver: boolean): AddResult {
+  /** Adds an assignment's changes; `isRemoved`: the assignment is removed. */
+  add(assignment: Assignment, isRemoved: boolean): AddResult {
     const { options, tasks } = this.context;
     this.estimatedBytes +=
       ASSIGNMENT_OVERHEAD_BYTES + assignment.placedCount * ASSIGNMENT_TASK_BYTES;
     if (this.estimatedBytes > TRANSACTION_BYTES && this.changes.length > 0) return { kind: 'full' };
-    const uncommitted = isOver ? new Set<string>() : uncommittedMachines(assignment);
+    const uncommitted = isRemoved ? new Set<string>() : uncommittedMachines(assignment);
     // The record of each machine with new placements is guarded, so that no task is placed on a
     // machine that the leader drains or returns meanwhile. The store rejects a transaction with too
     // many guards, also when it is retried, so placements on further machines wait for the next
@@ -49,7 +49,7 @@
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
     const newMachines = new Set([...uncommitted].slice(0, maxMachines));
     const maxBytes = options.valueBytes * VALUE_SHARE;
-    const pieces = isOver ? [] : tasks.split(assignment, newMachines, maxBytes);
+    const pieces = isRemoved ? [] : tasks.split(assignment, newMachines, maxBytes);
     // All pieces go into one transaction. Otherwise a task would be in two assignments or in none
     // between two transactions.
     if (this.changes.length + Math.max(1, pieces.length) > options.transactionOps) {
@@ -78,7 +78,7 @@
 
   private addChanges(
     assignment: Assignment,
-    pieces: Piece[],
+    pieces: AssignmentPiece[],
     newMachines: ReadonlySet<string>,
   ): void {
     for (const machine of newMachines) this.machines.add(machine);
@@ -88,6 +88,6 @@
     if (pieces.length === 0) this.changes.push({ key: assignment.key, remove: true });
     for (const { key, record } of pieces) this.changes.push({ key, value: record });
     this.context.tasks.plannedPieces.add(assignment, pieces);
-    this.written.push({ assignment, pieces });
+    this.writes.push({ assignment, pieces });
   }
 }
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -2,7 +2,7 @@
 import { OVERSIZED_ASSIGNMENT_RETRY_MS } from '../../constants/shard.js';
 import type { CommitResult } from '../../storage/committer.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
-import { AssignmentTransaction, type WrittenAssignment } from './assignment-transaction.js';
+import { AssignmentTransaction, type AssignmentWrite } from './assignment-transaction.js';
 import { WriteSchedule } from './write-schedule.js';
 import type { ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/assignment.js';
@@ -46,9 +46,9 @@
       // Urgent and non-urgent assignments share no transaction, because the non-urgent ones may
       // have to wait for the rate limit.
       const urgent = this.schedule.isUrgent(first);
-      if (!urgent && !this.schedule.mayWriteOrdinary(due)) return;
+      if (!urgent && !this.schedule.mayWriteNonUrgent(due)) return;
       const transaction = this.build(due, urgent);
-      const { changes, written } = transaction;
+      const { changes, writes } = transaction;
       if (changes.length === 0) continue;
       const purpose = urgent ? 'urgent' : 'part';
       const result = await committer.commit(
@@ -57,13 +57,13 @@
         changes,
         options.isHolder,
       );
-      for (const { pieces } of written) this.context.tasks.plannedPieces.remove(pieces);
+      for (const { pieces } of writes) this.context.tasks.plannedPieces.remove(pieces);
       if (!options.isHolder()) return;
       if (result.kind !== 'done') {
-        this.reloadRejected(written, result);
+        this.reloadUncommitted(writes, result);
         return;
       }
-      for (const assignment of written) this.recordCommitted(assignment);
+      for (const assignment of writes) this.recordCommitted(assignment);
       this.callbacks.onCommitted(transaction.machines, urgent);
     }
   }
@@ -75,7 +75,7 @@
     const keys = due.map((assignment) => assignment.key);
     for (const assignment of due.slice(0, this.withheld.together(keys, options.transactionOps))) {
       if (this.schedule.isUrgent(assignment) !== urgent) break;
-      const result = transaction.add(assignment, this.schedule.isOver(assignment));
+      const result = transaction.add(assignment, this.schedule.mustBeRemoved(assignment));
       if (result.kind === 'full') break;
       if (result.kind === 'added') continue;
       log.info(
@@ -88,17 +88,17 @@
   }
 
   /** Reloads assignments from the replica after a transaction that was not committed. */
-  private reloadRejected(written: readonly WrittenAssignment[], result: CommitResult): void {
+  private reloadUncommitted(writes: readonly AssignmentWrite[], result: CommitResult): void {
     const { log, options, tasks } = this.context;
     log.info({ shard: options.shard, result }, 'assignments not committed');
-    for (const { assignment } of written) {
+    for (const { assignment } of writes) {
       if (result.kind === 'rejected') this.withheld.add(assignment.key);
       tasks.reload(assignment);
     }
   }
 
   /** Updates an assignment after its commit: stores its committed record, or removes it. */
-  private recordCommitted({ assignment, pieces }: WrittenAssignment): void {
+  private recordCommitted({ assignment, pieces }: AssignmentWrite): void {
     const { assignmentsOfEndedJobs, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
     const [first] = pieces;
--- a/src/coordination/shard/bandit-snapshot.ts
+++ b/src/coordination/shard/bandit-snapshot.ts
@@ -43,8 +43,8 @@
     for (const type of types) {
       const changes = this.changesOf(bandit, type);
       for (let start = 0; start < changes.length; start += this.changesPerTransaction) {
-        const some = changes.slice(start, start + this.changesPerTransaction);
-        if (!(await this.dependencies.records.write('part', some))) break;
+        const batch = changes.slice(start, start + this.changesPerTransaction);
+        if (!(await this.dependencies.records.write('part', batch))) break;
       }
     }
   }
@@ -70,12 +70,12 @@
    */
   private changesOf(bandit: Bandit, type: string): Change[] {
     const { records, replica } = this.dependencies;
-    const stamp = replica.get<ArmRecord>(this.keyOf(type, 0))?.value.stamp ?? 0;
-    const unchanged = bandit.records(type, this.maxBytes, stamp);
+    const storedStamp = replica.get<ArmRecord>(this.keyOf(type, 0))?.value.stamp ?? 0;
+    const recordsWithStoredStamp = bandit.records(type, this.maxBytes, storedStamp);
     const isStored = (record: ArmRecord, number: number): boolean =>
       JSON.stringify(replica.get(this.keyOf(type, number))?.value) === JSON.stringify(record);
-    if (unchanged.length === 0 || unchanged.every(isStored)) return [];
-    const values = bandit.records(type, this.maxBytes, stamp + 1);
+    if (recordsWithStoredStamp.length === 0 || recordsWithStoredStamp.every(isStored)) return [];
+    const values = bandit.records(type, this.maxBytes, storedStamp + 1);
     const changes = values.map((value, number): Change => ({
       key: this.keyOf(type, number),
       value,
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -19,11 +19,11 @@
   /** Reports the cost of a task that ended successfully on the machine. */
   recordSuccess(machine: Machine, { assignment, task }: AssignedTask): void {
     if (!task.banditContext || task.runningAt === null || !this.bandit) return;
-    const ranS = (this.clock.now() - task.runningAt) / 1000;
+    const runTimeS = (this.clock.now() - task.runningAt) / 1000;
     this.bandit.finished(
       machine.type,
       task.banditContext,
-      ranS * this.pricePerS(machine, assignment.record),
+      runTimeS * this.pricePerS(machine, assignment.record),
     );
   }
 
@@ -41,11 +41,11 @@
   private pricePerS(machine: Machine, task: Resources): number {
     const type = this.machines.machineType(machine.type);
     if (!type) return 0;
-    const share = Math.max(
+    const fraction = Math.max(
       task.cpus / type.cpus,
       type.gpus > 0 ? task.gpus / type.gpus : 0,
       task.memoryGb / type.memoryGb,
     );
-    return ((machine.spot ? type.spotPrice : type.price) * share) / 3600;
+    return ((machine.spot ? type.spotPrice : type.price) * fraction) / 3600;
   }
 }
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -1,6 +1,6 @@
 /** Sends new commands directly to workers instead of waiting for their next heartbeats. */
 import type { Command } from '../../protocol/model.js';
-import type { UnconfirmedCalls, Machine } from '../shard-state/machine.js';
+import type { UnconfirmedCall, Machine } from '../shard-state/machine.js';
 import type { MachineCommands } from './machine-commands.js';
 import type { ShardContext } from './shard-context.js';
 import type { HeartbeatObserver } from './heartbeat-observer.js';
@@ -24,7 +24,7 @@
     for (const name of [...machinesToCommand]) {
       if (workers.full) return;
       const machine = machines.all.get(name);
-      if (machine?.directCalls) continue;
+      if (machine?.unconfirmedCall) continue;
       machinesToCommand.delete(name);
       // An unacknowledged machine gets all missing commands in the answer to the heartbeat that
       // acknowledges it.
@@ -44,14 +44,14 @@
 
   private async send(machine: Machine, commands: Command[]): Promise<void> {
     const { clock, machinesToCommand, log, machines, wake, workers } = this.context;
-    const call: UnconfirmedCalls = {
+    const call: UnconfirmedCall = {
       agentEpoch: machine.agentEpoch,
       attempts: new Set(commands.map((command) => command.attempt)),
       fencedBy: null,
     };
-    machine.directCalls = call;
+    machine.unconfirmedCall = call;
     if (commands.some(({ op }) => op === 'start')) machine.hasUnfencedStart = true;
-    const askedAt = clock.now();
+    const callSentAt = clock.now();
     const fencingToken = machines.fencingTokens.tokenOf(machine);
     try {
       const result = await workers.command(
@@ -60,11 +60,11 @@
         machine.agentEpoch,
         commands,
       );
-      if (machine.directCalls === call) machine.directCalls = null;
-      this.observer.observe(machine, result.heartbeat, askedAt);
+      if (machine.unconfirmedCall === call) machine.unconfirmedCall = null;
+      this.observer.observe(machine, result.heartbeat, callSentAt);
       if (machinesToCommand.size > 0) wake();
     } catch (error) {
-      if (machine.directCalls !== call) return;
+      if (machine.unconfirmedCall !== call) return;
       machines.fencingTokens.requireAcknowledgement(machine);
       call.fencedBy = machines.fencingTokens.tokenOf(machine);
       log.info({ machine: machine.name, error: String(error) }, 'direct call to worker failed');
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -19,7 +19,7 @@
 }
 
 /** The tasks, replica, clock and log that the gang subsets use. */
-export interface GangShareDependencies {
+export interface GangSubsetDependencies {
   tasks: Tasks;
   replica: StoreReplica;
   clock: Clock;
@@ -33,10 +33,10 @@
  * than done, all tasks of the gang are stopped and returned to the leader. Once none is left in any
  * shard, the leader assigns the gang again under a new attempt.
  */
-export class GangShares {
+export class GangSubsets {
   constructor(
     private readonly options: GangTimes,
-    private readonly dependencies: GangShareDependencies,
+    private readonly dependencies: GangSubsetDependencies,
   ) {}
 
   private spec(assignment: Assignment): JobSpec | null {
@@ -52,9 +52,9 @@
   /** Whether the stored records of all shards show a placement for each task of the gang. */
   private isFullyPlaced(assignment: Assignment): boolean {
     let placed = 0;
-    for (const share of this.dependencies.replica.assignmentsOf(assignment.job)) {
-      if (share.attempt !== assignment.record.attempt || share.stopping) return false;
-      placed += share.placedCount + share.done;
+    for (const subset of this.dependencies.replica.assignmentsOf(assignment.job)) {
+      if (subset.attempt !== assignment.record.attempt || subset.stopping) return false;
+      placed += subset.placedCount + subset.done;
     }
     return placed === this.spec(assignment)?.tasks;
   }
@@ -70,23 +70,23 @@
     for (const assignment of this.dependencies.tasks.gangAssignments) {
       const spec = this.spec(assignment);
       if (spec === null) continue;
-      this.failOverdue(assignment, now);
-      const isAnnounced = this.propagateFailure(assignment, spec);
-      if (assignment.hasFailed && isAnnounced) this.stopTasks(assignment, stopped);
+      this.failIfTimedOut(assignment, now);
+      const isStopVisible = this.propagateFailure(assignment, spec);
+      if (assignment.hasFailed && isStopVisible) this.stopTasks(assignment, stopped);
       else if (!assignment.hasFailed && assignment.placedCount === 0)
-        this.returnOverdue(assignment, spec, now);
+        this.returnIfTimedOut(assignment, spec, now);
     }
     return stopped;
   }
 
   /** Fails a subset if the rest of its gang was not placed, or did not start, in time. */
-  private failOverdue(assignment: Assignment, now: number): void {
+  private failIfTimedOut(assignment: Assignment, now: number): void {
     const { log } = this.dependencies;
-    const isPlacedHere = assignment.waitingTasks.size === 0;
-    assignment.fullyPlacedAt = isPlacedHere ? (assignment.fullyPlacedAt ?? now) : null;
-    const isLate =
+    const isSubsetPlaced = assignment.waitingTasks.size === 0;
+    assignment.fullyPlacedAt = isSubsetPlaced ? (assignment.fullyPlacedAt ?? now) : null;
+    const hasTimedOut =
       assignment.fullyPlacedAt !== null && now - assignment.fullyPlacedAt >= GANG_PLACED_TIMEOUT_MS;
-    if (!assignment.hasFailed && isLate && !this.isFullyPlaced(assignment)) {
+    if (!assignment.hasFailed && hasTimedOut && !this.isFullyPlaced(assignment)) {
       assignment.hasFailed = true;
       log.info({ job: assignment.job }, 'gang reservation timed out');
     }
@@ -106,10 +106,10 @@
     const { replica, tasks } = this.dependencies;
     if (assignment.tasks.size === spec.tasks) return true;
     // All shards must stop their subsets within the time that tasks wait for lost peers.
-    const isStored = replica.assignmentsOf(assignment.job).some((share) => share.stopping);
-    if (isStored) assignment.hasFailed = true;
+    const isStopStored = replica.assignmentsOf(assignment.job).some((subset) => subset.stopping);
+    if (isStopStored) assignment.hasFailed = true;
     if (assignment.hasFailed && !assignment.committedRecord.stopping) tasks.markChanged(assignment);
-    return isStored || assignment.committedRecord.stopping === true;
+    return isStopStored || assignment.committedRecord.stopping === true;
   }
 
   /**
@@ -158,12 +158,12 @@
    * Returns a subset to the leader if it has waited too long for machines; urgent and infeasible
    * ones wait less.
    */
-  private returnOverdue(assignment: Assignment, spec: JobSpec, now: number): void {
+  private returnIfTimedOut(assignment: Assignment, spec: JobSpec, now: number): void {
     const isUrgent = rankOf(spec.priority) >= URGENT;
-    const patienceMs =
+    const maxWaitMs =
       isUrgent || assignment.isInfeasible ? UNPLACED_RELEASE_MS : GANG_RESERVATION_TIMEOUT_MS;
     const [first] = assignment.waitingTasks;
-    if (first && now - first.waitingSince >= patienceMs) this.returnWaitingTasks(assignment);
+    if (first && now - first.waitingSince >= maxWaitMs) this.returnWaitingTasks(assignment);
   }
 
   private returnWaitingTasks(assignment: Assignment): void {
--- a/src/coordination/shard/gang-stop-cost.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -8,7 +8,7 @@
 /** The parts of a shard's context that the decision reads. */
 type GangStopCostContext = Pick<
   ShardContext,
-  'options' | 'gangs' | 'machines' | 'replica' | 'clock'
+  'options' | 'gangSubsets' | 'machines' | 'replica' | 'clock'
 >;
 
 /** Estimates the progress that a gang loses if it is preempted. */
@@ -23,23 +23,23 @@
   mayStop(assignment: Assignment): boolean {
     const spec = jobSpec(this.context, assignment.job);
     if (spec === null) return true;
-    if (this.isReachable(assignment, spec)) return true;
+    if (this.canStopInTime(assignment, spec)) return true;
     return this.progressAtRiskS(assignment, spec) <= GANG_MAX_LOST_PROGRESS_S;
   }
 
   /** Whether a stop is likely to reach all tasks of the gang within `gang_peer_s`. */
-  private isReachable(assignment: Assignment, spec: JobSpec): boolean {
-    const { gangs, machines, options } = this.context;
-    const isShared = assignment.tasks.size < spec.tasks;
-    if (isShared && options.gangPeerS * 1000 < GANG_STOP_PROPAGATION_MS) return false;
-    return [...gangs.machinesOf(assignment.job)].every((name) =>
-      this.hearsCalls(machines.all.get(name)),
+  private canStopInTime(assignment: Assignment, spec: JobSpec): boolean {
+    const { gangSubsets, machines, options } = this.context;
+    const spansShards = assignment.tasks.size < spec.tasks;
+    if (spansShards && options.gangPeerS * 1000 < GANG_STOP_PROPAGATION_MS) return false;
+    return [...gangSubsets.machinesOf(assignment.job)].every((name) =>
+      this.isLikelyReachable(machines.all.get(name)),
     );
   }
 
   /** Whether a call to the machine is likely to be carried out at once. */
-  private hearsCalls(machine: Machine | undefined): boolean {
-    if (!machine?.isAcknowledged || machine.directCalls) return false;
+  private isLikelyReachable(machine: Machine | undefined): boolean {
+    if (!machine?.isAcknowledged || machine.unconfirmedCall) return false;
     return this.context.machines.health(machine) === 'ok';
   }
 
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -5,7 +5,7 @@
 import type { Task } from '../shard-state/assignment.js';
 import type { AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
-import { findReported } from './reported-task.js';
+import { findReportedTask } from './reported-task.js';
 
 /** Applies heartbeats to the machines and tasks of a shard. */
 export class HeartbeatObserver {
@@ -13,13 +13,13 @@
 
   /**
    * Applies a heartbeat, unless it is older than the newest one of its machine, and returns which
-   * of these it is. `askedAt`: steady time of the direct call that the heartbeat answers; null: the
-   * worker sent it on its own.
+   * of these it is. `callSentAt`: steady time of the direct call that the heartbeat answers; null:
+   * the worker sent it on its own.
    */
-  observe(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
+  observe(machine: Machine, heartbeat: Heartbeat, callSentAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
     const wasAcknowledged = machine.isAcknowledged;
-    const freshness = machines.heartbeats.apply(machine, heartbeat, askedAt);
+    const freshness = machines.heartbeats.apply(machine, heartbeat, callSentAt);
     if (freshness === 'older') return freshness;
     if (freshness === 'newEpoch' || machine.isAcknowledged !== wasAcknowledged) {
       log.debug(
@@ -39,7 +39,7 @@
       wake();
     }
     machine.reportedTasks = heartbeat.tasks;
-    this.requeueMissing(machine, this.observeTasks(machine));
+    this.handleMissing(machine, this.observeTasks(machine));
     return freshness;
   }
 
@@ -47,15 +47,15 @@
   private observeTasks(machine: Machine): Set<Task> {
     const listed = new Set<Task>();
     for (const status of machine.reportedTasks) {
-      const assigned = findReported(this.context.tasks, machine, status);
+      const assigned = findReportedTask(this.context.tasks, machine, status);
       if (!assigned) continue;
       listed.add(assigned.task);
       if (status.state === 'exited') {
-        this.taskExited(machine, assigned, status);
+        this.handleExited(machine, assigned, status);
         // A start on this machine may wait for the resources of the exited task.
         this.context.machinesToCommand.add(machine.name);
         this.context.wake();
-      } else if (status.state !== 'fetching') this.taskFetched(machine, assigned, status);
+      } else if (status.state !== 'fetching') this.handleFetched(machine, assigned, status);
     }
     return listed;
   }
@@ -63,7 +63,7 @@
   /**
    * Records that a task's image is on the machine, and that the task runs or waits for its gang.
    */
-  private taskFetched(
+  private handleFetched(
     machine: Machine,
     { assignment, task }: AssignedTask,
     status: TaskStatus,
@@ -75,7 +75,7 @@
     if (spec) machine.images.add(spec.image);
   }
 
-  private taskExited(machine: Machine, assigned: AssignedTask, { cause }: TaskStatus): void {
+  private handleExited(machine: Machine, assigned: AssignedTask, { cause }: TaskStatus): void {
     const { costLearning, jobFailureBackoff, log, tasks } = this.context;
     const { assignment, task } = assigned;
     if (cause === 'done') {
@@ -88,7 +88,7 @@
     if (cause === 'error' || cause === 'unknown') {
       costLearning.recordFailure(machine, assigned);
       if (cause === 'error') machine.failedJobs.add(assignment.job);
-      const backoffS = jobFailureBackoff.add(assignment.job);
+      const backoffS = jobFailureBackoff.recordFailure(assignment.job);
       log.info(
         { job: assignment.job, task: task.index, machine: machine.name, cause, backoffS },
         'task failed',
@@ -101,17 +101,18 @@
    * Handles placed tasks that the newest heartbeat does not list: tasks that are proven to be
    * missing on the machine are started again, or requeued if they may not start there any more.
    */
-  private requeueMissing(machine: Machine, listed: ReadonlySet<Task>): void {
+  private handleMissing(machine: Machine, listed: ReadonlySet<Task>): void {
     const { machines, tasks, wake } = this.context;
-    const isUsable = machines.isSchedulable(machine);
+    const isSchedulable = machines.isSchedulable(machine);
     for (const [task, assignment] of [...tasks.placedOn(machine.name)]) {
       if (listed.has(task)) continue;
       // A task that is not listed is proven to be missing only if the worker has shown a token of
       // this holder, which fences the starts of former holders, and if no direct call with the
       // task's start may still arrive.
-      if (!machine.hasShownOurToken || machine.directCalls?.attempts.has(task.attempt)) continue;
+      if (!machine.hasShownTokenOfEntry || machine.unconfirmedCall?.attempts.has(task.attempt))
+        continue;
       task.isStartSent = false;
-      if (jobSpec(this.context, assignment.job) === null || !isUsable || task.isStopping) {
+      if (jobSpec(this.context, assignment.job) === null || !isSchedulable || task.isStopping) {
         tasks.requeue(assignment, task);
         wake();
       }
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,6 +1,6 @@
 /** The backoff of jobs whose tasks fail. */
 
-import { MAX_FAILURE_BACKOFF_S, FAILURE_BACKOFF_S } from '../../constants/shard.js';
+import { MAX_FAILURE_BACKOFF_S, MIN_FAILURE_BACKOFF_S } from '../../constants/shard.js';
 import { KeyedBackoff } from '../../transport/backoff.js';
 import type { Clock } from '../../transport/clock.js';
 
@@ -9,11 +9,15 @@
   private readonly backoff: KeyedBackoff;
 
   constructor(clock: Clock) {
-    this.backoff = new KeyedBackoff(clock, FAILURE_BACKOFF_S * 1000, MAX_FAILURE_BACKOFF_S * 1000);
+    this.backoff = new KeyedBackoff(
+      clock,
+      MIN_FAILURE_BACKOFF_S * 1000,
+      MAX_FAILURE_BACKOFF_S * 1000,
+    );
   }
 
   /** Records a failure of one of the job's tasks; returns the length of the pause in seconds. */
-  add(job: string): number {
+  recordFailure(job: string): number {
     return this.backoff.recordFailure(job) / 1000;
   }
 
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -1,10 +1,10 @@
 /** Requeues the tasks of lost machines. */
-import { LOST_MACHINE_SWEEP_MS } from '../../constants/shard.js';
+import { LOST_MACHINE_SWEEP_INTERVAL_MS } from '../../constants/shard.js';
 import type { ShardContext } from './shard-context.js';
 
 /** Looks periodically for machines that were returned to the cloud or whose lease has expired. */
 export class LostMachines {
-  private sweptAt = -Infinity;
+  private lastSweepAt = -Infinity;
 
   constructor(private readonly context: ShardContext) {}
 
@@ -12,8 +12,8 @@
   sweep(): void {
     const { clock, log, machines, tasks } = this.context;
     const now = clock.now();
-    if (now - this.sweptAt < LOST_MACHINE_SWEEP_MS) return;
-    this.sweptAt = now;
+    if (now - this.lastSweepAt < LOST_MACHINE_SWEEP_INTERVAL_MS) return;
+    this.lastSweepAt = now;
     for (const name of [...tasks.occupiedMachines()]) {
       const isGone = machines.recordedState(name) === 'gone';
       if (!isGone && now < machines.leaseExpiresAt(name)) continue;
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -6,7 +6,7 @@
 import type { Task } from '../shard-state/assignment.js';
 import type { AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
-import { findReported } from './reported-task.js';
+import { findReportedTask } from './reported-task.js';
 
 /** The commands for one machine while they are being collected. */
 interface CommandBatch {
@@ -49,7 +49,7 @@
     const assignment = tasks.findTask(status.task.job, status.task.index)?.assignment;
     // The resources of a task without an assignment are unknown, so it counts as the whole machine.
     if (status.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
-    const assigned = findReported(tasks, machine, status);
+    const assigned = findReportedTask(tasks, machine, status);
     if (!assigned) {
       if (resend) this.addRemoval(batch, status);
       return;
@@ -84,20 +84,21 @@
     // not forgotten either while a direct call with its start may still arrive and start it again.
     const assignment = this.context.tasks.findTask(task.job, task.index)?.assignment;
     const stored = assignment?.committedRecord.live[String(task.index)];
-    if (stored?.[1] !== attempt && !machine.directCalls?.attempts.has(attempt)) {
+    if (stored?.[1] !== attempt && !machine.unconfirmedCall?.attempts.has(attempt)) {
       commands.push({ op: 'forget', task, attempt });
     }
   }
 
   /** Starts tasks that are placed on the machine but missing there, as far as they fit. */
   private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
-    const { gangs, tasks } = this.context;
+    const { gangSubsets, tasks } = this.context;
     const missing = [...tasks.placedOn(machine.name)].filter(([task]) => !listed.has(task));
     for (const [task, assignment] of missing)
       if (task.isStartSent) allocate(free, assignment.record);
     for (const [task, assignment] of missing) {
       if (!tasks.isCommitted(assignment, task) || task.isStopping) continue;
-      if (jobSpec(this.context, assignment.job) === null || !gangs.mayStart(assignment)) continue;
+      if (jobSpec(this.context, assignment.job) === null || !gangSubsets.mayStart(assignment))
+        continue;
       if (task.isStartSent ? !resend : !fits(free, assignment.record)) continue;
       if (!task.isStartSent) allocate(free, assignment.record);
       task.isStartSent = true;
--- a/src/coordination/shard/reported-task.ts
+++ b/src/coordination/shard/reported-task.ts
@@ -7,7 +7,7 @@
  * The task that is placed on the machine under the reported attempt; null: the reported attempt is
  * not placed there.
  */
-export function findReported(
+export function findReportedTask(
   tasks: Tasks,
   machine: Machine,
   status: TaskStatus,
@@ -15,7 +15,7 @@
   const found = tasks.findTask(status.task.job, status.task.index);
   if (!found) return null;
   const { task } = found;
-  const isSame =
+  const isPlaced =
     task.state === 'placed' && task.machine === machine.name && task.attempt === status.attempt;
-  return isSame ? found : null;
+  return isPlaced ? found : null;
 }
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -14,22 +14,22 @@
 export class ReservedGang {
   private readonly recentGangs: RecentGangs;
   private reserved: JobSpec | null = null;
-  private checkAgainAt = -Infinity;
+  private nextCheckAt = -Infinity;
 
   constructor(private readonly context: ShardContext) {
     this.recentGangs = new RecentGangs(context.clock);
   }
 
   /** Records a job that is new or has changed; jobs that are not gangs are ignored. */
-  noteJob(spec: JobSpec | null): void {
+  recordJob(spec: JobSpec | null): void {
     if (spec?.kind === 'gang') this.recentGangs.add(spec);
   }
 
   /** The gang for which this shard reserves capacity; null: the shard reserves none. */
   next(): JobSpec | null {
     const now = this.context.clock.now();
-    if (now < this.checkAgainAt) return this.reserved;
-    this.checkAgainAt = now + RESERVING_SHARD_CHECK_MS;
+    if (now < this.nextCheckAt) return this.reserved;
+    this.nextCheckAt = now + RESERVING_SHARD_CHECK_MS;
     this.reserved = this.findReserved();
     return this.reserved;
   }
@@ -39,9 +39,9 @@
     const next = this.recentGangs.largestNonUrgent;
     if (!next) return null;
     const shardZone = reservingShardZone(next, healthyMachines(replica));
-    const isOurs = machines
+    const isReservingShard = machines
       .inOrder()
       .some(({ zone }) => shardZoneKey(options.shard, zone) === shardZone);
-    return isOurs ? next : null;
+    return isReservingShard ? next : null;
   }
 }
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -14,7 +14,7 @@
 
   constructor(
     private readonly context: ShardContext,
-    private readonly reservation: ReservedGang,
+    private readonly reservedGang: ReservedGang,
   ) {}
 
   /** The scheduler; null until it is loaded. */
@@ -55,9 +55,9 @@
       term: options.term,
       startWithinS: options.startWithinS,
       job: (id) => replica.job(id),
-      beganLate: (id) => this.beganLate(id),
-      waitsLong: (id) => this.waitsLong(id),
-      nextGang: () => this.reservation.next(),
+      beganLate: (id) => this.startedLate(id),
+      waitsLong: (id) => this.hasWaitedLong(id),
+      nextGang: () => this.reservedGang.next(),
       pauses: (id) => jobFailureBackoff.isPaused(id),
       mayStopGang: (assignment) => gangStopCost.mayStop(assignment),
       gangWaitS: options.gangWaitS,
@@ -68,7 +68,7 @@
    * Whether a job was accepted at least `START_OVERDUE_S` ago and none of its tasks is done, so
    * that its first running tasks started late.
    */
-  private beganLate(job: string): boolean {
+  private startedLate(job: string): boolean {
     const { replica } = this.context;
     if (!this.isOlderThan(job, START_OVERDUE_S * 1000)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.done === 0);
@@ -78,7 +78,7 @@
    * Whether a job was accepted at least `ARRAY_USES_RESERVED_AFTER_MS` ago and none of its tasks is
    * placed.
    */
-  private waitsLong(job: string): boolean {
+  private hasWaitedLong(job: string): boolean {
     const { replica } = this.context;
     if (!this.isOlderThan(job, ARRAY_USES_RESERVED_AFTER_MS)) return false;
     return replica.assignmentsOf(job).every((assignment) => assignment.placedCount === 0);
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -7,7 +7,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { WorkerApi } from '../../protocol/worker-api.js';
 import type { Clock } from '../../transport/clock.js';
-import type { GangShares } from './gang-shares.js';
+import type { GangSubsets } from './gang-shares.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
@@ -77,7 +77,7 @@
   readonly options: ShardOptions;
   readonly machines: Machines;
   readonly tasks: Tasks;
-  readonly gangs: GangShares;
+  readonly gangSubsets: GangSubsets;
   readonly jobFailureBackoff: JobFailureBackoff;
   readonly costLearning: CostLearning;
   /** Machines for which there may be commands that have not been sent yet. */
@@ -93,10 +93,10 @@
 
 /** Marks machines for which there may be new commands. */
 export function markForCommands(
-  { machinesToCommand: dirtyMachines }: Pick<ShardContext, 'machinesToCommand'>,
+  { machinesToCommand }: Pick<ShardContext, 'machinesToCommand'>,
   machines: Iterable<string>,
 ): void {
-  for (const machine of machines) dirtyMachines.add(machine);
+  for (const machine of machines) machinesToCommand.add(machine);
 }
 
 /** Names of the machine types in the stored catalogue; empty while there is no catalogue. */
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -35,7 +35,7 @@
     private readonly options: ShardStatusOptions,
     private readonly dependencies: ShardStatusDependencies,
   ) {
-    this.adoptFormerMachines();
+    this.addStoredMachines();
   }
 
   /**
@@ -43,7 +43,7 @@
    * holder. Otherwise the first status of a new holder would be empty, and the leader would treat
    * all machines of the shard as machines that failed to boot, and return them to the cloud.
    */
-  private adoptFormerMachines(): void {
+  private addStoredMachines(): void {
     const { machines, replica } = this.dependencies;
     const prefix = `${STATUSES}${this.options.shard}/`;
     for (const [key, stored] of replica.below<StatusRecord>(prefix)) {
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -5,7 +5,7 @@
 import type { Bandit } from '../scheduling/bandit.js';
 import { AssignmentWriter } from './assignment-writer.js';
 import { BanditSnapshot } from './bandit-snapshot.js';
-import { GangShares } from './gang-shares.js';
+import { GangSubsets } from './gang-shares.js';
 import type { Machine } from '../shard-state/machine.js';
 import { Machines } from '../shard-state/machines.js';
 import { CostLearning } from './cost-learning.js';
@@ -48,7 +48,7 @@
   private readonly commands: MachineCommands;
   private readonly observer: HeartbeatObserver;
   private readonly directCalls: DirectCalls;
-  private readonly gangReservation: ReservedGang;
+  private readonly reservedGang: ReservedGang;
   private readonly schedulerLoader: SchedulerLoader;
   private readonly lostMachines: LostMachines;
   private readonly writer: AssignmentWriter;
@@ -61,8 +61,8 @@
     this.commands = new MachineCommands(this.context);
     this.observer = new HeartbeatObserver(this.context);
     this.directCalls = new DirectCalls(this.context, this.commands, this.observer);
-    this.gangReservation = new ReservedGang(this.context);
-    this.schedulerLoader = new SchedulerLoader(this.context, this.gangReservation);
+    this.reservedGang = new ReservedGang(this.context);
+    this.schedulerLoader = new SchedulerLoader(this.context, this.reservedGang);
     this.lostMachines = new LostMachines(this.context);
     this.writer = new AssignmentWriter(this.context, {
       onCommitted: (machines, urgent) => {
@@ -104,22 +104,22 @@
 
   /** Handles a changed key of the replica; returns whether the shard should reconcile. */
   changed(key: string): boolean {
-    if (key.startsWith(JOBS)) return this.jobChanged(key.slice(JOBS.length));
-    const { assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
-    if (tasks.gangAssignments.size > 0 && this.otherShareChanged(key)) return true;
+    if (key.startsWith(JOBS)) return this.handleJobChange(key.slice(JOBS.length));
+    const { assignmentsOfEndedJobs, tasks } = this.context;
+    if (tasks.gangAssignments.size > 0 && this.handleOtherSubsetChange(key)) return true;
     const before = tasks.assignments.get(key);
     tasks.handleChange(key);
     const assignment = tasks.assignments.get(key);
     if (assignment && !before) withdrawIfEnded(this.context, assignment);
-    if (before && !assignment) endedAssignments.delete(before);
+    if (before && !assignment) assignmentsOfEndedJobs.delete(before);
     return before !== assignment;
   }
 
   /**
    * Handles a job that is new, has changed or has ended; returns whether the shard has tasks of it.
    */
-  private jobChanged(job: string): boolean {
-    this.gangReservation.noteJob(jobSpec(this.context, job));
+  private handleJobChange(job: string): boolean {
+    this.reservedGang.recordJob(jobSpec(this.context, job));
     let hasTasks = false;
     for (const assignment of this.context.tasks.assignmentsOf(job)) {
       withdrawIfEnded(this.context, assignment);
@@ -135,11 +135,11 @@
    * Marks the machines of a gang for commands if another shard's subset of it changed, because this
    * shard's subset may start now. Returns whether any were marked.
    */
-  private otherShareChanged(key: string): boolean {
-    const { gangs, options } = this.context;
+  private handleOtherSubsetChange(key: string): boolean {
+    const { gangSubsets, options } = this.context;
     const name = key.startsWith(ASSIGNMENTS) ? readAssignmentKey(key) : null;
     if (!name || name.shard === options.shard) return false;
-    const machines = gangs.machinesOf(name.job);
+    const machines = gangSubsets.machinesOf(name.job);
     markForCommands(this.context, machines);
     return machines.size > 0;
   }
@@ -154,7 +154,7 @@
     const machine = this.machines.all.get(heartbeat.machine) ?? this.addMachine(heartbeat);
     const freshness = this.observer.observe(machine, heartbeat, null);
     if (!this.machines.heartbeats.mayAnswer(machine)) return { ok: false };
-    this.machines.heartbeats.noteAnswer(machine, freshness);
+    this.machines.heartbeats.recordAnswer(machine, freshness);
     // The answer to a late duplicate contains no commands, because the worker no longer waits for
     // it.
     const commands =
@@ -192,7 +192,7 @@
     this.lostMachines.sweep();
     markForCommands(this.context, scheduler.place());
     markForCommands(this.context, scheduler.consolidate());
-    markForCommands(this.context, this.context.gangs.reconcile());
+    markForCommands(this.context, this.context.gangSubsets.reconcile());
     releaseWaitingTasks(this.context);
     await this.writer.flush();
     this.directCalls.sendPending();
@@ -217,7 +217,7 @@
     options,
     machines,
     tasks,
-    gangs: new GangShares(options, { tasks, replica, clock, log }),
+    gangSubsets: new GangSubsets(options, { tasks, replica, clock, log }),
     jobFailureBackoff: new JobFailureBackoff(clock),
     costLearning: new CostLearning(machines, clock),
     machinesToCommand: new Set(),
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -13,7 +13,7 @@
   names: Set<string>;
   freeBytes: number;
   /** Machines of this page move to other pages in this plan, so none are added to it. */
-  isLosing: boolean;
+  losesMachines: boolean;
 }
 
 /**
@@ -33,9 +33,9 @@
  */
 export class StatusPagePlan {
   readonly pages: StatusPage[] = [];
-  private readonly capacity: number;
-  private readonly movers = new Set<string>();
-  private readonly staying = new Set<string>();
+  private readonly pageCapacityBytes: number;
+  private readonly movingMachines = new Set<string>();
+  private readonly keptMachines = new Set<string>();
 
   /** `written`: the pages as they are stored; `maxBytes`: the maximum size of a page, in bytes. */
   constructor(
@@ -43,18 +43,18 @@
     written: ReadonlyMap<number, StatusEntries>,
     maxBytes: number,
   ) {
-    this.capacity = maxBytes - bytesOf({ machines: {} });
+    this.pageCapacityBytes = maxBytes - bytesOf({ machines: {} });
     this.keepWritten(written);
     this.emptyLastPage();
-    this.addMovers();
+    this.addMovingMachines();
   }
 
   /** The numbers of the pages in the order of their writes; pages that lose machines come last. */
   writeOrder(): number[] {
     const numbers = [...this.pages.keys()];
     return [
-      ...numbers.filter((number) => !this.pages[number]?.isLosing),
-      ...numbers.filter((number) => this.pages[number]?.isLosing),
+      ...numbers.filter((number) => !this.pages[number]?.losesMachines),
+      ...numbers.filter((number) => this.pages[number]?.losesMachines),
     ];
   }
 
@@ -74,14 +74,14 @@
     for (let number = 0; number <= last; number++) {
       const page = this.addPage();
       for (const name of Object.keys(written.get(number) ?? {}).sort()) {
-        if (!this.entries.has(name) || this.staying.has(name)) continue;
+        if (!this.entries.has(name) || this.keptMachines.has(name)) continue;
         if (this.bytesOfEntry(name) > page.freeBytes) {
-          page.isLosing = true;
-          this.movers.add(name);
+          page.losesMachines = true;
+          this.movingMachines.add(name);
           continue;
         }
-        this.staying.add(name);
-        this.put(page, name);
+        this.keptMachines.add(name);
+        this.addToPage(page, name);
       }
     }
   }
@@ -91,19 +91,19 @@
    * a full page more than that.
    */
   private emptyLastPage(): void {
-    const { capacity, pages } = this;
+    const { pageCapacityBytes, pages } = this;
     const last = pages.findLast((page) => page.names.size > 0);
-    if (!last || last === pages[0] || pages.some((page) => page.isLosing)) return;
+    if (!last || last === pages[0] || pages.some((page) => page.losesMachines)) return;
     const others = pages.slice(0, pages.indexOf(last));
     // Pages with less than a quarter of their bytes free don't count, because a machine's entry may
     // not fit there.
-    const usable = others.filter(({ freeBytes }) => freeBytes >= capacity / 4);
+    const usable = others.filter(({ freeBytes }) => freeBytes >= pageCapacityBytes / 4);
     const free = usable.reduce((sum, { freeBytes }) => sum + freeBytes, 0);
-    if (free < capacity - last.freeBytes + capacity) return;
-    for (const name of last.names) this.movers.add(name);
+    if (free < pageCapacityBytes - last.freeBytes + pageCapacityBytes) return;
+    for (const name of last.names) this.movingMachines.add(name);
     for (const name of last.names) last.freeBytes += this.bytesOfEntry(name);
     last.names.clear();
-    last.isLosing = true;
+    last.losesMachines = true;
   }
 
   /**
@@ -112,22 +112,27 @@
    * name. When a controller of that version becomes the holder, it therefore moves few machines
    * between pages, and none to a later page.
    */
-  private addMovers(): void {
-    for (const name of this.entries.keys()) if (!this.staying.has(name)) this.movers.add(name);
-    for (const name of [...this.movers].sort()) {
+  private addMovingMachines(): void {
+    for (const name of this.entries.keys())
+      if (!this.keptMachines.has(name)) this.movingMachines.add(name);
+    for (const name of [...this.movingMachines].sort()) {
       const bytes = this.bytesOfEntry(name);
-      const fits = (page: StatusPage): boolean => !page.isLosing && page.freeBytes >= bytes;
-      this.put(this.pages.findLast(fits) ?? this.addPage(), name);
+      const fits = (page: StatusPage): boolean => !page.losesMachines && page.freeBytes >= bytes;
+      this.addToPage(this.pages.findLast(fits) ?? this.addPage(), name);
     }
   }
 
   private addPage(): StatusPage {
-    const page: StatusPage = { names: new Set(), freeBytes: this.capacity, isLosing: false };
+    const page: StatusPage = {
+      names: new Set(),
+      freeBytes: this.pageCapacityBytes,
+      losesMachines: false,
+    };
     this.pages.push(page);
     return page;
   }
 
-  private put(page: StatusPage, name: string): void {
+  private addToPage(page: StatusPage, name: string): void {
     page.names.add(name);
     page.freeBytes -= this.bytesOfEntry(name);
   }
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -14,9 +14,9 @@
     // Non-urgent tasks may wait longer, because the leader queues them here before capacity is
     // free.
     const isUrgent = rankOf(spec.priority) >= rankOf('high');
-    const patienceMs = isUrgent ? UNPLACED_RELEASE_MS : QUEUED_RELEASE_MS;
+    const maxWaitMs = isUrgent ? UNPLACED_RELEASE_MS : QUEUED_RELEASE_MS;
     for (const task of [...assignment.waitingTasks]) {
-      if (now - task.waitingSince >= patienceMs) tasks.returnToLeader(assignment, task);
+      if (now - task.waitingSince >= maxWaitMs) tasks.returnToLeader(assignment, task);
     }
   }
 }
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -21,10 +21,10 @@
 
   /** The assignments that are due to be written, urgent ones first. */
   dueAssignments(): Assignment[] {
-    const { clock, assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
+    const { clock, assignmentsOfEndedJobs, tasks } = this.context;
     const now = clock.now();
-    for (const assignment of endedAssignments)
-      if (this.isOver(assignment)) tasks.markChanged(assignment);
+    for (const assignment of assignmentsOfEndedJobs)
+      if (this.mustBeRemoved(assignment)) tasks.markChanged(assignment);
     const due: Assignment[] = [];
     for (const assignment of tasks.changedAssignments) {
       if (!this.withheld.has(assignment.key) && this.isDue(assignment, now)) due.push(assignment);
@@ -36,7 +36,7 @@
    * Whether non-urgent assignments may be written now: one of them is overdue, or the store's rate
    * limits have free capacity for them.
    */
-  mayWriteOrdinary(due: readonly Assignment[]): boolean {
+  mayWriteNonUrgent(due: readonly Assignment[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
     const isOverdue = due.some(
@@ -49,7 +49,7 @@
    * Whether the assignment must be removed: all of its tasks were returned to the leader, or its
    * job has ended and no task is placed.
    */
-  isOver(assignment: Assignment): boolean {
+  mustBeRemoved(assignment: Assignment): boolean {
     if (assignment.tasks.size === 0) return true;
     return assignment.placedCount === 0 && jobSpec(this.context, assignment.job) === null;
   }
@@ -67,26 +67,26 @@
    * store's limits.
    */
   private isDue(assignment: Assignment, now: number): boolean {
-    if (this.isOver(assignment)) return true;
+    if (this.mustBeRemoved(assignment)) return true;
     const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= COMPLETION_BATCH_MS[supply]) return true;
     // Other shards stop their subsets of the gang when they see that this one is stopping.
-    const isShared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
-    if (assignment.hasFailed && isShared && !assignment.committedRecord.stopping) return true;
-    if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
+    const spansShards = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
+    if (assignment.hasFailed && spansShards && !assignment.committedRecord.stopping) return true;
+    if (!this.hasNewPlacements(assignment) && this.hasUnfinishedTasks(assignment)) return false;
     return this.isUrgent(assignment) || age >= PLACEMENT_BATCH_MS[supply];
   }
 
   /** Whether some of the assignment's placements are not committed yet. */
-  private startsTasks(assignment: Assignment): boolean {
+  private hasNewPlacements(assignment: Assignment): boolean {
     return [...assignment.tasks.values()].some(
       (task) => task.state === 'placed' && !this.context.tasks.isCommitted(assignment, task),
     );
   }
 
   /** Whether tasks of the assignment wait for a machine or are placed. */
-  private isOpen(assignment: Assignment): boolean {
+  private hasUnfinishedTasks(assignment: Assignment): boolean {
     return (
       assignment.waitingTasks.size > 0 ||
       [...assignment.tasks.values()].some(({ state }) => state === 'placed')
