--- a/test/shard/assignment-splitting.test.ts
+++ b/test/shard/assignment-splitting.test.ts
@@ -1,4 +1,8 @@
-/** Assignments too large for one value are split with their tasks as they are. */
+/**
+ * Guards against tasks that are lost, listed twice or restarted when an assignment is split into
+ * several records. A split is necessary when the previous version has stored a record that is
+ * larger than the values that the key-value store accepts now.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -14,7 +18,10 @@
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, cell]) => [key, cell.value as AssignmentRecord]);
 
-/** Each task stands in one assignment only, and each assignment says of its own tasks only. */
+/**
+ * Checks that each task is in exactly one assignment, and that each assignment's `done` and `live`
+ * list only tasks of that assignment, none of them in both.
+ */
 function checkAssignments(state: SimKeyValueStore, tasks: number): void {
   const ids: number[] = [];
   for (const [key, record] of assignmentsOf(state)) {
@@ -24,7 +31,10 @@
     for (const id of [...done, ...Object.keys(record.live).map(Number)])
       assert.ok(own.includes(id));
     for (const id of done) assert.ok(!(String(id) in record.live));
-    assert.ok(Number.isFinite(Number(key.split('/').at(-1))), 'a number for the version before');
+    assert.ok(
+      Number.isFinite(Number(key.split('/').at(-1))),
+      'the previous version reads a number at the end of the key',
+    );
   }
   assert.deepEqual(
     ids.sort((a, b) => a - b),
@@ -32,7 +42,7 @@
   );
 }
 
-/** A machine's heartbeat of all tasks when the first `done` of them are done. */
+/** The task statuses in a machine's heartbeat when the first `done` of all tasks are done. */
 const heartbeatsOf = (tasks: number, done: number): TaskStatus[] =>
   Array.from({ length: tasks }, (_, at) => ({
     task: { job: JOB, index: at },
@@ -41,8 +51,10 @@
     cause: at < done ? 'done' : null,
   }));
 
-test('an assignment stored larger is split with its tasks as they are, and nothing starts again', async () => {
-  // Changes in one transaction, and whether the first end is enough to write the assignment at all.
+test('an assignment larger than a stored value may be is split, and its tasks continue without a restart', async () => {
+  // Operations per transaction, number of tasks, and whether all pieces fit into one transaction
+  // once the first task has ended. Otherwise the assignment cannot be written until more tasks have
+  // ended.
   for (const [transactionOps, tasks, atOnce] of [
     [4, 130, true],
     [8, 130, true],
@@ -69,12 +81,12 @@
     for (const [, record] of assignmentsOf(world.state)) {
       if (atOnce) assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, name);
     }
-    // What has ended is forgotten once it is written; nothing else is said of any task.
+    // A task that has ended is forgotten once its end is stored; the machine gets no other command.
     const known = heartbeat(1).slice(atOnce ? 1 : 0);
     const said = ops(world.heartbeat({}, heartbeat(1)));
     assert.deepEqual(said, atOnce ? ['forget'] : [], name);
     world.heartbeat({}, known);
-    // The others end in all pieces.
+    // The other tasks end, so that ends are written to all pieces.
     for (let end = 10; end < tasks + 10; end += 10) {
       const done = Math.min(end, tasks);
       const commands = world.heartbeat({}, heartbeat(done));
@@ -92,7 +104,7 @@
   }
 });
 
-test('a split whose answer is lost is carried on from what the key-value store holds', async () => {
+test('after a split whose outcome was unknown, the shard continues from the stored records', async () => {
   const live: AssignmentRecord['live'] = {};
   for (let at = 0; at < 90; at++) live[String(at)] = ['m-1', 900_000_000_000_000 + at];
   const world = await shardFixture({
@@ -113,7 +125,7 @@
   checkAssignments(world.state, 90);
   const done = assignmentsOf(world.state).flatMap(([, record]) => readRanges(record.done));
   assert.equal(done.length, 90);
-  // The job is cancelled: all pieces go.
+  // The job is cancelled, so that all pieces are removed.
   world.state.change([{ key: jobKey(JOB), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.heartbeat();
--- a/test/shard/gang-shard.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against a gang of which only some tasks run. This could happen when a new holder loads a
+ * gang subset that is only partly placed or already stopping, or when one task exits and the shard
+ * starts it again alone instead of stopping the others and returning all of them to the leader.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assignmentKey } from '../../src/storage/keys.js';
@@ -9,7 +14,10 @@
 const SAVE_S = 2;
 const LIVE: AssignmentRecord['live'] = { '0': ['m-1', ATTEMPT], '1': ['m-1', ATTEMPT] };
 
-/** A shard that takes over its assignment of a gang, as a former owner stored it. */
+/**
+ * A shard that loads its gang subset as a former holder stored it; `change`: fields of the subset
+ * that differ from the default; `other`: those of another shard's subset, if there is one.
+ */
 async function takeOver(
   change: Partial<AssignmentRecord>,
   tasks = 2,
@@ -46,13 +54,14 @@
       ? `stop ${one.task.index} ${one.graceS}`
       : `${one.op} ${one.task.index} of ${one.attempt === ATTEMPT ? 'the old' : 'another'} attempt`,
   );
-/** All direct commands of the shard to its machine. */
+/** All commands that the shard sent directly to its machine. */
 const sent = (world: TakenOver): string[] => world.sent.flatMap(({ commands }) => wire(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
-    // The former owner knew that task 1 had ended: its attempt can be placed no more.
-    name: 'an assignment of which one task has lost its placement ends, and is returned',
+    // The former holder stored the end of task 1, so the attempt has failed and must not be placed
+    // again.
+    name: 'a subset in which one task is no longer placed is stopped and returned to the leader',
     check: async () => {
       const world = await takeOver({ live: { '0': ['m-1', ATTEMPT] } });
       world.heartbeat({}, [task(0, 'running')]);
@@ -65,7 +74,7 @@
     },
   },
   {
-    name: 'an assignment whose stop has begun is stopped completely, with the time to save',
+    name: 'all tasks of a subset that is stored as stopping get a stop with time to save',
     check: async () => {
       const world = await takeOver({ stopping: true }, 4, {});
       const both = [task(0, 'running'), task(1, 'running')];
@@ -75,8 +84,8 @@
     },
   },
   {
-    // Placed on a machine that has lost it, it would start beside peers that are gone.
-    name: 'nothing starts in an assignment whose stop has begun elsewhere',
+    // A task that its machine has lost would start again although the other tasks of its gang stop.
+    name: 'no task of a subset starts when another shard is stopping its subset of the gang',
     check: async () => {
       const world = await takeOver({}, 4, { stopping: true });
       const commands = wire(world.heartbeat());
@@ -85,7 +94,7 @@
     },
   },
   ...(['timedOut', 'peerLost', 'error', 'noRoom', 'stopped'] as const).map((cause) => ({
-    name: `a task exits with ${cause}: the other is stopped, nothing starts again, all is returned`,
+    name: `when a task exits with ${cause}, the other is stopped, none restarts, and both are returned`,
     check: async () => {
       const world = await takeOver({});
       world.heartbeat({}, [task(0, 'gathering'), task(1, 'gathering')]);
@@ -100,8 +109,8 @@
     },
   })),
   {
-    // Mates that have saved wait only some seconds for the last halt.
-    name: 'other shards are notified of a stop at once, before ends are gathered',
+    // Tasks that have saved their progress wait only a few seconds until all others are stopped.
+    name: 'a stop is stored for the other shards at once, without waiting to share a write',
     check: async () => {
       const world = await takeOver({}, 4, {});
       world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
@@ -112,7 +121,7 @@
     },
   },
   {
-    name: 'a task that is done is stored as done, and nothing starts again',
+    name: 'a task that is done is stored as done, and no task restarts',
     check: async () => {
       const world = await takeOver({});
       world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
--- a/test/shard/gang-shares.test.ts
+++ b/test/shard/gang-shares.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against gangs that start partly, restart under an old attempt, or never start. These
+ * follow if a shard starts its subset before the other shards have placed theirs, continues after
+ * one of the tasks has ended, or gives capacity to arrays that a waiting gang needs.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assignmentKey, jobKey } from '../../src/storage/keys.js';
@@ -13,7 +18,9 @@
   type ShardFixture,
 } from '../world/shard-fixture.js';
 
-/** A shard with its assignment of a gang; `other`: the assignment of another shard. */
+/**
+ * A shard with its subset of a gang; `other`: fields of another shard's subset, if there is one.
+ */
 async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
@@ -38,7 +45,7 @@
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
-    name: 'all tasks are placed under the attempt that the leader gave',
+    name: 'all tasks are placed under the attempt that the leader assigned',
     check: async () => {
       const world = await gang(2);
       world.heartbeat();
@@ -49,8 +56,8 @@
     },
   },
   {
-    // Tasks that start early occupy their machines, and exit as `alone` when the rest does not come.
-    name: 'none starts before all are reserved, here and in other shards',
+    // Tasks that start early occupy their machines, and time out if the other tasks do not start.
+    name: 'no task starts before all tasks of the gang are placed, here and in other shards',
     check: async () => {
       const world = await gang(4, {});
       world.heartbeat();
@@ -66,8 +73,9 @@
     },
   },
   {
-    // Under its old attempt a task could run beside what is left of it elsewhere.
-    name: 'when one task ends all end, and the attempt is never placed again',
+    // Under the old attempt, a task could run together with tasks of that attempt that still run in
+    // another shard.
+    name: 'when one task exits, the others are stopped and the attempt is never placed again',
     check: async () => {
       const world = await gang(2);
       world.heartbeat();
@@ -84,11 +92,11 @@
       );
       world.heartbeat({}, [shown(0, 'exited'), shown(1, 'exited')]);
       await world.reconcile(6000);
-      assert.equal(world.stored(), undefined, 'is returned to the leader');
+      assert.equal(world.stored(), undefined, 'the subset is returned to the leader');
     },
   },
   {
-    name: 'what another shard stops is stopped here too, with the time to save',
+    name: 'when another shard stops its subset, the tasks here get a stop with time to save',
     check: async () => {
       const live = {
         '2': ['m-8', GANG_ATTEMPT],
@@ -110,8 +118,9 @@
     },
   },
   {
-    // Arrays that queue in a shard would take each machine slot that becomes free, one by one, for ever.
-    name: 'capacity that becomes free is reserved for a waiting gang, ahead of arrays behind it',
+    // Otherwise tasks of queued arrays would take each slot that becomes free, and the gang would
+    // never find enough free capacity at once.
+    name: 'capacity that becomes free is reserved for a waiting gang, not given to a later array',
     check: async () => {
       const world = await gang(2);
       const busy = { ...SPEC, id: 'j-000002', tasks: 3 };
@@ -140,7 +149,7 @@
         state,
         cause: state === 'exited' ? 'done' : null,
       });
-      // One slot is free: too few for the gang, enough for a task behind it.
+      // One slot is free, which is too few for the gang but enough for a task of the later array.
       world.heartbeat({}, [other(0), other(1), other(2)]);
       await world.reconcile();
       const behind = (): number =>
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -1,4 +1,8 @@
-/** Decisions of a shard by the workers' times for gangs, `gang_wait_s` and `gang_peer_s`. */
+/**
+ * Guards against gangs that lose progress or occupy machines in vain because stops come too late.
+ * Tasks that wait for their gang exit one by one after `gang_wait_s`, and progress is saved only if
+ * all tasks receive a stop within `gang_peer_s`.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -25,7 +29,10 @@
   cause: state === 'exited' ? 'peerLost' : null,
 });
 
-/** A shard with a gang of so many tasks, of which it has two; `other`: the assignment of another shard. */
+/**
+ * A shard with a subset of two tasks of a gang of `tasks` tasks; `other`: the subset of another
+ * shard.
+ */
 async function gang(
   tasks: number,
   checkpointS: number,
@@ -44,7 +51,7 @@
   return world;
 }
 
-/** Answers all direct calls so far with a heartbeat of these tasks. */
+/** Answers all direct calls that are open with a heartbeat that shows these tasks. */
 function answerCalls(world: ShardFixture, tasks: TaskStatus[]): void {
   world.answer({}, tasks);
   for (const { done } of world.sent.splice(0)) {
@@ -52,7 +59,9 @@
   }
 }
 
-/** Runs on for so long, with a heartbeat each second; returns the stops that were sent. */
+/**
+ * Sends a heartbeat each second, at most for `seconds` and until stops are sent; returns the stops.
+ */
 async function stopsWithin(
   world: ShardFixture,
   seconds: number,
@@ -68,12 +77,12 @@
   return stops;
 }
 
-test('a gang that gathers until just before its tasks give up is stopped as a whole', async () => {
+test('a gang subset whose tasks wait for the others until shortly before gang_wait_s is stopped as a whole', async () => {
   const cases: [string, TaskStatus['state'][], number, number][] = [
-    ['all wait for a task elsewhere', ['gathering', 'gathering'], 34, 2],
-    ['not before', ['gathering', 'gathering'], 30, 0],
-    ['one still fetches', ['gathering', 'fetching'], 34, 2],
-    ['it runs', ['running', 'running'], 34, 0],
+    ['both wait for a task in another shard', ['gathering', 'gathering'], 34, 2],
+    ['both have waited for a shorter time', ['gathering', 'gathering'], 30, 0],
+    ['one waits and one fetches its image', ['gathering', 'fetching'], 34, 2],
+    ['both run', ['running', 'running'], 34, 0],
   ];
   for (const [name, states, seconds, want] of cases) {
     const live = {
@@ -87,7 +96,7 @@
   }
 });
 
-test('nobody is stopped before the other shards can know of it', async () => {
+test('no task is stopped before the stop is stored for the other shards', async () => {
   const live = {
     '2': ['m-8', GANG_ATTEMPT],
     '3': ['m-9', GANG_ATTEMPT],
@@ -97,14 +106,14 @@
   await stopsWithin(world, 2, [shown(0), shown(1)]);
   world.state.hasOutage = true;
   const left = [shown(0, 'exited'), shown(1)];
-  assert.deepEqual(await stopsWithin(world, 6, left), [], 'in the outage');
+  assert.deepEqual(await stopsWithin(world, 6, left), [], 'during the outage');
   assert.equal(world.stored()?.stopping, undefined);
   world.state.endOutage();
   assert.deepEqual(await stopsWithin(world, 6, left), ['stop']);
   assert.equal(world.stored()?.stopping, true);
 });
 
-test('a gang is preempted for urgent work only where that loses little', async () => {
+test('a gang is preempted for urgent work only if all tasks get the stop in time or little progress is lost', async () => {
   const cases: {
     name: string;
     checkpointS: number;
@@ -113,11 +122,11 @@
     reachable: boolean;
     want: number;
   }[] = [
-    { name: 'all can be told', checkpointS: 60, ranS: 20, reachable: true, want: 2 },
-    { name: 'one can not be told', checkpointS: 60, ranS: 20, reachable: false, want: 0 },
-    { name: 'it began a moment ago', checkpointS: 60, ranS: 2, reachable: false, want: 2 },
-    { name: 'a checkpoint is never far', checkpointS: 4, ranS: 20, reachable: false, want: 2 },
-    { name: 'it never saves', checkpointS: 0, ranS: 20, reachable: false, want: 2 },
+    { name: 'the machine is reachable', checkpointS: 60, ranS: 20, reachable: true, want: 2 },
+    { name: 'the machine is unreachable', checkpointS: 60, ranS: 20, reachable: false, want: 0 },
+    { name: 'the gang started 2 s ago', checkpointS: 60, ranS: 2, reachable: false, want: 2 },
+    { name: 'checkpoints are 4 s apart', checkpointS: 4, ranS: 20, reachable: false, want: 2 },
+    { name: 'the gang never saves', checkpointS: 0, ranS: 20, reachable: false, want: 2 },
   ];
   for (const { name, checkpointS, ranS, reachable, want } of cases) {
     const world = await gang(2, checkpointS);
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against work on machines that do not receive the shard's answers, and against tasks that
+ * are wrongly taken for running or ended. Both come about when a late duplicate of a heartbeat, or
+ * a heartbeat without the required fencing token, is taken as proof that an answer has arrived.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assignmentKey, machineKey } from '../../src/storage/keys.js';
@@ -16,12 +21,12 @@
 const placed = (world: ShardFixture): string | undefined => world.stored()?.live['0']?.[0];
 
 /**
- * What heartbeats prove and what not. Each row tells what comes from machine m-1, whose task 0 of JOB
- * is to run, and what must follow. `m-2` is an idle machine where a row calls `other`.
+ * Each row sends heartbeats of machine m-1, on which task 0 of JOB is to run, and checks what the
+ * shard does. `placed`: a former holder has placed the task there. m-2 is a second, idle machine.
  */
 const ROWS: { name: string; placed?: boolean; check: (world: ShardFixture) => Promise<void> }[] = [
   {
-    name: 'a machine that never shows our fencing token gets no work',
+    name: "a machine that never shows this term's fencing token gets no tasks",
     check: async (world) => {
       for (let turn = 0; turn < 4; turn++) {
         assert.deepEqual(ops(world.heartbeat({ fencingToken: 0 })), []);
@@ -34,13 +39,14 @@
     },
   },
   {
-    name: 'one that stops receiving answers gets no more work until it shows the newest fencing token',
+    name: 'a machine that did not answer a direct call gets no tasks until it shows the newest fencing token',
     check: async (world) => {
       world.heartbeat();
       await world.reconcile();
       world.sent[0]?.fail();
       await world.reconcile();
-      // Its next agent epoch shows that its lease ran out although it was answered.
+      // A new worker epoch shows that the worker's lease expired although its heartbeat was
+      // answered.
       world.heartbeat({ agentEpoch: 2 });
       world.heartbeat({ machine: 'm-2' });
       await world.reconcile();
@@ -48,7 +54,7 @@
     },
   },
   {
-    name: 'one whose agent epoch ended although it was answered gets no work until it shows a new fencing token',
+    name: 'a machine whose worker epoch ended although it was answered gets no tasks until it shows a new fencing token',
     check: async (world) => {
       world.heartbeat();
       world.heartbeat({ agentEpoch: 2 });
@@ -60,7 +66,7 @@
     },
   },
   {
-    name: 'one that sends heartbeats for long without receiving answers is no longer answered, and its tasks move',
+    name: 'a machine that is not acknowledged for a whole lease is no longer answered, and its task moves',
     placed: true,
     check: async (world) => {
       let answered = 0;
@@ -74,7 +80,7 @@
     },
   },
   {
-    name: 'a duplicate heartbeat of a returned machine brings nothing back',
+    name: 'a duplicate heartbeat of a machine that was returned to the cloud is not answered and adds no machine',
     check: async (world) => {
       const value: MachineRecord = { state: 'gone', type: 'small', zone: 'a', spot: false, at: 0 };
       world.state.change([{ key: machineKey('m-1'), value }]);
@@ -85,7 +91,7 @@
     },
   },
   {
-    name: 'a duplicate heartbeat of a machine forgotten meanwhile is no proof that it receives answers',
+    name: 'a duplicate heartbeat of a machine whose entry was removed meanwhile does not acknowledge it',
     check: async (world) => {
       world.heartbeat({ sequence: 50 });
       await world.reconcile(0);
@@ -103,7 +109,7 @@
       };
       await world.reconcile(3000);
       assert.equal(world.shard.counts().machines, 0);
-      // What waited was given back meanwhile; the leader assigns it anew.
+      // The waiting task was returned to the leader meanwhile. The leader assigns it again.
       world.state.change([
         { key: assignmentKey('p', JOB, 1), value: { ...assignment, zone: 'a' } },
       ]);
@@ -117,7 +123,7 @@
     },
   },
   {
-    name: 'duplicates of older heartbeats renew no liveness',
+    name: 'duplicates of older heartbeats do not extend the lease of a machine',
     check: async (world) => {
       world.heartbeat({ sequence: 50 });
       await world.reconcile();
@@ -133,7 +139,7 @@
     },
   },
   {
-    name: 'a machine restarted at once, with sequence numbers from one, is accepted again, and its task starts again',
+    name: 'a machine that restarts at once with sequence numbers from 1 is accepted, and its task is started again',
     check: async (world) => {
       world.heartbeat({ sequence: 500 });
       await world.reconcile();
@@ -147,12 +153,12 @@
         if (answer.ok && ops(answer.commands).includes('start')) started = turn;
         await world.reconcile(3000);
       }
-      assert.ok(started > 0, 'ignored for ever');
+      assert.ok(started > 0, 'the restarted machine is ignored');
       assert.ok(fencingToken > FENCING_TOKEN);
     },
   },
   {
-    name: 'forgetting an attempt fences every earlier direct start, without a new uncertainty',
+    name: 'forgetting an attempt fences every earlier direct start, and the machine stays acknowledged',
     check: async (world) => {
       world.heartbeat();
       await world.reconcile();
@@ -171,7 +177,7 @@
     },
   },
   {
-    name: 'commands in the answer to a late copy do not count as delivered',
+    name: 'the answer to a late duplicate contains no commands, so the next answer contains the start',
     placed: true,
     check: (world) => {
       assert.deepEqual(ops(world.heartbeat({ fencingToken: 3, sequence: 7 })), []);
@@ -189,9 +195,9 @@
   });
 }
 
-// Answers to calls renew no lease: a machine that reaches no controller loses its tasks though it
-// answers every call, and what was started there went on being lost.
-test('heartbeats: a machine whose heartbeats do not arrive counts as silent though it answers direct calls', async () => {
+// Direct calls renew no lease, so a machine whose heartbeats reach no controller loses its tasks
+// although it answers every call. Tasks that were started there repeatedly were lost each time.
+test('heartbeats: a machine whose heartbeats do not arrive counts as silent although it answers direct calls', async () => {
   const world = await shardFixture();
   world.heartbeat();
   await world.reconcile();
@@ -203,7 +209,7 @@
     machine.acknowledgedAt = world.clock.now();
   }
   assert.equal(world.shard.machines.health(machine), 'silent');
-  // What must end there is told to it all the same.
+  // A silent machine still gets stops.
   world.sent[0]?.done(heartbeatOf({ sequence: 500, tasks: [running(attempt)] }));
   await world.reconcile();
   await world.cancel();
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against tasks that run twice, are lost or start on machines where they may not. These
+ * follow if commands are sent before their placements are committed, if a task that no heartbeat
+ * lists is taken as ended without proof, or if an end is forgotten before it is stored.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
@@ -14,7 +19,7 @@
   running,
 } from '../world/shard-fixture.js';
 
-test('a start goes out only once its placement is committed', async () => {
+test('a start is sent only after its placement is committed', async () => {
   const world = await shardFixture();
   world.heartbeat();
   world.state.hasOutage = true;
@@ -27,7 +32,7 @@
   assert.deepEqual(ops(world.heartbeat()), ['start']);
 });
 
-test('a placement made after the role was lost is never committed nor sent', async () => {
+test('a placement made after the role was lost is neither committed nor sent', async () => {
   const world = await shardFixture();
   world.heartbeat();
   world.state.change([{ key: roleKey('part-p'), value: { owner: 'q' } }]);
@@ -37,7 +42,7 @@
   assert.equal(world.sent.length, 0);
 });
 
-test('absence proves an end only to the owner whose fencing token the worker has shown', async () => {
+test('a task missing from a heartbeat is proven to have ended only if the heartbeat shows the fencing token of this holder', async () => {
   const world = await shardFixture({ placed: true });
   await world.cancel();
   world.heartbeat({ fencingToken: 3 });
@@ -48,7 +53,7 @@
   assert.equal(world.stored(), undefined);
 });
 
-test('an older heartbeat proves nothing', async () => {
+test('a task missing from an older heartbeat does not count as ended', async () => {
   const world = await shardFixture({ placed: true });
   world.heartbeat({ sequence: 9 }, [running(77)]);
   await world.cancel();
@@ -58,7 +63,7 @@
   assert.deepEqual(ops(world.heartbeat({ sequence: 10 }, [running(77)])), ['stop']);
 });
 
-test('a direct start without an answer must be fenced before its absence counts', async () => {
+test('a task whose direct start was not answered counts as ended only after the start is fenced', async () => {
   const world = await shardFixture();
   world.heartbeat();
   await world.reconcile();
@@ -101,7 +106,7 @@
   ]);
 });
 
-test('tasks on a machine that never sent the new owner a heartbeat wait for the fencing time', async () => {
+test('tasks on a machine that sends the new holder no heartbeat are requeued once former leases have expired', async () => {
   const world = await shardFixture({ placed: true });
   await world.clock.run(56_000);
   await world.reconcile();
@@ -111,7 +116,7 @@
   assert.deepEqual(world.stored()?.live, {});
 });
 
-test('services of a little-used machine move to another that has capacity and their image', async () => {
+test('services on a little-used machine move to another machine that has free capacity and their image', async () => {
   const world = await shardFixture({ placed: true, spec: { kind: 'service' } });
   const job: JobRecord = { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 0 };
   const assignment = { ...world.stored(), ids: '0-2', live: { '0': ['m-2', 7], '1': ['m-2', 8] } };
@@ -133,7 +138,7 @@
   both();
   await world.clock.run(world.clock.now() + 2000);
   await world.reconcile();
-  assert.deepEqual(ops(both()), [], 'too young to move');
+  assert.deepEqual(ops(both()), [], 'the services have run too short to move');
   await world.clock.run(world.clock.now() + 40_000);
   both();
   await world.reconcile();
@@ -143,15 +148,15 @@
   assert.equal(world.stored()?.live['0']?.[0], 'm-2');
 });
 
-test('tasks go only where their job allows', async () => {
+test('tasks are placed only on machines that their job allows', async () => {
   const cases: [string, Parameters<typeof shardFixture>[0], Partial<Heartbeat>, boolean][] = [
-    ['anywhere', {}, {}, true],
-    ['a spot machine not allowed', {}, { spot: true }, false],
-    ['a spot machine allowed', { spec: { spot: true } }, { spot: true }, true],
-    ['another zone than the leader settled', { zone: 'b' }, {}, false],
-    ['another zone than the job allows', { spec: { zone: 'b' } }, {}, false],
-    ['a type that is not allowed', { spec: { types: ['large'] } }, {}, false],
-    ['a machine about to be taken', {}, { noticeS: 20 }, false],
+    ['no restriction', {}, {}, true],
+    ['a spot machine, which the job does not allow', {}, { spot: true }, false],
+    ['a spot machine, which the job allows', { spec: { spot: true } }, { spot: true }, true],
+    ['a machine outside the zone of the assignment', { zone: 'b' }, {}, false],
+    ['a machine outside the zone of the job', { spec: { zone: 'b' } }, {}, false],
+    ['a machine type that the job does not allow', { spec: { types: ['large'] } }, {}, false],
+    ['a machine that the cloud has announced to take back', {}, { noticeS: 20 }, false],
   ];
   for (const [name, options, change, placed] of cases) {
     const world = await shardFixture(options);
@@ -161,9 +166,10 @@
   }
 });
 
-// Seen on the grown deployments: an assignment placed on more machines than a transaction may guard was
-// refused as malformed, again and again, and none of its tasks ever started.
-test('an assignment on more machines than one transaction can guard is written in pieces', async () => {
+// Guards against a fault seen on the grown deployments: the store rejected each write of an
+// assignment that was placed on more machines than one transaction may guard, so none of its tasks
+// ever started.
+test('an assignment on more machines than one transaction can guard is written in several transactions', async () => {
   const world = await shardFixture({ ids: '0-39', spec: { tasks: 40 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
@@ -175,9 +181,9 @@
   assert.equal(Object.keys(world.stored()?.live ?? {}).length, 40);
 });
 
-// Seen on the one-zone site grown: the first tasks of a job that had waited long were the newest on
-// their machines, so urgent work preempted them first, again and again.
-test('urgent work preempts the newest lower-priority work, but not the first tasks of a job that waited', async () => {
+// Guards against a fault seen on the grown one-zone site: the first tasks of a job that had waited
+// long were the newest on their machines, so urgent work repeatedly preempted them first.
+test('urgent work preempts the newest non-urgent task, but not the first tasks of a job that waited long', async () => {
   for (const waited of [false, true]) {
     const world = await shardFixture({
       spec: { tasks: 4 },
@@ -206,9 +212,10 @@
   }
 });
 
-// Seen on the earlier two-zone site: a start that waited for stopped work to leave its machine was
-// sent only with the machine's next heartbeat, which cost urgent work half a second and more.
-test('a start that waited for preempted work follows the answer to the stop', async () => {
+// Guards against a fault seen on the earlier two-zone site: a start that waited until a preempted
+// task had ended was sent only with the machine's next heartbeat, which delayed urgent work by half
+// a second or more.
+test('a start that waits for a preempted task is sent after the answer to the stop that shows its end', async () => {
   const world = await shardFixture({ spec: { tasks: 4 }, ids: '0-3' });
   world.heartbeat();
   await world.reconcile();
@@ -238,12 +245,12 @@
   assert.deepEqual(ops(world.sent.at(-1)?.commands ?? []), ['start']);
 });
 
-// A placement may be committed only while its job is there: a shard that has not heard yet of a
-// cancellation started tasks after it had been confirmed.
-test('a cancelled job is not placed, though its shard has not seen the cancellation', async () => {
+// Guards against tasks that start after the cancellation of their job was confirmed. This happened
+// when a shard whose replica did not show the cancellation yet committed placements of the job.
+test('a cancelled job is not placed even if its shard has not seen the cancellation', async () => {
   const world = await shardFixture();
   world.heartbeat();
-  // Gone from the store, and no watch tells of it.
+  // The job's record is removed from the store without a change that the replica's watch returns.
   world.state.revision++;
   world.state.entries.delete(jobKey(JOB));
   await world.reconcile();
