--- a/test/shard/assignment-splitting.test.ts
+++ b/test/shard/assignment-splitting.test.ts
@@ -55,7 +55,7 @@
   // Operations per transaction, number of tasks, and whether all pieces fit into one transaction
   // once the first task has ended. Otherwise the assignment cannot be written until more tasks have
   // ended.
-  for (const [transactionOps, tasks, atOnce] of [
+  for (const [transactionOps, tasks, fitsAtOnce] of [
     [4, 130, true],
     [8, 130, true],
     [2, 100, true],
@@ -77,15 +77,15 @@
     world.heartbeat({}, heartbeat(1));
     await world.reconcile(5000);
     checkAssignments(world.state, tasks);
-    assert.equal(assignmentsOf(world.state).length > 1, atOnce, name);
+    assert.equal(assignmentsOf(world.state).length > 1, fitsAtOnce, name);
     for (const [, record] of assignmentsOf(world.state)) {
-      if (atOnce) assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, name);
+      if (fitsAtOnce) assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, name);
     }
     // A task that has ended is forgotten once its end is stored; the machine gets no other command.
-    const known = heartbeat(1).slice(atOnce ? 1 : 0);
-    const said = ops(world.heartbeat({}, heartbeat(1)));
-    assert.deepEqual(said, atOnce ? ['forget'] : [], name);
-    world.heartbeat({}, known);
+    const remainingStatuses = heartbeat(1).slice(fitsAtOnce ? 1 : 0);
+    const commandsAfterEnd = ops(world.heartbeat({}, heartbeat(1)));
+    assert.deepEqual(commandsAfterEnd, fitsAtOnce ? ['forget'] : [], name);
+    world.heartbeat({}, remainingStatuses);
     // The other tasks end, so that ends are written to all pieces.
     for (let end = 10; end < tasks + 10; end += 10) {
       const done = Math.min(end, tasks);
--- a/test/shard/gang-shard.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -16,14 +16,14 @@
 
 /**
  * A shard that loads its gang subset as a former holder stored it; `change`: fields of the subset
- * that differ from the default; `other`: those of another shard's subset, if there is one.
+ * that differ from the default; `otherSubset`: those of another shard's subset, if there is one.
  */
-async function takeOver(
+async function loadStoredSubset(
   change: Partial<AssignmentRecord>,
   tasks = 2,
-  other?: Partial<AssignmentRecord>,
+  otherSubset?: Partial<AssignmentRecord>,
 ) {
-  const share: AssignmentRecord = {
+  const subset: AssignmentRecord = {
     ...{ ids: '0-1', done: '', live: LIVE, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 },
     ...{ zone: 'a', attempt: ATTEMPT },
   };
@@ -34,28 +34,38 @@
   await world.clock.run(world.clock.now() + 300);
   const live: AssignmentRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
   world.state.change([
-    { key: assignmentKey('p', JOB, 1), value: { ...share, ...change } },
-    ...(other
-      ? [{ key: assignmentKey('q', JOB, 2), value: { ...share, ids: '2-3', live, ...other } }]
+    { key: assignmentKey('p', JOB, 1), value: { ...subset, ...change } },
+    ...(otherSubset
+      ? [
+          {
+            key: assignmentKey('q', JOB, 2),
+            value: { ...subset, ids: '2-3', live, ...otherSubset },
+          },
+        ]
       : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
   return world;
 }
 
-type TakenOver = Awaited<ReturnType<typeof takeOver>>;
+type LoadedShard = Awaited<ReturnType<typeof loadStoredSubset>>;
 
-const task = (index: number, state: TaskStatus['state'], cause: TaskStatus['cause'] = null) => ({
+const statusOf = (
+  index: number,
+  state: TaskStatus['state'],
+  cause: TaskStatus['cause'] = null,
+) => ({
   ...{ task: { job: JOB, index }, attempt: ATTEMPT, state, cause },
 });
-const wire = (commands: Command[]): string[] =>
+const formatCommands = (commands: Command[]): string[] =>
   commands.map((one) =>
     one.op === 'stop'
       ? `stop ${one.task.index} ${one.graceS}`
       : `${one.op} ${one.task.index} of ${one.attempt === ATTEMPT ? 'the old' : 'another'} attempt`,
   );
 /** All commands that the shard sent directly to its machine. */
-const sent = (world: TakenOver): string[] => world.sent.flatMap(({ commands }) => wire(commands));
+const sent = (world: LoadedShard): string[] =>
+  world.sent.flatMap(({ commands }) => formatCommands(commands));
 
 const ROWS: { name: string; check: () => Promise<void> }[] = [
   {
@@ -63,11 +73,13 @@
     // again.
     name: 'a subset in which one task is no longer placed is stopped and returned to the leader',
     check: async () => {
-      const world = await takeOver({ live: { '0': ['m-1', ATTEMPT] } });
-      world.heartbeat({}, [task(0, 'running')]);
+      const world = await loadStoredSubset({ live: { '0': ['m-1', ATTEMPT] } });
+      world.heartbeat({}, [statusOf(0, 'running')]);
       await world.reconcile(500);
-      assert.deepEqual(wire(world.heartbeat({}, [task(0, 'running')])), [`stop 0 ${SAVE_S}`]);
-      world.heartbeat({}, [task(0, 'exited', 'stopped')]);
+      assert.deepEqual(formatCommands(world.heartbeat({}, [statusOf(0, 'running')])), [
+        `stop 0 ${SAVE_S}`,
+      ]);
+      world.heartbeat({}, [statusOf(0, 'exited', 'stopped')]);
       await world.reconcile(6000);
       assert.equal(world.stored(), undefined);
       assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
@@ -76,19 +88,22 @@
   {
     name: 'all tasks of a subset that is stored as stopping get a stop with time to save',
     check: async () => {
-      const world = await takeOver({ stopping: true }, 4, {});
-      const both = [task(0, 'running'), task(1, 'running')];
+      const world = await loadStoredSubset({ stopping: true }, 4, {});
+      const both = [statusOf(0, 'running'), statusOf(1, 'running')];
       world.heartbeat({}, both);
       await world.reconcile(500);
-      assert.deepEqual(wire(world.heartbeat({}, both)), [`stop 0 ${SAVE_S}`, `stop 1 ${SAVE_S}`]);
+      assert.deepEqual(formatCommands(world.heartbeat({}, both)), [
+        `stop 0 ${SAVE_S}`,
+        `stop 1 ${SAVE_S}`,
+      ]);
     },
   },
   {
     // A task that its machine has lost would start again although the other tasks of its gang stop.
     name: 'no task of a subset starts when another shard is stopping its subset of the gang',
     check: async () => {
-      const world = await takeOver({}, 4, { stopping: true });
-      const commands = wire(world.heartbeat());
+      const world = await loadStoredSubset({}, 4, { stopping: true });
+      const commands = formatCommands(world.heartbeat());
       await world.reconcile(1000);
       assert.deepEqual([...commands, ...sent(world)], []);
     },
@@ -96,13 +111,15 @@
   ...(['timedOut', 'peerLost', 'error', 'noRoom', 'stopped'] as const).map((cause) => ({
     name: `when a task exits with ${cause}, the other is stopped, none restarts, and both are returned`,
     check: async () => {
-      const world = await takeOver({});
-      world.heartbeat({}, [task(0, 'gathering'), task(1, 'gathering')]);
-      world.heartbeat({}, [task(0, 'exited', cause), task(1, 'gathering')]);
+      const world = await loadStoredSubset({});
+      world.heartbeat({}, [statusOf(0, 'gathering'), statusOf(1, 'gathering')]);
+      world.heartbeat({}, [statusOf(0, 'exited', cause), statusOf(1, 'gathering')]);
       await world.reconcile(500);
-      const told = wire(world.heartbeat({}, [task(0, 'exited', cause), task(1, 'gathering')]));
-      assert.ok(told.includes(`stop 1 ${SAVE_S}`), told.join());
-      world.heartbeat({}, [task(0, 'exited', cause), task(1, 'exited', 'stopped')]);
+      const stopCommands = formatCommands(
+        world.heartbeat({}, [statusOf(0, 'exited', cause), statusOf(1, 'gathering')]),
+      );
+      assert.ok(stopCommands.includes(`stop 1 ${SAVE_S}`), stopCommands.join());
+      world.heartbeat({}, [statusOf(0, 'exited', cause), statusOf(1, 'exited', 'stopped')]);
       await world.reconcile(6000);
       assert.equal(world.stored(), undefined);
       assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
@@ -112,10 +129,10 @@
     // Tasks that have saved their progress wait only a few seconds until all others are stopped.
     name: 'a stop is stored for the other shards at once, without waiting to share a write',
     check: async () => {
-      const world = await takeOver({}, 4, {});
-      world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
+      const world = await loadStoredSubset({}, 4, {});
+      world.heartbeat({}, [statusOf(0, 'running'), statusOf(1, 'running')]);
       await world.reconcile(250);
-      world.heartbeat({}, [task(0, 'exited', 'peerLost'), task(1, 'running')]);
+      world.heartbeat({}, [statusOf(0, 'exited', 'peerLost'), statusOf(1, 'running')]);
       await world.reconcile(500);
       assert.equal(world.stored()?.stopping, true);
     },
@@ -123,9 +140,9 @@
   {
     name: 'a task that is done is stored as done, and no task restarts',
     check: async () => {
-      const world = await takeOver({});
-      world.heartbeat({}, [task(0, 'running'), task(1, 'running')]);
-      world.heartbeat({}, [task(0, 'exited', 'done'), task(1, 'running')]);
+      const world = await loadStoredSubset({});
+      world.heartbeat({}, [statusOf(0, 'running'), statusOf(1, 'running')]);
+      world.heartbeat({}, [statusOf(0, 'exited', 'done'), statusOf(1, 'running')]);
       await world.reconcile(6000);
       assert.equal(world.stored()?.done, '0');
       assert.ok(!sent(world).some((one) => one.startsWith('start')), sent(world).join());
--- a/test/shard/gang-shares.test.ts
+++ b/test/shard/gang-shares.test.ts
@@ -19,23 +19,32 @@
 } from '../world/shard-fixture.js';
 
 /**
- * A shard with its subset of a gang; `other`: fields of another shard's subset, if there is one.
+ * A shard with its subset of a gang; `otherSubset`: fields of another shard's subset, if there is
+ * one.
  */
-async function gang(tasks: number, other?: Partial<AssignmentRecord>): Promise<ShardFixture> {
+async function shardWithGang(
+  tasks: number,
+  otherSubset?: Partial<AssignmentRecord>,
+): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
     { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
-    ...(other
-      ? [{ key: assignmentKey('q', JOB, 2), value: { ...GANG_ASSIGNMENT, ids: '2-3', ...other } }]
+    ...(otherSubset
+      ? [
+          {
+            key: assignmentKey('q', JOB, 2),
+            value: { ...GANG_ASSIGNMENT, ids: '2-3', ...otherSubset },
+          },
+        ]
       : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
   return world;
 }
 
-const shown = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
+const statusOf = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
   task: { job: JOB, index },
   attempt: GANG_ATTEMPT,
   state,
@@ -47,7 +56,7 @@
   {
     name: 'all tasks are placed under the attempt that the leader assigned',
     check: async () => {
-      const world = await gang(2);
+      const world = await shardWithGang(2);
       world.heartbeat();
       await world.reconcile();
       const attempts = Object.values(world.stored()?.live ?? {}).map(([, attempt]) => attempt);
@@ -59,7 +68,7 @@
     // Tasks that start early occupy their machines, and time out if the other tasks do not start.
     name: 'no task starts before all tasks of the gang are placed, here and in other shards',
     check: async () => {
-      const world = await gang(4, {});
+      const world = await shardWithGang(4, {});
       world.heartbeat();
       await world.reconcile();
       assert.equal(Object.keys(world.stored()?.live ?? {}).length, 2);
@@ -77,20 +86,20 @@
     // another shard.
     name: 'when one task exits, the others are stopped and the attempt is never placed again',
     check: async () => {
-      const world = await gang(2);
+      const world = await shardWithGang(2);
       world.heartbeat();
       await world.reconcile();
-      world.heartbeat({}, [shown(0), shown(1)]);
-      world.heartbeat({}, [shown(0, 'exited'), shown(1)]);
+      world.heartbeat({}, [statusOf(0), statusOf(1)]);
+      world.heartbeat({}, [statusOf(0, 'exited'), statusOf(1)]);
       await world.reconcile(500);
       const stops = world
-        .heartbeat({}, [shown(0, 'exited'), shown(1)])
+        .heartbeat({}, [statusOf(0, 'exited'), statusOf(1)])
         .filter((command) => command.op === 'stop');
       assert.deepEqual(
         stops.map(({ task, graceS }) => [task.index, graceS]),
         [[1, 2]],
       );
-      world.heartbeat({}, [shown(0, 'exited'), shown(1, 'exited')]);
+      world.heartbeat({}, [statusOf(0, 'exited'), statusOf(1, 'exited')]);
       await world.reconcile(6000);
       assert.equal(world.stored(), undefined, 'the subset is returned to the leader');
     },
@@ -102,14 +111,14 @@
         '2': ['m-8', GANG_ATTEMPT],
         '3': ['m-9', GANG_ATTEMPT],
       } as AssignmentRecord['live'];
-      const world = await gang(4, { live });
+      const world = await shardWithGang(4, { live });
       world.heartbeat();
       await world.reconcile();
-      world.heartbeat({}, [shown(0), shown(1)]);
+      world.heartbeat({}, [statusOf(0), statusOf(1)]);
       const value = { ...GANG_ASSIGNMENT, ids: '2-3', live, stopping: true };
       world.state.change([{ key: assignmentKey('q', JOB, 2), value }]);
       await world.reconcile(500);
-      const stops = world.heartbeat({}, [shown(0), shown(1)]);
+      const stops = world.heartbeat({}, [statusOf(0), statusOf(1)]);
       assert.deepEqual(ops(stops), ['stop', 'stop']);
       assert.deepEqual(
         stops.map(({ graceS }) => graceS),
@@ -122,17 +131,17 @@
     // never find enough free capacity at once.
     name: 'capacity that becomes free is reserved for a waiting gang, not given to a later array',
     check: async () => {
-      const world = await gang(2);
-      const busy = { ...SPEC, id: 'j-000002', tasks: 3 };
-      const later = { ...SPEC, id: 'j-000003', tasks: 4 };
+      const world = await shardWithGang(2);
+      const runningJob = { ...SPEC, id: 'j-000002', tasks: 3 };
+      const laterJob = { ...SPEC, id: 'j-000003', tasks: 4 };
       const { attempt, ...plain } = GANG_ASSIGNMENT;
       assert.equal(attempt, GANG_ATTEMPT);
       world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
       world.state.change([
-        { key: jobKey(busy.id), value: { spec: busy, at: world.clock.wall() } },
-        { key: jobKey(later.id), value: { spec: later, at: world.clock.wall() } },
+        { key: jobKey(runningJob.id), value: { spec: runningJob, at: world.clock.wall() } },
+        { key: jobKey(laterJob.id), value: { spec: laterJob, at: world.clock.wall() } },
         {
-          key: assignmentKey('p', busy.id, 2),
+          key: assignmentKey('p', runningJob.id, 2),
           value: {
             ...plain,
             ids: '0-2',
@@ -140,28 +149,35 @@
           },
         },
         { key: assignmentKey('p', JOB, 5), value: GANG_ASSIGNMENT },
-        { key: assignmentKey('p', later.id, 6), value: { ...plain, ids: '0-3' } },
+        { key: assignmentKey('p', laterJob.id, 6), value: { ...plain, ids: '0-3' } },
       ]);
       await world.clock.run(world.clock.now() + 300);
-      const other = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
-        task: { job: busy.id, index },
+      const runningJobStatus = (
+        index: number,
+        state: TaskStatus['state'] = 'running',
+      ): TaskStatus => ({
+        task: { job: runningJob.id, index },
         attempt: index + 1,
         state,
         cause: state === 'exited' ? 'done' : null,
       });
       // One slot is free, which is too few for the gang but enough for a task of the later array.
-      world.heartbeat({}, [other(0), other(1), other(2)]);
+      world.heartbeat({}, [runningJobStatus(0), runningJobStatus(1), runningJobStatus(2)]);
       await world.reconcile();
-      const behind = (): number =>
+      const countLaterPlaced = (): number =>
         Object.keys(
-          (world.state.entries.get(assignmentKey('p', later.id, 6))?.value as AssignmentRecord)
+          (world.state.entries.get(assignmentKey('p', laterJob.id, 6))?.value as AssignmentRecord)
             .live,
         ).length;
-      assert.equal(behind(), 0);
-      world.heartbeat({}, [other(0, 'exited'), other(1), other(2)]);
+      assert.equal(countLaterPlaced(), 0);
+      world.heartbeat({}, [
+        runningJobStatus(0, 'exited'),
+        runningJobStatus(1),
+        runningJobStatus(2),
+      ]);
       await world.reconcile();
-      const share = world.state.entries.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
-      assert.equal(Object.keys(share.live).length, 2);
+      const subset = world.state.entries.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
+      assert.equal(Object.keys(subset.live).length, 2);
     },
   },
 ];
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -22,7 +22,7 @@
 
 const URGENT_JOB = 'j-000002';
 
-const shown = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
+const statusOf = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
   task: { job: JOB, index },
   attempt: GANG_ATTEMPT,
   state,
@@ -30,20 +30,20 @@
 });
 
 /**
- * A shard with a subset of two tasks of a gang of `tasks` tasks; `other`: the subset of another
- * shard.
+ * A shard with a subset of two tasks of a gang of `tasks` tasks; `otherSubset`: the subset of
+ * another shard.
  */
-async function gang(
+async function shardWithGang(
   tasks: number,
   checkpointS: number,
-  other?: AssignmentRecord,
+  otherSubset?: AssignmentRecord,
 ): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
     { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
-    ...(other ? [{ key: assignmentKey('q', JOB, 2), value: other }] : []),
+    ...(otherSubset ? [{ key: assignmentKey('q', JOB, 2), value: otherSubset }] : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
   world.heartbeat();
@@ -68,11 +68,12 @@
   tasks: TaskStatus[],
 ): Promise<string[]> {
   const stops: string[] = [];
-  const note = (list: string[]): void => void stops.push(...list.filter((op) => op === 'stop'));
+  const recordStops = (list: string[]): void =>
+    void stops.push(...list.filter((op) => op === 'stop'));
   for (let passed = 0; passed < seconds && stops.length === 0; passed++) {
-    note(ops(world.heartbeat({}, tasks)));
+    recordStops(ops(world.heartbeat({}, tasks)));
     await world.reconcile(1000);
-    note(world.sent.flatMap(({ commands }) => ops(commands)));
+    recordStops(world.sent.flatMap(({ commands }) => ops(commands)));
   }
   return stops;
 }
@@ -84,15 +85,15 @@
     ['one waits and one fetches its image', ['gathering', 'fetching'], 34, 2],
     ['both run', ['running', 'running'], 34, 0],
   ];
-  for (const [name, states, seconds, want] of cases) {
+  for (const [name, states, seconds, stops] of cases) {
     const live = {
       '2': ['m-8', GANG_ATTEMPT],
       '3': ['m-9', GANG_ATTEMPT],
     } as AssignmentRecord['live'];
-    const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
-    const tasks = states.map((state, index) => shown(index, state));
+    const world = await shardWithGang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
+    const tasks = states.map((state, index) => statusOf(index, state));
     answerCalls(world, tasks);
-    assert.equal((await stopsWithin(world, seconds, tasks)).length, want, name);
+    assert.equal((await stopsWithin(world, seconds, tasks)).length, stops, name);
   }
 });
 
@@ -101,15 +102,15 @@
     '2': ['m-8', GANG_ATTEMPT],
     '3': ['m-9', GANG_ATTEMPT],
   } as AssignmentRecord['live'];
-  const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
-  answerCalls(world, [shown(0), shown(1)]);
-  await stopsWithin(world, 2, [shown(0), shown(1)]);
+  const world = await shardWithGang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
+  answerCalls(world, [statusOf(0), statusOf(1)]);
+  await stopsWithin(world, 2, [statusOf(0), statusOf(1)]);
   world.state.hasOutage = true;
-  const left = [shown(0, 'exited'), shown(1)];
-  assert.deepEqual(await stopsWithin(world, 6, left), [], 'during the outage');
+  const statuses = [statusOf(0, 'exited'), statusOf(1)];
+  assert.deepEqual(await stopsWithin(world, 6, statuses), [], 'during the outage');
   assert.equal(world.stored()?.stopping, undefined);
   world.state.endOutage();
-  assert.deepEqual(await stopsWithin(world, 6, left), ['stop']);
+  assert.deepEqual(await stopsWithin(world, 6, statuses), ['stop']);
   assert.equal(world.stored()?.stopping, true);
 });
 
@@ -120,17 +121,23 @@
     ranS: number;
     /** Whether the machine answers calls. */
     reachable: boolean;
-    want: number;
+    stops: number;
   }[] = [
-    { name: 'the machine is reachable', checkpointS: 60, ranS: 20, reachable: true, want: 2 },
-    { name: 'the machine is unreachable', checkpointS: 60, ranS: 20, reachable: false, want: 0 },
-    { name: 'the gang started 2 s ago', checkpointS: 60, ranS: 2, reachable: false, want: 2 },
-    { name: 'checkpoints are 4 s apart', checkpointS: 4, ranS: 20, reachable: false, want: 2 },
-    { name: 'the gang never saves', checkpointS: 0, ranS: 20, reachable: false, want: 2 },
+    { name: 'the machine is reachable', checkpointS: 60, ranS: 20, reachable: true, stops: 2 },
+    {
+      name: 'the machine is unreachable',
+      checkpointS: 60,
+      ranS: 20,
+      reachable: false,
+      stops: 0,
+    },
+    { name: 'the gang started 2 s ago', checkpointS: 60, ranS: 2, reachable: false, stops: 2 },
+    { name: 'checkpoints are 4 s apart', checkpointS: 4, ranS: 20, reachable: false, stops: 2 },
+    { name: 'the gang never saves', checkpointS: 0, ranS: 20, reachable: false, stops: 2 },
   ];
-  for (const { name, checkpointS, ranS, reachable, want } of cases) {
-    const world = await gang(2, checkpointS);
-    const tasks = [shown(0), shown(1)];
+  for (const { name, checkpointS, ranS, reachable, stops } of cases) {
+    const world = await shardWithGang(2, checkpointS);
+    const tasks = [statusOf(0), statusOf(1)];
     if (reachable) answerCalls(world, tasks);
     await stopsWithin(world, ranS, tasks);
     const urgent = { ...SPEC, id: URGENT_JOB, priority: 'high' as const, cpus: 3 };
@@ -139,6 +146,6 @@
       { key: assignmentKey('p', URGENT_JOB, 9), value: { ...PLAIN_ASSIGNMENT, ids: '0', cpus: 3 } },
     ]);
     await world.clock.run(world.clock.now() + 300);
-    assert.equal((await stopsWithin(world, 2, tasks)).length, want, name);
+    assert.equal((await stopsWithin(world, 2, tasks)).length, stops, name);
   }
 });
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -28,7 +28,7 @@
   {
     name: "a machine that never shows this term's fencing token gets no tasks",
     check: async (world) => {
-      for (let turn = 0; turn < 4; turn++) {
+      for (let round = 0; round < 4; round++) {
         assert.deepEqual(ops(world.heartbeat({ fencingToken: 0 })), []);
         await world.reconcile();
       }
@@ -70,7 +70,7 @@
     placed: true,
     check: async (world) => {
       let answered = 0;
-      for (let turn = 0; turn < 40; turn++) {
+      for (let round = 0; round < 40; round++) {
         if (world.answer({ fencingToken: 3 }, [running(77)]).ok) answered++;
         world.heartbeat({ machine: 'm-2' });
         await world.reconcile(3000);
@@ -129,10 +129,10 @@
       await world.reconcile();
       const attempt = world.stored()?.live['0']?.[1] ?? 0;
       world.heartbeat({ sequence: 51 }, [running(attempt)]);
-      for (let turn = 0; turn < 9; turn++) {
+      for (let round = 0; round < 9; round++) {
         await world.reconcile(3000);
-        world.heartbeat({ sequence: 40 + turn });
-        world.heartbeat({ machine: 'm-2', sequence: 100 + turn });
+        world.heartbeat({ sequence: 40 + round });
+        world.heartbeat({ machine: 'm-2', sequence: 100 + round });
       }
       await world.reconcile(3000);
       assert.equal(placed(world), 'm-2');
@@ -147,10 +147,10 @@
       world.heartbeat({ sequence: 501 }, [running(attempt)]);
       let fencingToken = 0;
       let started = 0;
-      for (let turn = 1; turn <= 10; turn++) {
-        const answer = world.answer({ sequence: turn, fencingToken });
+      for (let round = 1; round <= 10; round++) {
+        const answer = world.answer({ sequence: round, fencingToken });
         if (answer.ok) fencingToken = answer.fencingToken;
-        if (answer.ok && ops(answer.commands).includes('start')) started = turn;
+        if (answer.ok && ops(answer.commands).includes('start')) started = round;
         await world.reconcile(3000);
       }
       assert.ok(started > 0, 'the restarted machine is ignored');
@@ -204,7 +204,7 @@
   const attempt = world.stored()?.live['0']?.[1] ?? 0;
   const machine = world.shard.machines.all.get('m-1');
   assert.ok(machine);
-  for (let turn = 0; turn < 5; turn++) {
+  for (let round = 0; round < 5; round++) {
     await world.clock.run(world.clock.now() + 3000);
     machine.acknowledgedAt = world.clock.now();
   }
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -131,18 +131,18 @@
     state: 'running' as const,
     cause: null,
   }));
-  const both = (): Command[] => {
+  const sendHeartbeats = (): Command[] => {
     world.heartbeat({ machine: 'm-2' }, other);
     return world.heartbeat({}, [running(77)]);
   };
-  both();
+  sendHeartbeats();
   await world.clock.run(world.clock.now() + 2000);
   await world.reconcile();
-  assert.deepEqual(ops(both()), [], 'the services have run too short to move');
+  assert.deepEqual(ops(sendHeartbeats()), [], 'the services have run too short to move');
   await world.clock.run(world.clock.now() + 40_000);
-  both();
+  sendHeartbeats();
   await world.reconcile();
-  assert.deepEqual(ops(both()), ['stop']);
+  assert.deepEqual(ops(sendHeartbeats()), ['stop']);
   world.heartbeat({}, [{ ...ended(77), cause: 'stopped' }]);
   await world.reconcile();
   assert.equal(world.stored()?.live['0']?.[0], 'm-2');
@@ -235,12 +235,12 @@
   await world.reconcile();
   const stops = world.sent.at(-1)?.commands ?? [];
   assert.deepEqual(ops(stops), ['stop']);
-  const left = tasks.map((one) =>
+  const tasksAfterStop = tasks.map((one) =>
     one.attempt === stops[0]?.attempt
       ? { ...one, state: 'exited' as const, cause: 'stopped' as const }
       : one,
   );
-  world.sent.at(-1)?.done({ ...heartbeat, sequence: 1001, tasks: left });
+  world.sent.at(-1)?.done({ ...heartbeat, sequence: 1001, tasks: tasksAfterStop });
   await world.reconcile();
   assert.deepEqual(ops(world.sent.at(-1)?.commands ?? []), ['start']);
 });
