--- a/src/constants/shard.ts
+++ b/src/constants/shard.ts
@@ -40,8 +40,8 @@
 export const MIN_FAILURE_BACKOFF_S = 2;
 export const MAX_FAILURE_BACKOFF_S = 60;
 
-/** Number of jobs of which tasks fail on one machine, without a success in between, that makes the
- * machine faulty. */
+/** Number of different jobs whose tasks failed on one machine, without a success in between, from
+ * which the machine counts as faulty. */
 export const FAULTY_MACHINE_FAILED_JOBS = 3;
 
 /** ms; an urgent task, or a gang subset that is urgent or infeasible, is returned to the leader
@@ -49,9 +49,9 @@
 export const UNPLACED_RELEASE_MS = 4_000;
 
 /** ms; a non-urgent task is returned to the leader after it has waited this long in its shard. The
- * leader queues such tasks in a shard before capacity is free. The time is three times the length
- * of such a queue (`QUEUE_AHEAD_S`), so that only tasks that the shard can no longer run are
- * returned. */
+ * leader queues such tasks in a shard before capacity is free. The time is three times the time
+ * that such a queue covers (`QUEUE_AHEAD_S`), so that only tasks that the shard can no longer run
+ * are returned. */
 export const QUEUED_RELEASE_MS = 24_000;
 
 /** Heartbeat intervals without a heartbeat after which a machine counts as silent and gets no new
--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -21,7 +21,7 @@
   newMachines: ReadonlySet<string>;
   /** Maximum size of the record of a piece, in bytes. */
   maxBytes: number;
-  /** Whether another assignment has this key already. */
+  /** Whether an assignment with this key already exists. */
   isKeyTaken: (key: string) => boolean;
 }
 
@@ -50,7 +50,10 @@
   };
 }
 
-/** The largest end of a piece, from `from + 1` to `last`, that fits; `from + 1` if none does. */
+/**
+ * The largest end (exclusive) of a piece that begins at `from` and fits, at most `last`; `from + 1`
+ * if not even one task fits.
+ */
 function lastFittingEnd(from: number, last: number, fits: (end: number) => boolean): number {
   let end = from + 1;
   let low = end;
@@ -95,8 +98,7 @@
 }
 
 /**
- * The pieces that are being written to the key-value store, each with the assignment it is split
- * off.
+ * The pieces that are being written to the key-value store, with the assignments that were split.
  */
 export class PlannedPieces {
   private readonly byKey = new Map<string, { source: Assignment; pieces: AssignmentPiece[] }>();
@@ -109,7 +111,7 @@
     for (const { key } of pieces.slice(1)) this.byKey.set(key, { source, pieces });
   }
 
-  /** Removes pieces that were written, or that were not and will never be. */
+  /** Removes pieces whose write has ended, with or without success. */
   remove(pieces: AssignmentPiece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.delete(key);
   }
--- a/src/coordination/shard-state/fencing-tokens.ts
+++ b/src/coordination/shard-state/fencing-tokens.ts
@@ -44,8 +44,8 @@
 
   /**
    * Raises a machine's token. All commands sent before are fenced as soon as the machine receives
-   * the new token. Heartbeats with lower tokens still acknowledge the machine, because there is no
-   * sign that it missed an answer.
+   * the new token. Heartbeats with the previous token still acknowledge the machine, because there
+   * is no sign that it missed an answer.
    */
   raise(machine: Machine): void {
     machine.fencingOffset++;
--- a/src/coordination/shard-state/machine-heartbeats.ts
+++ b/src/coordination/shard-state/machine-heartbeats.ts
@@ -17,8 +17,8 @@
 export type HeartbeatFreshness = 'older' | 'newer' | 'newEpoch';
 
 /**
- * Clears a machine's unconfirmed direct calls if the heartbeat shows that their worker epoch has
- * ended or that a token has fenced them.
+ * Clears a machine's unconfirmed direct call if the heartbeat shows that the call's worker epoch
+ * has ended or that a token has fenced the call.
  */
 function clearEndedCall(machine: Machine, heartbeat: Heartbeat): void {
   const { unconfirmedCall } = machine;
@@ -64,14 +64,14 @@
     this.storeHeartbeat(machine, heartbeat, acknowledgesMachine);
     if (callSentAt === null) machine.heartbeatAt = machine.observedAt;
     clearEndedCall(machine, heartbeat);
-    // The worker's lease expired although its heartbeats were answered: the answers may not arrive.
+    // The worker's lease expired although its heartbeats were answered, so answers may be lost.
     if (hasNewEpoch) this.fencingTokens.requireAcknowledgement(machine);
     return hasNewEpoch ? 'newEpoch' : 'newer';
   }
 
   /**
-   * Requires an acknowledgement if only older heartbeats have arrived for two heartbeat intervals:
-   * the machine may have restarted and number its heartbeats from 1 again.
+   * Requires an acknowledgement if only older heartbeats have arrived for two heartbeat intervals,
+   * because the machine may have restarted and may number its heartbeats from 1 again.
    */
   private requireAcknowledgementIfSilent(machine: Machine): void {
     const silentMs = this.clock.now() - machine.observedAt;
@@ -112,9 +112,9 @@
   }
 
   /**
-   * Whether the machine's heartbeats may be answered. They may not once the machine has been
-   * answered for a whole lease without being acknowledged: its lease must then expire, which proves
-   * that its tasks have ended.
+   * Whether the machine's heartbeats may be answered. Once the machine has been answered for a
+   * whole lease without being acknowledged, it is no longer answered, so that its lease expires.
+   * The expiry proves that its tasks have ended.
    */
   mayAnswer(machine: Machine): boolean {
     const { leaseS, heartbeatIntervalS } = this.times;
--- a/src/coordination/shard-state/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -9,7 +9,7 @@
   /**
    * The token that fences the commands after a call without an answer. A heartbeat that shows this
    * token, or one of a later worker epoch, proves that none of them will be carried out any more.
-   * Null: the call has not been answered and has not failed yet.
+   * Null while the call is in progress.
    */
   fencedBy: number | null;
 }
@@ -60,6 +60,9 @@
   hasUnfencedStart: boolean;
   unconfirmedCall: UnconfirmedCall | null;
 
+  /**
+   * The machine will be taken back by the cloud, according to its heartbeat or its stored health.
+   */
   isLeaving: boolean;
   /**
    * The machine's services are being moved to other machines, so nothing is placed on it meanwhile.
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -18,7 +18,7 @@
   clock: Clock;
 }
 
-/** Loads, reloads and removes assignments when their records are created, restored and removed. */
+/** Loads, reloads and removes assignments so that they match the stored records. */
 export class StoredAssignments {
   constructor(
     private readonly shard: string,
@@ -52,8 +52,9 @@
     const name = readAssignmentKey(key);
     if (!name) return;
     const plan = plannedPieces.get(key);
-    // The key of a split-off piece without a plan: its write was abandoned and applied late. The
-    // assignments that still have its tasks are reloaded, so that no task is in two assignments.
+    // A number with a fraction marks a piece that was split off. If the piece is not planned, its
+    // write was abandoned and applied late. Assignments that still have its tasks are reloaded, so
+    // that no task is in two assignments.
     if (!plan && !Number.isInteger(name.number)) this.reloadOverlapping(name.job, record);
     const assignment = createAssignment({ key, job: name.job, number: name.number }, record);
     index.addAssignment(assignment);
@@ -100,7 +101,8 @@
       else if (task.state === 'waiting') assignment.waitingTasks.add(task);
     }
     index.updateWaiting(assignment);
-    // A gang's tasks are all placed or all waiting. With some of each, the attempt has failed.
+    // The tasks of a gang subset are placed together. If some are placed and others wait, the
+    // attempt has failed.
     assignment.hasFailed =
       assignment.record.attempt !== undefined &&
       assignment.placedCount > 0 &&
--- a/src/coordination/shard-state/task-transitions.ts
+++ b/src/coordination/shard-state/task-transitions.ts
@@ -29,8 +29,8 @@
   /** Makes a task wait for a machine again. */
   requeue(assignment: Assignment, task: Task): void {
     this.endPlacement(assignment, task);
-    // Tasks of a gang are not placed one by one: once one of them has ended, the attempt has
-    // failed.
+    // The tasks of a gang are only placed together, so a gang's attempt has failed once one of its
+    // tasks must wait again.
     assignment.hasFailed = assignment.record.attempt !== undefined;
     task.state = 'waiting';
     task.waitingSince = this.clock.now();
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -42,8 +42,8 @@
     const uncommitted = isRemoved ? new Set<string>() : uncommittedMachines(assignment);
     // The record of each machine with new placements is guarded, so that no task is placed on a
     // machine that the leader drains or returns meanwhile. The store rejects a transaction with too
-    // many guards, also when it is retried, so placements on further machines wait for the next
-    // transaction.
+    // many guards, and would reject it again on every retry, so placements on further machines wait
+    // for the next transaction.
     const maxMachines = options.transactionOps * (GUARDS_PER_OP - 2) - 1;
     const allMachines = new Set([...this.machines, ...uncommitted]);
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
@@ -82,8 +82,8 @@
     newMachines: ReadonlySet<string>,
   ): void {
     for (const machine of newMachines) this.machines.add(machine);
-    // The job's record is guarded, so that no task is placed of a job whose cancellation this
-    // replica does not show yet.
+    // The job's record is guarded, because the job may have been cancelled although this replica
+    // does not show it yet.
     if (newMachines.size > 0) this.jobs.add(assignment.job);
     if (pieces.length === 0) this.changes.push({ key: assignment.key, remove: true });
     for (const { key, record } of pieces) this.changes.push({ key, value: record });
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -15,8 +15,8 @@
 
 /**
  * Writes a shard's changed assignments in transactions that are guarded by the shard's role.
- * Placements are written early and ends of tasks in batches, and an assignment that is larger than
- * the store's limit for values is split.
+ * Placements are written soon and ends of tasks in batches. An assignment that is larger than the
+ * store's limit for values is split.
  */
 export class AssignmentWriter {
   /** Assignments that are paused, because the store rejected them or they are too large for now. */
@@ -31,7 +31,7 @@
     this.schedule = new WriteSchedule(context, this.withheld);
   }
 
-  /** Removes pauses of assignments that ended long ago. */
+  /** Removes pauses that expired long ago. */
   sweep(): void {
     this.withheld.sweep();
   }
--- a/src/coordination/shard/ended-jobs.ts
+++ b/src/coordination/shard/ended-jobs.ts
@@ -13,7 +13,7 @@
   assignmentsOfEndedJobs.add(assignment);
   for (const task of [...assignment.tasks.values()]) {
     if (task.state !== 'placed') continue;
-    // A start is sent only after its placement is committed.
+    // No start was sent for a placement that is not committed.
     if (!tasks.isCommitted(assignment, task)) tasks.requeue(assignment, task);
     else machinesToCommand.add(task.machine);
   }
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-shares.ts
@@ -10,9 +10,7 @@
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
 
-/**
- * The workers' heartbeat interval, and the time that a gang's task waits for the others; seconds.
- */
+/** The workers' heartbeat interval, and the time that a gang's task waits for the others, in s. */
 export interface GangTimes {
   heartbeatIntervalS: number;
   gangWaitS: number;
@@ -133,7 +131,7 @@
     const machines: string[] = [];
     for (const task of [...assignment.tasks.values()]) {
       if (task.state !== 'placed' || task.isStopping) continue;
-      // A start is sent only after its placement is committed; other placements need no stop.
+      // No start was sent for a placement that is not committed, so such a task needs no stop.
       if (this.dependencies.tasks.isCommitted(assignment, task)) {
         task.isStopping = true;
         machines.push(task.machine);
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -12,9 +12,9 @@
   constructor(private readonly context: ShardContext) {}
 
   /**
-   * Applies a heartbeat, unless it is older than the newest one of its machine, and returns which
-   * of these it is. `callSentAt`: steady time of the direct call that the heartbeat answers; null:
-   * the worker sent it on its own.
+   * Applies a heartbeat unless it is older than the newest one of its machine. `callSentAt`: steady
+   * time of the direct call that the heartbeat answers; null: the worker sent it on its own.
+   * Returns whether the heartbeat is older, newer, or newer and of a later worker epoch.
    */
   observe(machine: Machine, heartbeat: Heartbeat, callSentAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Handles placed tasks that the newest heartbeat does not list: tasks that are proven to be
-   * missing on the machine are started again, or requeued if they may not start there any more.
+   * Handles placed tasks that are proven to be missing on the machine. They are marked to be
+   * started again, or requeued if they may not start there any more.
    */
   private handleMissing(machine: Machine, listed: ReadonlySet<Task>): void {
     const { machines, tasks, wake } = this.context;
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -25,8 +25,8 @@
   constructor(private readonly context: ShardContext) {}
 
   /**
-   * The commands by which the machine's tasks become those that are placed on it; `resend`:
-   * includes commands that were sent before.
+   * The commands that are needed so that the machine runs exactly the tasks placed on it; `resend`:
+   * also commands that were sent before.
    */
   commandsFor(machine: Machine, { resend }: { resend: boolean }): Command[] {
     const { machines } = this.context;
@@ -42,7 +42,9 @@
     return batch.commands.slice(0, MAX_COMMANDS_PER_ANSWER);
   }
 
-  /** Counts the resources of a reported task, and stops or removes it if it must not run there. */
+  /**
+   * Counts the resources of a reported task, and adds the command that ends or forgets it, if any.
+   */
   private addForReported(batch: CommandBatch, status: TaskStatus): void {
     const { tasks } = this.context;
     const { machine, resend, free } = batch;
@@ -58,7 +60,9 @@
     this.addStop(batch, status, assigned);
   }
 
-  /** Stops a placed task if its job has ended, or if it is being stopped and does not save yet. */
+  /**
+   * Adds a stop for a placed task if its job has ended, or if it must stop and does not save yet.
+   */
   private addStop(
     batch: CommandBatch,
     status: TaskStatus,
@@ -72,7 +76,7 @@
     batch.commands.push({ op: 'stop', task: status.task, attempt: status.attempt, graceS });
   }
 
-  /** Stops a reported task that is not placed on the machine, or forgets it once it has exited. */
+  /** Adds a stop for a reported task that is not placed here, or a `forget` once it has exited. */
   private addRemoval({ machine, commands }: CommandBatch, status: TaskStatus): void {
     const { task, attempt } = status;
     if (status.state !== 'exited') {
@@ -89,7 +93,7 @@
     }
   }
 
-  /** Starts tasks that are placed on the machine but missing there, as far as they fit. */
+  /** Adds starts for tasks that are placed on the machine but missing there, as far as they fit. */
   private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
     const { gangSubsets, tasks } = this.context;
     const missing = [...tasks.placedOn(machine.name)].filter(([task]) => !listed.has(task));
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -125,7 +125,7 @@
       withdrawIfEnded(this.context, assignment);
       hasTasks = true;
     }
-    // Stops are sent now if a reconciliation is running, because that one may be waiting for the
+    // Stops are sent now if a reconciliation is running, because it may be waiting for the
     // key-value store.
     if (hasTasks && this.reconciliation.isRunning) this.directCalls.sendPending();
     return hasTasks;
@@ -133,7 +133,7 @@
 
   /**
    * Marks the machines of a gang for commands if another shard's subset of it changed, because this
-   * shard's subset may start now. Returns whether any were marked.
+   * shard's subset may start now. Returns whether there are such machines.
    */
   private handleOtherSubsetChange(key: string): boolean {
     const { gangSubsets, options } = this.context;
@@ -155,8 +155,7 @@
     const freshness = this.observer.observe(machine, heartbeat, null);
     if (!this.machines.heartbeats.mayAnswer(machine)) return { ok: false };
     this.machines.heartbeats.recordAnswer(machine, freshness);
-    // The answer to a late duplicate contains no commands, because the worker no longer waits for
-    // it.
+    // Commands in the answer to a late duplicate would be lost, so that answer contains none.
     const commands =
       freshness === 'older' ? [] : this.commands.commandsFor(machine, { resend: true });
     return { ok: true, fencingToken: this.machines.fencingTokens.tokenOf(machine), commands };
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Moves the machines of the last page in use to earlier pages if these have enough free bytes for
-   * a full page more than that.
+   * Moves the machines of the last page in use to earlier pages, once these have enough free bytes
+   * for all of them and for a full page besides.
    */
   private emptyLastPage(): void {
     const { pageCapacityBytes, pages } = this;
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -1,9 +1,9 @@
-/** Returns tasks to the leader that the shard has no capacity for. */
+/** Returns tasks for which the shard has no capacity to the leader. */
 import { QUEUED_RELEASE_MS, UNPLACED_RELEASE_MS } from '../../constants/shard.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
-/** Returns tasks of arrays and services to the leader that have waited too long for a machine. */
+/** Returns array and service tasks that have waited too long for a machine to the leader. */
 export function releaseWaitingTasks(context: ShardContext): void {
   const { clock, jobFailureBackoff, tasks } = context;
   const now = clock.now();
