--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -28,8 +28,8 @@
 /** Keeps a shard's status records, which are numbered pages, in line with its machines. */
 export class ShardStatus {
   /** The pages as last read or written, by number. */
-  private readonly written = new Map<number, StatusEntries>();
-  private writtenAt = -Infinity;
+  private readonly storedPages = new Map<number, StatusEntries>();
+  private lastWriteAt = -Infinity;
 
   constructor(
     private readonly options: ShardStatusOptions,
@@ -47,7 +47,7 @@
     const { machines, replica } = this.dependencies;
     const prefix = `${STATUSES}${this.options.shard}/`;
     for (const [key, stored] of replica.below<StatusRecord>(prefix)) {
-      this.written.set(Number(key.slice(prefix.length)), stored.value.machines);
+      this.storedPages.set(Number(key.slice(prefix.length)), stored.value.machines);
       for (const [name, [type, zone, spot, health]] of Object.entries(stored.value.machines)) {
         const machine = machines.add(name, type, zone, spot === 1);
         machine.isLeaving = health === 'leaving';
@@ -60,14 +60,14 @@
   async writeIfDue(): Promise<void> {
     const { clock, records } = this.dependencies;
     const now = clock.now();
-    if (now - this.writtenAt < STATUS_INTERVAL_MS[this.options.limiter.supply]) return;
-    this.writtenAt = now;
+    if (now - this.lastWriteAt < STATUS_INTERVAL_MS[this.options.limiter.supply]) return;
+    this.lastWriteAt = now;
     const maxBytes = Math.floor(this.options.valueBytes * VALUE_SHARE);
-    const plan = new StatusPagePlan(this.currentEntries(), this.written, maxBytes);
+    const plan = new StatusPagePlan(this.currentEntries(), this.storedPages, maxBytes);
     const pages = plan.pages.map((_, number) => plan.machinesOf(number));
     for (const number of plan.writeOrder()) {
       const machines = pages[number] ?? {};
-      if (JSON.stringify(this.written.get(number)) === JSON.stringify(machines)) continue;
+      if (JSON.stringify(this.storedPages.get(number)) === JSON.stringify(machines)) continue;
       const key = statusKey(this.options.shard, number);
       // The page that gains a machine is written before the page that loses it, and a failed write
       // ends the loop. Otherwise the machine could be missing from all pages, and the leader would
@@ -75,7 +75,7 @@
       if (records.isRejected(key)) return;
       const value: StatusRecord = { machines };
       if (!(await records.write('status', [{ key, value }]))) return;
-      this.written.set(number, machines);
+      this.storedPages.set(number, machines);
     }
   }
 
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -37,14 +37,16 @@
   private readonly movingMachines = new Set<string>();
   private readonly keptMachines = new Set<string>();
 
-  /** `written`: the pages as they are stored; `maxBytes`: the maximum size of a page, in bytes. */
+  /**
+   * `storedPages`: the pages as they are stored; `maxBytes`: the maximum size of a page, in bytes.
+   */
   constructor(
     private readonly entries: ReadonlyMap<string, StatusEntry>,
-    written: ReadonlyMap<number, StatusEntries>,
+    storedPages: ReadonlyMap<number, StatusEntries>,
     maxBytes: number,
   ) {
     this.pageCapacityBytes = maxBytes - bytesOf({ machines: {} });
-    this.keepWritten(written);
+    this.keepStored(storedPages);
     this.emptyLastPage();
     this.addMovingMachines();
   }
@@ -69,11 +71,11 @@
   }
 
   /** Keeps the machines in their pages, except those that no longer fit there, which must move. */
-  private keepWritten(written: ReadonlyMap<number, StatusEntries>): void {
-    const last = Math.max(0, ...written.keys());
+  private keepStored(storedPages: ReadonlyMap<number, StatusEntries>): void {
+    const last = Math.max(0, ...storedPages.keys());
     for (let number = 0; number <= last; number++) {
       const page = this.addPage();
-      for (const name of Object.keys(written.get(number) ?? {}).sort()) {
+      for (const name of Object.keys(storedPages.get(number) ?? {}).sort()) {
         if (!this.entries.has(name) || this.keptMachines.has(name)) continue;
         if (this.bytesOfEntry(name) > page.freeBytes) {
           page.losesMachines = true;
