--- a/src/coordination/shard/gang-stop-cost.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -50,8 +50,8 @@
       since = Math.min(since, task.runningAt ?? Infinity);
     }
     if (since === Infinity) return 0;
-    // A checkpoint may be due at any moment, because the progress from which the attempt continued
-    // is not known here.
+    // The records don't show from which progress the attempt continued, so a checkpoint may be due
+    // at any moment. At most one checkpoint interval is lost.
     return Math.min(spec.checkpointS, (this.context.clock.now() - since) / 1000);
   }
 }
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Counts the resources of a reported task, and adds the command that ends or forgets it, if any.
+   * Counts the resources of a reported task, and adds a stop or a `forget` if one is needed.
    */
   private addForReported(batch: CommandBatch, status: TaskStatus): void {
     const { tasks } = this.context;
