--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -1,30 +1,32 @@
-/** Makes an assignment's record, in several pieces if one value of the store can't hold it. */
+/** Builds an assignment's record, in several pieces if one value of the store can't hold it. */
 import { bytesOf } from '../../storage/committer.js';
 import { splitKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
 import { isCommitted, type Assignment, type Task } from './assignment.js';
 
-/** A piece of an assignment as it is to be written; the first one keeps the assignment's key. */
-export interface Piece {
+/**
+ * One of the records into which an assignment is split; the first one keeps the assignment's key.
+ */
+export interface AssignmentPiece {
   key: string;
   record: AssignmentRecord;
   /** The tasks that move to this piece; empty if the assignment is written as a whole. */
   tasks: Task[];
 }
 
-/** How an assignment may be divided into pieces. */
+/** The conditions under which an assignment is split into pieces. */
 export interface SplitLimits {
-  /** Machines whose new placements are written. */
+  /** Machines on which new placements are written; those on other machines are left out. */
   newMachines: ReadonlySet<string>;
-  /** Bytes that the record of a piece may have. */
+  /** Maximum size of the record of a piece, in bytes. */
   maxBytes: number;
-  /** Whether a key belongs to another assignment already. */
+  /** Whether an assignment with this key already exists. */
   isKeyTaken: (key: string) => boolean;
 }
 
-/** The record of tasks in their present state; new placements only on the machines named. */
-function writeRecord(
+/** The record of these tasks in their current state; new placements only on `newMachines`. */
+function buildRecord(
   assignment: Assignment,
   newMachines: ReadonlySet<string>,
   tasks: Iterable<Task>,
@@ -48,31 +50,35 @@
   };
 }
 
-/** The last end, above `from` and up to `last`, with which a piece fits; at least one task. */
+/**
+ * The largest end (exclusive) of a piece that begins at `from` and fits, at most `last`; `from + 1`
+ * if not even one task fits.
+ */
 function lastFittingEnd(from: number, last: number, fits: (end: number) => boolean): number {
   let end = from + 1;
-  let least = end;
-  let most = last;
-  while (least <= most) {
-    const middle = Math.floor((least + most) / 2);
+  let low = end;
+  let high = last;
+  while (low <= high) {
+    const middle = Math.floor((low + high) / 2);
     if (fits(middle)) {
       end = middle;
-      least = middle + 1;
-    } else most = middle - 1;
+      low = middle + 1;
+    } else high = middle - 1;
   }
   return end;
 }
 
 /**
- * The assignment's present record, in as many pieces as values of so many bytes take: the version
- * before may have stored it larger than the key-value store takes now.
+ * The assignment's current record, in as many pieces as are needed so that each fits `maxBytes`.
+ * The previous version may have stored a record that is larger than the key-value store accepts
+ * now.
  */
-export function splitAssignment(assignment: Assignment, limits: SplitLimits): Piece[] {
+export function splitAssignment(assignment: Assignment, limits: SplitLimits): AssignmentPiece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
-  const record = writeRecord(assignment, newMachines, assignment.tasks.values());
+  const record = buildRecord(assignment, newMachines, assignment.tasks.values());
   if (bytesOf(record) <= maxBytes) return [{ key: assignment.key, record, tasks: [] }];
   const tasks = [...assignment.tasks.values()].sort((a, b) => a.index - b.index);
-  const pieces: Piece[] = [];
+  const pieces: AssignmentPiece[] = [];
   let count = 0;
   let from = 0;
   while (from < tasks.length) {
@@ -80,33 +86,38 @@
     const end = lastFittingEnd(
       start,
       tasks.length,
-      (to) => bytesOf(writeRecord(assignment, newMachines, tasks.slice(start, to))) <= maxBytes,
+      (to) => bytesOf(buildRecord(assignment, newMachines, tasks.slice(start, to))) <= maxBytes,
     );
     let key = assignment.key;
     while (pieces.length > 0 && isKeyTaken(key)) key = splitKey(assignment.key, ++count);
     const taken = tasks.slice(start, end);
-    pieces.push({ key, record: writeRecord(assignment, newMachines, taken), tasks: taken });
+    pieces.push({ key, record: buildRecord(assignment, newMachines, taken), tasks: taken });
     from = end;
   }
   return pieces;
 }
 
-/** Pieces on their way to the key-value store, and the assignments that they are taken from. */
+/**
+ * The pieces that are being written to the key-value store, with the assignments that were split.
+ */
 export class PlannedPieces {
-  private readonly byKey = new Map<string, { from: Assignment; pieces: Piece[] }>();
+  private readonly byKey = new Map<string, { source: Assignment; pieces: AssignmentPiece[] }>();
 
-  /** To be called before the pieces are written: their keys may be seen before the answer comes. */
-  add(from: Assignment, pieces: Piece[]): void {
-    for (const { key } of pieces.slice(1)) this.byKey.set(key, { from, pieces });
+  /**
+   * Adds pieces. Must be called before they are written, because the replica may show their keys
+   * before the store's answer arrives.
+   */
+  add(source: Assignment, pieces: AssignmentPiece[]): void {
+    for (const { key } of pieces.slice(1)) this.byKey.set(key, { source, pieces });
   }
 
-  /** The pieces were written, or were not and never will be. */
-  remove(pieces: Piece[]): void {
+  /** Removes pieces whose write has ended, with or without success. */
+  remove(pieces: AssignmentPiece[]): void {
     for (const { key } of pieces.slice(1)) this.byKey.delete(key);
   }
 
-  /** The pieces among which is the one with this key. */
-  get(key: string): { from: Assignment; pieces: Piece[] } | undefined {
+  /** The pieces that were split off together with the one that has this key. */
+  get(key: string): { source: Assignment; pieces: AssignmentPiece[] } | undefined {
     return this.byKey.get(key);
   }
 }
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -1,15 +1,15 @@
-/** Brings a shard's assignments in memory in line with those that the key-value store holds. */
+/** Keeps a shard's assignments in memory in line with the records in the key-value store. */
 import { assignmentPrefix, readAssignmentKey } from '../../storage/keys.js';
 import { readRanges } from '../../storage/ranges.js';
 import type { AssignmentRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Piece, PlannedPieces } from './assignment-pieces.js';
+import type { AssignmentPiece, PlannedPieces } from './assignment-pieces.js';
 import { createAssignment, readTasks, type Assignment } from './assignment.js';
 import type { ChangedAssignments } from './changed-assignments.js';
 import type { TaskIndex } from './task-index.js';
 
-/** What the loading of assignments reads and writes. */
+/** The state that the loading of assignments reads and changes. */
 interface StoredAssignmentsDependencies {
   index: TaskIndex;
   changed: ChangedAssignments;
@@ -18,7 +18,7 @@
   clock: Clock;
 }
 
-/** Loads, reloads and removes assignments as their records come and go. */
+/** Loads, reloads and removes assignments so that they match the stored records. */
 export class StoredAssignments {
   constructor(
     private readonly shard: string,
@@ -33,18 +33,18 @@
   }
 
   /**
-   * A key of the replica changed. Only new assignments and removed ones count: nobody but the holder
-   * of the shard changes the others.
+   * Handles a changed key of the replica by adding or removing its assignment. Changes of existing
+   * assignments are ignored, because only the shard's holder makes them.
    */
   handleChange(key: string): void {
     if (!key.startsWith(assignmentPrefix(this.shard))) return;
     const stored = this.dependencies.replica.get<AssignmentRecord>(key);
-    const known = this.dependencies.index.assignments.get(key);
+    const existing = this.dependencies.index.assignments.get(key);
     if (!stored) {
-      if (known) this.remove(known);
+      if (existing) this.remove(existing);
       return;
     }
-    if (!known) this.add(key, stored.value);
+    if (!existing) this.add(key, stored.value);
   }
 
   private add(key: string, record: AssignmentRecord): void {
@@ -52,12 +52,13 @@
     const name = readAssignmentKey(key);
     if (!name) return;
     const plan = plannedPieces.get(key);
-    // A piece whose write was given up and carried out late: its tasks must not be in two
-    // assignments here.
+    // A number with a fraction marks a piece that was split off. If the piece is not planned, its
+    // write was abandoned and applied late. Assignments that still have its tasks are reloaded, so
+    // that no task is in two assignments.
     if (!plan && !Number.isInteger(name.number)) this.reloadOverlapping(name.job, record);
     const assignment = createAssignment({ key, job: name.job, number: name.number }, record);
     index.addAssignment(assignment);
-    if (plan) this.adoptPiece(plan.from, plan.pieces, assignment);
+    if (plan) this.adoptPiece(plan.source, plan.pieces, assignment);
     else this.loadTasks(assignment);
   }
 
@@ -69,7 +70,10 @@
     }
   }
 
-  /** Goes back to the stored record; heartbeats show again what was learned meanwhile. */
+  /**
+   * Replaces an assignment's state by its stored record. Later heartbeats show again which of its
+   * tasks run or have ended.
+   */
   reload(assignment: Assignment): void {
     const stored = this.dependencies.replica.get<AssignmentRecord>(assignment.key);
     if (!stored) {
@@ -82,13 +86,13 @@
     this.loadTasks(assignment);
   }
 
-  /** Removes an assignment; true: it was the last of its job. */
+  /** Removes an assignment; returns whether it was the last one of its job. */
   remove(assignment: Assignment): boolean {
     this.clearTasks(assignment);
     return this.dependencies.index.removeAssignment(assignment);
   }
 
-  /** Gives an assignment the tasks of its stored record. */
+  /** Fills an assignment with the tasks of its stored record. */
   private loadTasks(assignment: Assignment): void {
     const { clock, index } = this.dependencies;
     for (const task of readTasks(assignment.committedRecord, clock.now())) {
@@ -97,14 +101,15 @@
       else if (task.state === 'waiting') assignment.waitingTasks.add(task);
     }
     index.updateWaiting(assignment);
-    // Some of a gang's tasks are placed and some no more: what is left of this attempt is no gang.
+    // The tasks of a gang subset are placed together. If some are placed and others wait, the
+    // attempt has failed.
     assignment.hasFailed =
       assignment.record.attempt !== undefined &&
       assignment.placedCount > 0 &&
       assignment.waitingTasks.size > 0;
   }
 
-  /** Removes an assignment's tasks from it and from all indexes. */
+  /** Removes all tasks of an assignment, also from the indexes. */
   private clearTasks(assignment: Assignment): void {
     const { changed, index } = this.dependencies;
     for (const task of assignment.tasks.values()) {
@@ -117,25 +122,27 @@
   }
 
   /**
-   * Moves the tasks of a piece from the assignment that was split into the new one, in their present
-   * state: what was sent stays sent, and nothing starts again.
+   * Moves the tasks of a written piece from the assignment that was split into the new one. The
+   * tasks keep their state, so that commands that were sent are not sent again and no task
+   * restarts.
    */
-  private adoptPiece(from: Assignment, pieces: Piece[], assignment: Assignment): void {
+  private adoptPiece(source: Assignment, pieces: AssignmentPiece[], assignment: Assignment): void {
     const { changed, index } = this.dependencies;
-    from.committedRecord = pieces[0]?.record ?? from.committedRecord;
+    source.committedRecord = pieces[0]?.record ?? source.committedRecord;
     for (const task of pieces.find((piece) => piece.key === assignment.key)?.tasks ?? []) {
-      if (from.tasks.get(task.index) !== task) continue;
-      from.tasks.delete(task.index);
+      if (source.tasks.get(task.index) !== task) continue;
+      source.tasks.delete(task.index);
       assignment.tasks.set(task.index, task);
       if (task.state === 'placed') {
-        index.removePlacement(from, task);
+        index.removePlacement(source, task);
         index.addPlacement(assignment, task);
       }
-      if (from.waitingTasks.delete(task)) assignment.waitingTasks.add(task);
+      if (source.waitingTasks.delete(task)) assignment.waitingTasks.add(task);
     }
-    index.updateWaiting(from);
+    index.updateWaiting(source);
     index.updateWaiting(assignment);
-    // Changed while it was written: which of the tasks did is not known.
-    if (changed.all.has(from)) changed.mark(assignment);
+    // The split assignment changed during the write. The changed tasks may be among those that
+    // moved.
+    if (changed.all.has(source)) changed.mark(assignment);
   }
 }
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -2,23 +2,24 @@
 import { OVERSIZED_ASSIGNMENT_RETRY_MS } from '../../constants/shard.js';
 import type { CommitResult } from '../../storage/committer.js';
 import { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
-import { AssignmentTransaction, type WrittenAssignment } from './assignment-transaction.js';
+import { AssignmentTransaction, type AssignmentWrite } from './assignment-transaction.js';
 import { WriteSchedule } from './write-schedule.js';
 import type { ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/assignment.js';
 
-/** What the writer tells its shard. */
+/** The events of a writer that its shard handles. */
 export interface AssignmentWriterCallbacks {
-  /** Placements on these machines are committed: their starts may be sent. */
+  /** Called when placements on these machines are committed, so that their starts may be sent. */
   readonly onCommitted: (machines: ReadonlySet<string>, urgent: boolean) => void;
 }
 
 /**
- * Writes a shard's assignments: what starts tasks at once, ends in batches, each assignment within
- * the limits of values and transactions. Everything guards the shard's role.
+ * Writes a shard's changed assignments in transactions that are guarded by the shard's role.
+ * Placements are written soon and ends of tasks in batches. An assignment that is larger than the
+ * store's limit for values is split.
  */
 export class AssignmentWriter {
-  /** Assignments whose changes were called invalid, or are too large to be written yet. */
+  /** Assignments that are paused, because the store rejected them or they are too large for now. */
   private readonly withheld: RejectedChangeBackoff;
   private readonly schedule: WriteSchedule;
 
@@ -30,23 +31,24 @@
     this.schedule = new WriteSchedule(context, this.withheld);
   }
 
-  /** Forgets pauses that are long over. */
+  /** Removes pauses that expired long ago. */
   sweep(): void {
     this.withheld.sweep();
   }
 
-  /** Writes what is due. */
+  /** Writes all assignments that are due. */
   async flush(): Promise<void> {
     const { committer, options } = this.context;
     for (;;) {
       const due = this.schedule.dueAssignments();
       const [first] = due;
       if (!first) return;
-      // Urgent work shares no transaction with other work, which may have to wait for its turn.
+      // Urgent and non-urgent assignments share no transaction, because the non-urgent ones may
+      // have to wait for the rate limit.
       const urgent = this.schedule.isUrgent(first);
-      if (!urgent && !this.schedule.mayWriteOrdinary(due)) return;
+      if (!urgent && !this.schedule.mayWriteNonUrgent(due)) return;
       const transaction = this.build(due, urgent);
-      const { changes, written } = transaction;
+      const { changes, writes } = transaction;
       if (changes.length === 0) continue;
       const purpose = urgent ? 'urgent' : 'part';
       const result = await committer.commit(
@@ -55,25 +57,25 @@
         changes,
         options.isHolder,
       );
-      for (const { pieces } of written) this.context.tasks.plannedPieces.remove(pieces);
+      for (const { pieces } of writes) this.context.tasks.plannedPieces.remove(pieces);
       if (!options.isHolder()) return;
       if (result.kind !== 'done') {
-        this.reloadRejected(written, result);
+        this.reloadUncommitted(writes, result);
         return;
       }
-      for (const assignment of written) this.recordCommitted(assignment);
+      for (const assignment of writes) this.recordCommitted(assignment);
       this.callbacks.onCommitted(transaction.machines, urgent);
     }
   }
 
-  /** The next transaction: the first due assignments that are as urgent as the first one. */
+  /** Builds the next transaction from the first due assignments that have this urgency. */
   private build(due: readonly Assignment[], urgent: boolean): AssignmentTransaction {
     const { log, options } = this.context;
     const transaction = new AssignmentTransaction(this.context);
     const keys = due.map((assignment) => assignment.key);
     for (const assignment of due.slice(0, this.withheld.together(keys, options.transactionOps))) {
       if (this.schedule.isUrgent(assignment) !== urgent) break;
-      const result = transaction.add(assignment, this.schedule.isOver(assignment));
+      const result = transaction.add(assignment, this.schedule.mustBeRemoved(assignment));
       if (result.kind === 'full') break;
       if (result.kind === 'added') continue;
       log.info(
@@ -85,18 +87,18 @@
     return transaction;
   }
 
-  /** Nothing of this was written, or another's change is newer: what is stored counts again. */
-  private reloadRejected(written: readonly WrittenAssignment[], result: CommitResult): void {
+  /** Reloads assignments from the replica after a transaction that was not committed. */
+  private reloadUncommitted(writes: readonly AssignmentWrite[], result: CommitResult): void {
     const { log, options, tasks } = this.context;
     log.info({ shard: options.shard, result }, 'assignments not committed');
-    for (const { assignment } of written) {
+    for (const { assignment } of writes) {
       if (result.kind === 'rejected') this.withheld.add(assignment.key);
       tasks.reload(assignment);
     }
   }
 
-  /** Takes an assignment as stored the way it was written. */
-  private recordCommitted({ assignment, pieces }: WrittenAssignment): void {
+  /** Updates an assignment after its commit: stores its committed record, or removes it. */
+  private recordCommitted({ assignment, pieces }: AssignmentWrite): void {
     const { assignmentsOfEndedJobs, jobFailureBackoff, tasks } = this.context;
     this.withheld.clear(assignment.key);
     const [first] = pieces;
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -1,36 +1,34 @@
-/** Takes over what workers' heartbeats show of machines and tasks. */
+/** Updates a shard's machines and tasks from the heartbeats of workers. */
 import type { TaskStatus, Heartbeat } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { HeartbeatFreshness } from '../shard-state/machine-heartbeats.js';
 import type { Task } from '../shard-state/assignment.js';
 import type { AssignedTask } from '../shard-state/tasks.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
-import { findReported } from './reported-task.js';
+import { findReportedTask } from './reported-task.js';
 
-/** Brings machines and tasks up to date with the workers' heartbeats. */
+/** Applies heartbeats to the machines and tasks of a shard. */
 export class HeartbeatObserver {
   constructor(private readonly context: ShardContext) {}
 
   /**
-   * Takes over what a heartbeat shows. `askedAt`: steady time of the direct call that it answers;
-   * null: it came by itself. Returns whether it is newer than what was known; an older one changes
-   * nothing.
+   * Applies a heartbeat unless it is older than the newest one of its machine. `callSentAt`: steady
+   * time of the direct call that the heartbeat answers; null: the worker sent it on its own.
+   * Returns whether the heartbeat is older, newer, or newer and of a later worker epoch.
    */
-  observe(machine: Machine, heartbeat: Heartbeat, askedAt: number | null): HeartbeatFreshness {
+  observe(machine: Machine, heartbeat: Heartbeat, callSentAt: number | null): HeartbeatFreshness {
     const { log, machines, wake } = this.context;
     const wasAcknowledged = machine.isAcknowledged;
-    const freshness = machines.heartbeats.apply(machine, heartbeat, askedAt);
+    const freshness = machines.heartbeats.apply(machine, heartbeat, callSentAt);
     if (freshness === 'older') return freshness;
     if (freshness === 'newEpoch' || machine.isAcknowledged !== wasAcknowledged) {
       log.debug(
         {
           machine: machine.name,
-          agentEpoch: machine.agentEpoch,
+          workerEpoch: machine.agentEpoch,
           acknowledged: machine.isAcknowledged,
         },
-        freshness === 'newEpoch'
-          ? 'machine began a new agent epoch'
-          : 'machine acknowledgement changed',
+        freshness === 'newEpoch' ? 'worker epoch changed' : 'machine acknowledgement changed',
       );
       wake();
     }
@@ -41,29 +39,31 @@
       wake();
     }
     machine.reportedTasks = heartbeat.tasks;
-    this.requeueMissing(machine, this.observeTasks(machine));
+    this.handleMissing(machine, this.observeTasks(machine));
     return freshness;
   }
 
-  /** Takes over the states of the machine's tasks; returns the placements that it listed. */
+  /** Applies the task states of the newest heartbeat; returns the placed tasks that it lists. */
   private observeTasks(machine: Machine): Set<Task> {
     const listed = new Set<Task>();
     for (const status of machine.reportedTasks) {
-      const assigned = findReported(this.context.tasks, machine, status);
+      const assigned = findReportedTask(this.context.tasks, machine, status);
       if (!assigned) continue;
       listed.add(assigned.task);
       if (status.state === 'exited') {
-        this.taskExited(machine, assigned, status);
-        // A start on this machine may have waited for its resources.
+        this.handleExited(machine, assigned, status);
+        // A start on this machine may wait for the resources of the exited task.
         this.context.machinesToCommand.add(machine.name);
         this.context.wake();
-      } else if (status.state !== 'fetching') this.taskFetched(machine, assigned, status);
+      } else if (status.state !== 'fetching') this.handleFetched(machine, assigned, status);
     }
     return listed;
   }
 
-  /** A task has its image, and runs or waits for the others of its gang. */
-  private taskFetched(
+  /**
+   * Records that a task's image is on the machine, and that the task runs or waits for its gang.
+   */
+  private handleFetched(
     machine: Machine,
     { assignment, task }: AssignedTask,
     status: TaskStatus,
@@ -75,7 +75,7 @@
     if (spec) machine.images.add(spec.image);
   }
 
-  private taskExited(machine: Machine, assigned: AssignedTask, { cause }: TaskStatus): void {
+  private handleExited(machine: Machine, assigned: AssignedTask, { cause }: TaskStatus): void {
     const { costLearning, jobFailureBackoff, log, tasks } = this.context;
     const { assignment, task } = assigned;
     if (cause === 'done') {
@@ -88,7 +88,7 @@
     if (cause === 'error' || cause === 'unknown') {
       costLearning.recordFailure(machine, assigned);
       if (cause === 'error') machine.failedJobs.add(assignment.job);
-      const backoffS = jobFailureBackoff.add(assignment.job);
+      const backoffS = jobFailureBackoff.recordFailure(assignment.job);
       log.info(
         { job: assignment.job, task: task.index, machine: machine.name, cause, backoffS },
         'task failed',
@@ -97,17 +97,22 @@
     tasks.requeue(assignment, task);
   }
 
-  /** Requeues or starts again placements that are not on the machine, where that is proven. */
-  private requeueMissing(machine: Machine, listed: ReadonlySet<Task>): void {
+  /**
+   * Handles placed tasks that are proven to be missing on the machine. They are marked to be
+   * started again, or requeued if they may not start there any more.
+   */
+  private handleMissing(machine: Machine, listed: ReadonlySet<Task>): void {
     const { machines, tasks, wake } = this.context;
-    const isUsable = machines.isSchedulable(machine);
+    const isSchedulable = machines.isSchedulable(machine);
     for (const [task, assignment] of [...tasks.placedOn(machine.name)]) {
       if (listed.has(task)) continue;
-      // That it is not listed is proof only where the worker has heard no other holder since, and
-      // where no command sent straight to it is still on its way.
-      if (!machine.hasShownOurToken || machine.directCalls?.attempts.has(task.attempt)) continue;
+      // A task that is not listed is proven to be missing only if the worker has shown a token of
+      // this holder, which fences the starts of former holders, and if no direct call with the
+      // task's start may still arrive.
+      if (!machine.hasShownTokenOfEntry || machine.unconfirmedCall?.attempts.has(task.attempt))
+        continue;
       task.isStartSent = false;
-      if (jobSpec(this.context, assignment.job) === null || !isUsable || task.isStopping) {
+      if (jobSpec(this.context, assignment.job) === null || !isSchedulable || task.isStopping) {
         tasks.requeue(assignment, task);
         wake();
       }
--- a/src/coordination/shard/reported-task.ts
+++ b/src/coordination/shard/reported-task.ts
@@ -1,10 +1,13 @@
-/** Finds the placement to which a reported task belongs. */
+/** Finds the placed task to which a reported task status belongs. */
 import type { TaskStatus } from '../../protocol/model.js';
 import type { Machine } from '../shard-state/machine.js';
 import type { Tasks, AssignedTask } from '../shard-state/tasks.js';
 
-/** The placement of a task that the machine reported; null: no such placement is known. */
-export function findReported(
+/**
+ * The task that is placed on the machine under the reported attempt; null: the reported attempt is
+ * not placed there.
+ */
+export function findReportedTask(
   tasks: Tasks,
   machine: Machine,
   status: TaskStatus,
@@ -12,7 +15,7 @@
   const found = tasks.findTask(status.task.job, status.task.index);
   if (!found) return null;
   const { task } = found;
-  const isSame =
+  const isPlaced =
     task.state === 'placed' && task.machine === machine.name && task.attempt === status.attempt;
-  return isSame ? found : null;
+  return isPlaced ? found : null;
 }
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -1,4 +1,4 @@
-/** Divides a shard's machines among its status records, each of which fits one stored value. */
+/** Distributes a shard's machines among its status records, each of which fits one stored value. */
 import { bytesOf } from '../../storage/committer.js';
 import type { MachineHealth, StatusRecord } from '../../storage/records.js';
 
@@ -8,55 +8,59 @@
 /** A machine's type, zone, spot flag and health as they are stored. */
 export type StatusEntry = StatusEntries[string];
 
-/** One status record as it is to be: its machines, and the bytes that are left in it. */
+/** One planned status record: the names of its machines, and the bytes that are free in it. */
 export interface StatusPage {
   names: Set<string>;
   freeBytes: number;
-  /** It loses machines to other pages this time, and takes none. */
-  isLosing: boolean;
+  /** Machines of this page move to other pages in this plan, so none are added to it. */
+  losesMachines: boolean;
 }
 
-/** The longest health of all: a change of health must not make a machine change its page. */
+/**
+ * The longest health value; used for all machines so that a change of health never changes a page.
+ */
 const LONGEST_HEALTH: MachineHealth = 'leaving';
 
-/** Bytes that a machine takes in a status record at the most, with its comma. */
+/** Upper bound of the bytes that a machine takes in a status record, including its comma. */
 function entryBytes(name: string, [type, zone, spot]: StatusEntry): number {
   return bytesOf({ [name]: [type, zone, spot, LONGEST_HEALTH] });
 }
 
 /**
- * Plans in which page each machine is to be. It stays where it is while that record fits its value;
- * what the version before wrote larger is divided here. The pages are numbered without gaps, since
- * that version counts them to find those that it must empty.
+ * Plans the page of each machine. A machine keeps its page as long as the page fits its stored
+ * value. Pages that the previous version wrote larger are divided. The pages are numbered without
+ * gaps, because the previous version counts them to find those that it must empty.
  */
 export class StatusPagePlan {
   readonly pages: StatusPage[] = [];
-  private readonly capacity: number;
-  private readonly movers = new Set<string>();
-  private readonly staying = new Set<string>();
+  private readonly pageCapacityBytes: number;
+  private readonly movingMachines = new Set<string>();
+  private readonly keptMachines = new Set<string>();
 
-  /** `written`: the pages as they are stored; `maxBytes`: bytes that a page may have. */
+  /**
+   * `storedPages`: the pages as they are stored; `maxBytes`: the maximum size of a page, in bytes.
+   */
   constructor(
     private readonly entries: ReadonlyMap<string, StatusEntry>,
-    written: ReadonlyMap<number, StatusEntries>,
+    storedPages: ReadonlyMap<number, StatusEntries>,
     maxBytes: number,
   ) {
-    this.capacity = maxBytes - bytesOf({ machines: {} });
-    this.keepWritten(written);
+    this.pageCapacityBytes = maxBytes - bytesOf({ machines: {} });
+    this.keepStored(storedPages);
     this.emptyLastPage();
-    this.addMovers();
+    this.addMovingMachines();
   }
 
-  /** The numbers of the pages in the order of their writes: those that lose machines last. */
+  /** The numbers of the pages in the order of their writes; pages that lose machines come last. */
   writeOrder(): number[] {
     const numbers = [...this.pages.keys()];
     return [
-      ...numbers.filter((number) => !this.pages[number]?.isLosing),
-      ...numbers.filter((number) => this.pages[number]?.isLosing),
+      ...numbers.filter((number) => !this.pages[number]?.losesMachines),
+      ...numbers.filter((number) => this.pages[number]?.losesMachines),
     ];
   }
 
-  /** The record of a page. */
+  /** The machines of a page's record, sorted by name. */
   machinesOf(number: number): StatusEntries {
     const machines: StatusEntries = {};
     for (const name of [...(this.pages[number]?.names ?? [])].sort()) {
@@ -66,61 +70,71 @@
     return machines;
   }
 
-  /** Leaves the machines in their pages; those that don't fit there any more are to move. */
-  private keepWritten(written: ReadonlyMap<number, StatusEntries>): void {
-    const last = Math.max(0, ...written.keys());
+  /** Keeps the machines in their pages, except those that no longer fit there, which must move. */
+  private keepStored(storedPages: ReadonlyMap<number, StatusEntries>): void {
+    const last = Math.max(0, ...storedPages.keys());
     for (let number = 0; number <= last; number++) {
       const page = this.addPage();
-      for (const name of Object.keys(written.get(number) ?? {}).sort()) {
-        if (!this.entries.has(name) || this.staying.has(name)) continue;
+      for (const name of Object.keys(storedPages.get(number) ?? {}).sort()) {
+        if (!this.entries.has(name) || this.keptMachines.has(name)) continue;
         if (this.bytesOfEntry(name) > page.freeBytes) {
-          page.isLosing = true;
-          this.movers.add(name);
+          page.losesMachines = true;
+          this.movingMachines.add(name);
           continue;
         }
-        this.staying.add(name);
-        this.put(page, name);
+        this.keptMachines.add(name);
+        this.addToPage(page, name);
       }
     }
   }
 
-  /** The machines of the last page in use move to the others once these have plenty of room. */
+  /**
+   * Moves the machines of the last page in use to earlier pages, once these have enough free bytes
+   * for all of them and for a full page besides.
+   */
   private emptyLastPage(): void {
-    const { capacity, pages } = this;
+    const { pageCapacityBytes, pages } = this;
     const last = pages.findLast((page) => page.names.size > 0);
-    if (!last || last === pages[0] || pages.some((page) => page.isLosing)) return;
+    if (!last || last === pages[0] || pages.some((page) => page.losesMachines)) return;
     const others = pages.slice(0, pages.indexOf(last));
-    // Pages that are nearly full don't count: what is left of them may fit no machine.
-    const usable = others.filter(({ freeBytes }) => freeBytes >= capacity / 4);
+    // Pages with less than a quarter of their bytes free don't count, because a machine's entry may
+    // not fit there.
+    const usable = others.filter(({ freeBytes }) => freeBytes >= pageCapacityBytes / 4);
     const free = usable.reduce((sum, { freeBytes }) => sum + freeBytes, 0);
-    if (free < capacity - last.freeBytes + capacity) return;
-    for (const name of last.names) this.movers.add(name);
+    if (free < pageCapacityBytes - last.freeBytes + pageCapacityBytes) return;
+    for (const name of last.names) this.movingMachines.add(name);
     for (const name of last.names) last.freeBytes += this.bytesOfEntry(name);
     last.names.clear();
-    last.isLosing = true;
+    last.losesMachines = true;
   }
 
   /**
-   * Gives new machines and those that move a page, by name and the last pages first: names grow with
-   * time, and the version before orders its pages by name. So little moves when it takes the shard
-   * over, and nothing to a later page.
+   * Assigns new machines and machines that move to pages, in the order of their names and
+   * preferring the last pages. Names grow with time, and the previous version orders its pages by
+   * name. When a controller of that version becomes the holder, it therefore moves few machines
+   * between pages, and none to a later page.
    */
-  private addMovers(): void {
-    for (const name of this.entries.keys()) if (!this.staying.has(name)) this.movers.add(name);
-    for (const name of [...this.movers].sort()) {
+  private addMovingMachines(): void {
+    for (const name of this.entries.keys())
+      if (!this.keptMachines.has(name)) this.movingMachines.add(name);
+    for (const name of [...this.movingMachines].sort()) {
       const bytes = this.bytesOfEntry(name);
-      const fits = (page: StatusPage): boolean => !page.isLosing && page.freeBytes >= bytes;
-      this.put(this.pages.findLast(fits) ?? this.addPage(), name);
+      const fits = (page: StatusPage): boolean => !page.losesMachines && page.freeBytes >= bytes;
+      this.addToPage(this.pages.findLast(fits) ?? this.addPage(), name);
     }
   }
 
   private addPage(): StatusPage {
-    const page: StatusPage = { names: new Set(), freeBytes: this.capacity, isLosing: false };
+    const page: StatusPage = {
+      names: new Set(),
+      freeBytes: this.pageCapacityBytes,
+      losesMachines: false,
+    };
     this.pages.push(page);
     return page;
   }
 
-  private put(page: StatusPage, name: string): void {
+  private addToPage(page: StatusPage, name: string): void {
     page.names.add(name);
     page.freeBytes -= this.bytesOfEntry(name);
   }
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -1,4 +1,4 @@
-/** Decides which of a shard's assignments are to be written now. */
+/** Decides which of a shard's changed assignments are written now. */
 import {
   COMPLETION_BATCH_MS,
   PLACEMENT_BATCH_MS,
@@ -9,20 +9,22 @@
 import { jobSpec, type ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/assignment.js';
 
-/** Orders the changed assignments by urgency and holds back those that may share later writes. */
+/** Orders the changed assignments by urgency, and delays those that can share a later write. */
 export class WriteSchedule {
   constructor(
     private readonly context: ShardContext,
-    /** Assignments whose changes were called invalid, or are too large to be written yet. */
+    /**
+     * Assignments that are paused, because the store rejected them or they are too large for now.
+     */
     private readonly withheld: RejectedChangeBackoff,
   ) {}
 
-  /** The assignments that are due, urgent ones first. */
+  /** The assignments that are due to be written, urgent ones first. */
   dueAssignments(): Assignment[] {
-    const { clock, assignmentsOfEndedJobs: endedAssignments, tasks } = this.context;
+    const { clock, assignmentsOfEndedJobs, tasks } = this.context;
     const now = clock.now();
-    for (const assignment of endedAssignments)
-      if (this.isOver(assignment)) tasks.markChanged(assignment);
+    for (const assignment of assignmentsOfEndedJobs)
+      if (this.mustBeRemoved(assignment)) tasks.markChanged(assignment);
     const due: Assignment[] = [];
     for (const assignment of tasks.changedAssignments) {
       if (!this.withheld.has(assignment.key) && this.isDue(assignment, now)) due.push(assignment);
@@ -30,8 +32,11 @@
     return due.sort((a, b) => Number(this.isUrgent(b)) - Number(this.isUrgent(a)));
   }
 
-  /** Whether work that is not urgent may be written now, or has to wait for its turn. */
-  mayWriteOrdinary(due: readonly Assignment[]): boolean {
+  /**
+   * Whether non-urgent assignments may be written now: one of them is overdue, or the store's rate
+   * limits have free capacity for them.
+   */
+  mayWriteNonUrgent(due: readonly Assignment[]): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
     const isOverdue = due.some(
@@ -40,8 +45,11 @@
     return isOverdue || options.limiter.hasCapacity(Math.min(due.length, options.transactionOps));
   }
 
-  /** Whether it is to be removed: its job is over and no task is placed, or all tasks were returned. */
-  isOver(assignment: Assignment): boolean {
+  /**
+   * Whether the assignment must be removed: all of its tasks were returned to the leader, or its
+   * job has ended and no task is placed.
+   */
+  mustBeRemoved(assignment: Assignment): boolean {
     if (assignment.tasks.size === 0) return true;
     return assignment.placedCount === 0 && jobSpec(this.context, assignment.job) === null;
   }
@@ -54,30 +62,31 @@
   }
 
   /**
-   * Whether an assignment's changes should be written now. What starts tasks is; ends wait a moment
-   * for others, since a write for each short task is more than the key-value store takes.
+   * Whether an assignment's changes should be written now. Placements are written soon. Ends of
+   * tasks wait to share a write, because one write for each short task would exceed the key-value
+   * store's limits.
    */
   private isDue(assignment: Assignment, now: number): boolean {
-    if (this.isOver(assignment)) return true;
+    if (this.mustBeRemoved(assignment)) return true;
     const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= COMPLETION_BATCH_MS[supply]) return true;
-    // Other shards with tasks of the gang stop theirs when they see this.
-    const isShared = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
-    if (assignment.hasFailed && isShared && !assignment.committedRecord.stopping) return true;
-    if (!this.startsTasks(assignment) && this.isOpen(assignment)) return false;
+    // Other shards stop their subsets of the gang when they see that this one is stopping.
+    const spansShards = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
+    if (assignment.hasFailed && spansShards && !assignment.committedRecord.stopping) return true;
+    if (!this.hasNewPlacements(assignment) && this.hasUnfinishedTasks(assignment)) return false;
     return this.isUrgent(assignment) || age >= PLACEMENT_BATCH_MS[supply];
   }
 
   /** Whether some of the assignment's placements are not committed yet. */
-  private startsTasks(assignment: Assignment): boolean {
+  private hasNewPlacements(assignment: Assignment): boolean {
     return [...assignment.tasks.values()].some(
       (task) => task.state === 'placed' && !this.context.tasks.isCommitted(assignment, task),
     );
   }
 
   /** Whether tasks of the assignment wait for a machine or are placed. */
-  private isOpen(assignment: Assignment): boolean {
+  private hasUnfinishedTasks(assignment: Assignment): boolean {
     return (
       assignment.waitingTasks.size > 0 ||
       [...assignment.tasks.values()].some(({ state }) => state === 'placed')
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -1,4 +1,8 @@
-/** Decisions of a shard by the workers' times for gangs, `gang_wait_s` and `gang_peer_s`. */
+/**
+ * Guards against gangs that lose progress or occupy machines in vain because stops come too late.
+ * Tasks that wait for their gang exit one by one after `gang_wait_s`, and progress is saved only if
+ * all tasks receive a stop within `gang_peer_s`.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -18,25 +22,28 @@
 
 const URGENT_JOB = 'j-000002';
 
-const shown = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
+const statusOf = (index: number, state: TaskStatus['state'] = 'running'): TaskStatus => ({
   task: { job: JOB, index },
   attempt: GANG_ATTEMPT,
   state,
   cause: state === 'exited' ? 'peerLost' : null,
 });
 
-/** A shard with a gang of so many tasks, of which it has two; `other`: the assignment of another shard. */
-async function gang(
+/**
+ * A shard with a subset of two tasks of a gang of `tasks` tasks; `otherSubset`: the subset of
+ * another shard.
+ */
+async function shardWithGang(
   tasks: number,
   checkpointS: number,
-  other?: AssignmentRecord,
+  otherSubset?: AssignmentRecord,
 ): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
   world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.state.change([
     { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
-    ...(other ? [{ key: assignmentKey('q', JOB, 2), value: other }] : []),
+    ...(otherSubset ? [{ key: assignmentKey('q', JOB, 2), value: otherSubset }] : []),
   ]);
   await world.clock.run(world.clock.now() + 300);
   world.heartbeat();
@@ -44,7 +51,7 @@
   return world;
 }
 
-/** Answers all direct calls so far with a heartbeat of these tasks. */
+/** Answers all direct calls that are open with a heartbeat that shows these tasks. */
 function answerCalls(world: ShardFixture, tasks: TaskStatus[]): void {
   world.answer({}, tasks);
   for (const { done } of world.sent.splice(0)) {
@@ -52,76 +59,85 @@
   }
 }
 
-/** Runs on for so long, with a heartbeat each second; returns the stops that were sent. */
+/**
+ * Sends a heartbeat each second, at most for `seconds` and until stops are sent; returns the stops.
+ */
 async function stopsWithin(
   world: ShardFixture,
   seconds: number,
   tasks: TaskStatus[],
 ): Promise<string[]> {
   const stops: string[] = [];
-  const note = (list: string[]): void => void stops.push(...list.filter((op) => op === 'stop'));
+  const recordStops = (list: string[]): void =>
+    void stops.push(...list.filter((op) => op === 'stop'));
   for (let passed = 0; passed < seconds && stops.length === 0; passed++) {
-    note(ops(world.heartbeat({}, tasks)));
+    recordStops(ops(world.heartbeat({}, tasks)));
     await world.reconcile(1000);
-    note(world.sent.flatMap(({ commands }) => ops(commands)));
+    recordStops(world.sent.flatMap(({ commands }) => ops(commands)));
   }
   return stops;
 }
 
-test('a gang that gathers until just before its tasks give up is stopped as a whole', async () => {
+test('a gang subset whose tasks wait for the others until shortly before gang_wait_s is stopped as a whole', async () => {
   const cases: [string, TaskStatus['state'][], number, number][] = [
-    ['all wait for a task elsewhere', ['gathering', 'gathering'], 34, 2],
-    ['not before', ['gathering', 'gathering'], 30, 0],
-    ['one still fetches', ['gathering', 'fetching'], 34, 2],
-    ['it runs', ['running', 'running'], 34, 0],
+    ['both wait for a task in another shard', ['gathering', 'gathering'], 34, 2],
+    ['both have waited for a shorter time', ['gathering', 'gathering'], 30, 0],
+    ['one waits and one fetches its image', ['gathering', 'fetching'], 34, 2],
+    ['both run', ['running', 'running'], 34, 0],
   ];
-  for (const [name, states, seconds, want] of cases) {
+  for (const [name, states, seconds, stops] of cases) {
     const live = {
       '2': ['m-8', GANG_ATTEMPT],
       '3': ['m-9', GANG_ATTEMPT],
     } as AssignmentRecord['live'];
-    const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
-    const tasks = states.map((state, index) => shown(index, state));
+    const world = await shardWithGang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
+    const tasks = states.map((state, index) => statusOf(index, state));
     answerCalls(world, tasks);
-    assert.equal((await stopsWithin(world, seconds, tasks)).length, want, name);
+    assert.equal((await stopsWithin(world, seconds, tasks)).length, stops, name);
   }
 });
 
-test('nobody is stopped before the other shards can know of it', async () => {
+test('no task is stopped before the stop is stored for the other shards', async () => {
   const live = {
     '2': ['m-8', GANG_ATTEMPT],
     '3': ['m-9', GANG_ATTEMPT],
   } as AssignmentRecord['live'];
-  const world = await gang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
-  answerCalls(world, [shown(0), shown(1)]);
-  await stopsWithin(world, 2, [shown(0), shown(1)]);
+  const world = await shardWithGang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
+  answerCalls(world, [statusOf(0), statusOf(1)]);
+  await stopsWithin(world, 2, [statusOf(0), statusOf(1)]);
   world.state.hasOutage = true;
-  const left = [shown(0, 'exited'), shown(1)];
-  assert.deepEqual(await stopsWithin(world, 6, left), [], 'in the outage');
+  const statuses = [statusOf(0, 'exited'), statusOf(1)];
+  assert.deepEqual(await stopsWithin(world, 6, statuses), [], 'during the outage');
   assert.equal(world.stored()?.stopping, undefined);
   world.state.endOutage();
-  assert.deepEqual(await stopsWithin(world, 6, left), ['stop']);
+  assert.deepEqual(await stopsWithin(world, 6, statuses), ['stop']);
   assert.equal(world.stored()?.stopping, true);
 });
 
-test('a gang is preempted for urgent work only where that loses little', async () => {
+test('a gang is preempted for urgent work only if all tasks get the stop in time or little progress is lost', async () => {
   const cases: {
     name: string;
     checkpointS: number;
     ranS: number;
     /** Whether the machine answers calls. */
     reachable: boolean;
-    want: number;
+    stops: number;
   }[] = [
-    { name: 'all can be told', checkpointS: 60, ranS: 20, reachable: true, want: 2 },
-    { name: 'one can not be told', checkpointS: 60, ranS: 20, reachable: false, want: 0 },
-    { name: 'it began a moment ago', checkpointS: 60, ranS: 2, reachable: false, want: 2 },
-    { name: 'a checkpoint is never far', checkpointS: 4, ranS: 20, reachable: false, want: 2 },
-    { name: 'it never saves', checkpointS: 0, ranS: 20, reachable: false, want: 2 },
+    { name: 'the machine is reachable', checkpointS: 60, ranS: 20, reachable: true, stops: 2 },
+    {
+      name: 'the machine is unreachable',
+      checkpointS: 60,
+      ranS: 20,
+      reachable: false,
+      stops: 0,
+    },
+    { name: 'the gang started 2 s ago', checkpointS: 60, ranS: 2, reachable: false, stops: 2 },
+    { name: 'checkpoints are 4 s apart', checkpointS: 4, ranS: 20, reachable: false, stops: 2 },
+    { name: 'the gang never saves', checkpointS: 0, ranS: 20, reachable: false, stops: 2 },
   ];
-  for (const { name, checkpointS, ranS, reachable, want } of cases) {
-    const world = await gang(2, checkpointS);
-    const tasks = [shown(0), shown(1)];
+  for (const { name, checkpointS, ranS, reachable, stops } of cases) {
+    const world = await shardWithGang(2, checkpointS);
+    const tasks = [statusOf(0), statusOf(1)];
     if (reachable) answerCalls(world, tasks);
     await stopsWithin(world, ranS, tasks);
     const urgent = { ...SPEC, id: URGENT_JOB, priority: 'high' as const, cpus: 3 };
@@ -130,6 +146,6 @@
       { key: assignmentKey('p', URGENT_JOB, 9), value: { ...PLAIN_ASSIGNMENT, ids: '0', cpus: 3 } },
     ]);
     await world.clock.run(world.clock.now() + 300);
-    assert.equal((await stopsWithin(world, 2, tasks)).length, want, name);
+    assert.equal((await stopsWithin(world, 2, tasks)).length, stops, name);
   }
 });
