--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -1,42 +1,48 @@
-/** Constants, each with unit and reason. Leases, leader election, shard ownership, and the numbers that a term gives out. */
+/** Constants of leader election, member leases and the numbers that belong to a term. */
 
-/** ms; time to live of a member's lease: a controller that is killed is mostly back before it
- * expires, and claims its own shard again; with 3.5 s every restart moved its shard away and back. */
+/** ms; time to live of a member's lease. A controller that is killed usually restarts before its lease
+ * expires and claims its own shard again. With 3.5 s each restart moved the shard away and back. */
 export const MEMBER_LEASE_TTL_MS = 6_000;
 
-/** ms; interval of lease renewals, so three may fail before the lease expires. */
+/** ms; interval of lease renewals. Three in a row may fail before the lease expires. */
 export const MEMBER_LEASE_RENEW_MS = 1_500;
 
-/** ms; a preferred owner reclaims its shard from a live holder only this long after its own start. */
+/** ms; minimum time since its own start before a preferred holder reclaims its shard from a live
+ * holder. */
 export const PREFERRED_OWNER_SETTLE_MS = 500;
 
-/** ms; a controller that has just started leaves the leader role to better candidates that may be
- * starting too: two of their renewal intervals at the most. */
+/** ms; time since its own start during which a controller leaves the leader role to candidates that
+ * rank higher, because they may be starting too. Two lease renewal intervals at most. */
 export const LEADER_SETTLE_MS = 3_000;
 
-/** ms; a role that moved between controllers longer ago, by the time of day, has no former holder
- * that still answers: far longer than any grace, clock skew and transaction delay together. */
+/** ms; time since a role's last failover, by wall-clock time, after which its former holder certainly
+ * no longer answers: far longer than grace, clock skew and transaction delay together. */
 export const FORMER_HOLDER_GONE_MS = 300_000;
 
-/** ms; safety on top of computed lease expiries: timers fire late and answers take time. */
+/** ms; added to a computed lease expiry, because timers fire late and responses take time. */
 export const LEASE_MARGIN_MS = 1_000;
 
-/** s; what must remain between the expiry of the last possible lease and `cancel_s`. */
+/** s; minimum time between the expiry of the last possible worker lease and `cancel_s`. */
 export const CANCEL_MARGIN_S = 5;
 
-/** Share of the time between lease and `cancel_s` that this margin may take at the most. */
+/** Maximum of `CANCEL_MARGIN_S` as a fraction of the time between the lease's end and `cancel_s`. */
 export const CANCEL_MARGIN_SHARE = 0.4;
 
-/** Watches return within this share of the grace, so that a working holder's replica stays current. */
+/** A watch returns within this fraction of the grace, so that a working holder's replica stays
+ * current. */
 export const WATCH_GRACE_SHARE = 0.25;
 
-/** ms; a holder that stepped down and whose role nobody claimed continues under a new term after
- * this: whoever asked it to step down claims the role in its next reconcile, within a second. */
+/** ms; time after which a holder that stepped down continues under a new term if no other controller
+ * has claimed its role. The controller that requested the step-down claims the role in its next
+ * reconcile, within a second. */
 export const STEP_DOWN_UNCLAIMED_MS = 4_000;
 
-/** Fencing token = term × this + increment, so that one machine can be fenced without a write. */
+/** Fencing token = term × this + offset. The offset fences a single machine without a write to the
+ * key-value store. */
 export const FENCING_TOKENS_PER_TERM = 2 ** 16;
 
-/** Attempt = (term × SHARDS_PER_TERM + shard's number) × ATTEMPT_STEP + counter, never used twice. */
+/** Attempt number = (term × SHARDS_PER_TERM + shard number) × ATTEMPT_STEP + counter, so that no
+ * attempt number is used twice. */
 export const SHARDS_PER_TERM = 64;
+/** Attempt numbers that each shard, and the leader for gangs, has in a term. */
 export const ATTEMPT_STEP = 2 ** 20;
--- a/src/constants/storage.ts
+++ b/src/constants/storage.ts
@@ -1,62 +1,64 @@
-/** Constants, each with unit and reason. The key-value store's client: time-outs, watches, limits and retries. */
+/** Constants of the key-value store's client: time-outs, watches, rate limits and retries. */
 
-/** Changes that the key-value store keeps for watches; a full reading that spans more of them must be
- * started again. */
+/** Changes that the key-value store keeps for watches. A listing of all keys during which more changes
+ * are made must be started again. */
 export const STORE_CHANGES_KEPT = 10_000;
 
-/** ms; time-out of a request to the store: responses take 10 ms, now and then a few hundred. */
+/** ms; time-out of a request to the store. Responses take 10 ms, sometimes a few hundred. */
 export const STORE_TIMEOUT_MS = 2_000;
 
-/** ms; a watch returns after this without a change, which confirms that the replica is current. */
+/** ms; a watch without a change returns after this time, which confirms that the replica is current. */
 export const WATCH_HOLD_MS = 1_000;
 
-/** ms; least time between two watch requests, where the limits allow so many: changes close
- * together share one response. */
+/** ms; minimum time between two watch requests, as far as the rate limits allow so many. Changes that
+ * are close together share one response. */
 export const WATCH_SPACING_MS = 60;
 
-/** ms; first and longest pause after a failed request; the pause doubles in between. */
+/** ms; first pause after a failed request. The pause doubles with each further failure. */
 export const BACKOFF_FIRST_MS = 100;
+/** ms; longest pause after a failed request. */
 export const BACKOFF_LAST_MS = 2_000;
 
-/** ms; first and longest pause of a change that the store rejected as invalid: it stays invalid until
- * limits or records change, and other changes should not wait for it. */
+/** ms; first pause of a change that the store rejected as invalid. The change stays invalid until
+ * limits or records change, and other changes must not wait for it. */
 export const REJECTED_PAUSE_FIRST_MS = 2_000;
+/** ms; longest pause of a change that the store rejected as invalid. */
 export const REJECTED_PAUSE_LAST_MS = 60_000;
 
-/** ms; a user's check that waited this long for its request precedes decisions: a third of the time
- * that a poll has. This takes few requests, since many checks share one. */
+/** ms; waiting time after which a user's job check precedes requests of the leader and the shards: a
+ * third of the time limit of a poll. Such checks need few requests, because many share one. */
 export const CHECK_OVERDUE_MS = 500;
 
-/** Share of a value's limit that is filled when records are split: the store may count spaces, escapes
- * or digits differently. */
+/** Fraction of the size limit up to which a value is filled when records are split. The store may count
+ * spaces, escapes or digits differently. */
 export const VALUE_SHARE = 0.95;
 
-/** Final records cached in memory; older ones are read from the store again. */
+/** Final records cached in memory. Older ones are read from the store again. */
 export const MAX_CACHED_FINALS = 20_000;
 
-/** Least part of its equal share of the store's limits that a controller keeps after refusals. */
+/** Minimum rate that a controller keeps after refusals, as a fraction of its equal share of a limit. */
 export const STORE_LIMIT_MIN_SHARE = 0.5;
 
-/** Share of these limits that one controller may use at most, where the others leave it. */
+/** Maximum rate of one controller as a fraction of a limit, if the other controllers use less. */
 export const STORE_LIMIT_MAX_SHARE = 0.8;
 
-/** Share of a limit by which a controller's rate grows in a second in which requests wait. */
+/** Fraction of a limit by which a controller's rate grows in a second in which requests wait. */
 export const STORE_LIMIT_GROWTH = 0.1;
 
-/** Share of its equal share of writes above which a controller delays changes to batch them. */
+/** Fraction of its equal share of writes above which a controller delays changes to batch them. */
 export const WRITES_SCARCE_SHARE = 0.5;
 
-/** Share of it above which changes are delayed longest. */
+/** Fraction of its equal share of writes above which a controller delays changes the longest. */
 export const WRITES_SHORT_SHARE = 0.85;
 
-/** Factor of a controller's rate after a refusal. */
+/** Factor by which a refusal lowers a controller's rate. */
 export const STORE_LIMIT_AFTER_REFUSAL = 0.7;
 
-/** Share of the store's request limit that all members' watches may take together. */
+/** Fraction of the store's request limit that the watches of all members may use together. */
 export const WATCH_SHARE = 0.15;
 
-/** Share of the usual spacing of watches that is kept after a peer announced a change. */
+/** Fraction of the usual spacing of watches that remains after a peer announced a change. */
 export const HINTED_WATCH_SPACING_SHARE = 0.25;
 
-/** ms; the store counts as unreachable after this long without a success. */
+/** ms; the store counts as unreachable when requests fail and the last success is this long ago. */
 export const UNREACHABLE_AFTER_MS = 700;
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -1,4 +1,4 @@
-/** Which candidate claims a free role, and when. */
+/** Decides whether this member claims a role now, by its rank among the candidates. */
 
 import {
   LEADER_SETTLE_MS,
@@ -14,7 +14,7 @@
 import type { SteppedDownRoles } from './stepped-down-roles.js';
 import type { FailoverPolicy } from './failover-policy.js';
 
-/** What the order of candidates rests on. */
+/** Dependencies of a `CandidateOrder`. */
 export interface CandidateOrderOptions {
   readonly self: Member;
   readonly incarnation: string;
@@ -23,30 +23,30 @@
   readonly clock: Clock;
   readonly policy: FailoverPolicy;
   readonly steppedDown: SteppedDownRoles;
-  /** Roles whose claims the key-value store called invalid. */
+  /** Pauses of roles whose claims the key-value store rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
-  /** Steady time of this process's start. */
+  /** Time of this process's start on the steady clock, in ms. */
   readonly startedAt: number;
 }
 
 /**
- * Ranks the members that may claim a role: the first claims it at once, each further one only after
- * those before it had a lease renewal interval of time to do so.
+ * Ranks the members that may claim a role. The first candidate claims a free role at once. Each
+ * further one waits one lease renewal interval longer than the candidate before it.
  */
 export class CandidateOrder {
-  /** Steady time by role since which this process has seen that it is free. */
+  /** Steady time in ms at which this process first saw that a role is free, by role. */
   private readonly freeSince = new Map<string, number>();
 
   constructor(private readonly options: CandidateOrderOptions) {}
 
-  /** Whether the process that holds a role is registered. */
+  /** Returns whether the process that holds a role is registered as a member. */
   isHolderRegistered(holder: RoleRecord | null): boolean {
     if (holder === null) return false;
     const registered = this.options.replica.get<NodeRecord>(nodeKey(holder.owner));
     return registered?.value.incarnation === holder.incarnation;
   }
 
-  /** Whether a role should be claimed now. Keeps track of since when it has been free. */
+  /** Returns whether to claim a role now, and records since when the role has been free. */
   shouldClaim(role: string, preferredOwner: Member | null): boolean {
     const { incarnation, rejectedChangeBackoff, replica, self, steppedDown } = this.options;
     const holder = replica.get<RoleRecord>(roleKey(role))?.value ?? null;
@@ -67,33 +67,35 @@
     return holder === null || this.isHolderRegistered(holder) || this.mayFailOverFrom(role, holder);
   }
 
-  /** Whether a role may be claimed from a holder whose lease has expired. */
+  /** Returns whether a role may be claimed from a holder whose lease has expired. */
   mayFailOverFrom(role: string, holder: RoleRecord): boolean {
     const { policy, replica, self } = this.options;
     const { incarnation, owner: node, term } = holder;
     const expiredSince = this.trackFreeSince(role);
-    // An earlier process of this member has ended, and so has one whose member registered anew.
+    // The process that holds the role has ended if it was an earlier process of this member, or if
+    // its member has since registered with a new process.
     const hasEnded = node === self.node || replica.get(nodeKey(node)) !== null;
     return hasEnded || policy.mayFailOver({ role, node, incarnation, term, expiredSince });
   }
 
-  /** A preferred owner reclaims its shard from a live holder once it is up for a moment. */
+  /** Returns true if this member has run long enough to reclaim its shard and is not damped. */
   private mayReclaimAsPreferredOwner(): boolean {
     const { clock, policy, startedAt } = this.options;
     return clock.now() - startedAt > PREFERRED_OWNER_SETTLE_MS && !policy.isDamped();
   }
 
-  /** Steady time in ms since which this process has seen that a role is free: now at the latest. */
+  /** Returns since when this process has seen that a role is free; records the time on first call. */
   private trackFreeSince(role: string): number {
     const freeSince = this.freeSince.get(role) ?? this.options.clock.now();
     this.freeSince.set(role, freeSince);
     return freeSince;
   }
 
-  /** Whether the candidates before this one have had their time to claim a role. */
+  /** Returns whether all candidates that rank before this member have had time to claim a role. */
   private hasWaitedForItsRank(role: string, preferredOwner: Member | null): boolean {
     const { clock, self } = this.options;
-    // Read before the clock: read after it, the time would be negative at the first look.
+    // `freeSince` must be read before the clock. In the other order `freeForMs` would be negative on
+    // the first call, and the first candidate would have to wait.
     const freeSince = this.trackFreeSince(role);
     const freeForMs = clock.now() - freeSince;
     const isPreferredOwner = preferredOwner?.node === self.node;
@@ -101,11 +103,12 @@
     return freeForMs >= rank * MEMBER_LEASE_RENEW_MS;
   }
 
-  /** This member's position among the candidates for a role, from 0. */
+  /** Returns this member's rank among the candidates for a role, counted from 0. */
   private rankOfSelf(role: string, preferredOwner: Member | null): number {
     const { clock, members, self, startedAt } = this.options;
     const isStarting = clock.now() - startedAt < LEADER_SETTLE_MS;
-    // Where all start at once, the first to be up leaves the leader role to better candidates.
+    // If all members start together, the first one to run leaves the leader role to members that
+    // rank higher, although they are not registered yet.
     const candidates = preferredOwner === null && isStarting ? members : this.registeredMembers();
     const candidateOrder = preferredOwner
       ? orderForShard(role, preferredOwner, candidates)
@@ -114,7 +117,7 @@
     return rank < 0 ? candidateOrder.length : rank;
   }
 
-  /** Members that are registered now. */
+  /** Returns the members that are registered now. */
   private registeredMembers(): Member[] {
     const { members, replica } = this.options;
     return members.filter((member) => replica.get(nodeKey(member.node)) !== null);
--- a/src/coordination/election/election-context.ts
+++ b/src/coordination/election/election-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of leader election and shard ownership share. */
+/** Options and state that the modules of the role election share. */
 
 import type { Change, Guard, KeyValueStore } from '../../protocol/key-value-store.js';
 import type { Committer } from '../../storage/committer.js';
@@ -13,10 +13,10 @@
 import type { Member } from './rendezvous-hashing.js';
 import type { SteppedDownRoles } from './stepped-down-roles.js';
 
-/** What a role election is created from. */
+/** Dependencies and settings of a `RoleElection`. */
 export interface RoleElectionOptions {
   readonly self: Member;
-  /** Tells this process from earlier ones of the same member. */
+  /** Identifies this process; an earlier process of the same member had another incarnation. */
   readonly incarnation: string;
   readonly members: readonly Member[];
   readonly timing: LeaseTiming;
@@ -26,30 +26,30 @@
   readonly committer: Committer;
   readonly clock: Clock;
   readonly log: Log;
-  /** Changes that one transaction may hold. */
+  /** Maximum number of changes in one transaction. */
   readonly transactionOps: number;
   readonly policy: FailoverPolicy;
 }
 
-/** A role that members compete for. */
+/** A role for which the members are candidates. */
 export interface ElectableRole {
   readonly role: string;
-  /** The member that holds the role whenever it can; null: all members are candidates alike. */
+  /** The member that holds the role whenever it is able to; null if all members rank equally. */
   readonly preferredOwner: Member | null;
 }
 
-/** The options, and the state that registration, claims and held roles have in common. */
+/** The options of the election, and the state that registration, claims and held roles share. */
 export interface ElectionContext extends RoleElectionOptions {
   readonly electableRoles: readonly ElectableRole[];
   readonly candidateOrder: CandidateOrder;
   readonly steppedDown: SteppedDownRoles;
-  /** Roles, and the registration, whose transactions the key-value store called invalid. */
+  /** Pauses of roles, and of the registration, whose transactions were rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
-  /** Steady time of this process's start. */
+  /** Time of this process's start on the steady clock, in ms. */
   readonly startedAt: number;
 }
 
-/** The guards and changes of one compare-and-swap. */
+/** The guards and changes of one compare-and-swap transaction. */
 export interface GuardedChanges {
   readonly guards: Guard[];
   readonly changes: Change[];
--- a/src/coordination/election/failover-policy.ts
+++ b/src/coordination/election/failover-policy.ts
@@ -1,30 +1,30 @@
-/** When a role may fail over from a holder whose lease has expired. */
+/** The interface of failover policies, and the policy that uses lease expiry alone. */
 
-/** A holder of a role whose registration in the key-value store has expired with its lease. */
+/** The holder of a role whose registration has expired with its lease in the key-value store. */
 export interface ExpiredHolder {
   readonly role: string;
   readonly node: string;
-  /** Tells the holder's process from others of the same member. */
+  /** Identifies the holder's process among all processes of its member. */
   readonly incarnation: string;
   readonly term: number;
-  /** Steady time in ms since which this process has seen that the holder is not registered. */
+  /** Steady time in ms at which this process first saw that the holder is not registered. */
   readonly expiredSince: number;
 }
 
 /**
- * Decides when a failover is attempted. Its safety rests on terms, guards and fences alone, whatever
- * a policy says.
+ * Decides when a failover is attempted. Terms, guards and fencing tokens ensure that each role has a
+ * single holder, so a wrong decision costs availability but not safety.
  */
 export interface FailoverPolicy {
-  /** Whether a role may be claimed now from a holder whose lease has expired. */
+  /** Returns whether a role may be claimed now from a holder whose lease has expired. */
   mayFailOver(holder: ExpiredHolder): boolean;
-  /** Called when this process finds its own registration lost. */
+  /** Called when this process detects that its own registration is gone. */
   onRegistrationLost(): void;
-  /** Whether this member lost its registration so often that it leaves its shard with a live holder. */
+  /** Returns whether this member lost its registration too often to reclaim its shard. */
   isDamped(): boolean;
 }
 
-/** Lease expiry in the key-value store alone decides. */
+/** Policy without failure detection: a role may be claimed as soon as its holder's lease expires. */
 export const STORE_ONLY_POLICY: FailoverPolicy = {
   mayFailOver: () => true,
   onRegistrationLost: () => undefined,
--- a/src/coordination/election/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -1,4 +1,4 @@
-/** Writes to the key-value store on behalf of a role. */
+/** Writes to the key-value store that succeed only while this process holds a role. */
 
 import type { CommitResult, Committer } from '../../storage/committer.js';
 import type { Purpose } from '../../storage/rate-limiter.js';
@@ -7,15 +7,16 @@
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 
 /**
- * Guards every write by the key of the held role. Rewriting that key, with nothing changed but its
- * revision, invalidates all earlier transactions of this holder that have not been executed yet.
+ * Adds a guard on the held role's key to every transaction. Rewriting that key with the same value
+ * raises its revision, so all earlier transactions of this holder that the store has not executed yet
+ * fail.
  */
 export class GuardedWriter {
   constructor(
     private readonly key: string,
     private readonly replica: StoreReplica,
     private readonly committer: Committer,
-    /** Whether this process still holds the role, as far as the replica shows. */
+    /** Returns whether this process still holds the role, as far as the replica shows. */
     readonly isStillHolder: () => boolean,
   ) {}
 
@@ -24,9 +25,9 @@
   }
 
   /**
-   * Commits on behalf of the role. `mustNotRepeat`: the records that it creates may soon be consumed
-   * and removed, so an unanswered copy of the transaction could create them a second time. Such a
-   * copy is invalidated first.
+   * Commits a transaction on behalf of the role. `mustNotRepeat` is for records that may be removed
+   * soon after the transaction created them: a copy of the transaction that got no response could
+   * create them a second time, so the copy is invalidated before the transaction is retried.
    */
   async commit(
     purpose: Purpose,
@@ -44,7 +45,8 @@
             () => this.rewriteRoleKey(),
           )
         : await this.committer.commit(purpose, allGuards, changes, this.isStillHolder);
-      // Not executed while the role is still held: its key was only rewritten in the meantime.
+      // If only the guard on the role's key failed while the role is still held, the key was merely
+      // rewritten in the meantime, so the transaction is retried with the new revision.
       const shouldRetry =
         result.kind === 'neverCommitted' ||
         (result.kind === 'conflict' && result.failed.length === 1 && result.failed[0] === this.key);
@@ -52,7 +54,7 @@
     }
   }
 
-  /** Rewrites the role's key unchanged; false: the role is lost. */
+  /** Rewrites the role's key with the same value. Returns false if this process lost the role. */
   private async rewriteRoleKey(): Promise<boolean> {
     const before = this.replica.get<RoleRecord>(this.key);
     if (!before || !this.isStillHolder()) return false;
--- a/src/coordination/election/held-roles.ts
+++ b/src/coordination/election/held-roles.ts
@@ -1,4 +1,4 @@
-/** The roles that this process holds, under which term, and from when it may rely on that. */
+/** Derives from the replica which roles this process holds, and under which term. */
 
 import { roleKey } from '../../storage/keys.js';
 import type { RoleRecord } from '../../storage/records.js';
@@ -14,24 +14,24 @@
   readonly record: RoleRecord;
 }
 
-/** When and how this process got a role. */
+/** The term under which this process holds a role, and how it was obtained. */
 interface ClaimedTerm {
   readonly term: number;
   /** Revision of the role's key when the term was first seen. */
   readonly revision: number;
-  /** Steady time at which this process first saw the term. */
+  /** Steady time in ms at which this process first saw the term. */
   readonly seenAt: number;
-  /** This process held the role under an earlier term, and may have answered workers until then. */
+  /** True if this process held the role under an earlier term and may have answered workers then. */
   readonly heldBefore: boolean;
 }
 
-/** Says which roles this process holds by what the replica shows. */
+/** Roles that this process holds according to the replica. */
 export class HeldRoles {
   private readonly claimedTerms = new Map<string, ClaimedTerm>();
 
   constructor(private readonly context: ElectionContext) {}
 
-  /** A held role; null until the replica has everything that was written before the claim. */
+  /** Returns a held role; null until the replica contains all changes made before the claim. */
   get(role: string): HeldRole | null {
     const { incarnation, replica, self, steppedDown } = this.context;
     const entry = replica.get<RoleRecord>(roleKey(role));
@@ -44,26 +44,29 @@
     return { role, term, revision: entry.revision, record: entry.value };
   }
 
-  /** Stops acting and answering in a held role; false: it is not held under this term. */
+  /** Steps down from a held role. Returns false if the role is not held under this term. */
   stepDown(role: string, term: number): boolean {
     if (this.get(role)?.term !== term) return false;
     this.context.steppedDown.add(role, term);
     return true;
   }
 
-  /** Steady time from which no machine that did not send us a heartbeat has tasks left. */
+  /**
+   * Returns the steady time in ms after which a machine that has not sent this process a heartbeat
+   * has no tasks left.
+   */
   fenceEndsAt({ record, role }: HeldRole): number {
     const { clock, timing } = this.context;
     const claimedTerm = this.claimedTerms.get(role);
     const seenAt = claimedTerm?.seenAt ?? clock.now();
-    // Under an earlier term this process itself answered until it saw the new one.
+    // A process that held the role under an earlier term answered workers until it saw the new term.
     const startedAt = claimedTerm?.heldBefore ? seenAt : this.context.startedAt;
     return fenceEndsAt(record, { startedAt, seenAt }, clock.wall(), timing);
   }
 
   /**
-   * What is known of the current term. The role's key may be rewritten within a term, so only the
-   * revision at which the term was first seen counts.
+   * Returns the current term with the revision at which it was first seen. Later revisions of the
+   * role's key in the same term come from rewrites of the key, not from a new claim.
    */
   private claimedTerm(role: string, term: number, revision: number): ClaimedTerm {
     const known = this.claimedTerms.get(role);
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -1,4 +1,4 @@
-/** How long a holder may act, and how long a new holder waits for the former one. */
+/** Computes how long a holder may act, and how long a new holder waits for the former one. */
 
 import {
   CANCEL_MARGIN_S,
@@ -9,7 +9,7 @@
 import { CLOCK_DRIFT } from '../../constants/protocol.js';
 import type { RoleRecord } from '../../storage/records.js';
 
-/** The deployment's time bounds that exclusive ownership rests on. */
+/** Time bounds from the settings that ensure that a role has a single holder. */
 export interface LeaseTiming {
   leaseS: number;
   cancelS: number;
@@ -17,34 +17,36 @@
 }
 
 /**
- * ms for which a shard's owner may answer heartbeats after its replica was last known to be current.
- * A worker that it answered last keeps its tasks for one more lease, and both together must end
- * before a cancellation is due that the owner has not learned of.
+ * Returns the grace: the time in ms for which a shard's holder may answer heartbeats after its replica
+ * was last confirmed as current. A worker keeps its tasks for one more lease after its last answered
+ * heartbeat. Grace and lease together must end before `cancel_s`, because the holder may have missed a
+ * cancellation.
  */
 export function graceMs(timing: LeaseTiming): number {
   const slackS = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
-  // Where the deployment leaves little between the two, the margin must not consume the grace: an
-  // owner whose grace is shorter than one watch would never answer a heartbeat.
+  // If lease and `cancel_s` are close together, the full margin would consume the grace, and a holder
+  // whose grace is shorter than one watch would never answer a heartbeat.
   return (slackS - Math.min(CANCEL_MARGIN_S, slackS * CANCEL_MARGIN_SHARE)) * 1000;
 }
 
-/** The longest time in ms that a worker's tasks outlive its last answered heartbeat. */
+/** Returns the maximum time in ms for which a worker runs tasks after its last answered heartbeat. */
 export function workerLeaseMs(timing: LeaseTiming): number {
   return timing.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
 }
 
-/** Steady times of this process that bound how long answers under earlier terms went on. */
+/** Steady times of this process that limit how long heartbeats were answered under earlier terms. */
 export interface TenureTimes {
-  /** When this process started or, where it held the role before, when that earlier term ended. */
+  /** Start of this process, or the end of its earlier term if it held the role before; in ms. */
   readonly startedAt: number;
-  /** When this process first saw that it holds the role. */
+  /** Time at which this process first saw that it holds the role, in ms. */
   readonly seenAt: number;
 }
 
 /**
- * The steady time from which no machine has tasks left that has not sent its shard's new owner a
- * heartbeat. The time of day in the claim is no proof of when it took effect: in an outage a claim
- * may be executed long after it was made. `wall`: the time of day in ms.
+ * Returns the steady time in ms after which a machine that has not sent its shard's new holder a
+ * heartbeat has no tasks left. `movedAt` in the role's record does not show when the claim took
+ * effect, because in an outage a claim may be executed long after it was made. `wall` is the
+ * wall-clock time in ms.
  */
 export function fenceEndsAt(
   record: RoleRecord,
@@ -52,10 +54,11 @@
   wall: number,
   timing: LeaseTiming,
 ): number {
-  // An earlier process of this member ended before this one started, and its answers with it.
+  // An earlier process of this member answered no heartbeat after this process started.
   const ownAnswersEndAt = self.startedAt + workerLeaseMs(timing);
   if (record.movedAt === 0 || wall - record.movedAt > FORMER_HOLDER_GONE_MS) return ownAnswersEndAt;
-  // Another holder answered at the latest a full grace after it sent the last watch that did not show
-  // the claim. That was before the claim was executed, which was before this process saw it.
+  // The former holder answered heartbeats at the latest one grace after it sent its last watch that
+  // did not return the claim. It sent that watch before the claim was executed, and this process saw
+  // the claim after that.
   return Math.max(ownAnswersEndAt, self.seenAt + graceMs(timing) + workerLeaseMs(timing));
 }
--- a/src/coordination/election/member-registration.ts
+++ b/src/coordination/election/member-registration.ts
@@ -1,4 +1,4 @@
-/** This process's registration as a member: a key that hangs on a lease of the key-value store. */
+/** Registers this process as a member by a key under a lease in the key-value store. */
 
 import { MEMBER_LEASE_RENEW_MS, MEMBER_LEASE_TTL_MS } from '../../constants/election.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
@@ -7,31 +7,31 @@
 import type { ElectableRole, ElectionContext, GuardedChanges } from './election-context.js';
 import { claimRecord } from './role-claims.js';
 
-/** The name under which a rejected registration is backed off; no role has this name. */
+/** Key of the registration in `rejectedChangeBackoff`, next to the names of roles; no role has it. */
 const REGISTRATION = 'registration';
 
-/** Registers this process, and keeps the lease that the registration hangs on. */
+/** Registers this process and renews the lease that the registration depends on. */
 export class MemberRegistration {
-  /** The lease's id; null: there is none. */
+  /** Id of the lease; null if there is none. */
   private lease: number | null = null;
   private renewedAt = -Infinity;
-  /** Registered since the last attempt: a lost registration is counted once, not on each attempt. */
+  /** True from a registration until its loss is counted, so that further attempts do not count it. */
   private hasRegistered = false;
 
   constructor(private readonly context: ElectionContext) {}
 
-  /** Whether this process has a lease, as far as it knows. */
+  /** Whether this process has a lease that it has not found to be expired. */
   get hasLease(): boolean {
     return this.lease !== null;
   }
 
-  /** Whether this process is registered, by what the replica holds. */
+  /** Whether this process is registered according to the replica. */
   get isRegistered(): boolean {
     const { incarnation, replica, self } = this.context;
     return replica.get<NodeRecord>(nodeKey(self.node))?.value.incarnation === incarnation;
   }
 
-  /** Renews the lease when that is due, and registers anew where lease or registration are gone. */
+  /** Renews the lease when due, and registers again if the lease or the registration is gone. */
   async keep(): Promise<void> {
     const now = this.context.clock.now();
     const { isRegistered, lease } = this;
@@ -40,7 +40,7 @@
     await this.register(now);
   }
 
-  /** Renews the lease when that is due; false: it has expired. */
+  /** Renews the lease when due. Returns false if it has expired. */
   private async renewLease(lease: number, now: number): Promise<boolean> {
     if (now - this.renewedAt < MEMBER_LEASE_RENEW_MS) return true;
     await this.context.limiter.acquire('role', 0);
@@ -70,16 +70,17 @@
     log.info({ keys: guards.map((guard) => guard.key) }, 'member registered');
   }
 
-  /** The registration, and with it the roles that this process claims without a wait. */
+  /** Builds the transaction that registers this process and claims roles that need no waiting. */
   private transaction(lease: number): GuardedChanges {
     const { incarnation, replica, self, transactionOps } = this.context;
     const key = nodeKey(self.node);
     const value: NodeRecord = { incarnation };
     const changes: Change[] = [{ key, value, lease }];
-    // A late registration of an earlier process must not replace this one, nor this one a newer.
+    // Without this guard a delayed registration of an earlier process could replace this one, or a
+    // delayed copy of this one could replace that of a later process.
     const guards: Guard[] = [{ key, revision: replica.revisionOf(key) }];
     for (const electableRole of this.preferredRolesFirst()) {
-      // What does not fit into the transaction can be claimed by any candidate right after it.
+      // Roles that do not fit into the transaction are claimed by the usual order of candidates.
       if (changes.length >= transactionOps) break;
       const claimedKey = roleKey(electableRole.role);
       const entry = replica.get<RoleRecord>(claimedKey);
@@ -104,10 +105,10 @@
     return preferredOwner?.node === this.context.self.node;
   }
 
-  /** Whether a role is claimed together with the registration. */
+  /** Returns whether a role is claimed together with the registration. */
   private isClaimedAtOnce(electableRole: ElectableRole, holder: RoleRecord | null): boolean {
     const { candidateOrder, incarnation, policy, self } = this.context;
-    // A role of an earlier process of this member: that process has ended.
+    // An earlier process of this member has ended, so its roles are free.
     if (holder?.owner === self.node) return holder.incarnation !== incarnation;
     if (!this.isPreferredOwner(electableRole)) return false;
     if (holder === null) return true;
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -1,6 +1,9 @@
-/** Rendezvous hashing: which shard a machine belongs to, and the order of candidates for a role. */
+/** Rendezvous hashing, which assigns machines to shards and orders the candidates for a role. */
 
-/** FNV-1a over UTF-16 units, mixed once more: even enough for choosing among a few members. */
+/**
+ * Returns the FNV-1a hash over the UTF-16 units of a text, with a final mixing step that spreads it
+ * evenly enough to choose among a few members.
+ */
 export function hash(text: string): number {
   let value = 0x811c9dc5;
   for (let index = 0; index < text.length; index++) {
@@ -13,7 +16,10 @@
   return value >>> 0;
 }
 
-/** The candidate with the greatest hash together with the name; of equals the first by name. */
+/**
+ * Returns the candidate with the greatest hash of candidate and name. Equal hashes are ordered by the
+ * candidate's name.
+ */
 function highestRanked(name: string, candidates: readonly string[]): string | null {
   let best: string | null = null;
   let bestHash = -1;
@@ -27,15 +33,16 @@
   return best;
 }
 
-/** A controller of the cluster, and the zone that it runs in. */
+/** A controller of the cluster with the zone in which it runs. */
 export interface Member {
   node: string;
   zone: string;
 }
 
 /**
- * The shard that a machine belongs to. It is one whose preferred owner is in the machine's zone, so
- * that a zone that is cut off keeps working, or any where that zone has no member. It never changes.
+ * Returns the shard to which a machine belongs, which never changes. The shard's preferred holder runs
+ * in the machine's zone, so that a zone that is cut off from the others keeps working. Machines of a
+ * zone without a member are distributed over all shards.
  */
 export function shardOf(machine: string, zone: string, members: readonly Member[]): string {
   const local = members.filter((member) => member.zone === zone);
@@ -43,7 +50,7 @@
   return highestRanked(machine, names) ?? '';
 }
 
-/** The members' names, each the highest ranked among those that are left. */
+/** Returns the members' names in descending order of their hash with the role. */
 function rankByHash(role: string, members: readonly Member[]): string[] {
   const names = members.map((member) => member.node);
   const ranking: string[] = [];
@@ -54,7 +61,7 @@
   return ranking;
 }
 
-/** The candidates for a shard that its preferred owner does not claim: those of its zone first. */
+/** Orders the candidates for a shard; members of its preferred holder's zone come first. */
 export function orderForShard(
   role: string,
   preferredOwner: Member,
@@ -66,8 +73,8 @@
 }
 
 /**
- * The candidates for the leader role: those that share their zone's machines with the most other
- * members first, since their shards leave them the least to do.
+ * Orders the candidates for the leader role. Members of the zones with the most members come first:
+ * their zone's machines are divided among more shards, so their own shards take the least work.
  */
 export function orderForLeader(
   role: string,
--- a/src/coordination/election/role-claims.ts
+++ b/src/coordination/election/role-claims.ts
@@ -1,11 +1,14 @@
-/** Claims roles: each by one compare-and-swap that raises the role's term. */
+/** Claims roles, each by one compare-and-swap transaction that raises the role's term. */
 
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import { nodeKey, roleKey } from '../../storage/keys.js';
 import type { RoleRecord } from '../../storage/records.js';
 import type { ElectionContext } from './election-context.js';
 
-/** The record by which this process claims a role from its holder; null: nobody held it yet. */
+/**
+ * Returns the role record that this process writes to claim a role. `holder` is the current record,
+ * or null if the role was never held.
+ */
 export function claimRecord(
   { clock, incarnation, self }: Pick<ElectionContext, 'clock' | 'incarnation' | 'self'>,
   holder: RoleRecord | null,
@@ -19,11 +22,11 @@
   };
 }
 
-/** Claims the roles for which this process is the candidate. */
+/** Claims roles for this process. */
 export class RoleClaims {
   constructor(private readonly context: ElectionContext) {}
 
-  /** Claims, one after another, all free roles for which this process is the candidate. */
+  /** Claims, one after another, all free roles that the candidate order allows this process now. */
   async claimFreeRoles(): Promise<void> {
     const { candidateOrder, electableRoles } = this.context;
     for (const { role, preferredOwner } of electableRoles) {
@@ -47,7 +50,7 @@
     log.info({ role, formerHolder, term: record.term, result: result.kind }, 'role claim finished');
   }
 
-  /** A holder whose lease has expired and that registers again at this moment keeps its role. */
+  /** Returns a guard that makes the claim fail if a holder with an expired lease registers again. */
   private holderGuards(holder: RoleRecord | null): Guard[] {
     const { candidateOrder, replica } = this.context;
     if (holder === null || candidateOrder.isHolderRegistered(holder)) return [];
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -1,4 +1,4 @@
-/** Leader election and shard ownership: who holds which role, and under which term. */
+/** Elects the holder of each role: one leader for the cluster and one holder for each shard. */
 
 import { roleKey } from '../../storage/keys.js';
 import type { RoleRecord } from '../../storage/records.js';
@@ -15,9 +15,9 @@
 
 export type { HeldRole } from './held-roles.js';
 
-/** The role of the leader, which assigns tasks to shards and scales out and in. */
+/** Name of the leader's role; the leader assigns tasks to shards and scales the cluster out and in. */
 export const LEADER = 'leader';
-/** The role of a shard's owner. */
+/** Returns the name of the role of a shard's holder. */
 export const shardRole = (shard: string): string => `part-${shard}`;
 
 const electableRolesOf = (members: readonly Member[]): ElectableRole[] => [
@@ -26,8 +26,8 @@
 ];
 
 /**
- * One election for all roles of the cluster. A member registers under a lease, claims the roles that
- * are free, and holds each until another process claims it under a later term.
+ * Takes part in the election of all roles for this process. A member registers under a lease, claims
+ * free roles, and holds each of them until another process claims it under a later term.
  */
 export class RoleElection {
   private readonly context: ElectionContext;
@@ -35,7 +35,7 @@
   private readonly claims: RoleClaims;
   private readonly heldRoles: HeldRoles;
   private readonly reconciles = new SingleFlight();
-  /** ms for which a current replica may be acted on. */
+  /** Time in ms for which this process may act after its replica was last confirmed as current. */
   private readonly graceMs: number;
 
   constructor(options: RoleElectionOptions) {
@@ -54,49 +54,52 @@
     this.graceMs = graceMs(timing);
   }
 
-  /** The member that holds a role, whether or not its process still lives. */
+  /** Returns the member that holds a role, even if its process has ended; null if none does. */
   holderOf(role: string): string | null {
     return this.context.replica.get<RoleRecord>(roleKey(role))?.value.owner ?? null;
   }
 
-  /** A held role; null until the replica has everything that was written before the claim. */
+  /** Returns a held role; null until the replica contains all changes made before the claim. */
   heldRole(role: string): HeldRole | null {
     return this.heldRoles.get(role);
   }
 
-  /** Whether the replica is recent enough to act on a role outside this process. */
+  /** Whether the replica is recent enough to answer workers and send commands for a held role. */
   get isReplicaCurrent(): boolean {
     const { clock, replica } = this.context;
     return clock.now() - replica.knownCurrentAt < this.graceMs;
   }
 
-  /** Stops acting and answering in a held role; false: it is not held under this term. */
+  /** Steps down from a held role. Returns false if the role is not held under this term. */
   stepDown(role: string, term: number): boolean {
     return this.heldRoles.stepDown(role, term);
   }
 
-  /** Whether this process stepped down from a role under this term. */
+  /** Returns whether this process stepped down from a role under this term. */
   hasSteppedDown(role: string, term: number): boolean {
     return this.context.steppedDown.has(role, term);
   }
 
-  /** Whether this process is registered as a member, by what the replica holds. */
+  /** Whether this process is registered as a member according to the replica. */
   get isRegistered(): boolean {
     return this.registration.isRegistered;
   }
 
-  /** Steady time from which no machine that did not send us a heartbeat has tasks left. */
+  /**
+   * Returns the steady time in ms after which a machine that has not sent this process a heartbeat
+   * has no tasks left.
+   */
   fenceEndsAt(heldRole: HeldRole): number {
     return this.heldRoles.fenceEndsAt(heldRole);
   }
 
-  /** Keeps the registration, then claims the free roles; skipped while an earlier pass runs. */
+  /** Renews the registration, then claims free roles. Does nothing while an earlier pass runs. */
   async reconcile(): Promise<void> {
     if (!this.context.replica.isLoaded) return;
     await this.reconciles.run(() => this.reconcileOnce());
   }
 
-  /** Continues with a held role under a new term, whose numbers are all unused. */
+  /** Claims a held role again, under a new term whose numbers are all unused. */
   async renewTerm(role: string): Promise<void> {
     if (this.heldRole(role) !== null) await this.claims.claim(role);
   }
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,31 +1,34 @@
-/** Roles that this process stepped down from on request, and under which term. */
+/** Records from which roles, and under which term, this process stepped down. */
 
 import { STEP_DOWN_UNCLAIMED_MS } from '../../constants/election.js';
 import type { Clock } from '../../transport/clock.js';
 
 interface SteppedDownTerm {
   readonly term: number;
-  /** Steady time in ms. */
+  /** Steady time of the step-down in ms. */
   readonly steppedDownAt: number;
 }
 
-/** Under a term that it stepped down from, this process never acts or answers again. */
+/** The last term of each role from which this process stepped down and in which it no longer acts. */
 export class SteppedDownRoles {
   private readonly terms = new Map<string, SteppedDownTerm>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Steps down from a role under this term. */
+  /** Records a step-down. */
   add(role: string, term: number): void {
     this.terms.set(role, { term, steppedDownAt: this.clock.now() });
   }
 
-  /** Whether this process stepped down from the role under this term. */
+  /** Returns whether this process stepped down from the role under this term. */
   has(role: string, term: number): boolean {
     return this.terms.get(role)?.term === term;
   }
 
-  /** Whether nobody claimed the role for so long that this process may claim it under a new term. */
+  /**
+   * Returns whether the step-down was `STEP_DOWN_UNCLAIMED_MS` ago. This process may then claim the
+   * role under a new term, because no other controller has claimed it.
+   */
   isUnclaimed(role: string, term: number): boolean {
     const steppedDown = this.terms.get(role);
     if (steppedDown?.term !== term) return false;
--- a/src/coordination/failure-detection/confirmed-failover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -1,4 +1,4 @@
-/** Lets roles fail over once the failure of their holder is confirmed, or after a bounded wait. */
+/** Failover policy that waits until the holder's failure is confirmed, for a limited time. */
 
 import type { FailureDetector, Verdict, VerdictKind } from '@mothbank/failure-detector';
 import type { Clock } from '../../transport/clock.js';
@@ -7,18 +7,18 @@
 import { FlapDamping } from './flap-damping.js';
 import type { StepDownRequests } from './step-down-requests.js';
 
-/** What failover decisions rest on. */
+/** Dependencies and settings of a `ConfirmedFailover`. */
 export interface ConfirmedFailoverOptions {
   readonly detector: FailureDetector;
   readonly stepDownRequests: StepDownRequests;
   readonly clock: Clock;
-  /** ms after which lease expiry in the key-value store alone decides. */
+  /** Time in ms since the lease's expiry after which a role fails over without confirmation. */
   readonly confirmWithinMs: number;
-  /** Called once for each new decision. */
+  /** Called for each decision that differs from the last one about the role. */
   readonly onDecision: (decision: FailoverDecision) => void;
 }
 
-/** Verdicts on which a role fails over at once, with the reason that is recorded. */
+/** Reasons recorded for failovers without a wait, by the verdict that allows them. */
 const IMMEDIATE_FAILOVER_REASONS: Partial<Record<VerdictKind, string>> = {
   failed: 'failure confirmed by a quorum',
   replaced: 'a later process answers',
@@ -30,10 +30,13 @@
   readonly why: string;
 }
 
-/** Decides by the failure detector. Safety rests on terms, guards and fences, not on its verdicts. */
+/**
+ * Decides failovers by the verdicts of the failure detector. Terms, guards and fencing tokens ensure
+ * that each role has a single holder, so a wrong verdict costs availability but not safety.
+ */
 export class ConfirmedFailover implements FailoverPolicy {
   private readonly flapDamping: FlapDamping;
-  /** The last reported decision by role, so that each is reported once. */
+  /** The last reported decision by role, so that a repeated decision is not reported again. */
   private readonly lastReported = new Map<string, string>();
 
   constructor(private readonly options: ConfirmedFailoverOptions) {
--- a/src/coordination/failure-detection/detection-records.ts
+++ b/src/coordination/failure-detection/detection-records.ts
@@ -1,12 +1,12 @@
-/** What this controller detected and decided: a bounded history in memory, and one log line each. */
+/** Records of detected failures and failover decisions, in a bounded history and in the log. */
 
 import { BoundedHistory, type ProbeTimes, type Transition } from '@mothbank/failure-detector';
 import type { Log } from '../../storage/log.js';
 
-/** What was decided about a role whose holder's lease has expired; exported with the history. */
+/** Action decided for a role whose holder's lease has expired; part of the exported history. */
 export type FailoverAction = 'take' | 'wait' | 'ask to stand down';
 
-/** A failover decision with its evidence. */
+/** A failover decision with the evidence for it. */
 export interface FailoverDecision {
   readonly role: string;
   readonly holder: string;
@@ -16,11 +16,11 @@
   readonly why: string;
   readonly witnesses: readonly string[];
   readonly quorum: number;
-  /** ms since this controller saw that the holder is not registered. */
+  /** Time in ms since this controller first saw that the holder is not registered. */
   readonly waitedMs: number;
 }
 
-/** One record of the history; `at`: time of day in ms. */
+/** One record of the history. `at` is the wall-clock time in ms. */
 export type DetectionRecord =
   | ({ readonly type: 'transition' } & Transition)
   | ({
@@ -35,7 +35,7 @@
       readonly localHealth: number;
     } & ProbeTimes);
 
-/** Keeps records, and logs each as the field `detection` of a log line. */
+/** Stores the latest records, and logs each record in the field `detection`. */
 export class DetectionRecords {
   private readonly history: BoundedHistory<DetectionRecord>;
 
@@ -46,13 +46,13 @@
     this.history = new BoundedHistory(maxRecords);
   }
 
-  /** Adds a record and logs it. */
+  /** Adds a record to the history and logs it. */
   add(record: DetectionRecord): void {
     this.history.add(record);
     this.log.info({ detection: record }, eventNameOf(record));
   }
 
-  /** The kept records, one JSON object a line, in the form of the log's lines. */
+  /** Returns the stored records as JSON lines, each in the form of the field `detection` in the log. */
   export(): string {
     return this.history
       .all()
@@ -66,8 +66,8 @@
     case 'transition':
       return 'member state changed';
     case 'decision':
-      return 'failover decision';
+      return 'failover decided';
     case 'probeTimes':
-      return 'probe round-trip times';
+      return 'probe round-trip times recorded';
   }
 }
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -1,4 +1,4 @@
-/** A controller's interface to failure detection, whose code is loaded only where it is enabled. */
+/** Interface of failure detection, whose implementation is loaded only if the settings enable it. */
 
 import type { DetectorCounts } from '@mothbank/failure-detector';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
@@ -9,47 +9,47 @@
 import type { FailoverPolicy } from '../election/failover-policy.js';
 import type { Environment } from '../../protocol/environment.js';
 
-/** What failure detection is created from. */
+/** Dependencies of failure detection. */
 export interface DetectionServiceOptions {
   readonly node: string;
   readonly incarnation: string;
   readonly members: readonly Member[];
   readonly environment: Environment;
   readonly replica: StoreReplica;
-  /** Uniform in [0, 1). */
+  /** Random numbers, uniform in [0, 1). */
   readonly random: () => number;
   readonly log: Log;
   readonly roles: () => RoleElection;
-  /** This process stepped down from a role: whatever acts on its behalf must stop now. */
+  /** Called when this process has stepped down from a role, so that it stops acting in the role. */
   readonly onSteppedDown: () => void;
-  /** Something changed that a failover may wait for. */
+  /** Called after a change that may allow a failover. */
   readonly onChanged: () => void;
 }
 
 /** Failure detection of one controller. */
 export interface DetectionService {
   readonly policy: FailoverPolicy;
-  /** Counts since the start. */
+  /** Numbers of detector events since the start of this process. */
   readonly counts: DetectorCounts;
-  /** Probes that were sent and that failed. */
+  /** Numbers of sent and of failed probes. */
   readonly probeCounts: { readonly sent: number; readonly failed: number };
-  /** 0: this controller trusts its own observations fully. */
+  /** Local health score: 0 if this controller is healthy, higher the slower it seems to be. */
   readonly localHealthScore: number;
-  /** Bytes of detector messages that were sent. */
+  /** Total size in bytes of the sent detector messages. */
   readonly bytesSent: number;
   /** Starts probing. */
   start(): void;
   /** Stops all probing. */
   stop(): void;
-  /** Handles a peer's message; `answer` sends a reply to that peer. */
+  /** Processes a peer's message; `answer` sends a reply to that peer. */
   receive(message: PeerMessage, answer: (message: PeerMessage) => void): void;
-  /** Whether the leader may assign new tasks to a shard. */
+  /** Returns whether the leader may assign new tasks to a shard. */
   acceptsNewWork(shard: string): boolean;
-  /** Records probe round-trip times if the last record is old enough. */
+  /** Records probe round-trip times if `PROBE_TIMES_PERIOD_MS` have passed since the last record. */
   recordProbeTimesIfDue(): void;
-  /** The history, one JSON object a line. */
+  /** Returns the history as JSON lines. */
   export(): string;
 }
 
-/** Creates failure detection for a controller; null where it is disabled. */
+/** Factory of a controller's failure detection; null if the settings do not enable it. */
 export type CreateDetection = ((options: DetectionServiceOptions) => DetectionService) | null;
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -1,4 +1,4 @@
-/** Failure detection in a controller: the detector on peer links, the failover policy, the records. */
+/** Connects the failure detector with a controller's peer links, failover policy and records. */
 
 import { FailureDetector, type DetectorCounts } from '@mothbank/failure-detector';
 import { PROBE_TIMES_PERIOD_MS, STORE_REACHABLE_MS } from '../../constants/failure-detection.js';
@@ -15,7 +15,7 @@
 
 type SendReply = (message: PeerMessage) => void;
 
-/** Monitors the peers of one controller, and decides when a role may fail over from one. */
+/** Monitors a controller's peers and decides when a role may fail over from one of them. */
 export class FailureDetection implements DetectionService {
   readonly policy: FailoverPolicy;
   bytesSent = 0;
@@ -71,7 +71,10 @@
     else if (message.kind === 'steppedDown') this.stepDownRequests.onAnswer(message);
   }
 
-  /** The shard of a suspected owner keeps its tasks and gets no new ones, for a bounded time. */
+  /**
+   * Returns false in the first `holdNewWorkMs` of a suspicion of the shard's holder. During this time
+   * the shard keeps its tasks but gets no new ones.
+   */
   acceptsNewWork(shard: string): boolean {
     const { environment, node, roles } = this.options;
     const owner = roles().holderOf(shardRole(shard));
--- a/src/coordination/failure-detection/flap-damping.ts
+++ b/src/coordination/failure-detection/flap-damping.ts
@@ -1,4 +1,4 @@
-/** Flap damping: a controller that keeps losing its registration stops reclaiming its shard. */
+/** Flap damping, which stops a controller that often loses its registration from reclaiming its shard. */
 
 import {
   FLAP_HALF_LIFE_MS,
@@ -8,7 +8,10 @@
 } from '../../constants/failure-detection.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** A penalty that grows with each loss and decays, with hysteresis between two bounds. */
+/**
+ * A penalty that each lost registration raises by 1 and that decays exponentially. Damping begins at
+ * `FLAP_SUPPRESS_PENALTY` and ends below `FLAP_REUSE_PENALTY`.
+ */
 export class FlapDamping {
   private penalty = 0;
   private penaltySetAt = 0;
@@ -16,14 +19,14 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Adds a lost registration to the penalty. */
+  /** Raises the penalty for a lost registration. */
   addLoss(): void {
     this.penalty = Math.min(FLAP_PENALTY_MAX, this.decayedPenalty() + 1);
     this.penaltySetAt = this.clock.now();
     if (this.penalty >= FLAP_SUPPRESS_PENALTY) this.isSuppressed = true;
   }
 
-  /** Whether this controller should leave its shard with the current holder. */
+  /** Whether this controller leaves its shard with the current holder. */
   get isDamped(): boolean {
     if (this.isSuppressed && this.decayedPenalty() < FLAP_REUSE_PENALTY) this.isSuppressed = false;
     return this.isSuppressed;
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -1,4 +1,4 @@
-/** Asks holders whose lease has expired to step down, and steps down when this process is asked. */
+/** Requests holders with an expired lease to step down, and processes such requests from peers. */
 
 import { STEP_DOWN_RETRY_MS } from '../../constants/failure-detection.js';
 import type { PeerMessage, RoleTenure } from '../../protocol/peer-messages.js';
@@ -7,7 +7,7 @@
 import type { ExpiredHolder } from '../election/failover-policy.js';
 import type { RoleElection } from '../election/role-election.js';
 
-/** What step-down requests work with. */
+/** Dependencies of `StepDownRequests`. */
 export interface StepDownRequestsOptions {
   readonly node: string;
   readonly incarnation: string;
@@ -16,33 +16,36 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly send: (peer: string, message: PeerMessage) => boolean;
-  /** Whether the key-value store answers this controller. */
+  /** Returns whether the key-value store answers this controller. */
   readonly isStoreReachable: () => boolean;
   readonly roles: () => RoleElection;
-  /** This process stepped down: nothing may act on behalf of the role any more. */
+  /** Called when this process has stepped down from a role, so that it stops acting in the role. */
   readonly onSteppedDown: () => void;
-  /** A holder confirmed that it stepped down: the role can be claimed. */
+  /** Called when a holder has confirmed its step-down, so that its role is claimed. */
   readonly onConfirmed: () => void;
 }
 
 const tenureKeyOf = ({ role, term, incarnation }: Omit<RoleTenure, 'node'>): string =>
   `${role} ${term} ${incarnation}`;
 
-/** Both sides of a step-down. A lost or repeated message does no harm: an answer names its term. */
+/**
+ * Sends and answers step-down requests. Lost and repeated messages are harmless, because a lost one is
+ * requested again and each answer names the term that it is about.
+ */
 export class StepDownRequests {
-  /** The tenure of the latest answer by role: older answers are about terms that are over. */
+  /** Tenure of the latest answer, by role. Older answers are about terms that have ended. */
   private readonly confirmed = new Map<string, string>();
-  /** Steady time of the last request by role. */
+  /** Steady time of the last request in ms, by role. */
   private readonly requestedAt = new Map<string, number>();
 
   constructor(private readonly options: StepDownRequestsOptions) {}
 
-  /** Whether a holder confirmed that it stepped down. */
+  /** Returns whether a holder has confirmed that it stepped down. */
   isConfirmed(holder: ExpiredHolder): boolean {
     return this.confirmed.get(holder.role) === tenureKeyOf(holder);
   }
 
-  /** Asks a holder to step down, at most once in `STEP_DOWN_RETRY_MS`. */
+  /** Sends a holder a step-down request, at most once per role in `STEP_DOWN_RETRY_MS`. */
   request({ incarnation, node, role, term }: ExpiredHolder): void {
     const { clock, send } = this.options;
     const now = clock.now();
@@ -51,12 +54,13 @@
     send(node, { kind: 'stepDown', node: this.options.node, role, term, incarnation });
   }
 
-  /** Handles a peer's request to step down. */
+  /** Steps down from a role on a peer's request, and confirms it to the peer. */
   onRequest(tenure: RoleTenure, sendReply: (message: PeerMessage) => void): void {
     const { incarnation, log, members, node, onSteppedDown, roles, isStoreReachable } =
       this.options;
     if (!members.has(tenure.node) || tenure.incarnation !== incarnation) return;
-    // The peer's view is out of date: the key-value store answers, and shows that we are registered.
+    // If the key-value store answers and shows this process as registered, the peer's replica is out
+    // of date.
     if (roles().isRegistered && isStoreReachable()) return;
     const { role, term } = tenure;
     if (!roles().stepDown(role, term) && !roles().hasSteppedDown(role, term)) return;
@@ -65,7 +69,7 @@
     sendReply({ kind: 'steppedDown', node, role, term, incarnation });
   }
 
-  /** Handles a holder's answer that it stepped down. */
+  /** Records a holder's confirmation that it stepped down. */
   onAnswer(tenure: RoleTenure): void {
     if (!this.options.members.has(tenure.node)) return;
     this.confirmed.set(tenure.role, tenureKeyOf(tenure));
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -1,4 +1,4 @@
-/** One of the key-value store's rate limits, shared fairly between the controllers. */
+/** A controller's part of one of the key-value store's rate limits, adapted to the actual use. */
 
 import {
   STORE_LIMIT_AFTER_REFUSAL,
@@ -11,28 +11,31 @@
 import { Budget } from '../transport/budget.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Recent use against the equal share: below half of it, below most of it, or above. */
+/**
+ * Recent use of a limit compared with the equal share of this controller: `plenty` below
+ * `WRITES_SCARCE_SHARE` of it, `scarce` below `WRITES_SHORT_SHARE`, `short` above.
+ */
 export type Supply = 'plenty' | 'scarce' | 'short';
 
 /** A rate limit that all members share. */
 export interface SharedLimit {
-  /** Requests or writes a second, for all members together. */
+  /** Requests or writes per second for all members together. */
   perSecond: number;
   members: number;
-  /** What must be available at once; 0: no more than a second's share. */
+  /** Minimum size of the token bucket; 0 if tokens for one second suffice. */
   burst: number;
 }
 
 /**
- * This controller's share of one limit. All members together must stay below the limit, but what
- * some leave unused should serve those that need it: each begins with an equal share, grows it as
- * long as nothing is refused, and steps back after a refusal.
+ * This controller's part of one limit. All members together must stay below the limit, and members
+ * that need more should use what others leave. Each member therefore begins with an equal share,
+ * raises its rate while requests wait and the store refuses none, and lowers it after a refusal.
  */
 export class AdaptiveLimit {
   readonly budget: Budget;
-  /** Below 0 when recent use is above the share of writes that counts as scarce. */
+  /** Token bucket below 0 when recent use exceeds `WRITES_SCARCE_SHARE` of the equal share. */
   private readonly scarceBudget: Budget;
-  /** The same for the share that counts as short. */
+  /** Token bucket below 0 when recent use exceeds `WRITES_SHORT_SHARE` of the equal share. */
   private readonly shortBudget: Budget;
   private rate: number;
   private readonly minRate: number;
@@ -55,20 +58,20 @@
     return this.scarceBudget.available < 0 ? 'scarce' : 'plenty';
   }
 
-  /** Counts use towards `supply`. */
+  /** Adds requests or writes to the recent use from which `supply` is derived. */
   recordUse(cost: number): void {
     this.scarceBudget.borrow(cost);
     this.shortBudget.borrow(cost);
   }
 
-  /** ms until so much may be used; a limit that is exhausted grows. */
+  /** Returns the time in ms until `cost` may be used, and raises the rate if that is above 0. */
   waitFor(cost: number): number {
     const waitMs = this.budget.waitFor(cost);
     if (waitMs > 0) this.grow();
     return waitMs;
   }
 
-  /** Requests wait for this limit: time to claim more of it. */
+  /** Raises the rate in proportion to the time since its last change, of which 1 s counts at most. */
   private grow(): void {
     const now = this.clock.now();
     const seconds = Math.min(1, (now - this.rateChangedAt) / 1000);
@@ -82,7 +85,7 @@
     );
   }
 
-  /** The store refused a request since the limit was exceeded. */
+  /** Lowers the rate after the store refused a request because the limit was exceeded. */
   stepBack(): void {
     this.rateChangedAt = this.clock.now();
     this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_AFTER_REFUSAL));
--- a/src/storage/assignment-index.ts
+++ b/src/storage/assignment-index.ts
@@ -1,9 +1,9 @@
-/** Assignments by key and by job, with their summaries. */
+/** Index of the assignments by key and by job. */
 
 import { readAssignmentKey, type AssignmentName } from './keys.js';
 import { summarize, type AssignmentRecord, type AssignmentSummary } from './records.js';
 
-/** An assignment that is summarized when somebody asks for it: most controllers never do. */
+/** An assignment whose summary is computed on first use, because most controllers never use it. */
 class LazySummary {
   private computed: AssignmentSummary | null = null;
 
@@ -18,7 +18,7 @@
   }
 }
 
-/** Index of the assignments' records. */
+/** Summaries of all stored assignments, found by key or by job. */
 export class AssignmentIndex {
   private readonly summaries = new Map<string, LazySummary>();
   private readonly keysByJob = new Map<string, Set<string>>();
@@ -52,7 +52,7 @@
     return found;
   }
 
-  /** Takes over a record; undefined: it was removed. */
+  /** Updates the index after a change of a record; undefined if the record was removed. */
   apply(key: string, record: AssignmentRecord | undefined): void {
     const name = readAssignmentKey(key);
     if (!name) return;
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -1,4 +1,4 @@
-/** The machine types in the key-value store, spread over as many records as they need. */
+/** Reads and writes the catalog of machine types, which may span several records. */
 
 import { VALUE_SHARE } from '../constants/storage.js';
 import type { Change } from '../protocol/key-value-store.js';
@@ -7,15 +7,15 @@
 import { CATALOG, CATALOG_MORE } from './keys.js';
 import type { StoreReplica } from './store-replica.js';
 
-/** The last result for each replica, so that a lookup for each machine builds no new list. */
+/** The last result for each replica, because the catalog is read for every machine. */
 const cachedCatalogs = new WeakMap<
   StoreReplica,
   { version: number; types: MachineType[] | null }
 >();
 
 /**
- * All machine types, or null while they are not known. The first record is written last, so a type
- * may be in two records for a moment: that in the first record is valid.
+ * Returns all machine types, or null if the store has none yet. The first record is written after the
+ * others, so a type may be in two records for a short time. Its entry in the first record is valid.
  */
 export function readCatalog(replica: StoreReplica): MachineType[] | null {
   const cached = cachedCatalogs.get(replica);
@@ -38,7 +38,7 @@
   return [...types.values()];
 }
 
-/** The changes after which the store holds these types, in records of at most so many bytes. */
+/** Returns the changes that store these types in records of at most `valueBytes` each. */
 export function writeCatalog(
   replica: StoreReplica,
   types: MachineType[],
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -1,4 +1,4 @@
-/** Commits transactions to the key-value store and resolves unknown outcomes. */
+/** Commits transactions to the key-value store and finds out whether unanswered ones took effect. */
 
 import { isDeepStrictEqual } from 'node:util';
 import { BACKOFF_FIRST_MS, BACKOFF_LAST_MS } from '../constants/storage.js';
@@ -18,23 +18,26 @@
 /** The outcome of a transaction. */
 export type CommitResult =
   | { kind: 'done' }
-  /** The guards of these keys failed; the replica has been refreshed for them. */
+  /** The guards of the keys in `failed` did not hold; the replica was refreshed for these keys. */
   | { kind: 'conflict'; failed: string[] }
-  /** Not committed, and no longer wanted; `mayCommitLater`: a late copy may still commit. */
+  /** Given up because it was no longer wanted. `mayCommitLater`: an earlier attempt may commit. */
   | { kind: 'abandoned'; mayCommitLater: boolean }
-  /** An attempt got no response; by now it is known not to have committed, and never to commit. */
+  /** An attempt got no response, and it is certain that the attempt has not and will not commit. */
   | { kind: 'neverCommitted' }
-  /** Invalid for the store, too large for one; `mayCommitLater`: an earlier attempt may commit. */
+  /**
+   * Rejected by the store as invalid, for example as too large. `mayCommitLater`: an earlier attempt
+   * may commit.
+   */
   | { kind: 'rejected'; mayCommitLater: boolean };
 
-/** One transaction, and the purpose under which it is rate limited. */
+/** A transaction and its purpose, which determines its precedence in the rate limiter. */
 export interface Transaction {
   purpose: Purpose;
   guards: Guard[];
   changes: Change[];
 }
 
-/** What a committer depends on. */
+/** Dependencies of a `Committer`. */
 export interface CommitterOptions {
   keyValueStore: KeyValueStore;
   limiter: RateLimiter;
@@ -44,16 +47,16 @@
   random: () => number;
 }
 
-/** Keys whose last read is remembered. */
+/** Maximum number of keys in `Committer.lastReads`. */
 const MAX_REMEMBERED_READS = 64;
 
-/** Bytes that a value takes in the key-value store. */
+/** Returns the size in bytes of a value in the key-value store. */
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
 
 /**
- * Commits transactions to a known outcome. A transaction without a response may be applied late, so
- * it is sent again with the same guards: one of the two copies then fails, and the keys show whether
- * the other was applied.
+ * Retries transactions until their outcome is known. A transaction without a response may be applied
+ * later, so it is sent again with the same guards. One of the two copies then fails, and the values of
+ * the changed keys show whether the other copy was applied.
  */
 export class Committer {
   private readonly keyValueStore: KeyValueStore;
@@ -62,7 +65,7 @@
   private readonly clock: Clock;
   private readonly log: Log;
   private readonly random: () => number;
-  /** Values as they were last read after a failure; null: there was no such key. */
+  /** Values that were read after failed transactions, by key; null if the key did not exist. */
   private readonly lastReads = new Map<string, { value: unknown; revision: number } | null>();
 
   constructor(options: CommitterOptions) {
@@ -74,7 +77,10 @@
     this.random = options.random;
   }
 
-  /** `isStillWanted` is asked before each attempt; once false, the transaction is abandoned. */
+  /**
+   * Commits a transaction. `isStillWanted` is called before each attempt, and the transaction is
+   * abandoned when it returns false.
+   */
   commit(
     purpose: Purpose,
     guards: Guard[],
@@ -85,9 +91,10 @@
   }
 
   /**
-   * The same for a transaction whose keys may be used up and removed before a late copy of it comes:
-   * the guards would then let the copy pass. `invalidateLateCopy` makes an attempt without a response
-   * fail for good unless it was applied; false: it could not.
+   * Commits a transaction that must not be applied twice. If its keys are removed before a late copy
+   * of it arrives, the guards of the copy hold and it would create them again. After an attempt
+   * without a response, `invalidateLateCopy` therefore ensures that the attempt fails unless it was
+   * applied already. It returns false if it could not.
    */
   commitOnce(
     transaction: Transaction,
@@ -125,7 +132,7 @@
     }
   }
 
-  /** One attempt. `mayHaveCommitted`: an earlier one got no response, so it may have been applied. */
+  /** Makes one attempt. `mayHaveCommitted`: an earlier attempt got no response and may have committed. */
   private async tryOnce(
     transaction: Transaction,
     mayHaveCommitted: boolean,
@@ -149,7 +156,7 @@
     return { kind: 'conflict', failed: result.failed };
   }
 
-  /** Null: rejected only for now, to be retried. */
+  /** Returns the final result of a rejected attempt, or null if the attempt is to be retried. */
   private resultOfRejection(
     transaction: Transaction,
     rejection: StoreRejectedError,
@@ -166,7 +173,7 @@
     return null;
   }
 
-  /** Resolves a transaction that got no response without sending it again. */
+  /** Finds out, without sending it again, whether a transaction without a response was applied. */
   private async resolveUnknownOutcome(
     { purpose, changes }: Transaction,
     isStillWanted: () => boolean,
@@ -182,7 +189,7 @@
       } catch (error) {
         this.log.debug(
           { error: String(error), purpose },
-          'read after unknown outcome failed, retrying',
+          'read after unanswered transaction failed, retrying',
         );
         await sleep(this.clock, backoff.next());
       }
@@ -190,7 +197,7 @@
     return { kind: 'abandoned', mayCommitLater: false };
   }
 
-  /** A bug, or a limit that this program does not know: operators must be told. */
+  /** Logs an error for the operators, because the cause is a bug or an unknown limit of the store. */
   private logRejected({ purpose, guards, changes }: Transaction, reason: string | null): void {
     const sizes = changes.map((change) => ('remove' in change ? 0 : bytesOf(change.value)));
     this.log.error(
@@ -198,11 +205,11 @@
         purpose,
         reason,
         keys: changes.map((change) => change.key),
-        guards: guards.length,
+        guardCount: guards.length,
         largestValueBytes: Math.max(0, ...sizes),
         transactionBytes: bytesOf({ guards, changes }),
       },
-      'key-value store rejected a transaction as invalid',
+      'transaction rejected by the key-value store as invalid',
     );
   }
 
--- a/src/storage/live-key-reader.ts
+++ b/src/storage/live-key-reader.ts
@@ -1,4 +1,4 @@
-/** Reads all live keys of the key-value store, page by page. */
+/** Reads all live keys of the key-value store page by page. */
 
 import { STORE_CHANGES_KEPT } from '../constants/storage.js';
 import type { KeyValueStore } from '../protocol/key-value-store.js';
@@ -6,26 +6,26 @@
 import type { RateLimiter } from './rate-limiter.js';
 import type { VersionedValue } from './record-index.js';
 
-/** All live keys, as of `firstRevision` or later. */
+/** All live keys with their values at `firstRevision` or later. */
 export interface KeyListing {
   entries: Map<string, VersionedValue>;
   /** The revision of the first page. */
   firstRevision: number;
 }
 
-/** What was read so far. */
+/** The pages that were read so far. */
 interface PartialListing {
   entries: Map<string, VersionedValue>;
-  /** The revision of the first page; null: not read yet. */
+  /** The revision of the first page; null before it is read. */
   firstRevision: number | null;
-  /** The last key that was read; null: none. */
+  /** The last key that was read; null before the first page is read. */
   lastKey: string | null;
 }
 
-/** Reads all live keys; a reading that failed is resumed by the next one. */
+/** Reads all live keys. After an error on one page the next call continues with that page. */
 export class LiveKeyReader {
   private pending: PartialListing | null = null;
-  /** The newest revision of any page that was read. */
+  /** The newest revision of the pages that were read. */
   newestPageRevision = 0;
 
   constructor(
@@ -35,8 +35,9 @@
   ) {}
 
   /**
-   * All pages of the live keys. An error on one page ends the reading for now; the next one goes on
-   * from there, since the watch brings pages of different revisions up to the same one anyway.
+   * Returns all live keys. The pages may have different revisions, which the watch afterwards brings
+   * up to the same one, so that a call can continue where an earlier one failed. If more changes than
+   * the store keeps for watches were made since the first page, the listing starts again.
    */
   async readAll(): Promise<KeyListing> {
     for (;;) {
--- a/src/storage/log.ts
+++ b/src/storage/log.ts
@@ -1,6 +1,6 @@
 /** The logger's interface. */
 
-/** The subset of a logger that the program uses; tests pass a silent one. */
+/** The methods of a logger that the program uses; tests pass a silent logger. */
 export interface Log {
   debug(fields: object, message: string): void;
   info(fields: object, message: string): void;
--- a/src/storage/ranges.ts
+++ b/src/storage/ranges.ts
@@ -1,6 +1,6 @@
-/** Sets of task numbers as short text: "0-15,17". */
+/** Writes and reads sets of task numbers as ranges, for example "0-15,17". */
 
-/** A set of numbers as text. */
+/** Returns a set of numbers as text with ranges. */
 export function writeRanges(ids: Iterable<number>): string {
   const sorted = [...ids].sort((a, b) => a - b);
   const ranges: string[] = [];
@@ -17,7 +17,7 @@
   return ranges.join(',');
 }
 
-/** The numbers of a text, in its order. */
+/** Returns the numbers in a text with ranges, in the order of the text. */
 export function readRanges(text: string): number[] {
   if (text === '') return [];
   const ids: number[] = [];
@@ -28,7 +28,7 @@
   return ids;
 }
 
-/** How many numbers a text has, without listing them. */
+/** Returns how many numbers a text with ranges contains, without building a list of them. */
 export function countRanges(text: string): number {
   if (text === '') return 0;
   let count = 0;
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -1,4 +1,4 @@
-/** Keeps requests to the key-value store within this controller's share of its rate limits. */
+/** Limits the rate of this controller's requests to the key-value store. */
 
 import type { Clock } from '../transport/clock.js';
 import { AdaptiveLimit, type Supply } from './adaptive-limit.js';
@@ -11,25 +11,28 @@
 export interface StoreLimits {
   rps: number;
   writeRps: number;
-  /** Writes of one transaction. */
+  /** Maximum number of writes in one transaction. */
   transactionOps: number;
 }
 
-/** Requests that were let through under one purpose, and the writes in them. */
+/** Numbers of requests that were sent for one purpose, and of the writes in them. */
 export interface RequestCounts {
   requests: number;
   writes: number;
 }
 
-/** Lets requests to the key-value store through as the limits allow, in the order of their purposes. */
+/**
+ * Queues requests to the key-value store until this controller's part of the rate limits allows them,
+ * and serves them in the precedence of their purposes.
+ */
 export class RateLimiter {
   private readonly requestLimit: AdaptiveLimit;
   private readonly writeLimit: AdaptiveLimit;
   private readonly queues = new RequestQueues();
   private cancelTimer: (() => void) | null = null;
-  /** What was let through, by purpose, for the log. */
+  /** Numbers of sent requests and writes by purpose, for the log. */
   readonly acquiredCounts = new Map<Purpose, RequestCounts>();
-  /** How often the store refused a request (429). */
+  /** Number of requests that the store refused with status 429. */
   refusals = 0;
 
   constructor(
@@ -46,7 +49,10 @@
     });
   }
 
-  /** Waits until one request with so many writes may be sent. Watches and roles never wait. */
+  /**
+   * Waits until a request with this number of writes may be sent. Requests of the purposes `watch` and
+   * `role` do not wait but overdraw the limits if necessary.
+   */
   acquire(purpose: Purpose, writes: number): Promise<void> {
     if (purpose === 'watch' || purpose === 'role') {
       this.requestLimit.budget.borrow(1);
@@ -56,25 +62,25 @@
     }
     return new Promise((resolve) => {
       this.queues.push(purpose, { writes, waitingSince: this.clock.now(), proceed: resolve });
-      // The timer may be that of writes, which a read does not wait for.
+      // The pending timer may wait for the write limit, which does not apply to a read.
       this.cancelTimer?.();
       this.dispatch();
     });
   }
 
-  /** This controller's recent writes against its equal share: while short, defer what can wait. */
+  /** Recent writes of this controller compared with its equal share, for callers that can defer writes. */
   get supply(): Supply {
     return this.writeLimit.supply;
   }
 
-  /** Whether so many writes could be sent at once. */
+  /** Returns whether a request with this number of writes could be sent now. */
   hasCapacity(writes: number): boolean {
     return (
       this.writeLimit.budget.waitFor(writes) === 0 && this.requestLimit.budget.waitFor(1) === 0
     );
   }
 
-  /** The key-value store answered 429 to a request with so many writes. */
+  /** Lowers the rates after the key-value store answered 429 to a request with so many writes. */
   reportRefusal(writes: number): void {
     this.refusals++;
     this.requestLimit.stepBack();
@@ -89,21 +95,24 @@
     this.acquiredCounts.set(purpose, counts);
   }
 
-  /** Lets through what the limits allow now, and comes back when they allow the next request. */
+  /** Releases the requests that the limits allow now, and sets a timer for the next one. */
   private dispatch(): void {
     this.cancelTimer = null;
     const waitMs = this.dispatchReady();
     if (waitMs > 0) this.cancelTimer = this.clock.after(waitMs, () => this.dispatch());
   }
 
-  /** Milliseconds until the next waiting request may be sent; 0: none waits. */
+  /**
+   * Releases the requests that the limits allow now. Returns the time in ms until the next one may be
+   * sent, or 0 if none is left.
+   */
   private dispatchReady(): number {
     let writesWaitMs = 0;
     for (const { purpose, requests } of this.queues.inOrder(this.clock.now())) {
       for (let next = requests[0]; next; next = requests[0]) {
         const waitMs = this.requestLimit.waitFor(1);
         if (waitMs > 0) return waitMs;
-        // Writes keep their order; reads go on past them.
+        // No write is sent before one that precedes it; reads do not wait for writes.
         if (next.writes > 0 && writesWaitMs === 0) {
           writesWaitMs = this.writeLimit.waitFor(next.writes);
         }
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -1,4 +1,4 @@
-/** The records of a replica, with indexes for the lookups that are made often. */
+/** Stores the records of a replica, with indexes for frequent lookups. */
 
 import { MAX_CACHED_FINALS } from '../constants/storage.js';
 import { AssignmentIndex } from './assignment-index.js';
@@ -11,13 +11,13 @@
   MachineRecord,
 } from './records.js';
 
-/** A key's value at the revision of its last change. */
+/** A key's value with the revision of its last change. */
 export interface VersionedValue<Value = unknown> {
   value: Value;
   revision: number;
 }
 
-/** A key's kind: the word after the common prefix. */
+/** Returns the kind of a key, which is the path segment after the prefix `LIVE`. */
 function kindOf(key: string): string {
   const end = key.indexOf('/', LIVE.length);
   return end < 0 ? key.slice(LIVE.length) : key.slice(LIVE.length, end);
@@ -28,56 +28,59 @@
   else map.set(key, value);
 }
 
-/** The live keys of the key-value store as far as they are known, and final records that were read. */
+/** Known live keys of the key-value store, and the final records that were read. */
 export class RecordIndex {
   private readonly valuesByKey = new Map<string, VersionedValue>();
-  /** The same by kind, so that a scan for the few keys of one kind does not visit all. */
+  /** The same values by kind of key, so that a scan of one kind does not visit the others. */
   private readonly valuesByKind = new Map<string, Map<string, VersionedValue>>();
-  /** Revisions of keys that were removed ahead of the watch: older events must not restore them. */
+  /**
+   * Revisions at which keys were removed before the watch reported it, so that older events of the
+   * watch do not restore these keys.
+   */
   private readonly removalRevisions = new Map<string, number>();
-  /** Jobs by id, the most frequent lookup. */
+  /** Jobs by id, which are looked up most often. */
   private readonly jobs = new Map<string, JobRecord>();
   private readonly machines = new Map<string, MachineRecord>();
   private readonly finalRecords = new Map<string, FinalRecord>();
   private readonly assignmentIndex = new AssignmentIndex();
   /** All changes up to this revision have been applied. */
   revision = 0;
-  /** Counts changes of the machine types; what was derived from them is valid until the next one. */
+  /** Number of changes of the machine types. Data derived from them is valid until the next change. */
   catalogChanges = 0;
 
-  /** A live key's value and revision; null: there is no such key. */
+  /** Returns a live key's value and revision, or null if the key does not exist. */
   get<Value>(key: string): VersionedValue<Value> | null {
     return (this.valuesByKey.get(key) as VersionedValue<Value> | undefined) ?? null;
   }
 
-  /** The revision of a live key's last change; 0: there is no such key. */
+  /** Returns the revision of a live key's last change, or 0 if the key does not exist. */
   revisionOf(key: string): number {
     return this.get(key)?.revision ?? 0;
   }
 
-  /** The keys with a prefix, in no order. */
+  /** Returns the keys with a prefix and their values, in no particular order. */
   *below<Value>(prefix: string): Generator<[string, VersionedValue<Value>]> {
     for (const [key, versioned] of this.valuesByKind.get(kindOf(prefix)) ?? []) {
       if (key.startsWith(prefix)) yield [key, versioned as VersionedValue<Value>];
     }
   }
 
-  /** A job that is neither done nor cancelled. */
+  /** Returns a job's record, or null if the job is unknown, done or cancelled. */
   job(id: string): JobRecord | null {
     return this.jobs.get(id) ?? null;
   }
 
-  /** The leader's record of a machine; null: there is none. */
+  /** Returns the leader's record of a machine, or null if there is none. */
   machine(name: string): MachineRecord | null {
     return this.machines.get(name) ?? null;
   }
 
-  /** How a job ended, where this controller knows; the oldest are evicted. */
+  /** Returns the final record of an ended job, or null if it is not cached. */
   final(id: string): FinalRecord | null {
     return this.finalRecords.get(id) ?? null;
   }
 
-  /** All assignments, in no order. */
+  /** Returns all assignments, in no particular order. */
   assignments(): Iterable<AssignmentSummary> {
     return this.assignmentIndex.all();
   }
@@ -86,32 +89,32 @@
     return this.assignmentIndex.count;
   }
 
-  /** The keys of all assignments. */
+  /** Returns the keys of all assignments. */
   assignmentKeys(): Iterable<string> {
     return this.assignmentIndex.keys();
   }
 
-  /** The keys of a job's assignments. */
+  /** Returns the keys of a job's assignments. */
   assignmentKeysOf(job: string): Iterable<string> {
     return this.assignmentIndex.keysOf(job);
   }
 
-  /** The assignment under a key; null: there is none. */
+  /** Returns the assignment with a key, or null if there is none. */
   assignment(key: string): AssignmentSummary | null {
     return this.assignmentIndex.get(key);
   }
 
-  /** All jobs that are neither done nor cancelled. */
+  /** Returns all jobs that are neither done nor cancelled. */
   openJobs(): Iterable<JobRecord> {
     return this.jobs.values();
   }
 
-  /** The assignments of a job. */
+  /** Returns the assignments of a job. */
   assignmentsOf(job: string): AssignmentSummary[] {
     return this.assignmentIndex.ofJob(job);
   }
 
-  /** Caches how a job ended. */
+  /** Caches the final record of a job, and evicts the oldest one beyond `MAX_CACHED_FINALS`. */
   keepFinal(id: string, record: FinalRecord): void {
     this.finalRecords.set(id, record);
     if (this.finalRecords.size > MAX_CACHED_FINALS) {
@@ -120,7 +123,10 @@
     }
   }
 
-  /** Applies one key's value unless a newer one is known; `undefined` is a removal. */
+  /**
+   * Applies a key's value unless a newer one is known; `undefined` is a removal. Returns whether the
+   * value was applied.
+   */
   apply(key: string, value: unknown, revision: number): boolean {
     if (key.startsWith(FINALS)) {
       if (value !== undefined) this.keepFinal(key.slice(FINALS.length), value as FinalRecord);
@@ -129,7 +135,8 @@
     if (!key.startsWith(LIVE)) return false;
     if (this.revisionOf(key) >= revision || (this.removalRevisions.get(key) ?? 0) >= revision)
       return false;
-    // The response to an earlier read or write may come after the watch: the key was removed since.
+    // If the watch has passed this revision and the key does not exist, the key was removed since.
+    // The value comes from a read or write whose response arrived late.
     if (value !== undefined && revision <= this.revision && !this.valuesByKey.has(key))
       return false;
     if (value === undefined) this.remove(key, revision);
@@ -152,7 +159,7 @@
     if (revision > this.revision) this.removalRevisions.set(key, revision);
   }
 
-  /** Updates the indexes of single kinds. */
+  /** Updates the indexes of jobs, machines, machine types and assignments. */
   private index(key: string, value: unknown): void {
     if (key.startsWith(JOBS)) {
       setOrDelete(this.jobs, key.slice(JOBS.length), value as JobRecord | undefined);
@@ -165,14 +172,14 @@
       this.assignmentIndex.apply(key, value as AssignmentRecord | undefined);
   }
 
-  /** Removals up to the revision need no entry: no older event can come any more. */
+  /** Discards removals up to `revision`, because the watch returns no older event any more. */
   protected forgetRemovals(): void {
     for (const [key, removedAt] of this.removalRevisions) {
       if (removedAt <= this.revision) this.removalRevisions.delete(key);
     }
   }
 
-  /** All live keys with the revisions of their last changes. */
+  /** Returns all live keys with the revisions of their last changes. */
   protected *keyRevisions(): Generator<{ key: string; revision: number }> {
     for (const [key, { revision }] of this.valuesByKey) yield { key, revision };
   }
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,4 +1,7 @@
-/** The records in the key-value store. Their field names never change: older versions read them. */
+/**
+ * Defines the records in the key-value store. Their field names never change, because older versions
+ * read them too.
+ */
 
 import type { JobSpec, JobState } from '../protocol/model.js';
 import type { AssignmentName } from './keys.js';
@@ -7,23 +10,25 @@
 /** A job that is neither done nor cancelled. */
 export interface JobRecord {
   spec: JobSpec;
-  /** Wall-clock time of its acceptance in ms. */
+  /** Wall-clock time in ms at which the job was accepted. */
   at: number;
 }
 
-/** What remains of a job that is over: its final state never changes. */
+/** The record that remains of an ended job; its final state never changes. */
 export interface FinalRecord {
   state: Extract<JobState, 'done' | 'cancelled'>;
   tasks: number;
 }
 
 /**
- * Tasks of one job assigned to one shard. The leader creates it, only the shard changes it. It holds
- * what quotas need, so that it still counts when its job's record is gone.
+ * Tasks of one job that one shard holds. The leader creates the record, and only the shard changes it.
+ * It contains the team and the resources of each task, so that it counts towards quotas even after the
+ * job's record was removed.
  */
 export interface AssignmentRecord {
-  /** Numbers of its tasks, as ranges; so is `done`, those that are done. */
+  /** Numbers of its tasks, as ranges. */
   ids: string;
+  /** Numbers of those tasks that are done, as ranges. */
   done: string;
   /** Placed tasks: machine and attempt by task number. */
   live: Record<string, [machine: string, attempt: number]>;
@@ -31,72 +36,79 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** The zone in which its tasks run, chosen by the leader. */
+  /** Zone in which the tasks run, selected by the leader. */
   zone: string;
-  /** Of a gang: the attempt under which all of its tasks start, in every shard that has some. */
+  /** Only for gangs: number of the attempt under which all tasks of the gang start, in each shard. */
   attempt?: number;
-  /** Of a gang within its fair share: CPUs of arrays it may preempt, by team above its share. */
+  /**
+   * Only for gangs of a team within its fair share: CPUs of job arrays that the gang may preempt, by
+   * the teams that exceed their fair share.
+   */
   reclaim?: Record<string, number>;
-  /** Of a gang: its attempt ends, so the other shards stop their tasks of it as well. */
+  /** Only for gangs: the attempt is ending, so the other shards stop their tasks of it as well. */
   stopping?: true;
 }
 
-/** `drain`: it is drained, nothing more is placed on it; `gone`: returned to the cloud. */
+/**
+ * State of a machine in the leader's record. `drain`: the machine gets no new tasks; `gone`: it was
+ * returned to the cloud.
+ */
 export type MachineState = 'rented' | 'drain' | 'gone';
 
-/** The leader's record of a machine. Without one, a machine may be used. */
+/** The leader's record of a machine. A machine without a record may be used. */
 export interface MachineRecord {
   state: MachineState;
   type: string;
   zone: string;
   spot: boolean;
-  /** Wall-clock time in ms since which it is in this state. */
+  /** Wall-clock time in ms at which the machine entered this state. */
   at: number;
 }
 
-/** A machine's health as its shard derives it from heartbeats. */
+/** Health of a machine, which its shard derives from heartbeats. */
 export type MachineHealth = 'ok' | 'leaving' | 'silent' | 'faulty';
 
-/** A shard's machines as the leader needs them: type, zone, spot, health. */
+/** Type, zone, spot flag and health of each of a shard's machines, for the leader. */
 export interface StatusRecord {
   machines: Record<string, [type: string, zone: string, spot: 0 | 1, health: MachineHealth]>;
 }
 
-/** A member's registration; it is removed when the member's lease expires. */
+/** A member's registration, which is removed when the member's lease expires. */
 export interface NodeRecord {
   incarnation: string;
 }
 
-/** A role's holder, and the term, which grows with each election. */
+/** The holder of a role. The term grows by 1 with each claim. */
 export interface RoleRecord {
   owner: string;
   incarnation: string;
   term: number;
-  /** Wall-clock time of the last failover to another controller, in ms; 0: never. */
+  /** Wall-clock time in ms of the last failover to another controller; 0 if there was none. */
   movedAt: number;
 }
 
-/** An assignment as all but its own shard need it. */
+/** Parsed content of an assignment's record, for all readers but the shard that holds it. */
 export interface AssignmentSummary extends AssignmentName {
   ids: number[];
   done: number;
-  /** The machine of each placed task. */
+  /** Machine of each placed task. */
   machines: string[];
   placedCount: number;
-  /** Tasks that are not done, and those of them that wait to be placed. */
+  /** Number of tasks that are not done. */
   unfinished: number;
+  /** Number of unfinished tasks that are not placed. */
   waiting: number;
   team: string;
   cpus: number;
   gpus: number;
   memoryGb: number;
   zone: string;
-  /** Of a gang: the attempt of all its tasks. */
+  /** Number of the attempt of a gang's tasks; null for other jobs. */
   attempt: number | null;
   stopping: boolean;
 }
 
-/** The summary of an assignment's record. */
+/** Returns the summary of an assignment's record. */
 export function summarize(name: AssignmentName, record: AssignmentRecord): AssignmentSummary {
   const machines: string[] = [];
   for (const index in record.live) machines.push(record.live[index]?.[0] ?? '');
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -1,13 +1,13 @@
-/** Pauses for changes that the key-value store rejected as invalid. */
+/** Pauses changes that the key-value store rejected as invalid. */
 
 import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS } from '../constants/storage.js';
 import { KeyedBackoff } from '../transport/backoff.js';
 import type { Clock } from '../transport/clock.js';
 
 /**
- * The subjects (jobs, machines, keys) of transactions that the key-value store rejected as invalid.
- * Sent again they would be rejected again, so a subject is paused, longer each time, while the other
- * work goes on.
+ * Pauses of the subjects (jobs, machines, roles or keys) of transactions that the key-value store
+ * rejected as invalid. The store would reject the same change again, so the pause of a subject grows
+ * with each rejection. Changes of other subjects are not delayed.
  */
 export class RejectedChangeBackoff {
   private readonly backoff: KeyedBackoff;
@@ -16,29 +16,30 @@
     this.backoff = new KeyedBackoff(clock, REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS);
   }
 
-  /** A transaction about the subject was rejected. */
+  /** Records that a transaction with a change of the subject was rejected. */
   add(subject: string): void {
     this.backoff.recordFailure(subject);
   }
 
-  /** Pauses the subject for so long without counting a rejection. */
+  /** Pauses the subject for `pauseMs` without counting a rejection. */
   hold(subject: string, pauseMs: number): void {
     this.backoff.pause(subject, pauseMs);
   }
 
-  /** The change was committed, or its subject is no longer there. */
+  /** Ends the backoff of a subject whose change was committed or that no longer exists. */
   clear(subject: string): void {
     this.backoff.clear(subject);
   }
 
-  /** Whether the subject is paused now. */
+  /** Returns whether the subject is paused now. */
   has(subject: string): boolean {
     return this.backoff.isPaused(subject);
   }
 
   /**
-   * How many of these subjects may share the next transaction, at most `limit`. A subject of a
-   * rejected transaction goes alone: this shows which one is at fault, and the others are committed.
+   * Returns how many of the first subjects may share the next transaction, at most `limit`. A subject
+   * of a rejected transaction is sent alone, so that the others are committed and only the invalid
+   * change is rejected again.
    */
   together(subjects: readonly string[], limit: number): number {
     const firstRejected = subjects
@@ -48,7 +49,7 @@
     return Math.min(limit, subjects.length);
   }
 
-  /** Forgets subjects that were not tried again for long: they are no longer there. */
+  /** Removes subjects whose pause ended long ago, because they no longer exist. */
   sweep(): void {
     this.backoff.forgetExpired();
   }
--- a/src/storage/request-queues.ts
+++ b/src/storage/request-queues.ts
@@ -1,8 +1,8 @@
-/** Requests that wait for the key-value store's rate limits, in the order in which they are served. */
+/** Queues of requests that wait for the key-value store's rate limits, by purpose. */
 
 import { CHECK_OVERDUE_MS } from '../constants/storage.js';
 
-/** Purposes of requests in the order of their precedence. */
+/** Purposes of requests in descending precedence. */
 const PURPOSES_BY_PRECEDENCE = [
   'watch',
   'role',
@@ -15,25 +15,25 @@
   'submit',
 ] as const;
 
-/** What a request is for. */
+/** Purpose of a request, which determines its precedence. */
 export type Purpose = (typeof PURPOSES_BY_PRECEDENCE)[number];
 
-/** A request that waits for capacity. */
+/** A request that waits until the rate limits allow it. */
 export interface WaitingRequest {
-  /** Writes of its transaction; 0: it only reads. */
+  /** Number of writes in its transaction; 0 for a read. */
   writes: number;
-  /** Steady time at which it came. */
+  /** Steady time in ms at which the request was queued. */
   waitingSince: number;
   proceed: () => void;
 }
 
-/** The requests that wait under one purpose, in the order in which they came. */
+/** Waiting requests of one purpose, oldest first. */
 export interface RequestQueue {
   purpose: Purpose;
   requests: WaitingRequest[];
 }
 
-/** Reads need no capacity for writes, so they are not queued behind them. */
+/** The queues of one purpose. Reads have their own queue because the write limit does not apply to them. */
 interface PurposeQueues {
   reads: RequestQueue;
   writes: RequestQueue;
@@ -54,8 +54,9 @@
   }
 
   /**
-   * The queues in the order in which they are served: by purpose, but users' checks that have waited
-   * for long first. Decisions can use up all requests for longer than users go on asking.
+   * Returns the queues in the order in which they are served, which is that of their purposes. Reads
+   * for users' job checks come first if the oldest has waited longer than `CHECK_OVERDUE_MS`,
+   * because other requests can use up the request limit until the users' polls have timed out.
    */
   inOrder(now: number): RequestQueue[] {
     const queues: RequestQueue[] = [];
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -1,17 +1,20 @@
-/** Whether this controller reaches the key-value store. */
+/** Determines whether this controller reaches the key-value store. */
 
 import { UNREACHABLE_AFTER_MS } from '../constants/storage.js';
 import { StoreRejectedError, type KeyValueStore } from '../protocol/key-value-store.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Observes, by the requests that are made anyway, whether this controller reaches the store. */
+/** Reachability of the key-value store, derived from the outcomes of all requests to it. */
 export class StoreReachability {
   private lastSuccessAt = -Infinity;
   private lastFailureAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** False once requests have only failed for a while; the store may refuse one controller alone. */
+  /**
+   * False if the last request failed and the last success was `UNREACHABLE_AFTER_MS` ago. The store may
+   * be unreachable for a single controller.
+   */
   get isReachable(): boolean {
     return (
       this.lastSuccessAt >= this.lastFailureAt ||
@@ -19,7 +22,7 @@
     );
   }
 
-  /** The same store, with the outcome of each request recorded. */
+  /** Returns a wrapper of the store that records the outcome of each request. */
   observe(keyValueStore: KeyValueStore): KeyValueStore {
     const recordOutcome = async <T>(call: Promise<T>): Promise<T> => {
       try {
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -1,4 +1,4 @@
-/** A replica of the live keys, kept current by watching the key-value store. */
+/** Replicates the live keys of the key-value store by a watch. */
 
 import {
   BACKOFF_FIRST_MS,
@@ -20,23 +20,23 @@
 import { RecordIndex } from './record-index.js';
 import { WatchPause } from './watch-pause.js';
 
-/** What a replica depends on. */
+/** Dependencies and settings of a `StoreReplica`. */
 export interface ReplicaOptions {
   keyValueStore: KeyValueStore;
   limiter: RateLimiter;
   clock: Clock;
   log: Log;
   random: () => number;
-  /** How long a watch waits for a change at most. */
+  /** Maximum time in ms for which a watch waits for a change. */
   holdMs?: number;
-  /** The pause between two watches. */
+  /** Pause in ms between two watches. */
   spacingMs?: number;
 }
 
 /**
- * This controller's replica of the live keys, kept by a watch. It is complete up to `revision`, and
- * was current at `knownCurrentAt` of this controller's steady clock: the time at which the last
- * answered watch was *sent*, since the response may have been delayed on its way.
+ * This controller's replica of the live keys. The replica contains all changes up to `revision` and
+ * was current at `knownCurrentAt`. This is the time at which the last answered watch was sent, not the
+ * time of its response, because the response may have been delayed.
  */
 export class StoreReplica extends RecordIndex {
   private readonly keyValueStore: KeyValueStore;
@@ -50,13 +50,13 @@
   private readonly reader: LiveKeyReader;
   private readonly pause: WatchPause;
   private isStopped = false;
-  /** The newest revision that a peer announced. */
+  /** The newest revision that a peer's change notification announced. */
   private hintedRevision = 0;
-  /** The newest revision that this controller knows of, by its watch or its own changes. */
+  /** The newest revision that this controller received by its watch or by its own changes. */
   newestRevision = 0;
-  /** Steady time at which the last answered watch was sent. */
+  /** Steady time in ms at which the last answered watch was sent. */
   knownCurrentAt = -Infinity;
-  /** All keys have been read once. */
+  /** True once all keys have been read. */
   isLoaded = false;
 
   constructor(options: ReplicaOptions) {
@@ -74,24 +74,27 @@
   }
 
   /**
-   * False while the pages of a full reading are of different revisions: the watch has yet to bring
-   * the first page up to the last.
+   * False while the replica mixes revisions: the pages of a listing of all keys differ in revision
+   * until the watch has reached the revision of the newest page.
    */
   get isSynced(): boolean {
     return this.isLoaded && this.revision >= this.reader.newestPageRevision;
   }
 
-  /** `listener` gets the time at which each answered watch was sent: the replica was current then. */
+  /**
+   * Calls `listener` after each answered watch with the steady time at which the watch was sent. The
+   * replica was current at that time.
+   */
   onConfirmedCurrent(listener: (sentAt: number) => void): void {
     this.confirmedCurrentListeners.push(listener);
   }
 
-  /** `listener` gets the keys that changed; none where only the revision did. */
+  /** Calls `listener` with the changed keys after each change, and with none after an empty watch. */
   onChange(listener: (keys: string[]) => void): void {
     this.changeListeners.push(listener);
   }
 
-  /** Applies changes that this controller made itself, ahead of the watch. */
+  /** Applies changes that this controller made, read or received from a peer, ahead of the watch. */
   applyOwnChanges(changes: { key: string; value: unknown; revision: number }[]): void {
     for (const change of changes)
       this.newestRevision = Math.max(this.newestRevision, change.revision);
@@ -105,7 +108,7 @@
     for (const listener of this.changeListeners) listener(keys);
   }
 
-  /** Reads all live keys, resuming a reading that failed; keys no longer there are removed. */
+  /** Reads all live keys and removes those that no longer exist. */
   async load(): Promise<void> {
     const { entries, firstRevision } = await this.reader.readAll();
     const keys: string[] = [];
@@ -122,14 +125,14 @@
     this.notifyChangeListeners(keys);
   }
 
-  /** A change of this revision was announced: watches soon, not after the whole spacing. */
+  /** Shortens the pause before the next watch, because a peer announced a change of this revision. */
   pollSoon(revision: number): void {
     if (revision <= this.revision) return;
     this.hintedRevision = Math.max(this.hintedRevision, revision);
     this.pause.shorten();
   }
 
-  /** Follows the changes until stopped; failures are retried with a backoff. */
+  /** Loads all keys and watches for changes until `stop` is called. Retries failures with a backoff. */
   async follow(): Promise<void> {
     while (!this.isStopped) {
       try {
@@ -139,7 +142,10 @@
         const result = await this.keyValueStore.watch(ROOT, this.revision, this.holdMs);
         if (this.isStopped) return;
         if (result === null) {
-          this.log.info({ since: this.revision }, 'watch compacted, reading all keys again');
+          this.log.info(
+            { sinceRevision: this.revision },
+            'watch compacted, reading all keys again',
+          );
           await this.load();
           continue;
         }
@@ -166,7 +172,7 @@
     this.revision = Math.max(this.revision, revision);
     this.newestRevision = Math.max(this.newestRevision, revision);
     this.forgetRemovals();
-    // Notified even without events: holders wait for the replica to be confirmed as current.
+    // Listeners are called even without events, because some wait until the replica is current.
     this.notifyChangeListeners(keys);
   }
 
--- a/src/storage/watch-pause.ts
+++ b/src/storage/watch-pause.ts
@@ -1,9 +1,9 @@
-/** The pause between two watch requests. */
+/** Waits between two watch requests. */
 
 import { HINTED_WATCH_SPACING_SHARE } from '../constants/storage.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Spaces watch requests, so that changes close together share one response. */
+/** Pauses between watch requests, so that changes that are close together share one response. */
 export class WatchPause {
   private shortenCurrent: (() => void) | null = null;
 
@@ -12,7 +12,10 @@
     private readonly spacingMs: number,
   ) {}
 
-  /** Waits for the spacing, or its least share where a change `isHinted` or the pause is shortened. */
+  /**
+   * Waits for `spacingMs`. If a change was announced (`isHinted`) or `shorten` is called, the wait is
+   * reduced to `HINTED_WATCH_SPACING_SHARE` of that.
+   */
   wait(isHinted: boolean): Promise<void> {
     return new Promise((resolve) => {
       const minPauseMs = this.spacingMs * HINTED_WATCH_SPACING_SHARE;
@@ -30,7 +33,7 @@
     });
   }
 
-  /** Shortens the current pause, if there is one, to its least share. */
+  /** Shortens the current pause, if there is one. */
   shorten(): void {
     this.shortenCurrent?.();
   }
