--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -9,7 +9,7 @@
 
 /** ms; minimum time since its own start before a preferred holder reclaims its shard from a live
  * holder. */
-export const PREFERRED_OWNER_SETTLE_MS = 500;
+export const PREFERRED_HOLDER_SETTLE_MS = 500;
 
 /** ms; time since its own start during which a controller leaves the leader role to candidates that
  * rank higher, because they may be starting too. Two lease renewal intervals at most. */
@@ -26,7 +26,7 @@
 export const CANCEL_MARGIN_S = 5;
 
 /** Maximum of `CANCEL_MARGIN_S` as a fraction of the time between the lease's end and `cancel_s`. */
-export const CANCEL_MARGIN_SHARE = 0.4;
+export const CANCEL_MARGIN_MAX_FRACTION = 0.4;
 
 /** A watch returns within this fraction of the grace, so that a working holder's replica stays
  * current. */
--- a/src/constants/storage.ts
+++ b/src/constants/storage.ts
@@ -17,13 +17,13 @@
 /** ms; first pause after a failed request. The pause doubles with each further failure. */
 export const BACKOFF_FIRST_MS = 100;
 /** ms; longest pause after a failed request. */
-export const BACKOFF_LAST_MS = 2_000;
+export const BACKOFF_MAX_MS = 2_000;
 
 /** ms; first pause of a change that the store rejected as invalid. The change stays invalid until
  * limits or records change, and other changes must not wait for it. */
 export const REJECTED_PAUSE_FIRST_MS = 2_000;
 /** ms; longest pause of a change that the store rejected as invalid. */
-export const REJECTED_PAUSE_LAST_MS = 60_000;
+export const REJECTED_PAUSE_MAX_MS = 60_000;
 
 /** ms; waiting time after which a user's job check precedes requests of the leader and the shards: a
  * third of the time limit of a poll. Such checks need few requests, because many share one. */
@@ -34,31 +34,31 @@
 export const VALUE_SHARE = 0.95;
 
 /** Final records cached in memory. Older ones are read from the store again. */
-export const MAX_CACHED_FINALS = 20_000;
+export const MAX_CACHED_FINAL_RECORDS = 20_000;
 
 /** Minimum rate that a controller keeps after refusals, as a fraction of its equal share of a limit. */
-export const STORE_LIMIT_MIN_SHARE = 0.5;
+export const STORE_LIMIT_MIN_FRACTION = 0.5;
 
 /** Maximum rate of one controller as a fraction of a limit, if the other controllers use less. */
-export const STORE_LIMIT_MAX_SHARE = 0.8;
+export const STORE_LIMIT_MAX_FRACTION = 0.8;
 
 /** Fraction of a limit by which a controller's rate grows in a second in which requests wait. */
-export const STORE_LIMIT_GROWTH = 0.1;
+export const STORE_LIMIT_GROWTH_FRACTION = 0.1;
 
 /** Fraction of its equal share of writes above which a controller delays changes to batch them. */
-export const WRITES_SCARCE_SHARE = 0.5;
+export const WRITES_SCARCE_FRACTION = 0.5;
 
 /** Fraction of its equal share of writes above which a controller delays changes the longest. */
-export const WRITES_SHORT_SHARE = 0.85;
+export const WRITES_SHORT_FRACTION = 0.85;
 
 /** Factor by which a refusal lowers a controller's rate. */
-export const STORE_LIMIT_AFTER_REFUSAL = 0.7;
+export const STORE_LIMIT_REFUSAL_FACTOR = 0.7;
 
 /** Fraction of the store's request limit that the watches of all members may use together. */
 export const WATCH_SHARE = 0.15;
 
 /** Fraction of the usual spacing of watches that remains after a peer announced a change. */
-export const HINTED_WATCH_SPACING_SHARE = 0.25;
+export const ANNOUNCED_WATCH_SPACING_FRACTION = 0.25;
 
 /** ms; the store counts as unreachable when requests fail and the last success is this long ago. */
 export const UNREACHABLE_AFTER_MS = 700;
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -3,7 +3,7 @@
 import {
   LEADER_SETTLE_MS,
   MEMBER_LEASE_RENEW_MS,
-  PREFERRED_OWNER_SETTLE_MS,
+  PREFERRED_HOLDER_SETTLE_MS,
 } from '../../constants/election.js';
 import type { RejectedChangeBackoff } from '../../storage/rejected-change-backoff.js';
 import { nodeKey, roleKey } from '../../storage/keys.js';
@@ -47,7 +47,7 @@
   }
 
   /** Returns whether to claim a role now, and records since when the role has been free. */
-  shouldClaim(role: string, preferredOwner: Member | null): boolean {
+  shouldClaim(role: string, preferredHolder: Member | null): boolean {
     const { incarnation, rejectedChangeBackoff, replica, self, steppedDown } = this.options;
     const holder = replica.get<RoleRecord>(roleKey(role))?.value ?? null;
     if (holder?.owner === self.node && holder.incarnation === incarnation) {
@@ -55,15 +55,15 @@
       return steppedDown.isUnclaimed(role, holder.term);
     }
     if (rejectedChangeBackoff.has(role)) return false;
-    const isPreferredOwner = preferredOwner?.node === self.node;
+    const isPreferredHolder = preferredHolder?.node === self.node;
     if (
       this.isHolderRegistered(holder) &&
-      !(isPreferredOwner && this.mayReclaimAsPreferredOwner())
+      !(isPreferredHolder && this.mayReclaimAsPreferredHolder())
     ) {
       this.freeSince.delete(role);
       return false;
     }
-    if (!this.hasWaitedForItsRank(role, preferredOwner)) return false;
+    if (!this.hasWaitedForRank(role, preferredHolder)) return false;
     return holder === null || this.isHolderRegistered(holder) || this.mayFailOverFrom(role, holder);
   }
 
@@ -79,9 +79,9 @@
   }
 
   /** Returns true if this member has run long enough to reclaim its shard and is not damped. */
-  private mayReclaimAsPreferredOwner(): boolean {
+  private mayReclaimAsPreferredHolder(): boolean {
     const { clock, policy, startedAt } = this.options;
-    return clock.now() - startedAt > PREFERRED_OWNER_SETTLE_MS && !policy.isDamped();
+    return clock.now() - startedAt > PREFERRED_HOLDER_SETTLE_MS && !policy.isDamped();
   }
 
   /** Returns since when this process has seen that a role is free; records the time on first call. */
@@ -92,26 +92,26 @@
   }
 
   /** Returns whether all candidates that rank before this member have had time to claim a role. */
-  private hasWaitedForItsRank(role: string, preferredOwner: Member | null): boolean {
+  private hasWaitedForRank(role: string, preferredHolder: Member | null): boolean {
     const { clock, self } = this.options;
     // `freeSince` must be read before the clock. In the other order `freeForMs` would be negative on
     // the first call, and the first candidate would have to wait.
     const freeSince = this.trackFreeSince(role);
     const freeForMs = clock.now() - freeSince;
-    const isPreferredOwner = preferredOwner?.node === self.node;
-    const rank = isPreferredOwner ? 0 : this.rankOfSelf(role, preferredOwner);
+    const isPreferredHolder = preferredHolder?.node === self.node;
+    const rank = isPreferredHolder ? 0 : this.rankOfSelf(role, preferredHolder);
     return freeForMs >= rank * MEMBER_LEASE_RENEW_MS;
   }
 
   /** Returns this member's rank among the candidates for a role, counted from 0. */
-  private rankOfSelf(role: string, preferredOwner: Member | null): number {
+  private rankOfSelf(role: string, preferredHolder: Member | null): number {
     const { clock, members, self, startedAt } = this.options;
     const isStarting = clock.now() - startedAt < LEADER_SETTLE_MS;
     // If all members start together, the first one to run leaves the leader role to members that
     // rank higher, although they are not registered yet.
-    const candidates = preferredOwner === null && isStarting ? members : this.registeredMembers();
-    const candidateOrder = preferredOwner
-      ? orderForShard(role, preferredOwner, candidates)
+    const candidates = preferredHolder === null && isStarting ? members : this.registeredMembers();
+    const candidateOrder = preferredHolder
+      ? orderForShard(role, preferredHolder, candidates)
       : orderForLeader(role, candidates, members);
     const rank = candidateOrder.indexOf(self.node);
     return rank < 0 ? candidateOrder.length : rank;
--- a/src/coordination/election/election-context.ts
+++ b/src/coordination/election/election-context.ts
@@ -35,7 +35,7 @@
 export interface ElectableRole {
   readonly role: string;
   /** The member that holds the role whenever it is able to; null if all members rank equally. */
-  readonly preferredOwner: Member | null;
+  readonly preferredHolder: Member | null;
 }
 
 /** The options of the election, and the state that registration, claims and held roles share. */
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -2,7 +2,7 @@
 
 import {
   CANCEL_MARGIN_S,
-  CANCEL_MARGIN_SHARE,
+  CANCEL_MARGIN_MAX_FRACTION,
   LEASE_MARGIN_MS,
   FORMER_HOLDER_GONE_MS,
 } from '../../constants/election.js';
@@ -26,7 +26,7 @@
   const slackS = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
   // If lease and `cancel_s` are close together, the full margin would consume the grace, and a holder
   // whose grace is shorter than one watch would never answer a heartbeat.
-  return (slackS - Math.min(CANCEL_MARGIN_S, slackS * CANCEL_MARGIN_SHARE)) * 1000;
+  return (slackS - Math.min(CANCEL_MARGIN_S, slackS * CANCEL_MARGIN_MAX_FRACTION)) * 1000;
 }
 
 /** Returns the maximum time in ms for which a worker runs tasks after its last answered heartbeat. */
@@ -50,15 +50,15 @@
  */
 export function fenceEndsAt(
   record: RoleRecord,
-  self: TenureTimes,
+  tenure: TenureTimes,
   wall: number,
   timing: LeaseTiming,
 ): number {
   // An earlier process of this member answered no heartbeat after this process started.
-  const ownAnswersEndAt = self.startedAt + workerLeaseMs(timing);
+  const ownAnswersEndAt = tenure.startedAt + workerLeaseMs(timing);
   if (record.movedAt === 0 || wall - record.movedAt > FORMER_HOLDER_GONE_MS) return ownAnswersEndAt;
   // The former holder answered heartbeats at the latest one grace after it sent its last watch that
   // did not return the claim. It sent that watch before the claim was executed, and this process saw
   // the claim after that.
-  return Math.max(ownAnswersEndAt, self.seenAt + graceMs(timing) + workerLeaseMs(timing));
+  return Math.max(ownAnswersEndAt, tenure.seenAt + graceMs(timing) + workerLeaseMs(timing));
 }
--- a/src/coordination/election/member-registration.ts
+++ b/src/coordination/election/member-registration.ts
@@ -32,7 +32,7 @@
   }
 
   /** Renews the lease when due, and registers again if the lease or the registration is gone. */
-  async keep(): Promise<void> {
+  async renewOrRegister(): Promise<void> {
     const now = this.context.clock.now();
     const { isRegistered, lease } = this;
     if (lease !== null && isRegistered && (await this.renewLease(lease, now))) return;
@@ -59,7 +59,7 @@
     this.hasRegistered = false;
     await limiter.acquire('role', 0);
     const lease = await keyValueStore.grant(MEMBER_LEASE_TTL_MS);
-    const { guards, changes } = this.transaction(lease);
+    const { guards, changes } = this.buildTransaction(lease);
     const result = await committer.commit('role', guards, changes, () => true);
     if (result.kind === 'rejected') rejectedChangeBackoff.add(REGISTRATION);
     if (result.kind !== 'done') return;
@@ -71,7 +71,7 @@
   }
 
   /** Builds the transaction that registers this process and claims roles that need no waiting. */
-  private transaction(lease: number): GuardedChanges {
+  private buildTransaction(lease: number): GuardedChanges {
     const { incarnation, replica, self, transactionOps } = this.context;
     const key = nodeKey(self.node);
     const value: NodeRecord = { incarnation };
@@ -85,7 +85,7 @@
       const claimedKey = roleKey(electableRole.role);
       const entry = replica.get<RoleRecord>(claimedKey);
       const holder = entry?.value ?? null;
-      if (!this.isClaimedAtOnce(electableRole, holder)) continue;
+      if (!this.isClaimedWithRegistration(electableRole, holder)) continue;
       guards.push({ key: claimedKey, revision: entry?.revision ?? 0 });
       changes.push({ key: claimedKey, value: claimRecord(this.context, holder) });
     }
@@ -94,23 +94,26 @@
 
   private preferredRolesFirst(): ElectableRole[] {
     const { electableRoles } = this.context;
-    const isPreferred = (role: ElectableRole): boolean => this.isPreferredOwner(role);
+    const isPreferred = (role: ElectableRole): boolean => this.isPreferredHolder(role);
     return [
       ...electableRoles.filter(isPreferred),
       ...electableRoles.filter((role) => !isPreferred(role)),
     ];
   }
 
-  private isPreferredOwner({ preferredOwner }: ElectableRole): boolean {
-    return preferredOwner?.node === this.context.self.node;
+  private isPreferredHolder({ preferredHolder }: ElectableRole): boolean {
+    return preferredHolder?.node === this.context.self.node;
   }
 
   /** Returns whether a role is claimed together with the registration. */
-  private isClaimedAtOnce(electableRole: ElectableRole, holder: RoleRecord | null): boolean {
+  private isClaimedWithRegistration(
+    electableRole: ElectableRole,
+    holder: RoleRecord | null,
+  ): boolean {
     const { candidateOrder, incarnation, policy, self } = this.context;
     // An earlier process of this member has ended, so its roles are free.
     if (holder?.owner === self.node) return holder.incarnation !== incarnation;
-    if (!this.isPreferredOwner(electableRole)) return false;
+    if (!this.isPreferredHolder(electableRole)) return false;
     if (holder === null) return true;
     if (candidateOrder.isHolderRegistered(holder)) return !policy.isDamped();
     return candidateOrder.mayFailOverFrom(electableRole.role, holder);
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -64,11 +64,11 @@
 /** Orders the candidates for a shard; members of its preferred holder's zone come first. */
 export function orderForShard(
   role: string,
-  preferredOwner: Member,
-  nodes: readonly Member[],
+  preferredHolder: Member,
+  candidates: readonly Member[],
 ): string[] {
-  const sameZone = nodes.filter((node) => node.zone === preferredOwner.zone);
-  const otherZones = nodes.filter((node) => node.zone !== preferredOwner.zone);
+  const sameZone = candidates.filter((member) => member.zone === preferredHolder.zone);
+  const otherZones = candidates.filter((member) => member.zone !== preferredHolder.zone);
   return [...rankByHash(role, sameZone), ...rankByHash(role, otherZones)];
 }
 
@@ -78,16 +78,16 @@
  */
 export function orderForLeader(
   role: string,
-  nodes: readonly Member[],
+  candidates: readonly Member[],
   members: readonly Member[],
 ): string[] {
-  const membersInZoneOf = (node: Member): number =>
-    members.filter((member) => member.zone === node.zone).length;
-  const sizes = [...new Set(nodes.map(membersInZoneOf))].sort((a, b) => b - a);
+  const membersInZoneOf = (candidate: Member): number =>
+    members.filter((member) => member.zone === candidate.zone).length;
+  const sizes = [...new Set(candidates.map(membersInZoneOf))].sort((a, b) => b - a);
   return sizes.flatMap((size) =>
     rankByHash(
       role,
-      nodes.filter((node) => membersInZoneOf(node) === size),
+      candidates.filter((candidate) => membersInZoneOf(candidate) === size),
     ),
   );
 }
--- a/src/coordination/election/role-claims.ts
+++ b/src/coordination/election/role-claims.ts
@@ -29,8 +29,8 @@
   /** Claims, one after another, all free roles that the candidate order allows this process now. */
   async claimFreeRoles(): Promise<void> {
     const { candidateOrder, electableRoles } = this.context;
-    for (const { role, preferredOwner } of electableRoles) {
-      if (candidateOrder.shouldClaim(role, preferredOwner)) await this.claim(role);
+    for (const { role, preferredHolder } of electableRoles) {
+      if (candidateOrder.shouldClaim(role, preferredHolder)) await this.claim(role);
     }
   }
 
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -21,8 +21,8 @@
 export const shardRole = (shard: string): string => `part-${shard}`;
 
 const electableRolesOf = (members: readonly Member[]): ElectableRole[] => [
-  ...members.map((member) => ({ role: shardRole(member.node), preferredOwner: member })),
-  { role: LEADER, preferredOwner: null },
+  ...members.map((member) => ({ role: shardRole(member.node), preferredHolder: member })),
+  { role: LEADER, preferredHolder: null },
 ];
 
 /**
@@ -34,7 +34,7 @@
   private readonly registration: MemberRegistration;
   private readonly claims: RoleClaims;
   private readonly heldRoles: HeldRoles;
-  private readonly reconciles = new SingleFlight();
+  private readonly reconcileFlight = new SingleFlight();
   /** Time in ms for which this process may act after its replica was last confirmed as current. */
   private readonly graceMs: number;
 
@@ -96,7 +96,7 @@
   /** Renews the registration, then claims free roles. Does nothing while an earlier pass runs. */
   async reconcile(): Promise<void> {
     if (!this.context.replica.isLoaded) return;
-    await this.reconciles.run(() => this.reconcileOnce());
+    await this.reconcileFlight.run(() => this.reconcileOnce());
   }
 
   /** Claims a held role again, under a new term whose numbers are all unused. */
@@ -106,7 +106,7 @@
 
   private async reconcileOnce(): Promise<void> {
     try {
-      await this.registration.keep();
+      await this.registration.renewOrRegister();
       if (this.registration.hasLease) await this.claims.claimFreeRoles();
     } catch (error) {
       this.context.log.debug({ error: String(error) }, 'role reconcile failed');
--- a/src/coordination/election/term-numbers.ts
+++ b/src/coordination/election/term-numbers.ts
@@ -3,11 +3,11 @@
 import { MothbankError } from '../../transport/errors.js';
 
 /** Fraction of a term's numbers after whose use the holder should continue under a new term. */
-const TERM_RENEWAL_SHARE = 0.5;
+const TERM_RENEWAL_FRACTION = 0.5;
 
 /** Returns whether so many of a term's numbers are used that the holder needs a new term. */
 export const isRunningOut = (used: number, size: number): boolean =>
-  used >= size * TERM_RENEWAL_SHARE;
+  used >= size * TERM_RENEWAL_FRACTION;
 
 /** Error for a term that has no unused numbers left. */
 class TermExhaustedError extends MothbankError {
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -41,8 +41,8 @@
   start(): void;
   /** Stops all probing. */
   stop(): void;
-  /** Processes a peer's message; `answer` sends a reply to that peer. */
-  receive(message: PeerMessage, answer: (message: PeerMessage) => void): void;
+  /** Processes a peer's message; `sendReply` sends a message back to that peer. */
+  receive(message: PeerMessage, sendReply: (message: PeerMessage) => void): void;
   /** Returns whether the leader may assign new tasks to a shard. */
   acceptsNewWork(shard: string): boolean;
   /** Records probe round-trip times if `PROBE_TIMES_PERIOD_MS` have passed since the last record. */
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -68,7 +68,7 @@
   receive(message: PeerMessage, sendReply: SendReply): void {
     if (message.kind === 'detector') this.receiveDetector(message.payload, sendReply);
     else if (message.kind === 'stepDown') this.stepDownRequests.onRequest(message, sendReply);
-    else if (message.kind === 'steppedDown') this.stepDownRequests.onAnswer(message);
+    else if (message.kind === 'steppedDown') this.stepDownRequests.onConfirmation(message);
   }
 
   /**
@@ -77,11 +77,11 @@
    */
   acceptsNewWork(shard: string): boolean {
     const { environment, node, roles } = this.options;
-    const owner = roles().holderOf(shardRole(shard));
-    if (owner === null || owner === node) return true;
-    const since = this.detector.suspectedSince(owner);
-    if (since === null) return true;
-    return environment.clock.now() - since >= this.suspicion.holdNewWorkMs;
+    const holder = roles().holderOf(shardRole(shard));
+    if (holder === null || holder === node) return true;
+    const suspectedSince = this.detector.suspectedSince(holder);
+    if (suspectedSince === null) return true;
+    return environment.clock.now() - suspectedSince >= this.suspicion.holdNewWorkMs;
   }
 
   recordProbeTimesIfDue(): void {
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -34,7 +34,7 @@
  */
 export class StepDownRequests {
   /** Tenure of the latest answer, by role. Older answers are about terms that have ended. */
-  private readonly confirmed = new Map<string, string>();
+  private readonly confirmedTenures = new Map<string, string>();
   /** Steady time of the last request in ms, by role. */
   private readonly requestedAt = new Map<string, number>();
 
@@ -42,7 +42,7 @@
 
   /** Returns whether a holder has confirmed that it stepped down. */
   isConfirmed(holder: ExpiredHolder): boolean {
-    return this.confirmed.get(holder.role) === tenureKeyOf(holder);
+    return this.confirmedTenures.get(holder.role) === tenureKeyOf(holder);
   }
 
   /** Sends a holder a step-down request, at most once per role in `STEP_DOWN_RETRY_MS`. */
@@ -70,9 +70,9 @@
   }
 
   /** Records a holder's confirmation that it stepped down. */
-  onAnswer(tenure: RoleTenure): void {
+  onConfirmation(tenure: RoleTenure): void {
     if (!this.options.members.has(tenure.node)) return;
-    this.confirmed.set(tenure.role, tenureKeyOf(tenure));
+    this.confirmedTenures.set(tenure.role, tenureKeyOf(tenure));
     this.options.onConfirmed();
   }
 }
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -1,19 +1,19 @@
 /** A controller's part of one of the key-value store's rate limits, adapted to the actual use. */
 
 import {
-  STORE_LIMIT_AFTER_REFUSAL,
-  STORE_LIMIT_GROWTH,
-  STORE_LIMIT_MAX_SHARE,
-  STORE_LIMIT_MIN_SHARE,
-  WRITES_SCARCE_SHARE,
-  WRITES_SHORT_SHARE,
+  STORE_LIMIT_REFUSAL_FACTOR,
+  STORE_LIMIT_GROWTH_FRACTION,
+  STORE_LIMIT_MAX_FRACTION,
+  STORE_LIMIT_MIN_FRACTION,
+  WRITES_SCARCE_FRACTION,
+  WRITES_SHORT_FRACTION,
 } from '../constants/storage.js';
 import { Budget } from '../transport/budget.js';
 import type { Clock } from '../transport/clock.js';
 
 /**
  * Recent use of a limit compared with the equal share of this controller: `plenty` below
- * `WRITES_SCARCE_SHARE` of it, `scarce` below `WRITES_SHORT_SHARE`, `short` above.
+ * `WRITES_SCARCE_FRACTION` of it, `scarce` below `WRITES_SHORT_FRACTION`, `short` above.
  */
 export type Supply = 'plenty' | 'scarce' | 'short';
 
@@ -33,9 +33,9 @@
  */
 export class AdaptiveLimit {
   readonly budget: Budget;
-  /** Token bucket below 0 when recent use exceeds `WRITES_SCARCE_SHARE` of the equal share. */
+  /** Token bucket below 0 when recent use exceeds `WRITES_SCARCE_FRACTION` of the equal share. */
   private readonly scarceBudget: Budget;
-  /** Token bucket below 0 when recent use exceeds `WRITES_SHORT_SHARE` of the equal share. */
+  /** Token bucket below 0 when recent use exceeds `WRITES_SHORT_FRACTION` of the equal share. */
   private readonly shortBudget: Budget;
   private rate: number;
   private readonly minRate: number;
@@ -46,11 +46,11 @@
     private readonly limit: SharedLimit,
   ) {
     this.rate = limit.perSecond / limit.members;
-    this.minRate = this.rate * STORE_LIMIT_MIN_SHARE;
+    this.minRate = this.rate * STORE_LIMIT_MIN_FRACTION;
     this.rateChangedAt = clock.now();
     this.budget = new Budget(clock, this.rate, Math.max(this.rate, limit.burst));
-    this.scarceBudget = new Budget(clock, this.rate * WRITES_SCARCE_SHARE, this.rate);
-    this.shortBudget = new Budget(clock, this.rate * WRITES_SHORT_SHARE, this.rate);
+    this.scarceBudget = new Budget(clock, this.rate * WRITES_SCARCE_FRACTION, this.rate);
+    this.shortBudget = new Budget(clock, this.rate * WRITES_SHORT_FRACTION, this.rate);
   }
 
   get supply(): Supply {
@@ -67,28 +67,28 @@
   /** Returns the time in ms until `cost` may be used, and raises the rate if that is above 0. */
   waitFor(cost: number): number {
     const waitMs = this.budget.waitFor(cost);
-    if (waitMs > 0) this.grow();
+    if (waitMs > 0) this.raiseRate();
     return waitMs;
   }
 
   /** Raises the rate in proportion to the time since its last change, of which 1 s counts at most. */
-  private grow(): void {
+  private raiseRate(): void {
     const now = this.clock.now();
     const seconds = Math.min(1, (now - this.rateChangedAt) / 1000);
     this.rateChangedAt = now;
     const { perSecond } = this.limit;
     this.setRate(
       Math.min(
-        perSecond * STORE_LIMIT_MAX_SHARE,
-        this.rate + perSecond * STORE_LIMIT_GROWTH * seconds,
+        perSecond * STORE_LIMIT_MAX_FRACTION,
+        this.rate + perSecond * STORE_LIMIT_GROWTH_FRACTION * seconds,
       ),
     );
   }
 
   /** Lowers the rate after the store refused a request because the limit was exceeded. */
-  stepBack(): void {
+  lowerRate(): void {
     this.rateChangedAt = this.clock.now();
-    this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_AFTER_REFUSAL));
+    this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_REFUSAL_FACTOR));
     this.budget.empty();
   }
 
--- a/src/storage/assignment-index.ts
+++ b/src/storage/assignment-index.ts
@@ -53,7 +53,7 @@
   }
 
   /** Updates the index after a change of a record; undefined if the record was removed. */
-  apply(key: string, record: AssignmentRecord | undefined): void {
+  update(key: string, record: AssignmentRecord | undefined): void {
     const name = readAssignmentKey(key);
     if (!name) return;
     if (record === undefined) this.remove(key, name.job);
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -4,7 +4,7 @@
 import type { Change } from '../protocol/key-value-store.js';
 import type { MachineType } from '../protocol/model.js';
 import { bytesOf } from './committer.js';
-import { CATALOG, CATALOG_MORE } from './keys.js';
+import { CATALOG, CATALOG_OVERFLOW } from './keys.js';
 import type { StoreReplica } from './store-replica.js';
 
 /** The last result for each replica, because the catalog is read for every machine. */
@@ -28,11 +28,11 @@
 function mergeRecords(replica: StoreReplica): MachineType[] | null {
   const first = replica.get<MachineType[]>(CATALOG);
   if (!first) return null;
-  const overflow = [...replica.below<MachineType[]>(CATALOG_MORE)].sort(([a], [b]) =>
+  const overflow = [...replica.below<MachineType[]>(CATALOG_OVERFLOW)].sort(([a], [b]) =>
     a < b ? -1 : 1,
   );
   const types = new Map<string, MachineType>();
-  for (const list of [first.value, ...overflow.map(([, held]) => held.value)]) {
+  for (const list of [first.value, ...overflow.map(([, stored]) => stored.value)]) {
     for (const type of list) if (!types.has(type.name)) types.set(type.name, type);
   }
   return [...types.values()];
@@ -56,14 +56,14 @@
     bytes += size;
   }
   const desired = new Map(
-    records.map((record, page) => [page === 0 ? CATALOG : `${CATALOG_MORE}${page}`, record]),
+    records.map((record, page) => [page === 0 ? CATALOG : `${CATALOG_OVERFLOW}${page}`, record]),
   );
   const changes: Change[] = [];
   for (const [key, value] of [...desired].reverse()) {
     if (JSON.stringify(replica.get(key)?.value) !== JSON.stringify(value))
       changes.push({ key, value });
   }
-  for (const [key] of replica.below(CATALOG_MORE)) {
+  for (const [key] of replica.below(CATALOG_OVERFLOW)) {
     if (!desired.has(key)) changes.push({ key, remove: true });
   }
   return changes;
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -1,7 +1,7 @@
 /** Commits transactions to the key-value store and finds out whether unanswered ones took effect. */
 
 import { isDeepStrictEqual } from 'node:util';
-import { BACKOFF_FIRST_MS, BACKOFF_LAST_MS } from '../constants/storage.js';
+import { BACKOFF_FIRST_MS, BACKOFF_MAX_MS } from '../constants/storage.js';
 import {
   NO_SUCH_LEASE,
   StoreRejectedError,
@@ -48,7 +48,7 @@
 }
 
 /** Maximum number of keys in `Committer.lastReads`. */
-const MAX_REMEMBERED_READS = 64;
+const MAX_STORED_READS = 64;
 
 /** Returns the size in bytes of a value in the key-value store. */
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
@@ -111,7 +111,7 @@
   ): Promise<CommitResult> {
     const { purpose, changes } = transaction;
     let mayHaveCommitted = false;
-    const backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_LAST_MS, this.random);
+    const backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_MAX_MS, this.random);
     for (;;) {
       await this.limiter.acquire(purpose, changes.length);
       if (!isStillWanted()) return { kind: 'abandoned', mayCommitLater: mayHaveCommitted };
@@ -180,7 +180,7 @@
     invalidateLateCopy: () => Promise<boolean>,
   ): Promise<CommitResult> {
     if (!(await invalidateLateCopy())) return { kind: 'abandoned', mayCommitLater: true };
-    const backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_LAST_MS, this.random);
+    const backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_MAX_MS, this.random);
     while (isStillWanted()) {
       try {
         for (const change of changes) await this.reread(purpose, change.key);
@@ -235,7 +235,7 @@
     await this.limiter.acquire(purpose, 0);
     const current = await this.keyValueStore.get(key);
     this.lastReads.set(key, current);
-    if (this.lastReads.size > MAX_REMEMBERED_READS) {
+    if (this.lastReads.size > MAX_STORED_READS) {
       const oldest = this.lastReads.keys().next();
       if (!oldest.done) this.lastReads.delete(oldest.value);
     }
--- a/src/storage/keys.ts
+++ b/src/storage/keys.ts
@@ -22,7 +22,7 @@
  * Prefix of further records of machine types, for those that do not fit into the first record. The
  * previous version reads only the first record.
  */
-export const CATALOG_MORE = 'mb/live/catalog/';
+export const CATALOG_OVERFLOW = 'mb/live/catalog/';
 
 /** Prefix of the records of ended jobs, of which a controller caches only some. */
 export const FINALS = 'mb/final/';
--- a/src/storage/live-key-reader.ts
+++ b/src/storage/live-key-reader.ts
@@ -24,7 +24,7 @@
 
 /** Reads all live keys. After an error on one page the next call continues with that page. */
 export class LiveKeyReader {
-  private pending: PartialListing | null = null;
+  private partialListing: PartialListing | null = null;
   /** The newest revision of the pages that were read. */
   newestPageRevision = 0;
 
@@ -41,7 +41,11 @@
    */
   async readAll(): Promise<KeyListing> {
     for (;;) {
-      const listing = (this.pending ??= { entries: new Map(), firstRevision: null, lastKey: null });
+      const listing = (this.partialListing ??= {
+        entries: new Map(),
+        firstRevision: null,
+        lastKey: null,
+      });
       await this.limiter.acquire('watch', 0);
       const page = await this.keyValueStore.list(LIVE, listing.lastKey);
       this.onPage();
@@ -52,7 +56,7 @@
         listing.lastKey = key;
       }
       const isTooOld = page.revision - firstRevision >= STORE_CHANGES_KEPT;
-      if (isTooOld || !page.more) this.pending = null;
+      if (isTooOld || !page.more) this.partialListing = null;
       if (!isTooOld && !page.more) return { entries: listing.entries, firstRevision };
     }
   }
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -83,8 +83,8 @@
   /** Lowers the rates after the key-value store answered 429 to a request with so many writes. */
   reportRefusal(writes: number): void {
     this.refusals++;
-    this.requestLimit.stepBack();
-    if (writes > 0) this.writeLimit.stepBack();
+    this.requestLimit.lowerRate();
+    if (writes > 0) this.writeLimit.lowerRate();
   }
 
   private count(purpose: Purpose, writes: number): void {
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -1,6 +1,6 @@
 /** Stores the records of a replica, with indexes for frequent lookups. */
 
-import { MAX_CACHED_FINALS } from '../constants/storage.js';
+import { MAX_CACHED_FINAL_RECORDS } from '../constants/storage.js';
 import { AssignmentIndex } from './assignment-index.js';
 import { ASSIGNMENTS, CATALOG, FINALS, JOBS, LIVE, MACHINES } from './keys.js';
 import type {
@@ -114,10 +114,10 @@
     return this.assignmentIndex.ofJob(job);
   }
 
-  /** Caches the final record of a job, and evicts the oldest one beyond `MAX_CACHED_FINALS`. */
+  /** Caches the final record of a job, and evicts the oldest one beyond `MAX_CACHED_FINAL_RECORDS`. */
   keepFinal(id: string, record: FinalRecord): void {
     this.finalRecords.set(id, record);
-    if (this.finalRecords.size > MAX_CACHED_FINALS) {
+    if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS) {
       const oldest = this.finalRecords.keys().next();
       if (!oldest.done) this.finalRecords.delete(oldest.value);
     }
@@ -141,7 +141,7 @@
       return false;
     if (value === undefined) this.remove(key, revision);
     else this.set(key, { value, revision });
-    this.index(key, value);
+    this.updateIndexes(key, value);
     return true;
   }
 
@@ -160,7 +160,7 @@
   }
 
   /** Updates the indexes of jobs, machines, machine types and assignments. */
-  private index(key: string, value: unknown): void {
+  private updateIndexes(key: string, value: unknown): void {
     if (key.startsWith(JOBS)) {
       setOrDelete(this.jobs, key.slice(JOBS.length), value as JobRecord | undefined);
     }
@@ -169,11 +169,11 @@
     }
     if (key.startsWith(CATALOG)) this.catalogChanges++;
     if (key.startsWith(ASSIGNMENTS))
-      this.assignmentIndex.apply(key, value as AssignmentRecord | undefined);
+      this.assignmentIndex.update(key, value as AssignmentRecord | undefined);
   }
 
   /** Discards removals up to `revision`, because the watch returns no older event any more. */
-  protected forgetRemovals(): void {
+  protected discardOldRemovals(): void {
     for (const [key, removedAt] of this.removalRevisions) {
       if (removedAt <= this.revision) this.removalRevisions.delete(key);
     }
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -1,6 +1,6 @@
 /** Pauses changes that the key-value store rejected as invalid. */
 
-import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS } from '../constants/storage.js';
+import { REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_MAX_MS } from '../constants/storage.js';
 import { KeyedBackoff } from '../transport/backoff.js';
 import type { Clock } from '../transport/clock.js';
 
@@ -13,7 +13,7 @@
   private readonly backoff: KeyedBackoff;
 
   constructor(clock: Clock) {
-    this.backoff = new KeyedBackoff(clock, REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_LAST_MS);
+    this.backoff = new KeyedBackoff(clock, REJECTED_PAUSE_FIRST_MS, REJECTED_PAUSE_MAX_MS);
   }
 
   /** Records that a transaction with a change of the subject was rejected. */
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -2,7 +2,7 @@
 
 import {
   BACKOFF_FIRST_MS,
-  BACKOFF_LAST_MS,
+  BACKOFF_MAX_MS,
   WATCH_HOLD_MS,
   WATCH_SPACING_MS,
 } from '../constants/storage.js';
@@ -51,7 +51,7 @@
   private readonly pause: WatchPause;
   private isStopped = false;
   /** The newest revision that a peer's change notification announced. */
-  private hintedRevision = 0;
+  private announcedRevision = 0;
   /** The newest revision that this controller received by its watch or by its own changes. */
   newestRevision = 0;
   /** Steady time in ms at which the last answered watch was sent. */
@@ -65,7 +65,7 @@
     this.limiter = options.limiter;
     this.clock = options.clock;
     this.log = options.log;
-    this.backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_LAST_MS, options.random);
+    this.backoff = new Backoff(BACKOFF_FIRST_MS, BACKOFF_MAX_MS, options.random);
     this.holdMs = options.holdMs ?? WATCH_HOLD_MS;
     this.pause = new WatchPause(options.clock, options.spacingMs ?? WATCH_SPACING_MS);
     this.reader = new LiveKeyReader(options.keyValueStore, options.limiter, () =>
@@ -128,7 +128,7 @@
   /** Shortens the pause before the next watch, because a peer announced a change of this revision. */
   pollSoon(revision: number): void {
     if (revision <= this.revision) return;
-    this.hintedRevision = Math.max(this.hintedRevision, revision);
+    this.announcedRevision = Math.max(this.announcedRevision, revision);
     this.pause.shorten();
   }
 
@@ -153,7 +153,7 @@
         this.knownCurrentAt = Math.max(this.knownCurrentAt, sentAt);
         for (const listener of this.confirmedCurrentListeners) listener(sentAt);
         this.backoff.reset();
-        await this.pause.wait(this.hintedRevision > this.revision);
+        await this.pause.wait(this.announcedRevision > this.revision);
       } catch (error) {
         if (error instanceof StoreRejectedError && error.status === 429)
           this.limiter.reportRefusal(0);
@@ -171,7 +171,7 @@
     }
     this.revision = Math.max(this.revision, revision);
     this.newestRevision = Math.max(this.newestRevision, revision);
-    this.forgetRemovals();
+    this.discardOldRemovals();
     // Listeners are called even without events, because some wait until the replica is current.
     this.notifyChangeListeners(keys);
   }
--- a/src/storage/watch-pause.ts
+++ b/src/storage/watch-pause.ts
@@ -1,6 +1,6 @@
 /** Waits between two watch requests. */
 
-import { HINTED_WATCH_SPACING_SHARE } from '../constants/storage.js';
+import { ANNOUNCED_WATCH_SPACING_FRACTION } from '../constants/storage.js';
 import type { Clock } from '../transport/clock.js';
 
 /** Pauses between watch requests, so that changes that are close together share one response. */
@@ -13,18 +13,18 @@
   ) {}
 
   /**
-   * Waits for `spacingMs`. If a change was announced (`isHinted`) or `shorten` is called, the wait is
-   * reduced to `HINTED_WATCH_SPACING_SHARE` of that.
+   * Waits for `spacingMs`. If a change was announced (`isChangeAnnounced`) or `shorten` is called, the wait is
+   * reduced to `ANNOUNCED_WATCH_SPACING_FRACTION` of that.
    */
-  wait(isHinted: boolean): Promise<void> {
+  wait(isChangeAnnounced: boolean): Promise<void> {
     return new Promise((resolve) => {
-      const minPauseMs = this.spacingMs * HINTED_WATCH_SPACING_SHARE;
+      const minPauseMs = this.spacingMs * ANNOUNCED_WATCH_SPACING_FRACTION;
       const startedAt = this.clock.now();
       const end = (): void => {
         this.shortenCurrent = null;
         resolve();
       };
-      let cancel = this.clock.after(isHinted ? minPauseMs : this.spacingMs, end);
+      let cancel = this.clock.after(isChangeAnnounced ? minPauseMs : this.spacingMs, end);
       this.shortenCurrent = () => {
         cancel();
         const elapsedMs = this.clock.now() - startedAt;
