--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -41,8 +41,8 @@
  * key-value store. */
 export const FENCING_TOKENS_PER_TERM = 2 ** 16;
 
-/** Attempt number = (term × SHARDS_PER_TERM + shard number) × ATTEMPT_STEP + counter, so that no
- * attempt number is used twice. */
+/** Attempt number = (term × SHARDS_PER_TERM + shard number) × range size + counter, so that no attempt
+ * number is used twice. The leader has the last range of a term, for gangs. */
 export const SHARDS_PER_TERM = 64;
-/** Attempt numbers that each shard, and the leader for gangs, has in a term. */
+/** Size of the range of attempt numbers that a shard, or the leader, has in a term. */
 export const ATTEMPT_STEP = 2 ** 20;
