--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -1,4 +1,4 @@
-/** Which candidate may take a free role, on a clock that advances between two readings. */
+/** Tests which candidate may claim a free role, with a clock that advances between two readings. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MEMBER_LEASE_RENEW_MS } from '../../src/constants/election.js';
@@ -11,7 +11,7 @@
 import { SimClock } from '../world/clock.js';
 import { SimKeyValueStore } from '../world/key-value-store.js';
 
-/** Each reading is later than the one before, as on a real machine. */
+/** A clock that returns a later time with each reading, as on a real machine. */
 class MovingClock implements Clock {
   private time = 1_000_000;
 
@@ -33,12 +33,13 @@
   }
 }
 
-// Read in the wrong order, the time for which a role had been free was below zero at the first check,
-// and each takeover waited for the next election pass, half a second later.
-test('the first candidate takes a free role when it first sees it, the second one delay later', () => {
+// Guards against a failover that starts late. When the clock was read before the time since which the
+// role is free, the difference was below zero at the first check, and each failover waited for the
+// next election pass, half a second later.
+test('the first candidate claims a free role at its first check, the second one renewal interval later', () => {
   const simulated = new SimClock();
   const { replica } = followingReplica(simulated, new SimKeyValueStore(simulated), 100);
-  const looks: string[] = [];
+  const decisions: string[] = [];
   for (const self of ['n0', 'n1']) {
     const clock = new MovingClock();
     const candidateOrder = new CandidateOrder({
@@ -55,11 +56,11 @@
       rejectedChangeBackoff: new RejectedChangeBackoff(clock),
       startedAt: clock.now(),
     });
-    // Both are starting, so all members are candidates for leadership.
+    // Both controllers are starting, so all members are candidates for the leader role.
     const first = candidateOrder.shouldClaim('leader', null);
     clock.pass(MEMBER_LEASE_RENEW_MS);
     const later = candidateOrder.shouldClaim('leader', null);
-    looks.push(`${first} ${later}`);
+    decisions.push(`${first} ${later}`);
   }
-  assert.deepEqual(looks.sort(), ['false true', 'true true']);
+  assert.deepEqual(decisions.sort(), ['false true', 'true true']);
 });
--- a/test/election/failover.test.ts
+++ b/test/election/failover.test.ts
@@ -1,10 +1,12 @@
+/** Tests which machines a shard keeps after the failure of a controller or of machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { World } from '../world/world.js';
 
-// Seen in the first recorded incident of the larger deployment: the first status of a shard's new
-// owner was empty, and the leader returned the shard's whole fleet as machines that never came up.
-test('a shard keeps its machines through a failover', async () => {
+// Guards against the fault in the first recorded incident of the larger deployment. The first status
+// of a shard's new holder was empty, so the leader treated the shard's whole fleet as machines that had
+// never started, and returned it.
+test('a shard keeps its machines and tasks after a failover', async () => {
   for (const dead of ['n0', 'n1', 'n2']) {
     const world = new World(3);
     for (const zone of ['a', 'a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
@@ -16,14 +18,14 @@
     world.kill(dead);
     await world.run(40);
     assert.deepEqual([...world.workers.keys()], before, `machines after ${dead} died`);
-    assert.equal(world.starts.length, starts, 'no task had to start again');
+    assert.equal(world.starts.length, starts, 'no task was restarted');
     assert.deepEqual(world.violations, []);
   }
 });
 
-// Several silent machines at once may be dead or only cut off. What stays silent for a lease is
-// returned and replaced; what comes back before keeps its tasks.
-test('of many silent machines the dead ones are returned and those cut off are kept', async () => {
+// Several machines that are silent at once may be dead or only cut off. A machine that is silent for a
+// whole lease is returned and replaced. A machine that sends heartbeats again before keeps its tasks.
+test('when many machines are silent, dead ones are returned and briefly unreachable ones are kept', async () => {
   const world = new World(21);
   for (let at = 0; at < 6; at++) world.addMachine('small', 'a', false, 500);
   await world.run(8);
@@ -39,8 +41,8 @@
   await world.run(18);
   world.cutLinks.clear();
   await world.run(60);
-  const there = [cut1, cut2, dead1, dead2].map((machine) => world.workers.has(machine));
-  assert.deepEqual(there, [true, true, false, false]);
+  const isRented = [cut1, cut2, dead1, dead2].map((machine) => world.workers.has(machine));
+  assert.deepEqual(isRented, [true, true, false, false]);
   const running = [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]);
   assert.equal(running.length, 12);
   assert.deepEqual(world.violations, []);
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -1,4 +1,4 @@
-/** Numbers of a term: each allocated once, and a new term in time. */
+/** Tests that each number of a term is allocated once, and that a holder gets a new term in time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FENCING_TOKENS_PER_TERM } from '../../src/constants/election.js';
@@ -9,10 +9,10 @@
 import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
-test('a term allocates each of its numbers once, and none of the next term', () => {
+test('a term allocates each of its numbers once and none of the next term', () => {
   const numbers = new TermNumbers(700, 10);
-  const given = [1, 2, 3, 4].map(() => numbers.next());
-  assert.deepEqual(given, [701, 702, 703, 704]);
+  const allocated = [1, 2, 3, 4].map(() => numbers.next());
+  assert.deepEqual(allocated, [701, 702, 703, 704]);
   assert.equal(numbers.isRunningOut, false);
   assert.equal(numbers.next(), 705);
   assert.equal(numbers.isRunningOut, true);
@@ -23,10 +23,11 @@
 const termOf = (world: World, role: string): number =>
   (world.store.entries.get(roleKey(role))?.value as RoleRecord).term;
 
-// 4,000 machines use up the attempts of a shard's term in some hours; they ran into those of the next
-// shard, and a machine that works for weeks into the fencing tokens of the next term.
+// Guards against numbers that are used twice. 4,000 machines use up the attempt numbers of a shard's
+// term in some hours, and the shard then used those of the next shard. A machine that ran for weeks
+// reached the fencing tokens of the next term.
 for (const cutS of [0, 10, 40]) {
-  test(`a shard goes on under a new term before its numbers end, machines cut off for ${cutS} s`, async () => {
+  test(`a shard gets a new term before its numbers are used up, with machines cut off for ${cutS} s`, async () => {
     const world = new World(5);
     for (const zone of ['a', 'a', 'b', 'b']) world.addMachine('small', zone, false, 500);
     await world.run(8);
@@ -38,8 +39,8 @@
       return (world.nodes.get(name)?.node.heldShards.get(name)?.machines.all.size ?? 0) > 0;
     });
     const [name = assert.fail('no shard has machines')] = busy ?? [];
-    const owner = world.nodes.get(name)?.node;
-    const shard = owner?.heldShards.get(name);
+    const holder = world.nodes.get(name)?.node;
+    const shard = holder?.heldShards.get(name);
     const [machine] = shard?.machines.all.values() ?? [];
     assert.ok(shard && machine);
     const roles = world.members.map(([node]) => shardRole(node));
@@ -55,11 +56,11 @@
     await world.run(20);
     const after = roles.map((role) => termOf(world, role));
     const expected = roles.map((role, at) => (before[at] ?? 0) + Number(role === shardRole(name)));
-    assert.deepEqual(after, expected, 'only its own role has a new term');
-    const renewed = owner?.heldShards.get(name);
+    assert.deepEqual(after, expected, 'only the role of this shard has a new term');
+    const renewed = holder?.heldShards.get(name);
     assert.ok(renewed && renewed !== shard && !renewed.needsTermRenewal);
     await world.run(60);
     assert.deepEqual(world.violations, []);
-    if (cutS < 20) assert.equal(world.starts.length, starts, 'nothing had to start again');
+    if (cutS < 20) assert.equal(world.starts.length, starts, 'no task was restarted');
   });
 }
--- a/test/failure-detection/disabled.test.ts
+++ b/test/failure-detection/disabled.test.ts
@@ -1,4 +1,4 @@
-/** Failure detection that is off costs nothing: it is not loaded, and says nothing. */
+/** Tests that disabled failure detection is not loaded and sends no messages. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -11,7 +11,7 @@
 const here = dirname(fileURLToPath(import.meta.url));
 const STATIC_IMPORT = /^(?:import|export)[^;]*?from '([^']+)';|^import '([^']+)';/gm;
 
-/** All modules that a start loads: those that are imported statically, from a compiled module on. */
+/** Returns all modules that a compiled module loads by static imports, directly or indirectly. */
 function loadedBy(file: string, loaded = new Set<string>()): Set<string> {
   if (loaded.has(file)) return loaded;
   loaded.add(file);
@@ -23,7 +23,7 @@
   return loaded;
 }
 
-test('a start without failure detection loads nothing of it', () => {
+test('a controller that starts without failure detection loads none of its modules', () => {
   const loaded = [...loadedBy(join(here, '..', '..', 'src', 'main.js'))];
   assert.ok(loaded.some((name) => name.endsWith('/coordination/election/role-election.js')));
   assert.ok(loaded.includes('hono/router/pattern-router'));
@@ -35,7 +35,7 @@
   );
 });
 
-test('controllers without failure detection send nothing of it, and pass over what others send', async () => {
+test('controllers without failure detection send no detector messages and ignore those of peers', async () => {
   for (const [overrides, expected] of [
     [{}, false],
     [WITH_FAILURE_DETECTION, true],
--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -1,4 +1,4 @@
-/** Controllers that are paused or end, with failure detection between them: when roles fail over. */
+/** Tests when roles fail over from paused or ended controllers if failure detection is enabled. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -16,11 +16,11 @@
 const CONFIRMED = 'failure confirmed by a quorum';
 const NOT_CONFIRMED_IN_TIME = 'not confirmed in time: by the state service alone';
 
-const nodes = (world: World): string[] => world.members.map(([name]) => name);
+const controllerNames = (world: World): string[] => world.members.map(([name]) => name);
 
 const ROWS: SuspicionCase[] = [
   ...[1, 3].map((seconds) => ({
-    name: `the leader is paused for ${seconds} s`,
+    name: `roles stay with a leader that is paused for ${seconds} s`,
     keepsTerms: true,
     fault: async ({ world }: ObservedWorld) => {
       world.pause(world.leader, seconds);
@@ -28,21 +28,21 @@
     },
   })),
   {
-    name: 'the leader is paused for 5 s: its roles are kept as long as its lease holds',
+    name: 'roles stay with a leader that is paused for 5 s until its lease expires',
     fault: async ({ world }) => {
       const { leader } = world;
       const before = roleTerms(world);
       world.pause(leader, 5);
-      let lapsed = false;
+      let hasExpired = false;
       for (let step = 0; step < 80; step++) {
         await world.run(0.25);
-        if (!world.store.entries.has(`n/${leader}`)) lapsed = true;
-        if (!lapsed) assert.deepEqual(roleTerms(world), before);
+        if (!world.store.entries.has(`n/${leader}`)) hasExpired = true;
+        if (!hasExpired) assert.deepEqual(roleTerms(world), before);
       }
     },
   },
   {
-    name: 'the leader is frozen beyond its lease, and thawed later',
+    name: 'the leader role fails over from a leader that is paused beyond its lease and resumed later',
     reasons: [CONFIRMED],
     fault: async ({ world }) => {
       const { leader } = world;
@@ -53,7 +53,7 @@
     },
   },
   {
-    name: 'a controller is gone for good',
+    name: 'a shard fails over when its holder ends and does not restart',
     reasons: [CONFIRMED],
     fault: async ({ world }) => {
       world.kill('n2');
@@ -63,7 +63,7 @@
     },
   },
   {
-    name: 'one survivor of three',
+    name: 'the only one of three controllers that is left gets all roles after a limited wait',
     reasons: [NOT_CONFIRMED_IN_TIME],
     fault: async ({ world }) => {
       world.kill('n1');
@@ -76,20 +76,20 @@
     },
   },
   {
-    name: 'back in an instant, again and again',
+    name: 'no task starts again when each controller is restarted twice, down for 0.2 s each time',
     fault: async ({ world }) => {
-      for (const name of [...nodes(world), ...nodes(world)]) {
+      for (const name of [...controllerNames(world), ...controllerNames(world)]) {
         await restartController(world, name, 0.2);
         await world.run(4);
       }
     },
   },
   {
-    name: 'all restarted together',
+    name: 'each controller gets its own shard when all restart together',
     fault: async ({ world }) => {
-      for (const name of nodes(world)) world.kill(name);
+      for (const name of controllerNames(world)) world.kill(name);
       await world.run(3);
-      for (const name of nodes(world)) world.boot(name);
+      for (const name of controllerNames(world)) world.boot(name);
       await world.run(14);
       for (const [role, tenure] of Object.entries(roleTerms(world))) {
         if (role !== 'leader') assert.match(tenure, new RegExp(`^${role.slice(5)} `));
@@ -97,10 +97,10 @@
     },
   },
   {
-    name: 'switched on controller by controller and off again',
+    name: 'no task starts again when detection is disabled and enabled on one controller after another',
     fault: async ({ world }) => {
       for (const settings of [{ suspicion: null }, WITH_FAILURE_DETECTION]) {
-        for (const name of nodes(world)) {
+        for (const name of controllerNames(world)) {
           world.settingsFor = () => settings;
           await restartController(world, name, 3);
           await world.run(9);
@@ -109,7 +109,7 @@
     },
   },
   {
-    name: 'a controller without failure detection is judged by the key-value store alone',
+    name: 'a role fails over from a controller without failure detection when its lease expires',
     reasons: ['the holder never answered a probe'],
     fault: async ({ world, records }) => {
       world.settingsFor = () => ({ suspicion: null });
@@ -136,11 +136,11 @@
 }
 
 const shardsOf = (world: World, job: string): Set<string> => {
-  const { replica } = world.nodes.get(world.leader)?.node ?? assert.fail('nobody leads');
+  const { replica } = world.nodes.get(world.leader)?.node ?? assert.fail('there is no leader');
   return new Set([...replica.assignmentsOf(job)].map(({ shard }) => shard));
 };
 
-test("suspicion: a suspected owner's shard gets no new work, keeps what it runs, and only for a while", async () => {
+test("suspicion: a suspected holder's shard keeps its tasks and gets no new ones for a limited time", async () => {
   const { world } = await worldWithFailureDetection(3);
   const machines = [...world.workers.keys()];
   world.pause('n2', 5);
@@ -150,7 +150,7 @@
   assert.ok(shardsOf(world, 'j-000003').size > 0);
   assert.ok(!shardsOf(world, 'j-000003').has('n2'));
   for (const machine of machines) assert.ok(world.workers.has(machine), `${machine} was returned`);
-  // Peers that can't reach each other suspect each other for as long as that lasts.
+  // Peers that can't reach each other suspect each other until the partition ends.
   await world.run(20);
   partition(world, ['n2']);
   await world.run(12);
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -1,4 +1,4 @@
-/** Controllers that lose one another or the key-value store, with failure detection: when roles fail over. */
+/** Tests when roles fail over if controllers can't reach their peers or the key-value store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { RoleTenure } from '../../src/protocol/peer-messages.js';
@@ -15,12 +15,12 @@
 const STEPPED_DOWN = 'stood down';
 const REPLACED = 'a later process answers';
 
-const nodes = (world: World): string[] => world.members.map(([name]) => name);
+const controllerNames = (world: World): string[] => world.members.map(([name]) => name);
 
-/** What names another term than n1's of its shard, or is sent by no member. */
-const FOREIGN = [{ term: 7 }, { incarnation: 'x' }, { node: 'stranger' }];
+/** Changes of a step-down request to n1: another term, another process, a sender that is no member. */
+const MISMATCHES = [{ term: 7 }, { incarnation: 'x' }, { node: 'stranger' }];
 
-function refusesToStepDown(world: World, requests: Partial<RoleTenure>[]): void {
+function assertStepDownIgnored(world: World, requests: Partial<RoleTenure>[]): void {
   const tenure = { node: 'n0', role: 'part-n1', term: 1, incarnation: 'n1-2' };
   for (const fields of requests) {
     const message = { kind: 'stepDown' as const, ...tenure, ...fields };
@@ -30,10 +30,10 @@
 
 const ROWS: SuspicionCase[] = [
   {
-    name: 'peers can not reach each other, the key-value store reaches all',
+    name: 'no role fails over when no peer reaches another but all reach the key-value store',
     keepsTerms: true,
     fault: async ({ world }) => {
-      for (const name of nodes(world)) partition(world, [name]);
+      for (const name of controllerNames(world)) partition(world, [name]);
       await world.run(60);
       assert.equal(world.starts.length >= 18, true, `${world.starts.length} tasks started`);
       world.cutLinks.clear();
@@ -41,7 +41,7 @@
     },
   },
   {
-    name: 'two zones can not reach each other, the key-value store reaches both',
+    name: 'no role fails over when two zones are partitioned but both reach the key-value store',
     keepsTerms: true,
     fault: async ({ world }) => {
       partition(world, ['n2']);
@@ -51,7 +51,7 @@
     },
   },
   {
-    name: 'a split, the key-value store reaches one half',
+    name: 'roles fail over from the side of a partition that does not reach the key-value store',
     reasons: [CONFIRMED],
     restarts: 8,
     fault: async ({ world }) => {
@@ -65,7 +65,7 @@
     },
   },
   {
-    name: 'a split, the key-value store reaches nobody',
+    name: 'no role fails over in a partition during an outage of the key-value store',
     keepsTerms: true,
     fault: async ({ world }) => {
       partition(world, ['n2']);
@@ -77,13 +77,13 @@
     },
   },
   {
-    name: 'a controller that the key-value store alone refuses steps down',
+    name: 'a controller that reaches its peers but not the key-value store steps down',
     reasons: [STEPPED_DOWN],
     fault: async ({ world, steppedDown }) => {
       world.store.refusedControllers.add('n1');
-      // By now it would step down, if it were asked for its own term by a member.
+      // After this time a request from a member for the current term would be obeyed.
       await world.run(4);
-      refusesToStepDown(world, FOREIGN);
+      assertStepDownIgnored(world, MISMATCHES);
       await world.run(36);
       assert.ok(steppedDown.includes('n1 part-n1'), steppedDown.join());
       assert.doesNotMatch(Object.values(roleTerms(world)).join(), /n1 /);
@@ -93,7 +93,7 @@
     },
   },
   {
-    name: 'the answer of a controller that stepped down is lost: the wait ends',
+    name: 'roles fail over after a limited wait when the confirmation of a step-down is lost',
     reasons: [NOT_CONFIRMED_IN_TIME],
     fault: async ({ world }) => {
       world.onPeerMessage = (message) =>
@@ -106,7 +106,7 @@
     },
   },
   {
-    name: 'back as a new process that the key-value store refuses',
+    name: 'roles fail over from an ended process when the key-value store refuses its successor',
     reasons: [REPLACED],
     fault: async ({ world }) => {
       world.kill('n1');
@@ -119,24 +119,24 @@
     },
   },
   {
-    name: 'a controller that loses its registration again and again leaves its shard with another',
+    name: 'a controller that loses its registration repeatedly leaves its shard with another holder',
     fault: async ({ world }) => {
-      const owners: string[] = [];
+      const holders: string[] = [];
       for (let turn = 0; turn < 4; turn++) {
         world.store.refusedControllers.add('n1');
         await world.run(12);
         world.store.refusedControllers.clear();
         await world.run(8);
-        owners.push(roleTerms(world)['part-n1']?.split(' ')[0] ?? '');
+        holders.push(roleTerms(world)['part-n1']?.split(' ')[0] ?? '');
       }
-      assert.equal(owners[0], 'n1');
-      for (const owner of owners.slice(1)) assert.notEqual(owner, 'n1');
+      assert.equal(holders[0], 'n1');
+      for (const holder of holders.slice(1)) assert.notEqual(holder, 'n1');
       await world.run(150);
       assert.match(roleTerms(world)['part-n1'] ?? '', /^n1 /);
     },
   },
   {
-    name: 'what one controller sends another is lost',
+    name: 'no role fails over when messages from one controller to another are lost',
     keepsTerms: true,
     fault: async ({ world }) => {
       world.oneWayLossyLinks.add('n0>n1');
@@ -146,11 +146,11 @@
     },
   },
   {
-    name: 'a controller that stepped down and that nobody succeeds goes on under a new term',
+    name: 'a controller whose role no other claims after its step-down continues under a new term',
     fault: async ({ world, steppedDown }) => {
       const before = Number(roleTerms(world)['part-n1']?.split(' ')[1]);
       world.onPeerMessage = (message) => {
-        // From now on the key-value store serves this controller alone.
+        // From now on the key-value store serves only n1, which has stepped down.
         if (message.kind === 'steppedDown') {
           for (const other of ['n0', 'n2']) world.store.refusedControllers.add(other);
           world.store.refusedControllers.delete('n1');
@@ -163,16 +163,16 @@
       world.store.refusedControllers.clear();
       await world.run(10);
       assert.ok(steppedDown.includes('n1 part-n1'));
-      const [owner, term] = roleTerms(world)['part-n1']?.split(' ') ?? [];
-      assert.equal(owner, 'n1');
+      const [holder, term] = roleTerms(world)['part-n1']?.split(' ') ?? [];
+      assert.equal(holder, 'n1');
       assert.ok(Number(term) > before);
     },
   },
   {
-    name: 'a late request to step down reaches a controller that is registered',
+    name: 'a registered controller ignores a late step-down request',
     keepsTerms: true,
     fault: async ({ world }) => {
-      refusesToStepDown(world, [{}, ...FOREIGN]);
+      assertStepDownIgnored(world, [{}, ...MISMATCHES]);
       await world.run(10);
     },
   },
--- a/test/storage/late-store-answers.test.ts
+++ b/test/storage/late-store-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers of the key-value store that come later than the watch which tells of something newer. */
+/** Tests responses of the key-value store that arrive after the watch has returned newer changes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobKey } from '../../src/storage/keys.js';
@@ -12,52 +12,87 @@
 
 const KEY = jobKey('j-000001');
 
-/** What happened to a key, and what the replica is told of late. */
-interface LateValue {
+/** A sequence of changes of one key, one of which the replica receives late. */
+interface LateValueCase {
   name: string;
-  /** Values written one after the other; undefined: a removal. */
-  written: unknown[];
-  /** Which of them is told late. */
-  late: number;
-  /** The watch tells of all of it before. */
+  /** Values written one after the other; undefined for a removal. */
+  writtenValues: unknown[];
+  /** Index of the value that is received late. */
+  lateIndex: number;
+  /** Whether the watch has returned all of these changes before. */
   isWatched: boolean;
   expected: unknown;
 }
 
-const LATE: LateValue[] = [
-  { name: 'made and removed', written: [1, undefined], late: 0, isWatched: true, expected: null },
-  { name: 'made anew', written: [1, undefined, 2], late: 0, isWatched: true, expected: 2 },
-  { name: 'changed', written: [1, 2], late: 0, isWatched: true, expected: 2 },
-  { name: 'not watched yet', written: [1], late: 0, isWatched: false, expected: 1 },
-  { name: 'a removal', written: [1, undefined, 2], late: 1, isWatched: true, expected: 2 },
+const CASES: LateValueCase[] = [
+  {
+    name: 'a created value after its removal',
+    writtenValues: [1, undefined],
+    lateIndex: 0,
+    isWatched: true,
+    expected: null,
+  },
+  {
+    name: 'a created value after its removal and a second creation',
+    writtenValues: [1, undefined, 2],
+    lateIndex: 0,
+    isWatched: true,
+    expected: 2,
+  },
+  {
+    name: 'a value after its change',
+    writtenValues: [1, 2],
+    lateIndex: 0,
+    isWatched: true,
+    expected: 2,
+  },
+  {
+    name: 'a value before the watch returns it',
+    writtenValues: [1],
+    lateIndex: 0,
+    isWatched: false,
+    expected: 1,
+  },
+  {
+    name: 'a removal after a second creation',
+    writtenValues: [1, undefined, 2],
+    lateIndex: 1,
+    isWatched: true,
+    expected: 2,
+  },
 ];
 
-// A read, or the answer to a write, that came after the watch had told of the removal brought the key
-// back for good: a leader then assigned tasks of a job that was over, and all others waited behind it.
-test('late values: a key that the watch reported as removed does not come back', async () => {
-  for (const { name, written, late, isWatched, expected } of LATE) {
+// Guards against a removed key that the replica restores. The response to a read or a write arrived
+// after the watch had returned the removal, and the key stayed in the replica for good. The leader then
+// assigned tasks of an ended job, and all other jobs waited behind it.
+test('late values: a key whose removal the watch returned is not restored by a late response', async () => {
+  for (const { name, writtenValues, lateIndex, isWatched, expected } of CASES) {
     const clock = new SimClock();
-    const state = new SimKeyValueStore(clock);
-    const { replica } = followingReplica(clock, state, 100);
+    const simulatedStore = new SimKeyValueStore(clock);
+    const { replica } = followingReplica(clock, simulatedStore, 100);
     await clock.run(500);
     if (!isWatched) replica.stop();
-    const revisions = written.map((value) => {
-      state.change([value === undefined ? { key: KEY, remove: true } : { key: KEY, value }]);
-      return state.revision;
+    const revisions = writtenValues.map((value) => {
+      simulatedStore.change([
+        value === undefined ? { key: KEY, remove: true } : { key: KEY, value },
+      ]);
+      return simulatedStore.revision;
     });
     await clock.run(3000);
-    replica.applyOwnChanges([{ key: KEY, value: written[late], revision: revisions[late] ?? 0 }]);
+    replica.applyOwnChanges([
+      { key: KEY, value: writtenValues[lateIndex], revision: revisions[lateIndex] ?? 0 },
+    ]);
     assert.equal(replica.get(KEY)?.value ?? null, expected, name);
   }
 });
 
-test('late values: jobs run while the answer to the acceptance of an ended one is delayed', async () => {
+test('late values: a job runs although the response to the acceptance of an ended job is delayed', async () => {
   const world = new World(31, [['n0', 'a'], ['n1', 'a']]); // prettier-ignore
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
   const leader = world.leader;
   const other = leader === 'n0' ? 'n1' : 'n0';
-  // Carried out at once; the leader hears of it only when the job is over.
+  // The store accepts the job at once, but the leader gets the response after the job has ended.
   world.store.transactionAnswerDelayMs = (node, changes) =>
     node === leader && changes.some((change) => change.key === jobKey('j-000001')) ? 1500 : 0;
   const accepted = world.submit('j-000001', { tasks: 2, runS: 60 }, leader);
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers of the key-value store without required fields: nothing may be concluded from them. */
+/** Tests that responses of the key-value store without required fields are treated as errors. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HttpKeyValueStore } from '../../src/protocol/http-key-value-store.js';
@@ -6,17 +6,17 @@
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { HttpResponse, HttpClient } from '../../src/transport/http-client.js';
 
-/** A client that gets this answer to everything. */
-const answering = (answer: HttpResponse): HttpClient =>
-  ({ call: () => Promise.resolve(answer) }) as unknown as HttpClient;
+/** Returns a client that gets the same response to every request. */
+const clientWithResponse = (response: HttpResponse): HttpClient =>
+  ({ call: () => Promise.resolve(response) }) as unknown as HttpClient;
 
-interface Row {
+interface MalformedResponseCase {
   name: string;
   body: unknown;
   request: (api: KeyValueStore) => Promise<unknown>;
 }
 
-const ROWS: Row[] = [
+const CASES: MalformedResponseCase[] = [
   { name: 'a page without a body', body: null, request: (api) => api.list('mb/', null) },
   {
     name: 'a page without items',
@@ -47,10 +47,11 @@
   { name: 'a lease without a number', body: {}, request: (api) => api.grant(1000) },
 ];
 
-// A page that could not be read was taken for an empty list of all keys: every job would have been absent.
-test('key-value store: an answer without a required field is an error', async () => {
-  for (const { name, body, request } of ROWS) {
-    const client = answering({ status: 200, body });
+// Guards against jobs that seem to be absent. A page that could not be read was treated as an empty list
+// of all keys, so that no job would have existed any more.
+test('key-value store: a response without a required field is an error', async () => {
+  for (const { name, body, request } of CASES) {
+    const client = clientWithResponse({ status: 200, body });
     await assert.rejects(
       request(new HttpKeyValueStore(client, client, 1000)),
       OutcomeUnknownError,
@@ -59,21 +60,24 @@
   }
 });
 
-test('key-value store: complete answers are read', async () => {
-  const of = (status: number, body: unknown): KeyValueStore => {
-    const client = answering({ status, body });
+test('key-value store: complete responses are parsed', async () => {
+  const respondWith = (status: number, body: unknown): KeyValueStore => {
+    const client = clientWithResponse({ status, body });
     return new HttpKeyValueStore(client, client, 1000);
   };
-  assert.deepEqual(await of(200, { v: 1, mark: 4 }).get('k'), { value: 1, revision: 4 });
-  assert.equal(await of(404, { epoch: 5 }).get('k'), null);
-  assert.deepEqual(await of(200, { epoch: 5 }).compareAndSwap([], []), { ok: true, revision: 5 });
-  assert.deepEqual(await of(409, { failed: ['k'] }).compareAndSwap([], []), {
+  assert.deepEqual(await respondWith(200, { v: 1, mark: 4 }).get('k'), { value: 1, revision: 4 });
+  assert.equal(await respondWith(404, { epoch: 5 }).get('k'), null);
+  assert.deepEqual(await respondWith(200, { epoch: 5 }).compareAndSwap([], []), {
+    ok: true,
+    revision: 5,
+  });
+  assert.deepEqual(await respondWith(409, { failed: ['k'] }).compareAndSwap([], []), {
     ok: false,
     failed: ['k'],
   });
-  assert.deepEqual(await of(409, null).compareAndSwap([], []), { ok: false, failed: [] });
-  assert.equal(await of(410, null).watch('mb/', 1, 10), null);
-  assert.deepEqual(await of(200, { items: [], more: false, epoch: 5 }).list('mb/', null), {
+  assert.deepEqual(await respondWith(409, null).compareAndSwap([], []), { ok: false, failed: [] });
+  assert.equal(await respondWith(410, null).watch('mb/', 1, 10), null);
+  assert.deepEqual(await respondWith(200, { items: [], more: false, epoch: 5 }).list('mb/', null), {
     entries: [],
     more: false,
     revision: 5,
--- a/test/storage/multi-value-records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -1,4 +1,4 @@
-/** Bandit arms, catalogues and machine status too large for one value. */
+/** Tests bandit arms, catalogs and machine statuses that are too large for one stored value. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readCatalog, writeCatalog } from '../../src/storage/catalog.js';
@@ -12,11 +12,11 @@
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { TYPES } from '../world/settings.js';
 
-// --- Arms --------------------------------------------------------------------------------------
+// --- Bandit arms -------------------------------------------------------------------------------
 
 const ARM_TYPES = ['dodo-small', 'dodo-large', 'dodo-huge'];
 
-function learned(): Bandit {
+function trainedBandit(): Bandit {
   const bandit = new Bandit(ARM_TYPES, 2, 2);
   for (let round = 0; round < 3; round++) {
     for (let at = 0; at < 20; at++) {
@@ -25,7 +25,7 @@
       );
       for (const type of ARM_TYPES) {
         const context = bandit.context(`class-of-work-${at}`, type, load);
-        // Mixed contexts fill the whole matrix.
+        // Contexts with different values in each entry fill the whole matrix.
         bandit.finished(
           type,
           context.map((one, nth) => one + ((at + nth) % 5) / 7),
@@ -37,8 +37,8 @@
   return bandit;
 }
 
-/** What the version before does with each key below a shard's arms. */
-function restoreOld(types: string[], record: ArmRecord): number[][] | null {
+/** Restores an arm's matrix from a record as the previous version does; null if it ignores the record. */
+function restoreAsPreviousVersion(types: string[], record: ArmRecord): number[][] | null {
   if (record.types.join() !== types.join()) return null;
   const size = 21 + 2 * types.length;
   const a = Array.from({ length: size }, () => new Array<number>(size).fill(0));
@@ -52,8 +52,8 @@
   return a;
 }
 
-/** Cholesky's way to tell whether a matrix is positive definite. */
-function isPositive(a: number[][]): boolean {
+/** Returns whether a matrix is positive definite, by the Cholesky decomposition. */
+function isPositiveDefinite(a: number[][]): boolean {
   const l = a.map((row) => row.map(() => 0));
   for (let i = 0; i < a.length; i++) {
     for (let j = 0; j <= i; j++) {
@@ -67,48 +67,52 @@
   return true;
 }
 
-// A matrix that one value could not hold was cut to its diagonal, or thrown away.
+// Guards against arms that lose what they have learned: a matrix too large for one value was reduced to
+// its diagonal or discarded.
 test('arms of twenty classes and three types are restored completely from values of 2 KiB', () => {
-  const bandit = learned();
-  const other = new Bandit(ARM_TYPES, 2, 2);
+  const bandit = trainedBandit();
+  const restored = new Bandit(ARM_TYPES, 2, 2);
   const lossy = new Bandit(ARM_TYPES, 2, 2);
   for (const type of ARM_TYPES) {
     const records = bandit.records(type, SMALL_VALUE_BYTES, 5);
     assert.ok(records.length > 2);
     for (const [at, record] of records.entries()) {
       assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, `${at}`);
-      const old = restoreOld(ARM_TYPES, structuredClone(record));
-      assert.equal(old !== null, at === 0, 'the version before takes the main record only');
-      if (old) assert.ok(isPositive(old));
+      const matrix = restoreAsPreviousVersion(ARM_TYPES, structuredClone(record));
+      assert.equal(matrix !== null, at === 0, 'the previous version reads only the main record');
+      if (matrix) assert.ok(isPositiveDefinite(matrix));
     }
     const [main] = records;
     assert.ok(main);
-    other.restore(type, main, (at) => records[at]);
-    // One piece of another snapshot: none of the pieces count.
+    restored.restore(type, main, (at) => records[at]);
+    // If one further record belongs to another snapshot, only the main record is restored.
     const stale = records.map((record, at) => (at === 2 ? { ...record, stamp: 4 } : record));
     lossy.restore(type, main, (at) => stale[at]);
   }
   const load = new Map(ARM_TYPES.map((type) => [type, 2]));
-  let lost = 0;
+  let lossyError = 0;
   for (let at = 0; at < 20; at++) {
     for (const type of ARM_TYPES) {
-      const x = bandit.context(`class-of-work-${at}`, type, load);
-      const [real, back] = [bandit.score(type, x), other.score(type, x)];
-      assert.ok(Math.abs(real - back) < 0.01 * Math.abs(real) + 1e-3, `${real} ${back}`);
-      lost += Math.abs(real - lossy.score(type, x));
-      assert.ok(Number.isFinite(lossy.score(type, x)));
+      const context = bandit.context(`class-of-work-${at}`, type, load);
+      const [expected, actual] = [bandit.score(type, context), restored.score(type, context)];
+      assert.ok(
+        Math.abs(expected - actual) < 0.01 * Math.abs(expected) + 1e-3,
+        `${expected} ${actual}`,
+      );
+      lossyError += Math.abs(expected - lossy.score(type, context));
+      assert.ok(Number.isFinite(lossy.score(type, context)));
     }
   }
-  assert.ok(lost > 1);
+  assert.ok(lossyError > 1);
 });
 
-// --- Catalogue ---------------------------------------------------------------------------------
+// --- Catalog -----------------------------------------------------------------------------------
 
-test('a catalogue larger than a value is read completely, and records it no longer needs are removed', async () => {
+test('a catalog larger than a value is read completely, and records it no longer needs are removed', async () => {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  state.valueBytes = SMALL_VALUE_BYTES;
-  const { replica } = followingReplica(clock, state, 1000);
+  const simulatedStore = new SimKeyValueStore(clock);
+  simulatedStore.valueBytes = SMALL_VALUE_BYTES;
+  const { replica } = followingReplica(clock, simulatedStore, 1000);
   const [small] = TYPES;
   assert.ok(small);
   for (const count of [1, 40, 15, 1]) {
@@ -120,61 +124,63 @@
     const changes = writeCatalog(replica, types, SMALL_VALUE_BYTES);
     for (const change of changes)
       assert.ok('remove' in change || storedBytes(change.value) <= SMALL_VALUE_BYTES);
-    state.change(changes);
+    simulatedStore.change(changes);
     await clock.run(clock.now() + 2000);
     assert.deepEqual(readCatalog(replica), types, `${count}`);
     const [first] = (replica.get<typeof TYPES>(CATALOG)?.value ?? []).map((type) => type.name);
-    assert.equal(first, 'type-0', 'the version before reads this record only');
+    assert.equal(first, 'type-0', 'the previous version reads only this record');
     assert.deepEqual(writeCatalog(replica, types, SMALL_VALUE_BYTES), []);
   }
 });
 
-// --- Status ------------------------------------------------------------------------------------
+// --- Machine status ----------------------------------------------------------------------------
 
-const machinesOf = (state: SimKeyValueStore): string[][] => {
+const machinesByPage = (simulatedStore: SimKeyValueStore): string[][] => {
   const pages: string[][] = [];
-  for (const [key, { value }] of state.entries) {
+  for (const [key, { value }] of simulatedStore.entries) {
     if (key.startsWith('mb/live/status/p/'))
       pages.push(Object.keys((value as StatusRecord).machines));
   }
   return pages;
 };
 
-// A machine missing from all pieces for a moment appears to the leader like one that never came up.
-test('a machine status stored larger is split, and no machine is missing in between', async () => {
+// Guards against machines that are returned while the status is split. A machine that is in no page of
+// the status for a moment looks to the leader like a machine that never started.
+test('a machine status larger than a value is split, and each machine is in some page after each write', async () => {
   for (const transactionOps of [2, 8]) {
     const machines: StatusRecord['machines'] = {};
     for (let at = 0; at < 80; at++) machines[`m-${100000 + at}`] = ['small', 'a', 0, 'ok'];
-    const world = await shardFixture({
+    const fixture = await shardFixture({
       transactionOps,
       valueBytes: SMALL_VALUE_BYTES,
       held: [{ key: statusKey('p', 0), value: { machines } }],
     });
     assert.ok(storedBytes({ machines }) > SMALL_VALUE_BYTES);
-    // The last of them go on with heartbeats, the first stay where they were.
-    world.heartbeat();
-    const from = world.state.log.length;
-    await world.reconcile(8000);
-    // After each single change, not only after each pass.
-    const held = new Map<string, string[]>([[statusKey('p', 0), Object.keys(machines)]]);
-    const written = world.state.log
+    // The machine of the fixture sends heartbeats; the others are known from the stored status only.
+    fixture.heartbeat();
+    const from = fixture.state.log.length;
+    await fixture.reconcile(8000);
+    // Checked after each change, not only after each pass of the shard.
+    const machinesByKey = new Map<string, string[]>([[statusKey('p', 0), Object.keys(machines)]]);
+    const written = fixture.state.log
       .slice(from)
       .filter((one) => one.key.startsWith('mb/live/status/p/'));
     for (const { key, value } of written) {
-      held.set(key, Object.keys((value as StatusRecord).machines));
-      const there = new Set([...held.values()].flat());
-      for (const name of Object.keys(machines)) assert.ok(there.has(name), `${name} after ${key}`);
+      machinesByKey.set(key, Object.keys((value as StatusRecord).machines));
+      const storedMachines = new Set([...machinesByKey.values()].flat());
+      for (const name of Object.keys(machines))
+        assert.ok(storedMachines.has(name), `${name} after ${key}`);
     }
     assert.ok(written.length >= 2 && written.length < 20, `${written.length}`);
-    const pages = machinesOf(world.state);
+    const pages = machinesByPage(fixture.state);
     assert.ok(pages.length >= 2);
-    assert.equal(new Set(pages.flat()).size, pages.flat().length, 'each in one only');
+    assert.equal(new Set(pages.flat()).size, pages.flat().length, 'each machine is in one page');
     assert.ok(new Set(pages.flat()).has('m-1'));
     for (let at = 0; at < pages.length; at++) {
-      const value = world.state.entries.get(statusKey('p', at))?.value as StatusRecord;
+      const value = fixture.state.entries.get(statusKey('p', at))?.value as StatusRecord;
       assert.deepEqual(Object.keys(value), ['machines']);
       assert.ok(storedBytes(value) <= SMALL_VALUE_BYTES);
     }
-    assert.deepEqual(world.state.rejectedTransactions, []);
+    assert.deepEqual(fixture.state.rejectedTransactions, []);
   }
 });
--- a/test/storage/rate-limiter.test.ts
+++ b/test/storage/rate-limiter.test.ts
@@ -1,33 +1,33 @@
-/** The members' share of the key-value store's limits. */
+/** Tests how the members share the key-value store's rate limits, and in which order requests wait. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimiter, type Purpose } from '../../src/storage/rate-limiter.js';
 import { SimClock } from '../world/clock.js';
 
-test('the key-value store: members share its rate limits, and one may use what the others leave', async () => {
-  // [members that ask, least and most requests a second that pass all together]
+test('rate limiter: all members together stay near a limit, and a single active one uses most of it', async () => {
+  // [active members, minimum and maximum of the requests per second that are served in total]
   const cases: [string, number, number, number][] = [
-    ['all ask', 5, 60, 104],
-    ['one asks', 1, 60, 81],
+    ['all are active', 5, 60, 104],
+    ['one is active', 1, 60, 81],
   ];
-  for (const [name, requesting, least, most] of cases) {
+  for (const [name, activeMembers, minRate, maxRate] of cases) {
     const clock = new SimClock();
-    let level = 100;
-    let at = 0;
-    let passed = 0;
-    const gates = Array.from(
+    let tokens = 100;
+    let refilledAt = 0;
+    let served = 0;
+    const limiters = Array.from(
       { length: 5 },
       () => new RateLimiter(clock, { rps: 100, writeRps: 50, transactionOps: 8 }, 5),
     );
-    for (const limiter of gates.slice(0, requesting)) {
+    for (const limiter of limiters.slice(0, activeMembers)) {
       const request = async (): Promise<void> => {
         for (;;) {
           await limiter.acquire('part', 0);
-          level = Math.min(100, level + ((clock.now() - at) / 1000) * 100) - 1;
-          at = clock.now();
-          if (level >= 0) passed++;
+          tokens = Math.min(100, tokens + ((clock.now() - refilledAt) / 1000) * 100) - 1;
+          refilledAt = clock.now();
+          if (tokens >= 0) served++;
           else {
-            level = 0;
+            tokens = 0;
             limiter.reportRefusal(0);
           }
         }
@@ -35,15 +35,15 @@
       void request();
     }
     await clock.run(30_000);
-    const before = passed;
+    const before = served;
     await clock.run(90_000);
-    const rate = (passed - before) / 60;
-    assert.ok(rate >= least && rate <= most, `${name}: ${rate} a second`);
+    const rate = (served - before) / 60;
+    assert.ok(rate >= minRate && rate <= maxRate, `${name}: ${rate} per second`);
   }
 });
 
-test('the key-value store: recent writes of a controller tell how scarce writes are', async () => {
-  // [writes a second of this controller, what it is told]; its equal share is 10 a second.
+test('rate limiter: supply falls from plenty to short as the recent writes of a controller grow', async () => {
+  // [writes per second of this controller, expected supply]; its equal share is 10 per second.
   const cases: [number, string][] = [
     [2, 'plenty'],
     [7, 'scarce'],
@@ -52,18 +52,19 @@
   for (const [rate, supply] of cases) {
     const clock = new SimClock();
     const limiter = new RateLimiter(clock, { rps: 1000, writeRps: 50, transactionOps: 8 }, 5);
-    for (let turn = 0; turn < rate * 20; turn++) {
+    for (let count = 0; count < rate * 20; count++) {
       void limiter.acquire('part', 1);
       await clock.run(clock.now() + 1000 / rate);
     }
-    assert.equal(limiter.supply, supply, `${rate} a second`);
+    assert.equal(limiter.supply, supply, `${rate} per second`);
   }
 });
 
-// A check waited behind writes above the rate limit, as long as decisions had some to make: each
-// question about a job that this controller had to look up failed all the while.
-test('the key-value store: checks pass while decisions use up the writes, or all requests', async () => {
-  // [requests and writes a second that decisions ask for, writes of each]
+// Guards against polls that time out. A user's job check waited behind the writes of leader and shards
+// as long as these exceeded the rate limit, so each poll of a job that this controller had to look up
+// failed during that time.
+test('rate limiter: job checks are served while leader and shards use up all writes or all requests', async () => {
+  // [requests per second of leader and of shards, writes in each request]
   const cases: [string, number, number][] = [
     ['more writes than the rate limit allows', 8, 8],
     ['more requests than the rate limit allows', 60, 0],
@@ -72,39 +73,39 @@
     const clock = new SimClock();
     const limiter = new RateLimiter(clock, { rps: 80, writeRps: 25, transactionOps: 8 }, 3);
     for (const purpose of ['part', 'leader'] as const) {
-      const ask = (): void => {
+      const request = (): void => {
         void limiter.acquire(purpose, cost);
-        clock.after(1000 / rate, ask);
+        clock.after(1000 / rate, request);
       };
-      ask();
+      request();
     }
     await clock.run(20_000);
-    const waits: number[] = [];
+    const waitsMs: number[] = [];
     const check = (): void => {
-      const from = clock.now();
-      void limiter.acquire('check', 0).then(() => waits.push(clock.now() - from));
+      const requestedAt = clock.now();
+      void limiter.acquire('check', 0).then(() => waitsMs.push(clock.now() - requestedAt));
       clock.after(2000, check);
     };
     check();
     await clock.run(80_000);
-    assert.ok(waits.length >= 29, `${name}: ${waits.length} of 30 passed`);
-    assert.ok(Math.max(...waits) < 1000, `${name}: ${Math.max(...waits)} ms`);
+    assert.ok(waitsMs.length >= 29, `${name}: ${waitsMs.length} of 30 were served`);
+    assert.ok(Math.max(...waitsMs) < 1000, `${name}: ${Math.max(...waitsMs)} ms`);
   }
 });
 
-test('the key-value store: writes keep their order, and overtake nothing that waits before them', async () => {
+test('rate limiter: a write precedes none that waits before it, and a read waits for no write', async () => {
   const clock = new SimClock();
   const limiter = new RateLimiter(clock, { rps: 80, writeRps: 10, transactionOps: 8 }, 1);
   const order: string[] = [];
-  const pass = (name: string, purpose: Purpose, cost: number): void => {
+  const request = (name: string, purpose: Purpose, cost: number): void => {
     void limiter.acquire(purpose, cost).then(() => order.push(name));
   };
-  pass('first', 'submit', 10);
+  request('first', 'submit', 10);
   await clock.run(10);
-  pass('submission', 'submit', 1);
-  pass('status', 'status', 1);
-  pass('large', 'part', 8);
-  pass('read', 'submit', 0);
+  request('submission', 'submit', 1);
+  request('status', 'status', 1);
+  request('large', 'part', 8);
+  request('read', 'submit', 0);
   await clock.run(20);
   assert.deepEqual(order, ['first', 'read']);
   await clock.run(5000);
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -1,3 +1,4 @@
+/** Tests transactions that the key-value store rejects as invalid. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Committer } from '../../src/storage/committer.js';
@@ -11,42 +12,43 @@
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { TEAMS, TYPES, silentLog } from '../world/settings.js';
 
-async function nodeStorage() {
+async function controllerStorage() {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  state.change([{ key: 'mb/live/catalog', value: TYPES }]);
+  const simulatedStore = new SimKeyValueStore(clock);
+  simulatedStore.change([{ key: 'mb/live/catalog', value: TYPES }]);
   const errors: Record<string, unknown>[] = [];
   const log: Log = { ...silentLog, error: (fields) => void errors.push(fields as never) };
-  const store = followingReplica(clock, state, 1000, log);
+  const storage = followingReplica(clock, simulatedStore, 1000, log);
   await clock.run(500);
-  return { ...store, state, errors, committer: new Committer(store) };
+  return { ...storage, simulatedStore, errors, committer: new Committer(storage) };
 }
 
-// A 400 treated as a conflict was retried for ever, unchanged.
+// Guards against endless retries: a transaction that got a 400 was treated as a conflict and sent again
+// unchanged.
 test('an invalid transaction is logged once and not retried; an expired lease is a conflict', async () => {
   const put = (key: string, bytes = 10): Change => ({ key, value: 'x'.repeat(bytes) });
-  const many = <T>(count: number, make: (at: number) => T): T[] =>
-    Array.from({ length: count }, (_, at) => make(at));
+  const repeat = <T>(count: number, create: (at: number) => T): T[] =>
+    Array.from({ length: count }, (_, at) => create(at));
   const guard = (at: number): Guard => ({ key: `mb/live/g${at}`, revision: 0 });
   const cases: [string, Guard[], Change[], 'done' | 'rejected' | 'conflict'][] = [
-    ['small', [guard(0)], [put('mb/live/a')], 'done'],
+    ['a small transaction', [guard(0)], [put('mb/live/a')], 'done'],
     ['a value too large', [], [put('mb/live/b', 9000)], 'rejected'],
-    ['too many changes', [], many(9, (at) => put(`mb/live/c${at}`)), 'rejected'],
-    ['too many guards', many(33, guard), [put('mb/live/d')], 'rejected'],
-    ['too much at once', [], many(8, (at) => put(`mb/live/e${at}`, 8190)), 'rejected'],
-    ['an ended lease', [], [{ key: 'mb/live/f', value: 1, lease: 99 }], 'conflict'],
+    ['too many changes', [], repeat(9, (at) => put(`mb/live/c${at}`)), 'rejected'],
+    ['too many guards', repeat(33, guard), [put('mb/live/d')], 'rejected'],
+    ['a transaction too large', [], repeat(8, (at) => put(`mb/live/e${at}`, 8190)), 'rejected'],
+    ['an expired lease', [], [{ key: 'mb/live/f', value: 1, lease: 99 }], 'conflict'],
   ];
   for (const [name, guards, changes, expected] of cases) {
-    const { clock, state, errors, committer } = await nodeStorage();
-    let tries = 0;
-    const commit = committer.commit('part', guards, changes, () => ++tries < 5);
+    const { clock, simulatedStore, errors, committer } = await controllerStorage();
+    let attempts = 0;
+    const commit = committer.commit('part', guards, changes, () => ++attempts < 5);
     await clock.run(5000);
     const result = await commit;
     assert.equal(result.kind, expected, name);
-    assert.equal(tries, 1, name);
+    assert.equal(attempts, 1, name);
     assert.equal(errors.length, expected === 'rejected' ? 1 : 0, name);
     if (expected !== 'rejected') continue;
-    assert.deepEqual(state.rejectedTransactions.length, 1, name);
+    assert.deepEqual(simulatedStore.rejectedTransactions.length, 1, name);
     assert.equal(errors[0]?.['purpose'], 'part', name);
     assert.deepEqual(
       errors[0]?.['keys'],
@@ -61,7 +63,7 @@
   }
 });
 
-test('changes of an invalid transaction back off longer each time, and then go alone', async () => {
+test('changes of a rejected transaction are paused longer each time and then sent alone', async () => {
   const clock = new SimClock();
   const rejectedChangeBackoff = new RejectedChangeBackoff(clock);
   assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 2), 2);
@@ -78,13 +80,13 @@
   assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 3), 3);
 });
 
-/** Machine types that the job allows, beside one that there is, of about so many bytes. */
-const breeds = (bytes: number): string[] => [
+/** Machine types of about so many bytes that a job allows; all but the first do not exist. */
+const allowedMachineTypes = (bytes: number): string[] => [
   'small',
   ...Array.from({ length: Math.floor(bytes / 103) }, () => '界'.repeat(33) + 'x'),
 ];
 
-const submission = (id: number, bytes: number): string =>
+const submissionBody = (id: number, bytes: number): string =>
   JSON.stringify({
     ref: `j-${String(id).padStart(6, '0')}`,
     lane: 'work',
@@ -97,7 +99,7 @@
     memGb: 1,
     cocoon: 'img',
     imageGb: 1,
-    breeds: breeds(bytes),
+    breeds: allowedMachineTypes(bytes),
     grove: null,
     samePlace: false,
     apart: false,
@@ -108,7 +110,7 @@
     duskS: null,
   });
 
-/** The requests of users at a controller that believes in these limits. */
+/** Creates the handler of users' requests of a controller that is configured with these limits. */
 function userRequestsOn(
   {
     clock,
@@ -117,7 +119,7 @@
     limiter,
     replica,
     committer,
-  }: Awaited<ReturnType<typeof nodeStorage>>,
+  }: Awaited<ReturnType<typeof controllerStorage>>,
   limits: { transactionOps: number; valueBytes: number },
 ): UserRequests {
   return new UserRequests({
@@ -134,41 +136,54 @@
   });
 }
 
-test('submissions too large for a value get 422, and make none of the others fail', async () => {
-  // Bytes that the controller takes a value for, and those that the key-value store takes.
-  for (const [believed, real] of [
+test('submissions too large for a value get 422, and the others are accepted', async () => {
+  // [maximum value size that the controller is configured with, that of the key-value store], in bytes
+  for (const [configuredBytes, actualBytes] of [
     [2048, 2048],
     [8192, 2048],
   ] as const) {
-    const storage = await nodeStorage();
-    const { clock, state } = storage;
-    state.valueBytes = real;
-    const userRequests = userRequestsOn(storage, { transactionOps: 8, valueBytes: believed });
-    const bodies = [submission(1, 0), submission(2, 2000), submission(3, 0), submission(4, 1000)];
-    const replies = bodies.map((body) => userRequests.submit(body));
+    const storage = await controllerStorage();
+    const { clock, simulatedStore } = storage;
+    simulatedStore.valueBytes = actualBytes;
+    const userRequests = userRequestsOn(storage, {
+      transactionOps: 8,
+      valueBytes: configuredBytes,
+    });
+    const bodies = [
+      submissionBody(1, 0),
+      submissionBody(2, 2000),
+      submissionBody(3, 0),
+      submissionBody(4, 1000),
+    ];
+    const pendingReplies = bodies.map((body) => userRequests.submit(body));
     await clock.run(clock.now() + 4000);
-    const found = await Promise.all(replies);
+    const replies = await Promise.all(pendingReplies);
     assert.deepEqual(
-      found.map((one) => one.status),
+      replies.map((reply) => reply.status),
       [201, 422, 201, 201],
     );
     assert.deepEqual(
-      [1, 2, 3, 4].map((id) => state.entries.has(jobKey(`j-00000${id}`))),
+      [1, 2, 3, 4].map((id) => simulatedStore.entries.has(jobKey(`j-00000${id}`))),
       [true, false, true, true],
     );
   }
 });
 
-test('a batch of large submissions stays below what one transaction may hold', async () => {
-  const storage = await nodeStorage();
-  const { clock, state } = storage;
-  state.transactionOps = 32;
+test('a batch of large submissions is split into transactions below the size limit', async () => {
+  const storage = await controllerStorage();
+  const { clock, simulatedStore } = storage;
+  simulatedStore.transactionOps = 32;
   const userRequests = userRequestsOn(storage, { transactionOps: 32, valueBytes: 8192 });
-  const replies = Array.from({ length: 16 }, (_, at) => userRequests.submit(submission(at, 7000)));
+  const pendingReplies = Array.from({ length: 16 }, (_, at) =>
+    userRequests.submit(submissionBody(at, 7000)),
+  );
   await clock.run(clock.now() + 4000);
-  const found = await Promise.all(replies);
-  assert.ok(found.every((one) => one.status === 201));
-  assert.deepEqual(state.rejectedTransactions, []);
-  const held = [...state.entries].filter(([key]) => key.startsWith('mb/live/job/'));
-  assert.ok(Buffer.byteLength(JSON.stringify(held)) > 64 * 1024, 'more than one would hold');
+  const replies = await Promise.all(pendingReplies);
+  assert.ok(replies.every((reply) => reply.status === 201));
+  assert.deepEqual(simulatedStore.rejectedTransactions, []);
+  const storedJobs = [...simulatedStore.entries].filter(([key]) => key.startsWith('mb/live/job/'));
+  assert.ok(
+    Buffer.byteLength(JSON.stringify(storedJobs)) > 64 * 1024,
+    'the stored jobs exceed the size limit of one transaction',
+  );
 });
