--- a/src/constants/failure-detection.ts
+++ b/src/constants/failure-detection.ts
@@ -10,8 +10,8 @@
 /** ms; half-life of the penalty that a controller gets for each loss of its registration. */
 export const FLAP_HALF_LIFE_MS = 60_000;
 
-/** Penalty from which a controller leaves its shard with the current holder. The second loss within a
- * minute reaches it. */
+/** Penalty from which a controller leaves its shard with the current holder. The second loss within
+ * a minute reaches it. */
 export const FLAP_SUPPRESS_PENALTY = 1.5;
 
 /** Decayed penalty below which a controller reclaims its shard again: 85 s after two losses. */
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -84,7 +84,9 @@
     return clock.now() - startedAt > PREFERRED_HOLDER_SETTLE_MS && !policy.isDamped();
   }
 
-  /** Returns since when this process has seen that a role is free; records the time on first call. */
+  /**
+   * Returns since when this process has seen that a role is free; records the time on first call.
+   */
   private trackFreeSince(role: string): number {
     const freeSince = this.freeSince.get(role) ?? this.options.clock.now();
     this.freeSince.set(role, freeSince);
@@ -94,8 +96,8 @@
   /** Returns whether all candidates that rank before this member have had time to claim a role. */
   private hasWaitedForRank(role: string, preferredHolder: Member | null): boolean {
     const { clock, self } = this.options;
-    // `freeSince` must be read before the clock. In the other order `freeForMs` would be negative on
-    // the first call, and the first candidate would have to wait.
+    // `freeSince` must be read before the clock. In the other order `freeForMs` would be negative
+    // on the first call, and the first candidate would have to wait.
     const freeSince = this.trackFreeSince(role);
     const freeForMs = clock.now() - freeSince;
     const isPreferredHolder = preferredHolder?.node === self.node;
--- a/src/coordination/election/failover-policy.ts
+++ b/src/coordination/election/failover-policy.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Decides when a failover is attempted. Terms, guards and fencing tokens ensure that each role has a
- * single holder, so a wrong decision costs availability but not safety.
+ * Decides when a failover is attempted. Terms, guards and fencing tokens ensure that each role has
+ * a single holder, so a wrong decision costs availability but not safety.
  */
 export interface FailoverPolicy {
   /** Returns whether a role may be claimed now from a holder whose lease has expired. */
@@ -24,7 +24,9 @@
   isDamped(): boolean;
 }
 
-/** Policy without failure detection: a role may be claimed as soon as its holder's lease expires. */
+/**
+ * Policy without failure detection: a role may be claimed as soon as its holder's lease expires.
+ */
 export const STORE_ONLY_POLICY: FailoverPolicy = {
   mayFailOver: () => true,
   onRegistrationLost: () => undefined,
--- a/src/coordination/election/guarded-writer.ts
+++ b/src/coordination/election/guarded-writer.ts
@@ -8,8 +8,8 @@
 
 /**
  * Adds a guard on the held role's key to every transaction. Rewriting that key with the same value
- * raises its revision, so all earlier transactions of this holder that the store has not executed yet
- * fail.
+ * raises its revision, so all earlier transactions of this holder that the store has not executed
+ * yet fail.
  */
 export class GuardedWriter {
   constructor(
--- a/src/coordination/election/held-roles.ts
+++ b/src/coordination/election/held-roles.ts
@@ -21,7 +21,9 @@
   readonly revision: number;
   /** Steady time in ms at which this process first saw the term. */
   readonly seenAt: number;
-  /** True if this process held the role under an earlier term and may have answered workers then. */
+  /**
+   * True if this process held the role under an earlier term and may have answered workers then.
+   */
   readonly heldBefore: boolean;
 }
 
@@ -59,7 +61,8 @@
     const { clock, timing } = this.context;
     const claimedTerm = this.claimedTerms.get(role);
     const seenAt = claimedTerm?.seenAt ?? clock.now();
-    // A process that held the role under an earlier term answered workers until it saw the new term.
+    // A process that held the role under an earlier term answered workers until it saw the new
+    // term.
     const startedAt = claimedTerm?.heldBefore ? seenAt : this.context.startedAt;
     return fenceEndsAt(record, { startedAt, seenAt }, clock.wall(), timing);
   }
--- a/src/coordination/election/member-registration.ts
+++ b/src/coordination/election/member-registration.ts
@@ -7,7 +7,9 @@
 import type { ElectableRole, ElectionContext, GuardedChanges } from './election-context.js';
 import { claimRecord } from './role-claims.js';
 
-/** Key of the registration in `rejectedChangeBackoff`, next to the names of roles; no role has it. */
+/**
+ * Key of the registration in `rejectedChangeBackoff`, next to the names of roles; no role has it.
+ */
 const REGISTRATION = 'registration';
 
 /** Registers this process and renews the lease that the registration depends on. */
@@ -15,7 +17,9 @@
   /** Id of the lease; null if there is none. */
   private lease: number | null = null;
   private renewedAt = -Infinity;
-  /** True from a registration until its loss is counted, so that further attempts do not count it. */
+  /**
+   * True from a registration until its loss is counted, so that further attempts do not count it.
+   */
   private hasRegistered = false;
 
   constructor(private readonly context: ElectionContext) {}
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Returns the candidate with the greatest hash of candidate and name. Equal hashes are ordered by the
- * candidate's name.
+ * Returns the candidate with the greatest hash of candidate and name. Equal hashes are ordered by
+ * the candidate's name.
  */
 function highestRanked(name: string, candidates: readonly string[]): string | null {
   let best: string | null = null;
@@ -40,9 +40,9 @@
 }
 
 /**
- * Returns the shard to which a machine belongs, which never changes. The shard's preferred holder runs
- * in the machine's zone, so that a zone that is cut off from the others keeps working. Machines of a
- * zone without a member are distributed over all shards.
+ * Returns the shard to which a machine belongs, which never changes. The shard's preferred holder
+ * runs in the machine's zone, so that a zone that is cut off from the others keeps working.
+ * Machines of a zone without a member are distributed over all shards.
  */
 export function shardOf(machine: string, zone: string, members: readonly Member[]): string {
   const local = members.filter((member) => member.zone === zone);
--- a/src/coordination/election/role-claims.ts
+++ b/src/coordination/election/role-claims.ts
@@ -50,7 +50,9 @@
     log.info({ role, formerHolder, term: record.term, result: result.kind }, 'role claim finished');
   }
 
-  /** Returns a guard that makes the claim fail if a holder with an expired lease registers again. */
+  /**
+   * Returns a guard that makes the claim fail if a holder with an expired lease registers again.
+   */
   private holderGuards(holder: RoleRecord | null): Guard[] {
     const { candidateOrder, replica } = this.context;
     if (holder === null || candidateOrder.isHolderRegistered(holder)) return [];
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -15,7 +15,9 @@
 
 export type { HeldRole } from './held-roles.js';
 
-/** Name of the leader's role; the leader assigns tasks to shards and scales the cluster out and in. */
+/**
+ * Name of the leader's role; the leader assigns tasks to shards and scales the cluster out and in.
+ */
 export const LEADER = 'leader';
 /** Returns the name of the role of a shard's holder. */
 export const shardRole = (shard: string): string => `part-${shard}`;
@@ -26,8 +28,8 @@
 ];
 
 /**
- * Takes part in the election of all roles for this process. A member registers under a lease, claims
- * free roles, and holds each of them until another process claims it under a later term.
+ * Takes part in the election of all roles for this process. A member registers under a lease,
+ * claims free roles, and holds each of them until another process claims it under a later term.
  */
 export class RoleElection {
   private readonly context: ElectionContext;
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -9,7 +9,9 @@
   readonly steppedDownAt: number;
 }
 
-/** The last term of each role from which this process stepped down and in which it no longer acts. */
+/**
+ * The last term of each role from which this process stepped down. It no longer acts in that term.
+ */
 export class SteppedDownRoles {
   private readonly terms = new Map<string, SteppedDownTerm>();
 
@@ -26,8 +28,8 @@
   }
 
   /**
-   * Returns whether the step-down was `STEP_DOWN_UNCLAIMED_MS` ago. This process may then claim the
-   * role under a new term, because no other controller has claimed it.
+   * Returns whether the step-down was at least `STEP_DOWN_UNCLAIMED_MS` ago. This process may then
+   * claim the role under a new term, because no other controller has claimed it.
    */
   isUnclaimed(role: string, term: number): boolean {
     const steppedDown = this.terms.get(role);
--- a/src/coordination/failure-detection/confirmed-failover.ts
+++ b/src/coordination/failure-detection/confirmed-failover.ts
@@ -31,8 +31,8 @@
 }
 
 /**
- * Decides failovers by the verdicts of the failure detector. Terms, guards and fencing tokens ensure
- * that each role has a single holder, so a wrong verdict costs availability but not safety.
+ * Decides failovers by the verdicts of the failure detector. Terms, guards and fencing tokens
+ * ensure that each role has a single holder, so a wrong verdict costs availability but not safety.
  */
 export class ConfirmedFailover implements FailoverPolicy {
   private readonly flapDamping: FlapDamping;
--- a/src/coordination/failure-detection/detection-records.ts
+++ b/src/coordination/failure-detection/detection-records.ts
@@ -52,7 +52,9 @@
     this.log.info({ detection: record }, eventNameOf(record));
   }
 
-  /** Returns the stored records as JSON lines, each in the form of the field `detection` in the log. */
+  /**
+   * Returns the stored records as JSON lines, each in the form of the field `detection` in the log.
+   */
   export(): string {
     return this.history
       .all()
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -1,4 +1,6 @@
-/** Interface of failure detection, whose implementation is loaded only if the settings enable it. */
+/**
+ * Interface of failure detection, whose implementation is loaded only if the settings enable it.
+ */
 
 import type { DetectorCounts } from '@mothbank/failure-detector';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
@@ -45,7 +47,9 @@
   receive(message: PeerMessage, sendReply: (message: PeerMessage) => void): void;
   /** Returns whether the leader may assign new tasks to a shard. */
   acceptsNewWork(shard: string): boolean;
-  /** Records probe round-trip times if `PROBE_TIMES_PERIOD_MS` have passed since the last record. */
+  /**
+   * Records probe round-trip times if `PROBE_TIMES_PERIOD_MS` have passed since the last record.
+   */
   recordProbeTimesIfDue(): void;
   /** Returns the history as JSON lines. */
   export(): string;
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Returns false in the first `holdNewWorkMs` of a suspicion of the shard's holder. During this time
-   * the shard keeps its tasks but gets no new ones.
+   * Returns false while the shard's holder is suspected, for at most `holdNewWorkMs`. During this
+   * time the shard keeps its tasks but gets no new ones.
    */
   acceptsNewWork(shard: string): boolean {
     const { environment, node, roles } = this.options;
--- a/src/coordination/failure-detection/flap-damping.ts
+++ b/src/coordination/failure-detection/flap-damping.ts
@@ -1,4 +1,7 @@
-/** Flap damping, which stops a controller that often loses its registration from reclaiming its shard. */
+/**
+ * Flap damping, which stops a controller that often loses its registration from reclaiming its
+ * shard.
+ */
 
 import {
   FLAP_HALF_LIFE_MS,
@@ -9,8 +12,8 @@
 import type { Clock } from '../../transport/clock.js';
 
 /**
- * A penalty that each lost registration raises by 1 and that decays exponentially. Damping begins at
- * `FLAP_SUPPRESS_PENALTY` and ends below `FLAP_REUSE_PENALTY`.
+ * A penalty that each lost registration raises by 1 and that decays exponentially. Damping begins
+ * at `FLAP_SUPPRESS_PENALTY` and ends below `FLAP_REUSE_PENALTY`.
  */
 export class FlapDamping {
   private penalty = 0;
--- a/src/coordination/failure-detection/step-down-requests.ts
+++ b/src/coordination/failure-detection/step-down-requests.ts
@@ -29,8 +29,8 @@
   `${role} ${term} ${incarnation}`;
 
 /**
- * Sends and answers step-down requests. Lost and repeated messages are harmless, because a lost one is
- * requested again and each answer names the term that it is about.
+ * Sends and answers step-down requests. Lost and repeated messages are harmless, because a request
+ * is sent again until it is answered, and each answer names the term that it is about.
  */
 export class StepDownRequests {
   /** Tenure of the latest answer, by role. Older answers are about terms that have ended. */
@@ -59,8 +59,8 @@
     const { incarnation, log, members, node, onSteppedDown, roles, isStoreReachable } =
       this.options;
     if (!members.has(tenure.node) || tenure.incarnation !== incarnation) return;
-    // If the key-value store answers and shows this process as registered, the peer's replica is out
-    // of date.
+    // If the key-value store answers and shows this process as registered, the peer's replica is
+    // out of date.
     if (roles().isRegistered && isStoreReachable()) return;
     const { role, term } = tenure;
     if (!roles().stepDown(role, term) && !roles().hasSteppedDown(role, term)) return;
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -71,7 +71,9 @@
     return waitMs;
   }
 
-  /** Raises the rate in proportion to the time since its last change, of which 1 s counts at most. */
+  /**
+   * Raises the rate in proportion to the time since its last change, at most as much as for 1 s.
+   */
   private raiseRate(): void {
     const now = this.clock.now();
     const seconds = Math.min(1, (now - this.rateChangedAt) / 1000);
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -14,8 +14,9 @@
 >();
 
 /**
- * Returns all machine types, or null if the store has none yet. The first record is written after the
- * others, so a type may be in two records for a short time. Its entry in the first record is valid.
+ * Returns all machine types, or null if the store has none yet. The first record is written after
+ * the others, so a type may be in two records for a short time. Its entry in the first record is
+ * valid.
  */
 export function readCatalog(replica: StoreReplica): MachineType[] | null {
   const cached = cachedCatalogs.get(replica);
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -1,4 +1,6 @@
-/** Commits transactions to the key-value store and finds out whether unanswered ones took effect. */
+/**
+ * Commits transactions to the key-value store and finds out whether unanswered ones took effect.
+ */
 
 import { isDeepStrictEqual } from 'node:util';
 import { BACKOFF_FIRST_MS, BACKOFF_MAX_MS } from '../constants/storage.js';
@@ -22,11 +24,11 @@
   | { kind: 'conflict'; failed: string[] }
   /** Given up because it was no longer wanted. `mayCommitLater`: an earlier attempt may commit. */
   | { kind: 'abandoned'; mayCommitLater: boolean }
-  /** An attempt got no response, and it is certain that the attempt has not and will not commit. */
+  /** An attempt got no response, and it is certain that it was not committed and never will be. */
   | { kind: 'neverCommitted' }
   /**
-   * Rejected by the store as invalid, for example as too large. `mayCommitLater`: an earlier attempt
-   * may commit.
+   * Rejected by the store as invalid, for example as too large. `mayCommitLater`: an earlier
+   * attempt may commit.
    */
   | { kind: 'rejected'; mayCommitLater: boolean };
 
@@ -54,9 +56,9 @@
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
 
 /**
- * Retries transactions until their outcome is known. A transaction without a response may be applied
- * later, so it is sent again with the same guards. One of the two copies then fails, and the values of
- * the changed keys show whether the other copy was applied.
+ * Retries transactions until their outcome is known. A transaction without a response may be
+ * applied later, so it is sent again with the same guards. One of the two copies then fails, and
+ * the values of the changed keys show whether the other copy was applied.
  */
 export class Committer {
   private readonly keyValueStore: KeyValueStore;
@@ -91,10 +93,10 @@
   }
 
   /**
-   * Commits a transaction that must not be applied twice. If its keys are removed before a late copy
-   * of it arrives, the guards of the copy hold and it would create them again. After an attempt
-   * without a response, `invalidateLateCopy` therefore ensures that the attempt fails unless it was
-   * applied already. It returns false if it could not.
+   * Commits a transaction that must not be applied twice. If its keys are removed before a late
+   * copy of it arrives, the guards of the copy hold and it would create them again. After an
+   * attempt without a response, `invalidateLateCopy` therefore ensures that the attempt fails
+   * unless it was applied already. It returns false if it could not ensure that.
    */
   commitOnce(
     transaction: Transaction,
@@ -124,7 +126,7 @@
         } else {
           mayHaveCommitted = true;
         }
-        this.log.debug({ error: String(error), purpose }, 'transaction failed, retrying');
+        this.log.debug({ error: String(error), purpose }, 'transaction attempt failed');
         if (mayHaveCommitted && invalidateLateCopy)
           return this.resolveUnknownOutcome(transaction, isStillWanted, invalidateLateCopy);
         await sleep(this.clock, backoff.next());
@@ -132,7 +134,10 @@
     }
   }
 
-  /** Makes one attempt. `mayHaveCommitted`: an earlier attempt got no response and may have committed. */
+  /**
+   * Makes one attempt. `mayHaveCommitted`: an earlier attempt got no response and may have
+   * committed.
+   */
   private async tryOnce(
     transaction: Transaction,
     mayHaveCommitted: boolean,
@@ -197,7 +202,9 @@
     return { kind: 'abandoned', mayCommitLater: false };
   }
 
-  /** Logs an error for the operators, because the cause is a bug or an unknown limit of the store. */
+  /**
+   * Logs an error for the operators, because the cause is a bug or an unknown limit of the store.
+   */
   private logRejected({ purpose, guards, changes }: Transaction, reason: string | null): void {
     const sizes = changes.map((change) => ('remove' in change ? 0 : bytesOf(change.value)));
     this.log.error(
--- a/src/storage/live-key-reader.ts
+++ b/src/storage/live-key-reader.ts
@@ -35,9 +35,10 @@
   ) {}
 
   /**
-   * Returns all live keys. The pages may have different revisions, which the watch afterwards brings
-   * up to the same one, so that a call can continue where an earlier one failed. If more changes than
-   * the store keeps for watches were made since the first page, the listing starts again.
+   * Returns all live keys. The pages may have different revisions, which the watch afterwards
+   * brings up to the same one, so that a call can continue where an earlier one failed. If more
+   * changes than the store keeps for watches were made since the first page, the listing starts
+   * again.
    */
   async readAll(): Promise<KeyListing> {
     for (;;) {
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Queues requests to the key-value store until this controller's part of the rate limits allows them,
- * and serves them in the precedence of their purposes.
+ * Queues requests to the key-value store until this controller's part of the rate limits allows
+ * them, and serves them in the precedence of their purposes.
  */
 export class RateLimiter {
   private readonly requestLimit: AdaptiveLimit;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Waits until a request with this number of writes may be sent. Requests of the purposes `watch` and
-   * `role` do not wait but overdraw the limits if necessary.
+   * Waits until a request with this number of writes may be sent. Requests of the purposes `watch`
+   * and `role` do not wait but overdraw the limits if necessary.
    */
   acquire(purpose: Purpose, writes: number): Promise<void> {
     if (purpose === 'watch' || purpose === 'role') {
@@ -68,7 +68,10 @@
     });
   }
 
-  /** Recent writes of this controller compared with its equal share, for callers that can defer writes. */
+  /**
+   * Recent writes of this controller compared with its equal share, for callers that can defer
+   * writes.
+   */
   get supply(): Supply {
     return this.writeLimit.supply;
   }
@@ -103,8 +106,8 @@
   }
 
   /**
-   * Releases the requests that the limits allow now. Returns the time in ms until the next one may be
-   * sent, or 0 if none is left.
+   * Releases the requests that the limits allow now. Returns the time in ms until the next one may
+   * be sent, or 0 if none is left.
    */
   private dispatchReady(): number {
     let writesWaitMs = 0;
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -45,7 +45,9 @@
   private readonly assignmentIndex = new AssignmentIndex();
   /** All changes up to this revision have been applied. */
   revision = 0;
-  /** Number of changes of the machine types. Data derived from them is valid until the next change. */
+  /**
+   * Number of changes of the machine types. Data derived from them is valid until the next change.
+   */
   catalogChanges = 0;
 
   /** Returns a live key's value and revision, or null if the key does not exist. */
@@ -114,7 +116,9 @@
     return this.assignmentIndex.ofJob(job);
   }
 
-  /** Caches the final record of a job, and evicts the oldest one beyond `MAX_CACHED_FINAL_RECORDS`. */
+  /**
+   * Caches the final record of a job, and evicts the oldest one beyond `MAX_CACHED_FINAL_RECORDS`.
+   */
   keepFinal(id: string, record: FinalRecord): void {
     this.finalRecords.set(id, record);
     if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS) {
@@ -124,8 +128,8 @@
   }
 
   /**
-   * Applies a key's value unless a newer one is known; `undefined` is a removal. Returns whether the
-   * value was applied.
+   * Applies a key's value unless a newer one is known; `undefined` is a removal. Returns whether
+   * the value was applied.
    */
   apply(key: string, value: unknown, revision: number): boolean {
     if (key.startsWith(FINALS)) {
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,6 +1,6 @@
 /**
- * Defines the records in the key-value store. Their field names never change, because older versions
- * read them too.
+ * Defines the records in the key-value store. Their field names never change, because older
+ * versions read them too.
  */
 
 import type { JobSpec, JobState } from '../protocol/model.js';
@@ -21,9 +21,9 @@
 }
 
 /**
- * Tasks of one job that one shard holds. The leader creates the record, and only the shard changes it.
- * It contains the team and the resources of each task, so that it counts towards quotas even after the
- * job's record was removed.
+ * Tasks of one job that one shard holds. The leader creates the record, and only the shard changes
+ * it. It contains the team and the resources of each task, so that it counts towards quotas even
+ * after the job's record was removed.
  */
 export interface AssignmentRecord {
   /** Numbers of its tasks, as ranges. */
@@ -38,11 +38,13 @@
   memoryGb: number;
   /** Zone in which the tasks run, selected by the leader. */
   zone: string;
-  /** Only for gangs: number of the attempt under which all tasks of the gang start, in each shard. */
+  /**
+   * Only for gangs: number of the attempt under which all tasks of the gang start, in each shard.
+   */
   attempt?: number;
   /**
-   * Only for gangs of a team within its fair share: CPUs of job arrays that the gang may preempt, by
-   * the teams that exceed their fair share.
+   * Only for gangs of a team within its fair share: CPUs of job arrays that the gang may preempt,
+   * for each team that exceeds its fair share.
    */
   reclaim?: Record<string, number>;
   /** Only for gangs: the attempt is ending, so the other shards stop their tasks of it as well. */
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -6,8 +6,8 @@
 
 /**
  * Pauses of the subjects (jobs, machines, roles or keys) of transactions that the key-value store
- * rejected as invalid. The store would reject the same change again, so the pause of a subject grows
- * with each rejection. Changes of other subjects are not delayed.
+ * rejected as invalid. The store would reject the same change again, so the pause of a subject
+ * grows with each rejection. Changes of other subjects are not delayed.
  */
 export class RejectedChangeBackoff {
   private readonly backoff: KeyedBackoff;
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Returns how many of the first subjects may share the next transaction, at most `limit`. A subject
-   * of a rejected transaction is sent alone, so that the others are committed and only the invalid
-   * change is rejected again.
+   * Returns how many of the first subjects may share the next transaction, at most `limit`. A
+   * subject of a rejected transaction is sent alone, so that the others are committed and only the
+   * invalid change is rejected again.
    */
   together(subjects: readonly string[], limit: number): number {
     const firstRejected = subjects
--- a/src/storage/request-queues.ts
+++ b/src/storage/request-queues.ts
@@ -33,7 +33,10 @@
   requests: WaitingRequest[];
 }
 
-/** The queues of one purpose. Reads have their own queue because the write limit does not apply to them. */
+/**
+ * The queues of one purpose. Reads have their own queue because the write limit does not apply to
+ * them.
+ */
 interface PurposeQueues {
   reads: RequestQueue;
   writes: RequestQueue;
@@ -54,8 +57,8 @@
   }
 
   /**
-   * Returns the queues in the order in which they are served, which is that of their purposes. Reads
-   * for users' job checks come first if the oldest has waited longer than `CHECK_OVERDUE_MS`,
+   * Returns the queues in the order in which they are served, which is that of their purposes.
+   * Reads for users' job checks come first if the oldest has waited longer than `CHECK_OVERDUE_MS`,
    * because other requests can use up the request limit until the users' polls have timed out.
    */
   inOrder(now: number): RequestQueue[] {
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -12,8 +12,8 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * False if the last request failed and the last success was `UNREACHABLE_AFTER_MS` ago. The store may
-   * be unreachable for a single controller.
+   * False if the last request failed and the last success was `UNREACHABLE_AFTER_MS` ago. The store
+   * may be unreachable for a single controller.
    */
   get isReachable(): boolean {
     return (
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -35,8 +35,8 @@
 
 /**
  * This controller's replica of the live keys. The replica contains all changes up to `revision` and
- * was current at `knownCurrentAt`. This is the time at which the last answered watch was sent, not the
- * time of its response, because the response may have been delayed.
+ * was current at `knownCurrentAt`. This is the time at which the last answered watch was sent, not
+ * the time of its response, because the response may have been delayed.
  */
 export class StoreReplica extends RecordIndex {
   private readonly keyValueStore: KeyValueStore;
@@ -74,27 +74,31 @@
   }
 
   /**
-   * False while the replica mixes revisions: the pages of a listing of all keys differ in revision
-   * until the watch has reached the revision of the newest page.
+   * False after a listing of all keys until the watch has reached the revision of the newest page.
+   * Until then the replica contains older values from earlier pages.
    */
   get isSynced(): boolean {
     return this.isLoaded && this.revision >= this.reader.newestPageRevision;
   }
 
   /**
-   * Calls `listener` after each answered watch with the steady time at which the watch was sent. The
-   * replica was current at that time.
+   * Calls `listener` after each answered watch with the steady time at which the watch was sent.
+   * The replica was current at that time.
    */
   onConfirmedCurrent(listener: (sentAt: number) => void): void {
     this.confirmedCurrentListeners.push(listener);
   }
 
-  /** Calls `listener` with the changed keys after each change, and with none after an empty watch. */
+  /**
+   * Calls `listener` with the changed keys after each change, and with none after an empty watch.
+   */
   onChange(listener: (keys: string[]) => void): void {
     this.changeListeners.push(listener);
   }
 
-  /** Applies changes that this controller made, read or received from a peer, ahead of the watch. */
+  /**
+   * Applies changes that this controller made, read or received from a peer, ahead of the watch.
+   */
   applyOwnChanges(changes: { key: string; value: unknown; revision: number }[]): void {
     for (const change of changes)
       this.newestRevision = Math.max(this.newestRevision, change.revision);
@@ -108,7 +112,7 @@
     for (const listener of this.changeListeners) listener(keys);
   }
 
-  /** Reads all live keys and removes those that no longer exist. */
+  /** Reads all live keys into the replica, and removes keys from it that no longer exist. */
   async load(): Promise<void> {
     const { entries, firstRevision } = await this.reader.readAll();
     const keys: string[] = [];
@@ -125,14 +129,18 @@
     this.notifyChangeListeners(keys);
   }
 
-  /** Shortens the pause before the next watch, because a peer announced a change of this revision. */
+  /**
+   * Shortens the pause before the next watch, because a peer announced a change of this revision.
+   */
   pollSoon(revision: number): void {
     if (revision <= this.revision) return;
     this.announcedRevision = Math.max(this.announcedRevision, revision);
     this.pause.shorten();
   }
 
-  /** Loads all keys and watches for changes until `stop` is called. Retries failures with a backoff. */
+  /**
+   * Loads all keys and watches for changes until `stop` is called. Retries failures with a backoff.
+   */
   async follow(): Promise<void> {
     while (!this.isStopped) {
       try {
--- a/src/storage/watch-pause.ts
+++ b/src/storage/watch-pause.ts
@@ -13,7 +13,7 @@
   ) {}
 
   /**
-   * Waits for `spacingMs`. If a change was announced (`isChangeAnnounced`) or `shorten` is called, the wait is
+   * Waits for `spacingMs`. If `isChangeAnnounced` is true or `shorten` is called, the wait is
    * reduced to `ANNOUNCED_WATCH_SPACING_FRACTION` of that.
    */
   wait(isChangeAnnounced: boolean): Promise<void> {
--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -33,9 +33,9 @@
   }
 }
 
-// Guards against a failover that starts late. When the clock was read before the time since which the
-// role is free, the difference was below zero at the first check, and each failover waited for the
-// next election pass, half a second later.
+// Guards against a failover that starts late. The clock was read before the time since which the
+// role was free, so the difference was below zero at the first check, and each failover waited for
+// the next election pass, half a second later.
 test('the first candidate claims a free role at its first check, the second one renewal interval later', () => {
   const simulated = new SimClock();
   const { replica } = followingReplica(simulated, new SimKeyValueStore(simulated), 100);
--- a/test/election/failover.test.ts
+++ b/test/election/failover.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import { World } from '../world/world.js';
 
-// Guards against the fault in the first recorded incident of the larger deployment. The first status
-// of a shard's new holder was empty, so the leader treated the shard's whole fleet as machines that had
-// never started, and returned it.
+// Guards against the fault in the first recorded incident of the larger deployment. The first
+// status of a shard's new holder was empty, so the leader treated the shard's whole fleet as
+// machines that had never started, and returned it.
 test('a shard keeps its machines and tasks after a failover', async () => {
   for (const dead of ['n0', 'n1', 'n2']) {
     const world = new World(3);
@@ -23,8 +23,9 @@
   }
 });
 
-// Several machines that are silent at once may be dead or only cut off. A machine that is silent for a
-// whole lease is returned and replaced. A machine that sends heartbeats again before keeps its tasks.
+// Several machines that are silent at once may be dead or only cut off. A machine that is silent
+// for a whole lease is returned and replaced. A machine that sends heartbeats again before keeps
+// its tasks.
 test('when many machines are silent, dead ones are returned and briefly unreachable ones are kept', async () => {
   const world = new World(21);
   for (let at = 0; at < 6; at++) world.addMachine('small', 'a', false, 500);
--- a/test/election/lease-timing.test.ts
+++ b/test/election/lease-timing.test.ts
@@ -23,8 +23,8 @@
     const self = { startedAt: 500, seenAt: 900 };
     const own = fenceEndsAt({ ...record, movedAt: 0 }, self, 10_000_000, timing);
     assert.equal(own, 500 + workerLeaseMs(timing));
-    // A role that moved: the former holder may answer for its grace after the claim was executed. That
-    // was no later than the time at which the claim was seen, whenever the claim was made.
+    // A role that moved: the former holder may answer for its grace after the claim was executed.
+    // That was no later than the time at which the claim was seen, whenever the claim was made.
     for (const madeAgo of [0, 2_000, 70_000, 200_000]) {
       const movedAt = 10_000_000 - madeAgo;
       const moved = fenceEndsAt({ ...record, movedAt }, self, 10_000_000, timing);
--- a/test/election/term-numbers.test.ts
+++ b/test/election/term-numbers.test.ts
@@ -1,4 +1,6 @@
-/** Tests that each number of a term is allocated once, and that a holder gets a new term in time. */
+/**
+ * Tests that each number of a term is allocated once, and that a holder gets a new term in time.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FENCING_TOKENS_PER_TERM } from '../../src/constants/election.js';
@@ -23,9 +25,9 @@
 const termOf = (world: World, role: string): number =>
   (world.store.entries.get(roleKey(role))?.value as RoleRecord).term;
 
-// Guards against numbers that are used twice. 4,000 machines use up the attempt numbers of a shard's
-// term in some hours, and the shard then used those of the next shard. A machine that ran for weeks
-// reached the fencing tokens of the next term.
+// Guards against numbers that are used twice. 4,000 machines use up the attempt numbers of a
+// shard's term in some hours, and the shard then used those of the next shard. A machine that ran
+// for weeks reached the fencing tokens of the next term.
 for (const cutS of [0, 10, 40]) {
   test(`a shard gets a new term before its numbers are used up, with machines cut off for ${cutS} s`, async () => {
     const world = new World(5);
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -17,9 +17,10 @@
 
 const controllerNames = (world: World): string[] => world.members.map(([name]) => name);
 
-/** Changes of a step-down request to n1: another term, another process, a sender that is no member. */
+/** Fields that make a step-down request to n1 invalid: a wrong term, process or sender. */
 const MISMATCHES = [{ term: 7 }, { incarnation: 'x' }, { node: 'stranger' }];
 
+/** Sends n1 step-down requests with these fields and fails if it confirms one of them. */
 function assertStepDownIgnored(world: World, requests: Partial<RoleTenure>[]): void {
   const tenure = { node: 'n0', role: 'part-n1', term: 1, incarnation: 'n1-2' };
   for (const fields of requests) {
@@ -81,7 +82,7 @@
     reasons: [STEPPED_DOWN],
     fault: async ({ world, steppedDown }) => {
       world.store.refusedControllers.add('n1');
-      // After this time a request from a member for the current term would be obeyed.
+      // By now n1 would step down if a member requested it for the current term.
       await world.run(4);
       assertStepDownIgnored(world, MISMATCHES);
       await world.run(36);
--- a/test/storage/late-store-answers.test.ts
+++ b/test/storage/late-store-answers.test.ts
@@ -1,4 +1,6 @@
-/** Tests responses of the key-value store that arrive after the watch has returned newer changes. */
+/**
+ * Tests responses of the key-value store that arrive after the watch has returned newer changes.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobKey } from '../../src/storage/keys.js';
@@ -63,8 +65,8 @@
 ];
 
 // Guards against a removed key that the replica restores. The response to a read or a write arrived
-// after the watch had returned the removal, and the key stayed in the replica for good. The leader then
-// assigned tasks of an ended job, and all other jobs waited behind it.
+// after the watch had returned the removal, and the key stayed in the replica for good. The leader
+// then assigned tasks of an ended job, and all other jobs waited behind it.
 test('late values: a key whose removal the watch returned is not restored by a late response', async () => {
   for (const { name, writtenValues, lateIndex, isWatched, expected } of CASES) {
     const clock = new SimClock();
--- a/test/storage/malformed-store-answers.test.ts
+++ b/test/storage/malformed-store-answers.test.ts
@@ -47,8 +47,8 @@
   { name: 'a lease without a number', body: {}, request: (api) => api.grant(1000) },
 ];
 
-// Guards against jobs that seem to be absent. A page that could not be read was treated as an empty list
-// of all keys, so that no job would have existed any more.
+// Guards against jobs that seem to be absent. A page that could not be read was treated as an empty
+// list of all keys, so that no job would have existed any more.
 test('key-value store: a response without a required field is an error', async () => {
   for (const { name, body, request } of CASES) {
     const client = clientWithResponse({ status: 200, body });
--- a/test/storage/multi-value-records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -16,6 +16,7 @@
 
 const ARM_TYPES = ['dodo-small', 'dodo-large', 'dodo-huge'];
 
+/** Returns a bandit that has learned the costs of twenty classes of work. */
 function trainedBandit(): Bandit {
   const bandit = new Bandit(ARM_TYPES, 2, 2);
   for (let round = 0; round < 3; round++) {
@@ -37,7 +38,10 @@
   return bandit;
 }
 
-/** Restores an arm's matrix from a record as the previous version does; null if it ignores the record. */
+/**
+ * Restores an arm's matrix from a record as the previous version does; null if it ignores the
+ * record.
+ */
 function restoreAsPreviousVersion(types: string[], record: ArmRecord): number[][] | null {
   if (record.types.join() !== types.join()) return null;
   const size = 21 + 2 * types.length;
@@ -67,8 +71,8 @@
   return true;
 }
 
-// Guards against arms that lose what they have learned: a matrix too large for one value was reduced to
-// its diagonal or discarded.
+// Guards against arms that lose what they have learned: a matrix too large for one value was
+// reduced to its diagonal or discarded.
 test('arms of twenty classes and three types are restored completely from values of 2 KiB', () => {
   const bandit = trainedBandit();
   const restored = new Bandit(ARM_TYPES, 2, 2);
@@ -144,8 +148,8 @@
   return pages;
 };
 
-// Guards against machines that are returned while the status is split. A machine that is in no page of
-// the status for a moment looks to the leader like a machine that never started.
+// Guards against machines that are returned while the status is split. A machine that is in no page
+// of the status for a moment looks to the leader like a machine that never started.
 test('a machine status larger than a value is split, and each machine is in some page after each write', async () => {
   for (const transactionOps of [2, 8]) {
     const machines: StatusRecord['machines'] = {};
@@ -156,7 +160,8 @@
       held: [{ key: statusKey('p', 0), value: { machines } }],
     });
     assert.ok(storedBytes({ machines }) > SMALL_VALUE_BYTES);
-    // The machine of the fixture sends heartbeats; the others are known from the stored status only.
+    // The machine of the fixture sends heartbeats; the others are known from the stored status
+    // only.
     fixture.heartbeat();
     const from = fixture.state.log.length;
     await fixture.reconcile(8000);
--- a/test/storage/rate-limiter.test.ts
+++ b/test/storage/rate-limiter.test.ts
@@ -1,4 +1,6 @@
-/** Tests how the members share the key-value store's rate limits, and in which order requests wait. */
+/**
+ * Tests how the members share the key-value store's rate limits, and in which order requests wait.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimiter, type Purpose } from '../../src/storage/rate-limiter.js';
@@ -60,9 +62,9 @@
   }
 });
 
-// Guards against polls that time out. A user's job check waited behind the writes of leader and shards
-// as long as these exceeded the rate limit, so each poll of a job that this controller had to look up
-// failed during that time.
+// Guards against polls that time out. A user's job check waited behind the writes of leader and
+// shards as long as these exceeded the rate limit, so each poll of a job that this controller had
+// to look up failed during that time.
 test('rate limiter: job checks are served while leader and shards use up all writes or all requests', async () => {
   // [requests per second of leader and of shards, writes in each request]
   const cases: [string, number, number][] = [
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -12,6 +12,10 @@
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { TEAMS, TYPES, silentLog } from '../world/settings.js';
 
+/**
+ * Creates a controller's replica and committer on a simulated key-value store, and a list of
+ * errors.
+ */
 async function controllerStorage() {
   const clock = new SimClock();
   const simulatedStore = new SimKeyValueStore(clock);
@@ -23,8 +27,8 @@
   return { ...storage, simulatedStore, errors, committer: new Committer(storage) };
 }
 
-// Guards against endless retries: a transaction that got a 400 was treated as a conflict and sent again
-// unchanged.
+// Guards against endless retries: a transaction that got a 400 was treated as a conflict and sent
+// again unchanged.
 test('an invalid transaction is logged once and not retried; an expired lease is a conflict', async () => {
   const put = (key: string, bytes = 10): Change => ({ key, value: 'x'.repeat(bytes) });
   const repeat = <T>(count: number, create: (at: number) => T): T[] =>
@@ -137,7 +141,8 @@
 }
 
 test('submissions too large for a value get 422, and the others are accepted', async () => {
-  // [maximum value size that the controller is configured with, that of the key-value store], in bytes
+  // [maximum value size that the controller is configured with, that of the key-value store], in
+  // bytes
   for (const [configuredBytes, actualBytes] of [
     [2048, 2048],
     [8192, 2048],
