--- a/test/election/candidate-order.test.ts
+++ b/test/election/candidate-order.test.ts
@@ -28,7 +28,7 @@
     return () => undefined;
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     this.time += ms;
   }
 }
@@ -58,7 +58,7 @@
     });
     // Both controllers are starting, so all members are candidates for the leader role.
     const first = candidateOrder.shouldClaim('leader', null);
-    clock.pass(MEMBER_LEASE_RENEW_MS);
+    clock.advance(MEMBER_LEASE_RENEW_MS);
     const later = candidateOrder.shouldClaim('leader', null);
     decisions.push(`${first} ${later}`);
   }
--- a/test/failure-detection/disabled.test.ts
+++ b/test/failure-detection/disabled.test.ts
@@ -15,8 +15,10 @@
 function loadedBy(file: string, loaded = new Set<string>()): Set<string> {
   if (loaded.has(file)) return loaded;
   loaded.add(file);
-  for (const [, from, alone] of readFileSync(file, 'utf8').matchAll(STATIC_IMPORT)) {
-    const name = from ?? alone ?? '';
+  for (const [, importedFrom, importedAlone] of readFileSync(file, 'utf8').matchAll(
+    STATIC_IMPORT,
+  )) {
+    const name = importedFrom ?? importedAlone ?? '';
     if (name.startsWith('.')) loadedBy(join(dirname(file), name), loaded);
     else loaded.add(name);
   }
