--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -1,4 +1,4 @@
-/** Failure detection in a controller: the detector on peer links, the failover policy, the records. */
+/** Connects the failure detector with a controller's peer links, failover policy and records. */
 
 import { FailureDetector, type DetectorCounts } from '@mothbank/failure-detector';
 import { PROBE_TIMES_PERIOD_MS, STORE_REACHABLE_MS } from '../../constants/failure-detection.js';
@@ -15,7 +15,7 @@
 
 type SendReply = (message: PeerMessage) => void;
 
-/** Monitors the peers of one controller, and decides when a role may fail over from one. */
+/** Monitors a controller's peers and decides when a role may fail over from one of them. */
 export class FailureDetection implements DetectionService {
   readonly policy: FailoverPolicy;
   bytesSent = 0;
@@ -68,17 +68,20 @@
   receive(message: PeerMessage, sendReply: SendReply): void {
     if (message.kind === 'detector') this.receiveDetector(message.payload, sendReply);
     else if (message.kind === 'stepDown') this.stepDownRequests.onRequest(message, sendReply);
-    else if (message.kind === 'steppedDown') this.stepDownRequests.onAnswer(message);
+    else if (message.kind === 'steppedDown') this.stepDownRequests.onConfirmation(message);
   }
 
-  /** The shard of a suspected owner keeps its tasks and gets no new ones, for a bounded time. */
+  /**
+   * Returns false while the shard's holder is suspected, for at most `holdNewWorkMs`. During this
+   * time the shard keeps its tasks but gets no new ones.
+   */
   acceptsNewWork(shard: string): boolean {
     const { environment, node, roles } = this.options;
-    const owner = roles().holderOf(shardRole(shard));
-    if (owner === null || owner === node) return true;
-    const since = this.detector.suspectedSince(owner);
-    if (since === null) return true;
-    return environment.clock.now() - since >= this.suspicion.holdNewWorkMs;
+    const holder = roles().holderOf(shardRole(shard));
+    if (holder === null || holder === node) return true;
+    const suspectedSince = this.detector.suspectedSince(holder);
+    if (suspectedSince === null) return true;
+    return environment.clock.now() - suspectedSince >= this.suspicion.holdNewWorkMs;
   }
 
   recordProbeTimesIfDue(): void {
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -1,38 +1,41 @@
-/** One of the key-value store's rate limits, shared fairly between the controllers. */
+/** A controller's part of one of the key-value store's rate limits, adapted to the actual use. */
 
 import {
-  STORE_LIMIT_AFTER_REFUSAL,
-  STORE_LIMIT_GROWTH,
-  STORE_LIMIT_MAX_SHARE,
-  STORE_LIMIT_MIN_SHARE,
-  WRITES_SCARCE_SHARE,
-  WRITES_SHORT_SHARE,
+  STORE_LIMIT_REFUSAL_FACTOR,
+  STORE_LIMIT_GROWTH_FRACTION,
+  STORE_LIMIT_MAX_FRACTION,
+  STORE_LIMIT_MIN_FRACTION,
+  WRITES_SCARCE_FRACTION,
+  WRITES_SHORT_FRACTION,
 } from '../constants/storage.js';
 import { Budget } from '../transport/budget.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Recent use against the equal share: below half of it, below most of it, or above. */
+/**
+ * Recent use of a limit compared with the equal share of this controller: `plenty` below
+ * `WRITES_SCARCE_FRACTION` of it, `scarce` below `WRITES_SHORT_FRACTION`, `short` above.
+ */
 export type Supply = 'plenty' | 'scarce' | 'short';
 
 /** A rate limit that all members share. */
 export interface SharedLimit {
-  /** Requests or writes a second, for all members together. */
+  /** Requests or writes per second for all members together. */
   perSecond: number;
   members: number;
-  /** What must be available at once; 0: no more than a second's share. */
+  /** Minimum size of the token bucket; 0 if tokens for one second suffice. */
   burst: number;
 }
 
 /**
- * This controller's share of one limit. All members together must stay below the limit, but what
- * some leave unused should serve those that need it: each begins with an equal share, grows it as
- * long as nothing is refused, and steps back after a refusal.
+ * This controller's part of one limit. All members together must stay below the limit, and members
+ * that need more should use what others leave. Each member therefore begins with an equal share,
+ * raises its rate while requests wait and the store refuses none, and lowers it after a refusal.
  */
 export class AdaptiveLimit {
   readonly budget: Budget;
-  /** Below 0 when recent use is above the share of writes that counts as scarce. */
+  /** Token bucket below 0 when recent use exceeds `WRITES_SCARCE_FRACTION` of the equal share. */
   private readonly scarceBudget: Budget;
-  /** The same for the share that counts as short. */
+  /** Token bucket below 0 when recent use exceeds `WRITES_SHORT_FRACTION` of the equal share. */
   private readonly shortBudget: Budget;
   private rate: number;
   private readonly minRate: number;
@@ -43,11 +46,11 @@
     private readonly limit: SharedLimit,
   ) {
     this.rate = limit.perSecond / limit.members;
-    this.minRate = this.rate * STORE_LIMIT_MIN_SHARE;
+    this.minRate = this.rate * STORE_LIMIT_MIN_FRACTION;
     this.rateChangedAt = clock.now();
     this.budget = new Budget(clock, this.rate, Math.max(this.rate, limit.burst));
-    this.scarceBudget = new Budget(clock, this.rate * WRITES_SCARCE_SHARE, this.rate);
-    this.shortBudget = new Budget(clock, this.rate * WRITES_SHORT_SHARE, this.rate);
+    this.scarceBudget = new Budget(clock, this.rate * WRITES_SCARCE_FRACTION, this.rate);
+    this.shortBudget = new Budget(clock, this.rate * WRITES_SHORT_FRACTION, this.rate);
   }
 
   get supply(): Supply {
@@ -55,37 +58,39 @@
     return this.scarceBudget.available < 0 ? 'scarce' : 'plenty';
   }
 
-  /** Counts use towards `supply`. */
+  /** Adds requests or writes to the recent use from which `supply` is derived. */
   recordUse(cost: number): void {
     this.scarceBudget.borrow(cost);
     this.shortBudget.borrow(cost);
   }
 
-  /** ms until so much may be used; a limit that is exhausted grows. */
+  /** Returns the time in ms until `cost` may be used, and raises the rate if that is above 0. */
   waitFor(cost: number): number {
     const waitMs = this.budget.waitFor(cost);
-    if (waitMs > 0) this.grow();
+    if (waitMs > 0) this.raiseRate();
     return waitMs;
   }
 
-  /** Requests wait for this limit: time to claim more of it. */
-  private grow(): void {
+  /**
+   * Raises the rate in proportion to the time since its last change, at most as much as for 1 s.
+   */
+  private raiseRate(): void {
     const now = this.clock.now();
     const seconds = Math.min(1, (now - this.rateChangedAt) / 1000);
     this.rateChangedAt = now;
     const { perSecond } = this.limit;
     this.setRate(
       Math.min(
-        perSecond * STORE_LIMIT_MAX_SHARE,
-        this.rate + perSecond * STORE_LIMIT_GROWTH * seconds,
+        perSecond * STORE_LIMIT_MAX_FRACTION,
+        this.rate + perSecond * STORE_LIMIT_GROWTH_FRACTION * seconds,
       ),
     );
   }
 
-  /** The store refused a request since the limit was exceeded. */
-  stepBack(): void {
+  /** Lowers the rate after the store refused a request because the limit was exceeded. */
+  lowerRate(): void {
     this.rateChangedAt = this.clock.now();
-    this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_AFTER_REFUSAL));
+    this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_REFUSAL_FACTOR));
     this.budget.empty();
   }
 
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -1,21 +1,22 @@
-/** The machine types in the key-value store, spread over as many records as they need. */
+/** Reads and writes the catalog of machine types, which may span several records. */
 
 import { VALUE_SHARE } from '../constants/storage.js';
 import type { Change } from '../protocol/key-value-store.js';
 import type { MachineType } from '../protocol/model.js';
 import { bytesOf } from './committer.js';
-import { CATALOG, CATALOG_MORE } from './keys.js';
+import { CATALOG, CATALOG_OVERFLOW } from './keys.js';
 import type { StoreReplica } from './store-replica.js';
 
-/** The last result for each replica, so that a lookup for each machine builds no new list. */
+/** The last result for each replica, because the catalog is read for every machine. */
 const cachedCatalogs = new WeakMap<
   StoreReplica,
   { version: number; types: MachineType[] | null }
 >();
 
 /**
- * All machine types, or null while they are not known. The first record is written last, so a type
- * may be in two records for a moment: that in the first record is valid.
+ * Returns all machine types, or null if the store has none yet. The first record is written after
+ * the others, so a type may be in two records for a short time. Its entry in the first record is
+ * valid.
  */
 export function readCatalog(replica: StoreReplica): MachineType[] | null {
   const cached = cachedCatalogs.get(replica);
@@ -28,17 +29,17 @@
 function mergeRecords(replica: StoreReplica): MachineType[] | null {
   const first = replica.get<MachineType[]>(CATALOG);
   if (!first) return null;
-  const overflow = [...replica.below<MachineType[]>(CATALOG_MORE)].sort(([a], [b]) =>
+  const overflow = [...replica.below<MachineType[]>(CATALOG_OVERFLOW)].sort(([a], [b]) =>
     a < b ? -1 : 1,
   );
   const types = new Map<string, MachineType>();
-  for (const list of [first.value, ...overflow.map(([, held]) => held.value)]) {
+  for (const list of [first.value, ...overflow.map(([, stored]) => stored.value)]) {
     for (const type of list) if (!types.has(type.name)) types.set(type.name, type);
   }
   return [...types.values()];
 }
 
-/** The changes after which the store holds these types, in records of at most so many bytes. */
+/** Returns the changes that store these types in records of at most `valueBytes` each. */
 export function writeCatalog(
   replica: StoreReplica,
   types: MachineType[],
@@ -56,14 +57,14 @@
     bytes += size;
   }
   const desired = new Map(
-    records.map((record, page) => [page === 0 ? CATALOG : `${CATALOG_MORE}${page}`, record]),
+    records.map((record, page) => [page === 0 ? CATALOG : `${CATALOG_OVERFLOW}${page}`, record]),
   );
   const changes: Change[] = [];
   for (const [key, value] of [...desired].reverse()) {
     if (JSON.stringify(replica.get(key)?.value) !== JSON.stringify(value))
       changes.push({ key, value });
   }
-  for (const [key] of replica.below(CATALOG_MORE)) {
+  for (const [key] of replica.below(CATALOG_OVERFLOW)) {
     if (!desired.has(key)) changes.push({ key, remove: true });
   }
   return changes;
--- a/src/storage/watch-pause.ts
+++ b/src/storage/watch-pause.ts
@@ -1,9 +1,9 @@
-/** The pause between two watch requests. */
+/** Waits between two watch requests. */
 
-import { HINTED_WATCH_SPACING_SHARE } from '../constants/storage.js';
+import { ANNOUNCED_WATCH_SPACING_FRACTION } from '../constants/storage.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Spaces watch requests, so that changes close together share one response. */
+/** Pauses between watch requests, so that changes that are close together share one response. */
 export class WatchPause {
   private shortenCurrent: (() => void) | null = null;
 
@@ -12,16 +12,19 @@
     private readonly spacingMs: number,
   ) {}
 
-  /** Waits for the spacing, or its least share where a change `isHinted` or the pause is shortened. */
-  wait(isHinted: boolean): Promise<void> {
+  /**
+   * Waits for `spacingMs`. If `isChangeAnnounced` is true or `shorten` is called, the wait is
+   * reduced to `ANNOUNCED_WATCH_SPACING_FRACTION` of that.
+   */
+  wait(isChangeAnnounced: boolean): Promise<void> {
     return new Promise((resolve) => {
-      const minPauseMs = this.spacingMs * HINTED_WATCH_SPACING_SHARE;
+      const minPauseMs = this.spacingMs * ANNOUNCED_WATCH_SPACING_FRACTION;
       const startedAt = this.clock.now();
       const end = (): void => {
         this.shortenCurrent = null;
         resolve();
       };
-      let cancel = this.clock.after(isHinted ? minPauseMs : this.spacingMs, end);
+      let cancel = this.clock.after(isChangeAnnounced ? minPauseMs : this.spacingMs, end);
       this.shortenCurrent = () => {
         cancel();
         const elapsedMs = this.clock.now() - startedAt;
@@ -30,7 +33,7 @@
     });
   }
 
-  /** Shortens the current pause, if there is one, to its least share. */
+  /** Shortens the current pause, if there is one. */
   shorten(): void {
     this.shortenCurrent?.();
   }
