--- a/src/constants/controller.ts
+++ b/src/constants/controller.ts
@@ -1,108 +1,125 @@
-/** Constants, each with unit and reason. The process: control loops, sockets, relays and logs. */
+/** Constants of the controller process: control loops, sockets, relayed requests and logs. */
 
-/** ms; nobody waits for the answer to a cloud request, so it may take longer. */
+/** ms; time-out of a request to the cloud, which no other request waits for. */
 export const CLOUD_TIMEOUT_MS = 8_000;
 
-/** ms; interval of the leader's and the shards' loops when nothing woke them. */
+/** ms; interval of the loops of the leader and of the shards while nothing wakes them. */
 export const LOOP_INTERVAL_MS = 300;
 
 /**
- * ms; interval of the loop that renews this controller's lease and claims free roles; changes of
- * roles wake it. A third of the time between two renewals.
+ * ms; interval of the loop that renews this controller's lease and claims free roles, unless a
+ * change of the roles wakes it: a third of the interval between two renewals.
  */
 export const ELECTION_INTERVAL_MS = 500;
 
 /**
- * ms; interval of the loops of leader and autoscaler on a controller that does not lead; winning
- * the election wakes them.
+ * ms; interval of the loops of leader and autoscaler on a controller that is not the leader. The
+ * loops are woken when it becomes the leader.
  */
 export const STANDBY_INTERVAL_MS = 2_000;
 
-/** ms; a loop woken by changes waits this long, so that changes close together share a pass. */
+/** ms; delay of a loop that changes have woken, so that changes close together share a pass. */
 export const LOOP_COALESCE_MS = 40;
 
 /**
- * ms; the leader's loop waits this long, since a scheduling cycle looks at all machines and open
- * jobs: a tenth of a second of a start objective of some seconds, for ten cycles a second at the
- * most.
+ * ms; the same delay for the leader's loop, whose scheduling cycle goes through all machines and
+ * open jobs. It allows ten cycles a second, and adds a tenth of a second to the time until a task
+ * starts, for which the objective is some seconds.
  */
 export const LEADER_COALESCE_MS = 100;
 
-/** ms; interval of the autoscaler's loop: a boot takes a hundred times as long. */
+/** ms; interval of the autoscaler's loop: a machine takes about 100 times as long to boot. */
 export const AUTOSCALER_INTERVAL_MS = 600;
 
 /**
- * Multiple of its last pass's CPU time that a woken loop rests, so that with many machines it
- * leaves most of a slow processor to heartbeats and users' requests.
+ * Least pause of a woken loop, as a multiple of the CPU time of its last pass. With many machines a
+ * pass takes long; the pause leaves most of a slow processor to heartbeats and users' requests.
  */
 export const REST_PER_CPU_TIME = 9;
 
-/** ms; a controller logs its requests to the key-value store this often. */
+/** ms; interval at which a controller logs the number of its requests to the key-value store. */
 export const REQUEST_LOG_INTERVAL_MS = 20_000;
 
-/** ms; whatever was tried, a user gets 503 after this: a tenth of the user's timeout is left
- * for the way back and for a process that lags. */
+/**
+ * ms; deadlines after which a poll, or a submission or cancellation, is answered 503. They are
+ * shorter than the users' time-outs of 2 s and 5 s, to leave time for sending the reply and for a
+ * process that runs its timers late.
+ */
 export const POLL_DEADLINE_MS = 1_850;
 export const CHANGE_DEADLINE_MS = 4_700;
 
 /**
- * ms; a request is relayed to the next peer as well after `nextPeerDelayMs`, and given up after
- * `timeoutMs`: the rest of the user's time is this controller's. Changes are commits, which take
- * longer than answers.
+ * ms; a request that got no reply after `nextPeerDelayMs` is relayed to the next peer as well.
+ * After `timeoutMs` no reply is waited for, so that this controller can use the rest of the
+ * deadline to answer by itself. Submissions and cancellations get longer times because they need a
+ * commit.
  */
 export const POLL_RELAY_TIMING = { nextPeerDelayMs: 400, timeoutMs: 1_300 };
 export const CHANGE_RELAY_TIMING = { nextPeerDelayMs: 1_200, timeoutMs: 2_500 };
 
 /**
- * ms; a controller that is short of writes asks one peer alone: a second commit of the same job
- * would cost the others writes as well.
+ * ms; the same times for a controller that relays a submission because it is short of writes. Both
+ * are equal, so that no two peers commit the same job at a time: the second commit would cost them
+ * writes as well.
  */
 export const COMMIT_RELAY_TIMING = { nextPeerDelayMs: 2_500, timeoutMs: 2_500 };
 
 /**
- * ms; a worker that comes back within this time after a redirect could not reach the shard's
- * holder.
+ * ms; a worker that sends a heartbeat to the same controller within this time after a redirect is
+ * assumed not to reach the shard's holder.
  */
 export const REDIRECT_RETRY_MS = 12_000;
 
-/** ms; a relayed heartbeat must be answered well within the worker's 4 s. */
+/** ms; time-out of a request to a peer: workers wait 4 s for the answer to a relayed heartbeat. */
 export const RELAY_TIMEOUT_MS = 2_500;
 
-/** ms; pause before a broken peer link is tried again. */
+/** ms; pause before a broken connection to a peer is opened again. */
 export const PEER_RECONNECT_MS = 1_000;
 
-/** Sockets left for the key-value store, the cloud and peers out of the limit. */
+/** Sockets reserved for the key-value store, the cloud and peers, out of the process's limit. */
 export const RESERVED_SOCKETS = 100;
 
-/** Share of all sockets kept for direct calls: a call takes one for some milliseconds, and it stays
- * open for the next until others need it. */
+/**
+ * Fraction of the process's sockets that is reserved for direct calls to workers. A call takes some
+ * milliseconds; its connection stays open for the next call until a call to another worker needs
+ * the socket.
+ */
 export const DIRECT_SOCKET_SHARE = 0.125;
 
 /**
- * Direct calls under way at once: so many answers are handled well within the time of one call, and
- * some dozens of hanging machines don't delay the others.
+ * Direct calls in flight at a time. Their answers are processed well within the duration of one
+ * call, and calls that some dozens of unresponsive machines don't answer leave enough for the
+ * others.
  */
 export const MAX_CONCURRENT_DIRECT_CALLS = 64;
 
-/** Share of the sockets for requests in use above which users' connections end with their answer,
- * so that workers find one: after a restart all of them come to the few controllers that are up. */
+/**
+ * Soft limit of open connections, as a fraction of the most that the HTTP server accepts. Above it,
+ * users' connections are closed after their response, so that workers can connect. After a restart
+ * all workers connect to the few controllers that are up.
+ */
 export const CROWDED_SOCKET_SHARE = 0.7;
 
 /**
- * Share of them above which workers' connections end with their answer too: 4,000 workers at the
- * one controller that is up have more than its sockets, and those without one must find one in
- * turn.
+ * Hard limit of open connections, as a fraction of the same number. Above it, workers' connections
+ * are closed after their response too. When only one controller is up, 4,000 workers need more
+ * connections than it accepts, so they have to take turns.
  */
 export const FULL_SOCKET_SHARE = 0.9;
 
-/** ms; an idle connection is kept so long: three heartbeats of the slowest workers seen. */
+/**
+ * ms; an idle connection is closed after this: three heartbeat intervals of the slowest workers.
+ */
 export const KEEP_ALIVE_MS = 20_000;
 
-/** Sockets to the key-value store beside the watch. */
+/** Connections to the key-value store, besides the one for watches. */
 export const STORE_SOCKETS = 16;
 
-/** Bytes; a larger frame between peers closes the connection. */
+/** Bytes; a peer's connection is closed when it sends a larger frame. */
 export const MAX_PEER_FRAME_BYTES = 1024 * 1024;
 
-/** ms; a direct call is given up after this and its commands are fenced: workers answer at once. */
+/**
+ * ms; time-out of a direct call, to which workers answer at once. After it, the commands are fenced
+ * so that the worker refuses a late copy of them.
+ */
 export const DIRECT_CALL_TIMEOUT_MS = 2_000;
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -8,20 +8,18 @@
 import { LEADER, shardRole, type HeldRole } from '../election/role-election.js';
 import type { ControllerServices } from './controller-services.js';
 
-/** Called when there is work to do. */
+/** Callbacks that start work for the roles. */
 export interface ActiveRolesCallbacks {
-  /** A shard has something to do. */
+  /** Called when a shard has work to do. */
   readonly onShardWork: () => void;
-  /** This controller has become the leader. */
+  /** Called when this controller becomes the leader. */
   readonly onLeadershipGained: () => void;
 }
 
-/**
- * The shards, and the leader with its autoscaler, that act while this controller holds their roles.
- */
+/** The shards, leader and autoscaler that run while this controller holds their roles. */
 export class ActiveRoles {
   readonly shards = new Map<string, Shard>();
-  /** The terms in which the shards act. */
+  /** Term under which each shard was created, by its name. */
   private readonly shardTerms = new Map<string, number>();
   private activeLeader: Leader | null = null;
   private leaderTerm = 0;
@@ -32,12 +30,15 @@
     private readonly callbacks: ActiveRolesCallbacks,
   ) {}
 
-  /** The leader; null: another controller leads, or none. */
+  /** The leader; null: this controller does not hold the leader's role. */
   get leader(): Leader | null {
     return this.activeLeader;
   }
 
-  /** Passes a changed key of the replica on; `affectsShards`: a shard may have something to do. */
+  /**
+   * Passes a changed key of the replica to the shards and the leader. `affectsShards`: a shard may
+   * have work to do.
+   */
   handleKeyChange(key: string): { affectsShards: boolean } {
     let affectsShards = false;
     for (const shard of this.shards.values()) {
@@ -47,7 +48,7 @@
     return { affectsShards };
   }
 
-  /** Creates and removes what acts in roles, to match the roles that this controller holds. */
+  /** Creates and removes shards, leader and autoscaler to match the roles that are held now. */
   sync(): void {
     for (const [number, member] of this.services.members.entries()) {
       this.syncShard(member.node, number);
@@ -55,7 +56,7 @@
     this.syncLeader();
   }
 
-  /** The roles whose terms have handed out half of their numbers. */
+  /** The roles that have used half of their term's numbers, such as attempts and fencing tokens. */
   rolesNeedingTermRenewal(): string[] {
     const shards = [...this.shards].filter(([, shard]) => shard.needsTermRenewal);
     const election = shards.map(([name]) => shardRole(name));
@@ -63,15 +64,13 @@
     return election;
   }
 
-  /**
-   * One scheduling cycle; notifies the holders of shards for which something urgent was written.
-   */
+  /** Runs one scheduling cycle; notifies the holders of shards that got urgent work. */
   async reconcileLeader(): Promise<void> {
     const written = await this.activeLeader?.reconcile();
     for (const shard of written ?? []) this.services.holderNotifier.notify(shardRole(shard));
   }
 
-  /** One pass of the autoscaler. */
+  /** Runs one pass of the autoscaler; does nothing unless this controller is the leader. */
   async reconcileAutoscaler(): Promise<void> {
     if (this.activeLeader && this.autoscaler)
       await this.autoscaler.reconcile(this.activeLeader.snapshot);
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -1,4 +1,4 @@
-/** Runs one kind of work periodically, and soon after it is woken. */
+/** A loop that runs a function periodically, and shortly after it is woken. */
 import {
   LOOP_COALESCE_MS,
   LOOP_INTERVAL_MS,
@@ -7,17 +7,17 @@
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** What a loop runs, and how often. */
+/** Options of a control loop. */
 export interface ControlLoopOptions {
-  /** Names the loop in log messages. */
+  /** Name of the loop in log messages. */
   readonly name: string;
   readonly clock: Clock;
   readonly log: Log;
-  /** One pass; when it fails, the failure is logged and the loop goes on. */
+  /** Runs one pass. If it rejects, the error is logged and the loop continues. */
   readonly reconcile: () => Promise<void>;
-  /** CPU time of the last pass in ms: the pause before the next leaves most of it to heartbeats. */
+  /** CPU time of the last pass in ms; a woken loop pauses in proportion to it before the next. */
   readonly lastCycleCpuMs?: () => number;
-  /** ms between two passes when nothing wakes the loop. */
+  /** ms between two passes while nothing wakes the loop; by default `LOOP_INTERVAL_MS`. */
   readonly intervalMs?: () => number;
 }
 
@@ -26,20 +26,20 @@
   private cancelTimer: (() => void) | null = null;
   private isRunning = false;
   private isStopped = false;
-  /** Woken since the last pass began. */
+  /** Whether the loop was woken after the last pass began. */
   private hasPendingWake = false;
-  /** The next pass is scheduled after the coalescing delay already. */
+  /** Whether the next pass is scheduled because the loop was woken, not by the interval. */
   private isScheduledSoon = false;
 
   constructor(private readonly options: ControlLoopOptions) {}
 
-  /** Runs the next pass after a delay, in place of what was scheduled. */
+  /** Schedules the next pass after a delay, in place of the pass that was scheduled before. */
   schedule(delayMs: number): void {
     this.cancelTimer?.();
     this.cancelTimer = this.options.clock.after(delayMs, () => void this.run());
   }
 
-  /** Runs a pass soon; changes that follow one another closely share one. */
+  /** Schedules a pass after a short delay; wake-ups within the delay share this pass. */
   wake(): void {
     this.hasPendingWake = true;
     if (this.isRunning || this.isScheduledSoon || this.isStopped) return;
@@ -47,7 +47,7 @@
     this.schedule(this.coalesceMs());
   }
 
-  /** Begins no further pass. */
+  /** Starts no further pass; a running pass is completed. */
   stop(): void {
     this.isStopped = true;
   }
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -1,7 +1,4 @@
-/**
- * One controller without its sockets: it connects the services, the control loops and the
- * endpoints.
- */
+/** A controller without its sockets: connects the services, the control loops and the endpoints. */
 import {
   AUTOSCALER_INTERVAL_MS,
   LEADER_COALESCE_MS,
@@ -39,18 +36,23 @@
   readonly autoscaler: ControlLoop;
 }
 
-/** What a controller is created from. */
+/** Options of a controller. */
 export interface ControllerCoreOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
-  /** Identifies this process among all that ever ran as this controller. */
+  /** Identifier that no other process of this controller ever has. */
   readonly incarnation: string;
-  /** Creates failure detection; without it the key-value store alone decides. */
+  /**
+   * Creates failure detection; without it, roles fail over by the key-value store's leases alone.
+   */
   readonly createDetection?: CreateDetection;
 }
 
-/** One controller without its sockets: everything that it decides is in here. */
+/**
+ * A controller without its sockets, so that tests can run several in a simulated network. All
+ * decisions of a controller are made in it.
+ */
 export class ControllerCore {
   private readonly services: ControllerServices;
   private readonly activeRoles: ActiveRoles;
@@ -111,7 +113,7 @@
     replica.onChange((keys) => this.handleReplicaChange(keys));
   }
 
-  /** Begins to follow the key-value store and to run the loops. */
+  /** Starts the watch of the key-value store, the loops and failure detection. */
   start(): void {
     void this.replica.follow();
     const { autoscaler, leader, shards, election } = this.loops;
@@ -119,7 +121,7 @@
     this.detection?.start();
   }
 
-  /** Ends the loops and the watch of the key-value store. */
+  /** Stops the loops, failure detection and the watch of the key-value store. */
   stop(): void {
     const { autoscaler, leader, shards, election } = this.loops;
     for (const loop of [election, shards, leader, autoscaler]) loop.stop();
@@ -132,7 +134,7 @@
     return this.services.replica;
   }
 
-  /** Failure detection between the controllers; null: it is off. */
+  /** Failure detection between the controllers; null: it is disabled. */
   get detection(): DetectionService | null {
     return this.services.detection;
   }
@@ -142,15 +144,15 @@
     return this.activeRoles.shards;
   }
 
-  /** The leader; null: another controller leads, or none. */
+  /** The leader; null: this controller does not hold the leader's role. */
   get leader(): Leader | null {
     return this.activeRoles.leader;
   }
 
   /**
-   * Whether users' requests can be answered here, or through this controller by a peer. In an
-   * outage that all controllers share it stays true, since one taken out of service is only let
-   * back in late.
+   * Whether users' requests can be answered by this controller, or through it by a peer. During an
+   * outage of the key-value store that affects all controllers it stays true, since a controller
+   * that was taken out of service gets requests again only with a delay.
    */
   get isReady(): boolean {
     return this.userEndpoint.isReady;
@@ -161,9 +163,7 @@
     return this.services.environment.clock.now() - this.replica.knownCurrentAt;
   }
 
-  /**
-   * The controller's metrics in the Prometheus text format; their library is loaded on first use.
-   */
+  /** Returns the metrics in the Prometheus text format; their library is loaded on first use. */
   async metrics(): Promise<HttpReply> {
     if (!this.readMetrics) {
       const { createMetricsReader } = await import('./metrics.js');
@@ -172,7 +172,7 @@
     return { status: 200, body: await this.readMetrics(), type: 'text/plain; version=0.0.4' };
   }
 
-  /** Serves a user's request; `jobId`: '' in a submission. */
+  /** Serves a user's request; `jobId` is '' in a submission. */
   handleUserRequest(
     operation: UserRequest['operation'],
     jobId: string,
@@ -186,7 +186,7 @@
     return this.heartbeatEndpoint.handle(body);
   }
 
-  /** Handles a peer's message; `respond` sends one back to it. */
+  /** Handles a peer's message; `respond` sends a message back to that peer. */
   receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
     this.peerEndpoint.receive(message, respond);
   }
@@ -218,14 +218,14 @@
     };
   }
 
-  /** One pass of the election, and new terms for roles that run out of numbers. */
+  /** Runs one pass of the election, then renews the terms that are running out of numbers. */
   private async reconcileElection(): Promise<void> {
     const { election } = this.services;
     await election.reconcile();
     for (const role of this.activeRoles.rolesNeedingTermRenewal()) await election.renewTerm(role);
   }
 
-  /** One pass of each shard, one after the other, and what is due periodically beside them. */
+  /** Runs one pass of each shard in turn, and the periodic work that needs no loop of its own. */
   private async reconcileShards(): Promise<void> {
     this.requestLog.writeIfDue();
     this.detection?.recordProbeTimesIfDue();
@@ -234,7 +234,9 @@
     this.peerRelay.probeUnresponsivePeers();
   }
 
-  /** Passes changed keys of the replica on and wakes the loops that they concern. */
+  /**
+   * Passes changed keys of the replica to the active roles, and wakes the loops that they affect.
+   */
   private handleReplicaChange(keys: string[]): void {
     let shardsAffected = false;
     let rolesAffected = false;
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -25,33 +25,33 @@
 } from '../failure-detection/detection-service.js';
 import { HolderNotifier } from './holder-notifier.js';
 
-/** What a controller is created from. */
+/** Options from which the services are created. */
 export interface ControllerServicesOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
-  /** Identifies this process among all that ever ran as this controller. */
+  /** Identifier that no other process of this controller ever has. */
   readonly incarnation: string;
-  /** Creates failure detection; null: it is off. */
+  /** Creates failure detection; null: it is disabled. */
   readonly createDetection: CreateDetection;
-  /** Events of failure detection. */
+  /** Callbacks of failure detection. */
   readonly detectionEvents: Pick<DetectionServiceOptions, 'onSteppedDown' | 'onChanged'>;
 }
 
 /** The services that the modules of a controller share. */
 export interface ControllerServices extends ControllerServicesOptions {
-  /** The outcome of every request to the store is noted for `reachability`. */
+  /** The key-value store; `reachability` records the outcome of each request to it. */
   readonly keyValueStore: KeyValueStore;
   /** All controllers of the cluster, by name. */
   readonly members: readonly Member[];
-  /** Uniform in [0, 1). */
+  /** Returns random numbers, uniform in [0, 1). */
   readonly random: () => number;
   readonly reachability: StoreReachability;
   readonly limiter: RateLimiter;
   readonly replica: StoreReplica;
   readonly committer: Committer;
   readonly election: RoleElection;
-  /** Null: it is off. */
+  /** Null: failure detection is disabled. */
   readonly detection: DetectionService | null;
   readonly holderNotifier: HolderNotifier;
   readonly userRequests: UserRequests;
@@ -80,7 +80,10 @@
   return { ...withElection, userRequests: createUserRequests(withElection) };
 }
 
-/** ms between requests of all members that take `share` of the key-value store's limit. */
+/**
+ * ms between two requests of one controller with which all controllers together take this fraction
+ * of the key-value store's limit of requests.
+ */
 function requestSpacingMs({ peers, storeRps }: Settings, share: number): number {
   const memberCount = peers.length + 1;
   return (1000 * memberCount) / (storeRps * share);
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -1,4 +1,4 @@
-/** A controller as a process runs it: its core with servers, clients and peer links. */
+/** A controller with its servers, clients and connections to peers, as a process runs it. */
 
 import { randomUUID } from 'node:crypto';
 import type { Server } from 'node:http';
@@ -40,10 +40,10 @@
 /** Connections to the cloud: one for rentals and one for lists. */
 const CLOUD_SOCKETS = 2;
 
-/** Content type of one JSON object a line. */
+/** Content type of a text with one JSON object per line. */
 const NDJSON = 'application/x-ndjson';
 
-/** Sockets for direct calls to workers, and for the server's connections. */
+/** Numbers of sockets for direct calls to workers, and for the HTTP server's connections. */
 interface SocketBudget {
   direct: number;
   connections: number;
@@ -117,7 +117,7 @@
   };
 }
 
-/** The core's environment over real sockets, and the clients to be closed in the end. */
+/** Returns the core's environment over real sockets, and the clients to close on `stop`. */
 function connectEnvironment(
   settings: Settings,
   directSockets: number,
@@ -144,7 +144,7 @@
   return { environment, clients: [storeHttp, watchHttp, cloudHttp, workers] };
 }
 
-/** Failure detection's code, loaded only where it is enabled: a start without it costs nothing. */
+/** Loads failure detection if it is enabled; otherwise a start takes no time for its code. */
 async function loadDetection({ suspicion }: Settings): Promise<CreateDetection> {
   if (!suspicion) return null;
   const { FailureDetection } = await import('../failure-detection/failure-detection.js');
@@ -160,7 +160,7 @@
     private readonly clients: { close(): void }[],
   ) {}
 
-  /** Starts a controller; resolves once it listens to users, workers and peers. */
+  /** Starts a controller; resolves once it accepts connections of users, workers and peers. */
   static async start(settings: Settings, log: Log): Promise<Controller> {
     const { direct, connections } = divideSockets(settings.sockets);
     const links = new Map<string, PeerLink>();
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves workers' heartbeats: here, or by sending worker or heartbeat to the shard's holder. */
+/** Answers workers' heartbeats, or redirects or relays them to the holder of the worker's shard. */
 import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
 import { parseJson, type Parsed } from '../../protocol/validation.js';
@@ -15,7 +15,7 @@
 import type { PeerRelay } from './peer-relay.js';
 import { unavailable } from '../api/http-replies.js';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface HeartbeatEndpointOptions {
   /** Name of this controller. */
   readonly controllerName: string;
@@ -28,13 +28,14 @@
 
 /** The endpoint of workers' heartbeats. */
 export class HeartbeatEndpoint {
-  /** Machines that were redirected lately, and when. */
+  /** Steady time at which each machine's last heartbeat was redirected or relayed. */
   private readonly redirectedAt = new Map<string, number>();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
   /**
-   * Answers a heartbeat, redirects its worker to the shard's holder, or relays the heartbeat there.
+   * Answers a heartbeat if this controller holds the machine's shard. Otherwise redirects the
+   * worker to the holder, or relays the heartbeat if the worker was redirected lately.
    */
   async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
@@ -52,8 +53,8 @@
     if (lastRedirectedAt === undefined || now - lastRedirectedAt > REDIRECT_RETRY_MS) {
       return { status: 421, body: encodeRedirect(holder) };
     }
-    // Back so soon after a redirect: the worker can't reach the holder, but perhaps this controller
-    // can.
+    // A worker that sends its heartbeat here again so soon after a redirect can't reach the holder,
+    // but this controller may reach it.
     const relayed = await peerRelay.request(holder, {
       operation: 'heartbeat',
       jobId: '',
@@ -62,7 +63,7 @@
     return relayed ?? unavailable('no owner acts');
   }
 
-  /** Answers a heartbeat that a peer relayed; null: it is invalid, or not for this controller. */
+  /** Answers a relayed heartbeat; null: it is invalid, or this controller may not answer it. */
   handleRelayed(text: string): HttpReply | null {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return null;
@@ -70,7 +71,7 @@
     return this.replyAsHolder(shardOf(machine, zone, this.options.members), parsed.value);
   }
 
-  /** Forgets redirects that are too old to matter. */
+  /** Removes entries older than `REDIRECT_RETRY_MS`, which no longer cause a heartbeat's relay. */
   forgetOldRedirects(): void {
     const now = this.options.clock.now();
     for (const [machine, at] of this.redirectedAt) {
@@ -78,7 +79,10 @@
     }
   }
 
-  /** Null: this controller may not answer for the shard. */
+  /**
+   * Answers a heartbeat as the holder of its shard; null: this controller does not hold the shard,
+   * or its replica is not current.
+   */
   private replyAsHolder(shard: string, heartbeat: Heartbeat): HttpReply | null {
     const { activeRoles, election } = this.options;
     const heldRole = election.heldRole(shardRole(shard));
--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -1,10 +1,10 @@
-/** Notifies the holders of roles that the key-value store has something new for them. */
+/** Notifies the holders of roles of changes in the key-value store that concern them. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
 import { LEADER, shardRole, type RoleElection } from '../election/role-election.js';
 import type { Environment } from '../../protocol/environment.js';
 
-/** What a notifier works with. */
+/** Dependencies of the notifier. */
 export interface HolderNotifierOptions {
   /** Name of this controller. */
   readonly controllerName: string;
@@ -13,11 +13,17 @@
   readonly replica: StoreReplica;
 }
 
-/** Sends notifications to peers; a lost one only delays its receiver's next read. */
+/**
+ * Sends change notifications to peers. If one is lost, its receiver reads the change a little
+ * later, with its next regular watch.
+ */
 export class HolderNotifier {
   constructor(private readonly options: HolderNotifierOptions) {}
 
-  /** Notifies the holder of a role, unless it is this controller or there is none. */
+  /**
+   * Notifies the holder of a role, unless this controller holds it or nobody does. `cancelled`: the
+   * job that the change cancelled.
+   */
   notify(role: string, cancelled?: CancelledJob): void {
     const { environment, controllerName, replica, election } = this.options;
     const holder = election.holderOf(role);
@@ -31,8 +37,8 @@
   }
 
   /**
-   * Notifies the leader, and the holders of the shards that the jobs are assigned to.
-   * `cancellation`: the only job was cancelled; it has so many tasks.
+   * Notifies the leader and the holders of the shards to which the jobs are assigned.
+   * `cancellation`: `jobs` holds a single job, which was cancelled and has this many tasks.
    */
   notifyOfJobs(jobs: readonly string[], cancellation?: { tasks: number }): void {
     const shards = new Set<string>();
--- a/src/coordination/controller/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -1,22 +1,22 @@
-/** The metrics of one controller; loaded with their library when they are first scraped. */
+/** The metrics of a controller; this module and its library are loaded on the first request. */
 
 import { Gauge, Registry } from 'prom-client';
 import type { DetectionService } from '../failure-detection/detection-service.js';
 
-/** What the metrics are read from; a controller satisfies it. */
+/** Source of the metrics' values, implemented by `ControllerCore`. */
 export interface MetricsSource {
   /** The shards that this controller holds. */
   readonly heldShards: ReadonlyMap<string, { counts(): ShardCounts }>;
-  /** Null: this controller does not lead. */
+  /** Null: this controller is not the leader. */
   readonly leader: object | null;
   readonly replica: { readonly assignmentCount: number };
-  /** Null: failure detection is off. */
+  /** Null: failure detection is disabled. */
   readonly detection: DetectionService | null;
   /** ms since the replica was last known to be current. */
   replicaAgeMs(): number;
 }
 
-/** Machines and tasks of one shard. */
+/** Numbers of machines, placed tasks and waiting tasks of one shard. */
 interface ShardCounts {
   readonly machines: number;
   readonly placed: number;
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -11,13 +11,13 @@
 
 type RelayMessage = Extract<PeerMessage, { kind: 'relay' }>;
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface PeerEndpointOptions {
   readonly replica: StoreReplica;
   readonly peerRelay: PeerRelay;
   readonly userEndpoint: UserEndpoint;
   readonly heartbeatEndpoint: HeartbeatEndpoint;
-  /** Null: failure detection is off, and its messages are ignored. */
+  /** Null: failure detection is disabled, and its messages are ignored. */
   readonly detection: DetectionService | null;
 }
 
@@ -25,7 +25,7 @@
 export class PeerEndpoint {
   constructor(private readonly options: PeerEndpointOptions) {}
 
-  /** Handles a message; `respond` sends one back to its sender. */
+  /** Handles a message; `respond` sends a message back to its sender. */
   receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
     const { detection, peerRelay, replica } = this.options;
     switch (message.kind) {
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Applies a cancellation that a peer had confirmed, so that it is final: a holder that can't
-   * reach the key-value store stops the job's tasks now, long before its grace and their leases
-   * end.
+   * Applies a cancellation to the replica. It is final, because peers send it only after its
+   * commit. A holder that can't reach the key-value store thus stops the job's tasks now. Otherwise
+   * it would do so only after its grace period and the tasks' leases have expired.
    */
   private applyCancellation({ job, tasks }: CancelledJob, revision: number): void {
     const final: FinalRecord = { state: 'cancelled', tasks };
@@ -64,7 +64,7 @@
     ]);
   }
 
-  /** Null: this controller can't answer the relayed request. */
+  /** Serves a relayed request; null: this controller can't answer it, so no reply is sent. */
   private async handleRelayed({ operation, jobId, body }: RelayMessage): Promise<HttpReply | null> {
     const { userEndpoint, heartbeatEndpoint } = this.options;
     if (operation === 'heartbeat') return heartbeatEndpoint.handleRelayed(body);
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -1,4 +1,4 @@
-/** Passes requests of users and workers on to peers and waits for their replies. */
+/** Relays requests of users and workers to peers and waits for their replies. */
 import { RELAY_TIMEOUT_MS } from '../../constants/controller.js';
 import type { RelayOperation, PeerMessage } from '../../protocol/peer-messages.js';
 import type { HttpReply } from '../../transport/http-server.js';
@@ -12,34 +12,37 @@
   readonly body: string;
 }
 
-/** Replies that say for good that there is no such job, or that it can't be accepted. */
+/** Statuses of final replies: there is no such job, or the job can't be accepted. */
 const REFUSAL_STATUSES: readonly number[] = [400, 404, 422];
 
-/** A request that every version replies to at once: no job has this id. */
+/** Request to test whether a peer replies. No job has an empty id, so it is answered at once. */
 const PROBE: RelayRequest = { operation: 'poll', jobId: '', body: '' };
 
-/** How peers are asked one after the other. */
+/** Rules for relaying a request to several peers. */
 export interface RelayPolicy {
-  /** ms after which the next peer is asked as well. */
+  /** ms without a reply after which the request is sent to the next peer as well. */
   readonly nextPeerDelayMs: number;
-  /** ms after which no reply is waited for any more. */
+  /** ms after which the relay fails, although requests are pending. */
   readonly timeoutMs: number;
-  /** Whether a reply may be passed on; otherwise the next peer is asked. */
+  /** Whether a reply may be returned; otherwise the next peer is asked. */
   readonly isAcceptable: (reply: HttpReply) => boolean;
 }
 
-/** Relays requests, and matches peers' replies to those that are pending. */
+/** Relays requests to peers, and matches their replies to the pending requests. */
 export class PeerRelay {
   private readonly pendingRequests = new Map<number, (reply: HttpReply | null) => void>();
   private requestCount = 0;
-  /** Peers that left a request without a reply, and have not replied since. */
+  /** Peers to which a request timed out, and that have replied to none since. */
   private readonly unresponsivePeers = new Set<string>();
-  /** Unresponsive peers that are being asked whether they reply again. */
+  /** Unresponsive peers with a pending `PROBE`. */
   private readonly probedPeers = new Set<string>();
 
   constructor(private readonly environment: Environment) {}
 
-  /** The peer's reply; null: there is no connection to it, or no reply came in time. */
+  /**
+   * Relays a request to one peer and returns its reply; null: there is no connection, the request
+   * timed out, or the reply is a refusal without a proof.
+   */
   request(peer: string, { operation, jobId, body }: RelayRequest): Promise<HttpReply | null> {
     const { environment, pendingRequests } = this;
     return new Promise((resolve) => {
@@ -70,14 +73,12 @@
     });
   }
 
-  /**
-   * Peers to which a connection is open, without those that have left a request without a reply.
-   */
+  /** Returns the peers to which a connection is open, except the unresponsive ones. */
   responsivePeers(): string[] {
     return this.environment.connectedPeers().filter((peer) => !this.unresponsivePeers.has(peer));
   }
 
-  /** Probes unresponsive peers, each once at a time. */
+  /** Sends a `PROBE` to each unresponsive peer that has none pending. */
   probeUnresponsivePeers(): void {
     for (const peer of this.unresponsivePeers) {
       if (this.probedPeers.has(peer)) continue;
@@ -87,9 +88,10 @@
   }
 
   /**
-   * Asks the connected peers one after the other, unresponsive ones last. The next one is asked
-   * as soon as one refuses or is slow: it may be suspended, or behind a cut that drops packets.
-   * Null: none gave an acceptable reply in time.
+   * Relays a request to the connected peers one after the other, unresponsive ones last. The next
+   * peer is asked when one gives no acceptable reply, or none within `nextPeerDelayMs`: its process
+   * may be suspended, or a network fault may drop the packets. Null: no acceptable reply came in
+   * time.
    */
   requestFromAny(request: RelayRequest, policy: RelayPolicy): Promise<HttpReply | null> {
     const { clock } = this.environment;
@@ -130,8 +132,8 @@
   }
 
   /**
-   * Handles a peer's reply; one that came too late is ignored. A refusal without a proof counts
-   * as no reply: versions before this one may refuse a job that was accepted.
+   * Handles a peer's reply, and ignores it if its request has timed out. A refusal without a proof
+   * counts as no reply, because older versions may refuse a job that was accepted.
    */
   receiveReply({ id, status, body, isProven }: Extract<PeerMessage, { kind: 'relayed' }>): void {
     const isUnproven = REFUSAL_STATUSES.includes(status) && !isProven;
--- a/src/coordination/controller/request-log.ts
+++ b/src/coordination/controller/request-log.ts
@@ -1,11 +1,11 @@
-/** Logs periodically this controller's requests to the key-value store. */
+/** Logs the numbers of this controller's requests to the key-value store periodically. */
 import { REQUEST_LOG_INTERVAL_MS } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import type { Clock } from '../../transport/clock.js';
 import type { UserRequests } from '../api/user-requests.js';
 
-/** What the log reads. */
+/** Dependencies of the log. */
 export interface RequestLogOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -13,13 +13,13 @@
   readonly userRequests: UserRequests;
 }
 
-/** The periodic log of requests to the key-value store, by purpose. */
+/** Periodic log of the requests to the key-value store, counted by purpose. */
 export class RequestLog {
   private lastLoggedAt = -Infinity;
 
   constructor(private readonly options: RequestLogOptions) {}
 
-  /** Writes a log message if the last one is old enough. */
+  /** Writes a log message if the last one is at least `REQUEST_LOG_INTERVAL_MS` old. */
   writeIfDue(): void {
     const { clock, limiter, log, userRequests } = this.options;
     const now = clock.now();
@@ -29,7 +29,7 @@
     const submissions = Object.fromEntries(userRequests.submissionReplyCounts);
     log.info(
       { ...Object.fromEntries(acquiredCounts), refusals, submissions },
-      'key-value store requests',
+      'key-value store requests counted since start',
     );
   }
 }
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves users' requests: here, or through a peer where this controller can't. */
+/** Serves users' requests, through a peer where this controller can't serve them itself. */
 import {
   USER_POLL_TIMEOUT_MS,
   RETRY_AFTER_S,
@@ -29,14 +29,14 @@
   readonly body: string | null;
 }
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface UserEndpointOptions {
   readonly environment: Environment;
   readonly userRequests: UserRequests;
   readonly reachability: StoreReachability;
   readonly limiter: RateLimiter;
   readonly peerRelay: PeerRelay;
-  /** There are no other controllers. */
+  /** Whether this is the only controller. */
   readonly isAlone: boolean;
 }
 
@@ -45,10 +45,10 @@
   constructor(private readonly options: UserEndpointOptions) {}
 
   /**
-   * Whether users' requests can be answered here, or by a peer through this controller. In an
-   * outage that all controllers share it stays true, since one taken out of service is only let
-   * back in late. A controller that alone has lost the store and its peers would only keep users
-   * from those that can answer.
+   * Whether users' requests can be answered by this controller, or through it by a peer. During an
+   * outage of the key-value store that affects all controllers it stays true, since a controller
+   * that was taken out of service gets requests again only with a delay. It is false where only
+   * this controller has lost the store and its peers, since the others can answer its users.
    */
   get isReady(): boolean {
     const { isAlone, reachability, peerRelay, userRequests } = this.options;
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Serves a user, in the time that users wait. A reply that took longer is not sent: this process
-   * may have been suspended meanwhile, and other controllers may have given newer replies.
+   * Serves a user's request in the time that users wait. A reply that took longer is replaced by
+   * 503, because this process may have been suspended while other controllers gave newer replies.
    */
   async handle(request: UserRequest): Promise<HttpReply> {
     const { clock } = this.options.environment;
@@ -73,7 +73,7 @@
     return isOutdated && !isTemporary(reply) ? unavailable('too late') : reply;
   }
 
-  /** Serves a request by this controller alone. */
+  /** Serves a request without peers. */
   handleLocally({ operation, jobId, body }: UserRequest): Promise<HttpReply> {
     const { userRequests } = this.options;
     switch (operation) {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Serves a peer's request. What can't be decided now is refused at once: the peer may try
-   * another.
+   * Serves a request that a peer relayed. While the key-value store is unreachable, submissions and
+   * cancellations are refused at once, so that the peer can try another controller.
    */
   async handleRelayed(request: UserRequest): Promise<HttpReply> {
     const { reachability } = this.options;
@@ -96,7 +96,7 @@
     return this.handleLocally(request);
   }
 
-  /** The reply, or 503 after the deadline: a user is answered, not left waiting. */
+  /** Returns the reply, or 503 when it is not there by the deadline. */
   private withinDeadline(deadlineMs: number, reply: Promise<HttpReply>): Promise<HttpReply> {
     return new Promise((resolve, reject) => {
       const { clock } = this.options.environment;
@@ -106,8 +106,8 @@
   }
 
   /**
-   * A controller that can't reach the key-value store asks its peers, since one of them may reach
-   * it.
+   * Serves a request. While this controller is starting or can't reach the key-value store, it
+   * relays the request to its peers first, since one of them may reach the store.
    */
   private async relayOrHandleLocally(request: UserRequest): Promise<HttpReply> {
     const { limiter, reachability, userRequests } = this.options;
@@ -118,13 +118,14 @@
         isAcceptable: (reply) => !isTemporary(reply),
       });
       if (reply) return reply;
-      // What can't be decided here could only be held until its user gives up.
+      // Without the store no change can be committed, so its user would only wait for a time-out.
       if (userRequests.isReady && request.operation !== 'poll') {
         return storeUnreachable();
       }
     }
-    // A controller that is short of writes, usually the leader, has a peer commit: its decisions
-    // take precedence in what it may write, and a submission would wait behind them.
+    // A controller that is short of writes, usually the leader, relays submissions to a peer. Its
+    // own decisions take precedence within its limit of writes, and a submission would wait for
+    // them.
     if (request.operation === 'submit' && userRequests.isReady && limiter.supply === 'short') {
       const isAcceptable = ({ status }: HttpReply): boolean => status !== 503;
       const reply = await this.relayToPeers(request, {
@@ -146,7 +147,7 @@
 
 const storeUnreachable = (): HttpReply => unavailable('state service out of reach');
 
-/** A reply that says nothing of the job, only that the user should ask again. */
+/** Whether a reply says nothing about the job, only that the user should try again. */
 function isTemporary({ status }: HttpReply): boolean {
   return status === 429 || status >= 500;
 }
