--- a/src/coordination/api/absence-proof.ts
+++ b/src/coordination/api/absence-proof.ts
@@ -1,27 +1,30 @@
-/** Proves that the key-value store holds nothing on a job. */
+/** Proof that the key-value store holds no record of a job. */
 import type { Guard, CompareAndSwapResult } from '../../protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 
 /**
- * Proof that there was neither a record nor a final record of a job at one moment, which lies
- * after the request that it is used for. Code that answers that a job is unknown, or refuses a
- * submission, must hold one: a lookup without an answer, two reads at two moments, or a conflict
- * that names other keys prove nothing.
+ * Proof that a job had neither a record nor a final record at one moment after the arrival of the
+ * request for which the proof is used. A reply that a job is unknown, or a refusal of a submission,
+ * requires one. A lookup without an answer, two reads at two moments, and a conflict that names
+ * other keys prove nothing.
  */
 export class AbsenceProof {
-  /** Private, so that nothing else has the type of a proof. */
+  /** A private field, so that no object created elsewhere has the type of a proof. */
   readonly #job: string;
 
   private constructor(job: string) {
     this.#job = job;
   }
 
-  /** The job that is absent. */
+  /** Id of the absent job. */
   get job(): string {
     return this.#job;
   }
 
-  /** Null: these guards did not hold together, or they don't say that the job is absent. */
+  /**
+   * Returns the proof that a transaction with these guards gives; null: a guard failed, or the
+   * guards don't require that both records of the job are absent.
+   */
   static fromTransaction(
     job: string,
     guards: readonly Guard[],
--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -1,11 +1,14 @@
-/** Admission control: which jobs can never run, whatever finishes or is scaled out. */
+/**
+ * Admission control: finds jobs that can never run, whatever other jobs finish and whatever
+ * machines are added.
+ */
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 
 /** Returned instead of a reason while the machine types are not known yet. */
 export const MACHINE_TYPES_UNKNOWN = 'unknown';
 
-/** The reason why a job can never run, TYPES_UNKNOWN, or null if nothing speaks against it. */
+/** Returns the reason why a job can never run, or MACHINE_TYPES_UNKNOWN; null: it may run. */
 export function reasonNeverRunnable(
   spec: JobSpec,
   teams: readonly Team[],
@@ -35,7 +38,10 @@
   );
 }
 
-/** At most half of a spread gang may be in one zone, and all of it runs at the same time. */
+/**
+ * Whether a gang that must be spread can use too few zones: at most half of its tasks may be in one
+ * zone, and all of them run at the same time.
+ */
 function lacksZonesToSpread(spec: JobSpec, fitting: readonly MachineType[]): boolean {
   if (spec.kind !== 'gang' || !spec.spread || spec.tasks <= 1) return false;
   const zones = new Set(spec.zone === null ? fitting.flatMap((type) => type.zones) : [spec.zone]);
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -1,4 +1,4 @@
-/** Cancels jobs: the final record takes the place of the job's record in one transaction. */
+/** Cancels jobs: one transaction removes the job's record and creates its final record. */
 import { JOB_CHECK_TIMEOUT_MS, COMMIT_TIMEOUT_MS } from '../../constants/api.js';
 import { isJobId } from '../../protocol/user-codec.js';
 import type { CommitResult, Committer } from '../../storage/committer.js';
@@ -17,7 +17,7 @@
 } from './http-replies.js';
 import type { JobChecks } from './job-checks.js';
 
-/** What jobs are cancelled with. */
+/** Dependencies of cancellations. */
 export interface CancellationsOptions {
   replica: StoreReplica;
   checks: JobChecks;
@@ -26,11 +26,11 @@
   onCommitted: CommitListener;
 }
 
-/** Takes cancellations; none is confirmed before the key-value store holds it. */
+/** Handles cancellations; none is confirmed before it is committed to the key-value store. */
 export class Cancellations {
   constructor(private readonly options: CancellationsOptions) {}
 
-  /** Cancels a job; the reply says how it ended if it had finished before. */
+  /** Cancels a job; the reply has the job's final state if it had finished before. */
   async cancel(id: string): Promise<HttpReply> {
     const { replica, clock } = this.options;
     if (!isJobId(id)) return invalidJobId();
@@ -43,7 +43,10 @@
     return notCommittedInTime();
   }
 
-  /** Until the replica is loaded, only jobs that have finished or never existed get an answer. */
+  /**
+   * Answers while the replica is being loaded: only jobs that have finished or never existed get a
+   * final reply.
+   */
   private async cancelWhileLoading(id: string): Promise<HttpReply> {
     const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
     if (lookup.kind === 'absent') return noSuchJob(lookup.proof);
@@ -51,7 +54,7 @@
     return stillStarting();
   }
 
-  /** One try, by what the replica holds; null: the replica is newer now, so try again. */
+  /** Tries to cancel a job as the replica holds it; null: the replica was outdated, try again. */
   private async attempt(id: string, deadline: number): Promise<HttpReply | null> {
     const { replica, checks, onCommitted } = this.options;
     const final = replica.final(id);
@@ -71,7 +74,7 @@
     return null;
   }
 
-  /** As `attempt`, for a job whose record the replica does not hold. */
+  /** Does the same as `attempt` for a job whose record the replica does not hold. */
   private async cancelWithoutRecord(id: string): Promise<HttpReply | null> {
     const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
     if (lookup.kind === 'unknown') return notCommittedInTime();
@@ -79,7 +82,7 @@
     return lookup.job.isFinal ? stateReply(id, lookup.job.state) : null;
   }
 
-  /** Ends the job if its record has this revision still, and no final record is there. */
+  /** Commits the cancellation if the job's record has this revision and no final record exists. */
   private commit(
     id: string,
     revision: number,
--- a/src/coordination/api/commit-listener.ts
+++ b/src/coordination/api/commit-listener.ts
@@ -1,4 +1,7 @@
-/** The listener to committed submissions and cancellations. */
+/** Listener to committed submissions and cancellations. */
 
-/** Called with the ids of the jobs of each commit; `cancelled`: the job was cancelled by it. */
+/**
+ * Called after each commit with the ids of its jobs. `cancelled`: the commit cancelled the only
+ * job, which has this many tasks.
+ */
 export type CommitListener = (jobs: string[], cancelled?: { tasks: number }) => void;
--- a/src/coordination/api/http-replies.ts
+++ b/src/coordination/api/http-replies.ts
@@ -1,44 +1,44 @@
-/** The HTTP replies that more than one kind of request gets. */
+/** HTTP replies that several kinds of requests share. */
 import { RETRY_AFTER_S } from '../../constants/api.js';
 import type { JobState } from '../../protocol/model.js';
 import { encodeJobState } from '../../protocol/user-codec.js';
 import type { HttpReply } from '../../transport/http-server.js';
 import type { AbsenceProof } from './absence-proof.js';
 
-/** A reply with an error that the sender should not repeat the request for. */
+/** Reply with an error to a request that the sender should not repeat. */
 export const errorReply = (status: number, error: string): HttpReply => ({
   status,
   body: { error },
 });
 
-/** A reply with an error that may be gone when the sender tries again. */
+/** Reply with an error to a request that may succeed when the sender tries again. */
 export const temporaryError = (status: number, error: string): HttpReply => ({
   status,
   body: { error },
   retryAfterS: RETRY_AFTER_S,
 });
 
-/** The request can't be served now; the sender should try again later. */
+/** Reply 503 to a request that can't be served now, and may succeed later. */
 export const unavailable = (error: string): HttpReply => temporaryError(503, error);
 
-/** A reply with the state of a job. */
+/** Reply with the state of a job. */
 export const stateReply = (id: string, state: JobState, status = 200): HttpReply => ({
   status,
   body: encodeJobState(id, state),
 });
 
-/** The reply for an id that no accepted job can have, by its form. */
+/** Reply for an id whose form no accepted job's id has. */
 export const invalidJobId = (): HttpReply => errorReply(404, 'no such job');
 
-/** The reply for an id that no job had. */
+/** Reply for an id that no job has or had. */
 export const noSuchJob = ({ job }: AbsenceProof): HttpReply =>
   errorReply(404, `no such job: ${job}`);
 
-/** The reply until the replica is loaded. */
+/** Reply until the replica is loaded. */
 export const stillStarting = (): HttpReply => unavailable('starting');
 
-/** The reply when a lookup had no result. */
+/** Reply when the state of a job could not be looked up in the key-value store. */
 export const storeNotResponding = (): HttpReply => unavailable('state service does not answer');
 
-/** The reply when it is not known in time whether a change was committed. */
+/** Reply when it is not known in time whether a change was committed. */
 export const notCommittedInTime = (): HttpReply => unavailable('not committed in time');
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -1,28 +1,28 @@
-/** Job checks that wait to be sent, and all who wait for their results. */
+/** Queue of job checks that are not sent yet, and the requests that wait for their results. */
 import { MAX_WAITING_CHECKS } from '../../constants/api.js';
 import type { Clock } from '../../transport/clock.js';
 import { UNKNOWN_LOOKUP, type JobLookup } from './job-lookup.js';
 
 /** A request that waits for the result of a check. */
 interface Waiter {
-  /** Another one once this check was merged into a later one of the same job. */
+  /** The check whose result is awaited; replaced when it is merged into a later one of the job. */
   check: JobCheck;
   resolve: (lookup: JobLookup) => void;
-  /** Ends its timer: thousands left to run out would each wake the process. */
+  /** Cancels the time-out; without it, thousands of timers would each wake the process later. */
   cancelTimer: () => void;
 }
 
-/** A job to be checked, and all who wait for the result. */
+/** A job to be checked, and the requests that wait for the result. */
 export interface JobCheck {
   readonly id: string;
   readonly waiters: Set<Waiter>;
 }
 
-/** One check for each job, in the order in which they came. */
+/** Queue with at most one check per job, in order of arrival. */
 export class JobCheckQueue {
-  /** Checks that are not sent yet. */
+  /** Checks that are not sent yet, by the job's id. */
   private readonly pending = new Map<string, JobCheck>();
-  /** Waiters of all checks, of those that were sent too. */
+  /** Number of waiters of all checks, including those that were sent. */
   private waiterCount = 0;
 
   constructor(private readonly clock: Clock) {}
@@ -32,12 +32,15 @@
     return this.pending.size;
   }
 
-  /** Whether a further request may wait for the check of a job. */
+  /** Whether another request may wait for the check of a job. */
   mayWaitFor(id: string): boolean {
     return this.pending.has(id) || this.waiterCount < MAX_WAITING_CHECKS;
   }
 
-  /** Waits for the check of a job, which is queued if it is not yet; unknown after `timeoutMs`. */
+  /**
+   * Returns the result of a job's check, which is queued unless it already is; unknown after
+   * `timeoutMs`.
+   */
   waitFor(id: string, timeoutMs: number): Promise<JobLookup> {
     const check = this.pending.get(id) ?? { id, waiters: new Set() };
     this.pending.set(id, check);
@@ -50,8 +53,8 @@
   }
 
   /**
-   * Takes out the next checks, `maxCount` at the most. Those whose result `resultOf` knows by now
-   * are resolved with it instead.
+   * Removes and returns the next checks, at most `maxCount`. A check for which `resultOf` returns a
+   * result is resolved with it instead.
    */
   takeNext(maxCount: number, resultOf: (id: string) => JobLookup | null): JobCheck[] {
     const taken: JobCheck[] = [];
@@ -65,7 +68,7 @@
     return taken;
   }
 
-  /** Gives all who wait for a check its result. */
+  /** Resolves all waiters of a check with its result. */
   resolve(check: JobCheck, lookup: JobLookup): void {
     this.waiterCount -= check.waiters.size;
     for (const { resolve, cancelTimer } of check.waiters) {
@@ -75,7 +78,10 @@
     check.waiters.clear();
   }
 
-  /** Queues a check again that had no result, unless nobody waits for it any more. */
+  /**
+   * Queues a check again that got no result, unless all of its waiters have timed out. If a newer
+   * check of the job is queued already, the waiters are moved to it.
+   */
   putBack(check: JobCheck): void {
     if (check.waiters.size === 0) return;
     const newer = this.pending.get(check.id);
@@ -90,7 +96,7 @@
     check.waiters.clear();
   }
 
-  /** A waiter's time is up; a check that nobody waits for is not sent. */
+  /** Resolves a waiter that has timed out; a check without further waiters is not sent. */
   private expire(waiter: Waiter): void {
     const { check } = waiter;
     if (!check.waiters.delete(waiter)) return;
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -1,6 +1,6 @@
 /**
- * Checks of jobs with the key-value store: many jobs share one compare-and-swap without changes,
- * whose guards fail for those that are no longer as the replica has them.
+ * Checks jobs with the key-value store. Many jobs share one compare-and-swap without changes, whose
+ * guards fail for the jobs that differ from the replica.
  */
 import { GROUP_COMMIT_DELAY_MS, MAX_CONCURRENT_REREADS } from '../../constants/api.js';
 import { GUARDS_PER_OP } from '../../constants/protocol.js';
@@ -15,11 +15,11 @@
 import { UNKNOWN_LOOKUP, type JobLookup } from './job-lookup.js';
 import { JobVerifier } from './job-verifier.js';
 
-/** What the checks are made with. */
+/** Dependencies and limits of job checks. */
 export interface JobChecksOptions {
   /** Changes that one transaction may hold. */
   transactionOps: number;
-  /** ms between two checking transactions: what comes meanwhile shares the next. */
+  /** ms between two transactions that check jobs; checks that arrive in between share the next. */
   checkMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
@@ -28,16 +28,16 @@
   log: Log;
 }
 
-/** A check takes two guards: the job's record and its final record. */
+/** Guards of one check: one for the job's record and one for its final record. */
 const GUARDS_PER_CHECK = 2;
 
-/** Asks the key-value store what it holds on jobs now, many of them at a time. */
+/** Looks up the current state of jobs in the key-value store, many jobs per request. */
 export class JobChecks {
   private readonly queue: JobCheckQueue;
   private readonly verifier: JobVerifier;
   private readonly checksPerTransaction: number;
   private isScheduled = false;
-  /** Steady time of the last checking transaction. */
+  /** Steady time of the last transaction that checked jobs. */
   private lastCheckedAt = -Infinity;
 
   constructor(private readonly options: JobChecksOptions) {
@@ -47,7 +47,10 @@
     this.verifier = new JobVerifier(options);
   }
 
-  /** What the key-value store holds on a job now; unknown after `timeoutMs`. */
+  /**
+   * Returns what the key-value store holds on a job now; unknown after `timeoutMs`, or if too many
+   * requests wait.
+   */
   check(id: string, timeoutMs: number): Promise<JobLookup> {
     if (!this.queue.mayWaitFor(id)) return Promise.resolve(UNKNOWN_LOOKUP);
     const lookup = this.queue.waitFor(id, timeoutMs);
@@ -55,7 +58,7 @@
     return lookup;
   }
 
-  /** The next transaction does not wait for the answer to the one before: that may be slow. */
+  /** Schedules the next transaction, without waiting for the last one, which may be slow. */
   private schedule(): void {
     if (this.isScheduled || this.queue.size === 0) return;
     this.isScheduled = true;
@@ -68,7 +71,7 @@
   private async checkNextBatch(): Promise<void> {
     const { clock, limiter } = this.options;
     await limiter.acquire('check', 0);
-    // A job whose end the replica learned of meanwhile needs no check.
+    // A job needs no check if its final record has reached the replica in the meantime.
     const batch = this.queue.takeNext(this.checksPerTransaction, (id) =>
       this.verifier.finishedLookup(id),
     );
@@ -78,7 +81,10 @@
     await this.checkBatch(batch);
   }
 
-  /** A conflict proves nothing of the jobs that it does not name: they are checked again. */
+  /**
+   * Checks a batch of jobs. A conflict proves nothing about the jobs whose keys it does not name,
+   * so these are checked again.
+   */
   private async checkBatch(batch: JobCheck[]): Promise<void> {
     let remaining = batch;
     try {
@@ -92,16 +98,16 @@
         if (changed.length === 0) break;
         if (remaining.length > 0) await this.options.limiter.acquire('check', 0);
       }
-      this.giveUp(remaining, 'a conflict names none of the keys');
+      this.giveUp(remaining, 'conflict names none of the guarded keys');
     } catch (error) {
       this.retryOrGiveUp(remaining, error);
     }
   }
 
   /**
-   * One transaction for all; resolves them if all are as the replica has them at this moment.
-   * Otherwise the keys that are not. The guards are made when they are sent, so that they speak for
-   * everyone who asked before.
+   * Compares the batch with the replica in one transaction. Resolves all checks if no guard failed,
+   * and otherwise returns the keys whose guards failed. The guards are created when they are sent,
+   * so that the result is valid for every request that arrived before.
    */
   private async compare(batch: JobCheck[]): Promise<Set<string>> {
     const guards = this.verifier.guardsOf(batch.map(({ id }) => id));
@@ -124,7 +130,10 @@
     });
   }
 
-  /** A check that was not served is repeated while someone waits, unless the store refused it. */
+  /**
+   * Queues the checks of a failed request again. If the store rejected the request, and not for its
+   * rate limit (429), the checks are resolved as unknown instead.
+   */
   private retryOrGiveUp(batch: JobCheck[], error: unknown): void {
     const isRejected = error instanceof StoreRejectedError;
     if (isRejected && error.status !== 429) {
--- a/src/coordination/api/job-lookup.ts
+++ b/src/coordination/api/job-lookup.ts
@@ -1,32 +1,32 @@
-/** The result of looking a job up: what is known of it at the moment of asking. */
+/** The result of looking up a job. */
 import type { JobState } from '../../protocol/model.js';
 import type { FinalRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { AbsenceProof } from './absence-proof.js';
 
-/** A job as the key-value store holds it at the moment of asking. */
+/** A job as the key-value store held it at the time of the lookup. */
 interface KnownJob {
   state: JobState;
   /** Number of tasks that are done. */
   doneTasks: number;
   /** Number of tasks that run. */
   runningTasks: number;
-  /** The job has finished: its state never changes again. */
+  /** Whether the job has finished, so that its state never changes again. */
   isFinal: boolean;
 }
 
-/** Result of looking a job up. */
+/** Result of looking up a job. */
 export type JobLookup =
   | { kind: 'found'; job: KnownJob }
-  /** The key-value store held nothing on it when it was asked. */
+  /** The key-value store held no record of the job at the time of the lookup. */
   | { kind: 'absent'; proof: AbsenceProof }
-  /** The key-value store did not answer in time, or too many requests wait for it. */
+  /** The lookup had no result: no conclusive answer came in time, or too many requests wait. */
   | { kind: 'unknown' };
 
-/** Nothing can be said about the job. */
+/** The result when nothing is known about the job. */
 export const UNKNOWN_LOOKUP: JobLookup = { kind: 'unknown' };
 
-/** A job that has finished, by its final record. */
+/** Returns the result for a job that has finished, from its final record. */
 export function finishedJobLookup(record: FinalRecord): JobLookup {
   const doneTasks = record.state === 'done' ? record.tasks : 0;
   return {
@@ -35,7 +35,7 @@
   };
 }
 
-/** A job that has not finished, by the assignments that the replica holds of it. */
+/** Returns the result for a job that has not finished, from its assignments in the replica. */
 export function openJobLookup(replica: StoreReplica, id: string): JobLookup {
   let doneTasks = 0;
   let runningTasks = 0;
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -1,4 +1,4 @@
-/** Queries for the state of a job: users' polls, and what submissions ask first. */
+/** Queries for the state of jobs, made by users' polls and at the beginning of submissions. */
 import { JOB_CHECK_TIMEOUT_MS, FRESH_REPLICA_TIMEOUT_MS } from '../../constants/api.js';
 import { encodeJobView, isJobId } from '../../protocol/user-codec.js';
 import { jobKey } from '../../storage/keys.js';
@@ -9,7 +9,7 @@
 import { finishedJobLookup, openJobLookup, type JobLookup } from './job-lookup.js';
 import type { JobChecks } from './job-checks.js';
 
-/** A poll that waits for the answer to a watch request that is sent after the poll arrived. */
+/** A poll that waits for the response to a watch that is sent after the poll arrived. */
 interface FreshReplicaWaiter {
   /** Steady time at which the poll arrived. */
   arrivedAt: number;
@@ -17,7 +17,7 @@
   cancelTimer: () => void;
 }
 
-/** Answers from the replica where it is fresh enough, and from the key-value store otherwise. */
+/** Answers queries from the replica if it is current enough, else from the key-value store. */
 export class JobQueries {
   private readonly waiters = new Set<FreshReplicaWaiter>();
 
@@ -40,20 +40,23 @@
     return { status: 200, body: encodeJobView(id, state, doneTasks, runningTasks) };
   }
 
-  /** What is known of a job that the replica holds; null: it holds none, which proves nothing. */
+  /**
+   * Looks up a job unless the loaded replica holds no record of it; null: it holds none, which does
+   * not prove that the job is absent.
+   */
   lookUpIfKnown(id: string): Promise<JobLookup | null> {
     const final = this.replica.final(id);
     if (final) return Promise.resolve(finishedJobLookup(final));
-    // Until the replica is loaded nothing can be accepted, and finished jobs can only be looked up
-    // in the store.
+    // Until the replica is loaded no submission is accepted, and finished jobs can only be looked
+    // up in the store.
     if (this.replica.isLoaded && !this.replica.get(jobKey(id))) return Promise.resolve(null);
     return this.checks.check(id, JOB_CHECK_TIMEOUT_MS);
   }
 
   /**
-   * A job as the key-value store holds it now. What the replica shows of an open job after a
-   * watch that was sent after the poll came is as good as a request of its own, and costs no
-   * request; where changes are seldom, or the job is not in the replica, the store is asked.
+   * Looks up a job as the key-value store holds it now. Once a watch that was sent after the poll
+   * arrived is answered, the replica's state of an open job is as current as that of a separate
+   * request. Where changes are rare, or the replica does not hold the job, the store is asked.
    */
   private async lookUpNewest(id: string): Promise<JobLookup> {
     const before = this.replica.final(id);
@@ -66,7 +69,10 @@
     return this.checks.check(id, JOB_CHECK_TIMEOUT_MS - FRESH_REPLICA_TIMEOUT_MS);
   }
 
-  /** True once a watch request sent from now on is answered; false: it was not in time. */
+  /**
+   * Resolves with true once a watch that is sent from now on is answered, and with false if none is
+   * within `FRESH_REPLICA_TIMEOUT_MS`.
+   */
   private awaitFreshReplica(): Promise<boolean> {
     return new Promise((resolve) => {
       const waiter: FreshReplicaWaiter = {
@@ -82,7 +88,7 @@
     });
   }
 
-  /** A watch request that was sent at this steady time is answered. */
+  /** Resolves the polls that arrived before the steady time at which an answered watch was sent. */
   private resolveWaiters(sentAt: number): void {
     for (const waiter of this.waiters) {
       if (waiter.arrivedAt > sentAt) continue;
--- a/src/coordination/api/job-verifier.ts
+++ b/src/coordination/api/job-verifier.ts
@@ -1,4 +1,4 @@
-/** Decides what a check with the key-value store says of a job. */
+/** Derives the state of jobs from checks with the key-value store. */
 import type { CompareAndSwapResult, Guard, KeyValueStore } from '../../protocol/key-value-store.js';
 import { finalKey, jobKey } from '../../storage/keys.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
@@ -7,18 +7,18 @@
 import { AbsenceProof } from './absence-proof.js';
 import { UNKNOWN_LOOKUP, finishedJobLookup, openJobLookup, type JobLookup } from './job-lookup.js';
 
-/** What jobs are verified with. */
+/** Dependencies of the verifier. */
 export interface JobVerifierOptions {
   readonly replica: StoreReplica;
   readonly keyValueStore: KeyValueStore;
   readonly limiter: RateLimiter;
 }
 
-/** Compares the replica's view of jobs with the key-value store, and reads jobs that differ. */
+/** Compares jobs in the replica with the key-value store, and reads those that differ. */
 export class JobVerifier {
   constructor(private readonly options: JobVerifierOptions) {}
 
-  /** Guards that hold while each job is as the replica has it, and has not finished. */
+  /** Returns guards that hold if each job has not finished, and its record is the replica's. */
   guardsOf(ids: readonly string[]): Guard[] {
     const { replica } = this.options;
     return ids.flatMap((id) => [
@@ -27,19 +27,22 @@
     ]);
   }
 
-  /** What a transaction whose guards held together says of a job. */
+  /** Returns the result for a job after a transaction whose guards all held. */
   lookupOf(id: string, guards: readonly Guard[], result: CompareAndSwapResult): JobLookup {
     const proof = AbsenceProof.fromTransaction(id, guards, result);
     return proof ? { kind: 'absent', proof } : this.openLookup(id);
   }
 
-  /** The result for a job whose final record the replica holds; null: it holds none. */
+  /** Returns the result for a job whose final record the replica holds; null: it holds none. */
   finishedLookup(id: string): JobLookup | null {
     const final = this.options.replica.final(id);
     return final ? finishedJobLookup(final) : null;
   }
 
-  /** Reads a job whose guards failed; what is found goes into the replica too. */
+  /**
+   * Reads a job whose guards failed, and stores what it finds in the replica too. `isFinished`: the
+   * guard of the final record failed.
+   */
   async reread(id: string, isFinished: boolean): Promise<JobLookup> {
     const { limiter, keyValueStore, replica } = this.options;
     if (!isFinished) {
@@ -50,21 +53,24 @@
         return this.openLookup(id);
       }
     }
-    // The transaction that removes the job's record creates its final record, which stays.
+    // The transaction that removes a job's record creates its final record, which is never removed.
     await limiter.acquire('check', 0);
     const final = await keyValueStore.get(finalKey(id));
-    // Neither record: two reads at two moments don't prove that there was none all the time.
+    // Two reads at two moments don't prove that the job had neither record at one moment.
     if (!final) return UNKNOWN_LOOKUP;
     replica.keepFinal(id, final.value as FinalRecord);
     return finishedJobLookup(final.value as FinalRecord);
   }
 
-  /** A job that was open when it was checked; the replica may have learned of its end since. */
+  /**
+   * Returns the result for a job that was open when it was checked. If its final record has reached
+   * the replica since, the result is the final state.
+   */
   private openLookup(id: string): JobLookup {
     const { replica } = this.options;
     const finished = this.finishedLookup(id);
     if (finished) return finished;
-    // Without all assignments it can't be said whether tasks of it run.
+    // Until the replica holds all assignments, the number of running tasks is unknown.
     return replica.isLoaded ? openJobLookup(replica, id) : UNKNOWN_LOOKUP;
   }
 }
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -1,4 +1,4 @@
-/** Group commit of submissions: those that come within a few ms share one transaction. */
+/** Group commit of submissions: those that arrive within a few ms share one transaction. */
 import {
   GROUP_COMMIT_DELAY_MS,
   SUBMISSION_OVERHEAD_BYTES,
@@ -16,12 +16,13 @@
 import type { CommitListener } from './commit-listener.js';
 
 /**
- * What became of a submission: 'exists': there is or was a job with its id; 'unknown': not known in
- * time whether it was committed; 'invalid': the key-value store can't hold it.
+ * Outcome of a submission. 'exists': there is or was a job with its id; 'unknown': it is not known
+ * in time whether the job was committed; 'invalid': the key-value store can't hold the job's
+ * record.
  */
 export type SubmissionOutcome = 'accepted' | 'exists' | 'unknown' | 'invalid';
 
-/** What the queue commits with. */
+/** Dependencies and limits of the queue. */
 export interface SubmissionQueueOptions {
   /** Changes that one transaction may hold. */
   transactionOps: number;
@@ -39,24 +40,24 @@
   cancelTimer: () => void;
 }
 
-/** Submissions on their way to the key-value store, in the order in which they came. */
+/** Queue of submissions that wait for their commit, in order of arrival. */
 export class SubmissionQueue {
   private readonly queue: Submission[] = [];
   private isCommitting = false;
 
   constructor(private readonly options: SubmissionQueueOptions) {}
 
-  /** No further submission should be put in. */
+  /** Whether the queue is at its limit, so that no further submission should be added. */
   get isFull(): boolean {
     return this.queue.length >= MAX_QUEUED_SUBMISSIONS;
   }
 
-  /** Bytes that the job's record takes in the key-value store. */
+  /** Returns the size in bytes of the job's record in the key-value store. */
   recordBytes(spec: JobSpec): number {
     return bytesOf(this.recordOf(spec));
   }
 
-  /** Commits a new job; resolves with 'unknown' when that takes too long. */
+  /** Commits a new job; resolves with 'unknown' after `COMMIT_TIMEOUT_MS`. */
   commit(spec: JobSpec): Promise<SubmissionOutcome> {
     const { clock } = this.options;
     return new Promise((resolve) => {
@@ -95,7 +96,10 @@
     }
   }
 
-  /** Takes out what one transaction may hold; an id comes once, its repeats with the next group. */
+  /**
+   * Removes and returns the submissions for one transaction, within its limits. Each id occurs
+   * once; a repeated id ends the group.
+   */
   private takeGroup(): Submission[] {
     const group: Submission[] = [];
     const ids = new Set<string>();
@@ -122,7 +126,7 @@
     }
   }
 
-  /** One transaction that creates all jobs of the group, if none of them is or was there. */
+  /** Sends a transaction that creates all jobs of the group if none of them exists or existed. */
   private tryCommit(group: Submission[]): Promise<CommitResult> {
     const guards: Guard[] = [];
     const changes: Change[] = [];
@@ -142,14 +146,17 @@
     } else if (result.kind !== 'rejected') {
       this.resolveAll(group, 'unknown');
     } else if (group.length > 1) {
-      // One job must not take the others down: each is tried on its own.
+      // One invalid job must not make the others fail, so each is tried on its own.
       for (const one of group) await this.commitGroup([one]);
     } else {
       this.resolveAll(group, result.mayCommitLater ? 'unknown' : 'invalid');
     }
   }
 
-  /** What is left to commit of a group after its guards failed on these keys. */
+  /**
+   * Resolves the submissions whose jobs exist, after guards of a group failed on these keys;
+   * returns the submissions that are left to commit.
+   */
   private withoutExistingJobs(group: Submission[], failed: Set<string>): Submission[] {
     const exists = ({ spec }: Submission): boolean =>
       failed.has(jobKey(spec.id)) || failed.has(finalKey(spec.id));
@@ -157,7 +164,7 @@
     this.resolveAll(existing, 'exists');
     const remaining = group.filter((one) => !exists(one) && !one.isResolved);
     if (existing.length > 0) return remaining;
-    // Refused for no reason that these jobs give.
+    // No failed key belongs to these jobs, so the cause of the conflict is unknown.
     this.resolveAll(remaining, 'unknown');
     return [];
   }
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -1,4 +1,6 @@
-/** Answers submissions: a known id first, then what can't be accepted, then the commit. */
+/**
+ * Handles submissions: answers repeats, refuses jobs that can't be accepted, commits the others.
+ */
 import { JOB_CHECK_TIMEOUT_MS } from '../../constants/api.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
@@ -25,10 +27,10 @@
 
 const machineTypesUnknown = (): HttpReply => temporaryError(503, 'machine types not known yet');
 
-/** What the handler of submissions works with. */
+/** Dependencies and limits of submissions. */
 export interface SubmissionsOptions {
   teams: readonly Team[];
-  /** Bytes that the key-value store takes for one job's record. */
+  /** Largest size in bytes of a job's record in the key-value store. */
   valueBytes: number;
   replica: StoreReplica;
   checks: JobChecks;
@@ -36,19 +38,19 @@
   queue: SubmissionQueue;
 }
 
-/** Takes submissions; none is confirmed before the key-value store holds it. */
+/** Handles submissions; none is confirmed before it is committed to the key-value store. */
 export class Submissions {
   constructor(private readonly options: SubmissionsOptions) {}
 
-  /** Answers a submission with this body; null: the body was too long to be read. */
+  /** Answers a submission. `text`: its body; null: the body was longer than the limit. */
   async submit(text: string | null): Promise<HttpReply> {
     const json = parseJson(text);
     if (!json.ok) return errorReply(400, json.error);
     const id = submissionId(json.value);
     if (id === null) return errorReply(400, 'ref: must look like j-000412');
-    // A known id is answered first, whatever else the body says. A finished job stays finished; the
-    // end of another may not have reached this replica yet, and the answer must not be an older
-    // one.
+    // A known id is answered with the job's state, whatever else the body contains. A finished job
+    // stays finished. An open one is checked with the store, since its end may not have reached
+    // this replica yet and the reply must not be older than one that another controller gave.
     const lookup = await this.options.queries.lookUpIfKnown(id);
     if (lookup?.kind === 'found') return stateReply(id, lookup.job.state);
     if (!this.options.replica.isLoaded) return stillStarting();
@@ -60,23 +62,24 @@
     return reason === null ? this.accept(parsed.value) : this.refuse(id, 422, reason);
   }
 
-  /** Why a job can't be accepted if it is new, or MACHINE_TYPES_UNKNOWN; null: it can be. */
+  /** Returns why a new job can't be accepted, or MACHINE_TYPES_UNKNOWN; null: it can be. */
   private refusalReason(spec: JobSpec): string | null {
     const { teams, replica, queue, valueBytes } = this.options;
     const reason = reasonNeverRunnable(spec, teams, readCatalog(replica));
     if (reason !== null) return reason;
-    // Its record could never be written, and its user would be told to retry for ever.
+    // A larger record can never be written, so its user would retry without end.
     return queue.recordBytes(spec) > valueBytes ? RECORD_TOO_LARGE : null;
   }
 
-  /**
-   * Refuses a submission for good. Its job may have been accepted before, which must be ruled out.
-   */
+  /** Refuses a submission for good, unless its job was accepted before. */
   private refuse(id: string, status: 400 | 422, error: string): Promise<HttpReply> {
     return this.unlessKnown(id, () => errorReply(status, error));
   }
 
-  /** The state of the job if the key-value store holds it; this reply if it is proven absent. */
+  /**
+   * Replies with the job's state if the key-value store holds the job, and with the result of
+   * `replyOf` if the job is proven to be absent.
+   */
   private async unlessKnown(
     id: string,
     replyOf: (proof: AbsenceProof) => HttpReply,
@@ -92,7 +95,7 @@
     if (queue.isFull) return temporaryError(429, 'too many submissions');
     const outcome = await queue.commit(spec);
     if (outcome === 'accepted') return stateReply(spec.id, 'queued', 201);
-    // The key-value store may have taken the job before its limits became smaller.
+    // The key-value store may have accepted the job earlier, when its size limits were larger.
     if (outcome === 'invalid') return this.refuse(spec.id, 422, RECORD_TOO_LARGE);
     if (outcome === 'exists') return this.unlessKnown(spec.id, notCommittedInTime);
     return notCommittedInTime();
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -1,4 +1,4 @@
-/** Users' requests as a whole: builds the handlers of submissions, polls and cancellations. */
+/** Serves users' requests by the handlers of submissions, polls and cancellations. */
 import type { Team } from '../../protocol/settings.js';
 import type { KeyValueStore } from '../../protocol/key-value-store.js';
 import type { Committer } from '../../storage/committer.js';
@@ -14,14 +14,14 @@
 import { SubmissionQueue } from './submission-queue.js';
 import { Submissions } from './submissions.js';
 
-/** What users' requests are served with. */
+/** Dependencies and limits of users' requests. */
 export interface UserRequestsOptions {
   teams: readonly Team[];
   /** Changes that one transaction may hold. */
   transactionOps: number;
-  /** Bytes that the key-value store takes for one job's record. */
+  /** Largest size in bytes of a job's record in the key-value store. */
   valueBytes: number;
-  /** ms between two checking transactions: what comes meanwhile shares the next. */
+  /** ms between two transactions that check jobs; checks that arrive in between share the next. */
   checkMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
@@ -32,9 +32,9 @@
   onCommitted: CommitListener;
 }
 
-/** Serves users. No change is confirmed before the key-value store holds it. */
+/** Serves users' requests. No change is confirmed before it is committed to the key-value store. */
 export class UserRequests {
-  /** Number of replies to submissions by status, for the log of requests. */
+  /** Number of replies to submissions by HTTP status, for the log of requests. */
   readonly submissionReplyCounts = new Map<number, number>();
   private readonly replica: StoreReplica;
   private readonly submissions: Submissions;
@@ -50,12 +50,12 @@
     this.cancellations = new Cancellations({ ...options, checks });
   }
 
-  /** The replica is loaded, so that requests can be answered. */
+  /** Whether the replica is loaded, so that requests can be answered. */
   get isReady(): boolean {
     return this.replica.isLoaded;
   }
 
-  /** Answers a submission with this body; null: the body was too long to be read. */
+  /** Answers a submission. `text`: its body; null: the body was longer than the limit. */
   async submit(text: string | null): Promise<HttpReply> {
     const reply = await this.submissions.submit(text);
     this.submissionReplyCounts.set(
