--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -44,4 +44,4 @@
 export const MAX_CONCURRENT_REREADS = 4;
 
 /** Fraction of the store's limit of requests that the job checks of all controllers may take. */
-export const CHECK_RATE_SHARE = 0.1;
+export const CHECK_RATE_FRACTION = 0.1;
--- a/src/constants/controller.ts
+++ b/src/constants/controller.ts
@@ -35,7 +35,7 @@
  * Least pause of a woken loop, as a multiple of the CPU time of its last pass. With many machines a
  * pass takes long; the pause leaves most of a slow processor to heartbeats and users' requests.
  */
-export const REST_PER_CPU_TIME = 9;
+export const PAUSE_PER_CPU_TIME = 9;
 
 /** ms; interval at which a controller logs the number of its requests to the key-value store. */
 export const REQUEST_LOG_INTERVAL_MS = 20_000;
@@ -62,7 +62,7 @@
  * are equal, so that no two peers commit the same job at a time: the second commit would cost them
  * writes as well.
  */
-export const COMMIT_RELAY_TIMING = { nextPeerDelayMs: 2_500, timeoutMs: 2_500 };
+export const SHORT_OF_WRITES_RELAY_TIMING = { nextPeerDelayMs: 2_500, timeoutMs: 2_500 };
 
 /**
  * ms; a worker that sends a heartbeat to the same controller within this time after a redirect is
@@ -84,7 +84,7 @@
  * milliseconds; its connection stays open for the next call until a call to another worker needs
  * the socket.
  */
-export const DIRECT_SOCKET_SHARE = 0.125;
+export const DIRECT_SOCKET_FRACTION = 0.125;
 
 /**
  * Direct calls in flight at a time. Their answers are processed well within the duration of one
@@ -98,14 +98,14 @@
  * users' connections are closed after their response, so that workers can connect. After a restart
  * all workers connect to the few controllers that are up.
  */
-export const CROWDED_SOCKET_SHARE = 0.7;
+export const SOFT_CONNECTION_LIMIT_FRACTION = 0.7;
 
 /**
  * Hard limit of open connections, as a fraction of the same number. Above it, workers' connections
  * are closed after their response too. When only one controller is up, 4,000 workers need more
  * connections than it accepts, so they have to take turns.
  */
-export const FULL_SOCKET_SHARE = 0.9;
+export const HARD_CONNECTION_LIMIT_FRACTION = 0.9;
 
 /**
  * ms; an idle connection is closed after this: three heartbeat intervals of the slowest workers.
--- a/src/coordination/api/absence-proof.ts
+++ b/src/coordination/api/absence-proof.ts
@@ -32,8 +32,8 @@
   ): AbsenceProof | null {
     if (!result.ok) return null;
     const isAbsent = (key: string): boolean => {
-      const ofKey = guards.filter((guard) => guard.key === key);
-      return ofKey.length > 0 && ofKey.every((guard) => guard.revision === 0);
+      const guardsOfKey = guards.filter((guard) => guard.key === key);
+      return guardsOfKey.length > 0 && guardsOfKey.every((guard) => guard.revision === 0);
     };
     return isAbsent(jobKey(job)) && isAbsent(finalKey(job)) ? new AbsenceProof(job) : null;
   }
--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -14,16 +14,17 @@
   teams: readonly Team[],
   types: readonly MachineType[] | null,
 ): string | null {
-  const team = teams.find((one) => one.name === spec.team);
+  const team = teams.find((candidate) => candidate.name === spec.team);
   if (!team) return `crew: no team ${spec.team}`;
-  const times = spec.kind === 'array' ? 1 : spec.tasks;
-  if (spec.cpus * times > team.cpusMax || spec.gpus * times > team.gpusMax) {
+  const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
+  if (spec.cpus * concurrentTasks > team.cpusMax || spec.gpus * concurrentTasks > team.gpusMax) {
     return 'cores: more than the team may use';
   }
   if (types === null) return MACHINE_TYPES_UNKNOWN;
-  const fitting = types.filter((type) => fitsMachineType(spec, type));
-  if (fitting.length === 0) return 'larvae: a task fits no allowed machine type';
-  if (lacksZonesToSpread(spec, fitting)) return 'apart: all tasks at once would be in one zone';
+  const fittingTypes = types.filter((type) => fitsMachineType(spec, type));
+  if (fittingTypes.length === 0) return 'larvae: a task fits no allowed machine type';
+  if (lacksZonesToSpread(spec, fittingTypes))
+    return 'apart: all tasks at once would be in one zone';
   return null;
 }
 
@@ -42,8 +43,10 @@
  * Whether a gang that must be spread can use too few zones: at most half of its tasks may be in one
  * zone, and all of them run at the same time.
  */
-function lacksZonesToSpread(spec: JobSpec, fitting: readonly MachineType[]): boolean {
+function lacksZonesToSpread(spec: JobSpec, fittingTypes: readonly MachineType[]): boolean {
   if (spec.kind !== 'gang' || !spec.spread || spec.tasks <= 1) return false;
-  const zones = new Set(spec.zone === null ? fitting.flatMap((type) => type.zones) : [spec.zone]);
+  const zones = new Set(
+    spec.zone === null ? fittingTypes.flatMap((type) => type.zones) : [spec.zone],
+  );
   return spec.oneZone || zones.size < 2;
 }
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -82,7 +82,7 @@
    * Queues a check again that got no result, unless all of its waiters have timed out. If a newer
    * check of the job is queued already, the waiters are moved to it.
    */
-  putBack(check: JobCheck): void {
+  requeue(check: JobCheck): void {
     if (check.waiters.size === 0) return;
     const newer = this.pending.get(check.id);
     if (!newer) {
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -89,7 +89,7 @@
     let remaining = batch;
     try {
       while (remaining.length > 0) {
-        const failedKeys = await this.compare(remaining);
+        const failedKeys = await this.compareWithReplica(remaining);
         const isFailed = ({ id }: JobCheck): boolean =>
           failedKeys.has(jobKey(id)) || failedKeys.has(finalKey(id));
         const changed = remaining.filter(isFailed);
@@ -98,9 +98,9 @@
         if (changed.length === 0) break;
         if (remaining.length > 0) await this.options.limiter.acquire('check', 0);
       }
-      this.giveUp(remaining, 'conflict names none of the guarded keys');
+      this.resolveAsUnknown(remaining, 'conflict names none of the guarded keys');
     } catch (error) {
-      this.retryOrGiveUp(remaining, error);
+      this.requeueOrResolveAsUnknown(remaining, error);
     }
   }
 
@@ -109,7 +109,7 @@
    * and otherwise returns the keys whose guards failed. The guards are created when they are sent,
    * so that the result is valid for every request that arrived before.
    */
-  private async compare(batch: JobCheck[]): Promise<Set<string>> {
+  private async compareWithReplica(batch: JobCheck[]): Promise<Set<string>> {
     const guards = this.verifier.guardsOf(batch.map(({ id }) => id));
     const result = await this.options.keyValueStore.compareAndSwap(guards, []);
     if (!result.ok) return new Set(result.failed);
@@ -125,7 +125,7 @@
         const isFinished = failedKeys.has(finalKey(check.id));
         this.queue.resolve(check, await this.verifier.reread(check.id, isFinished));
       } catch (error) {
-        this.retryOrGiveUp([check], error);
+        this.requeueOrResolveAsUnknown([check], error);
       }
     });
   }
@@ -134,18 +134,18 @@
    * Queues the checks of a failed request again. If the store rejected the request, and not for its
    * rate limit (429), the checks are resolved as unknown instead.
    */
-  private retryOrGiveUp(batch: JobCheck[], error: unknown): void {
+  private requeueOrResolveAsUnknown(batch: JobCheck[], error: unknown): void {
     const isRejected = error instanceof StoreRejectedError;
     if (isRejected && error.status !== 429) {
-      this.giveUp(batch, String(error));
+      this.resolveAsUnknown(batch, String(error));
       return;
     }
     if (isRejected) this.options.limiter.reportRefusal(0);
-    for (const check of batch) this.queue.putBack(check);
+    for (const check of batch) this.queue.requeue(check);
     this.schedule();
   }
 
-  private giveUp(batch: JobCheck[], reason: string): void {
+  private resolveAsUnknown(batch: JobCheck[], reason: string): void {
     if (batch.length === 0) return;
     this.options.log.debug({ reason, jobs: batch.length }, 'job checks failed');
     for (const check of batch) this.queue.resolve(check, UNKNOWN_LOOKUP);
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -13,7 +13,7 @@
 interface FreshReplicaWaiter {
   /** Steady time at which the poll arrived. */
   arrivedAt: number;
-  resolve: (fresh: boolean) => void;
+  resolve: (isFresh: boolean) => void;
   cancelTimer: () => void;
 }
 
@@ -59,8 +59,8 @@
    * request. Where changes are rare, or the replica does not hold the job, the store is asked.
    */
   private async lookUpNewest(id: string): Promise<JobLookup> {
-    const before = this.replica.final(id);
-    if (before) return finishedJobLookup(before);
+    const knownFinal = this.replica.final(id);
+    if (knownFinal) return finishedJobLookup(knownFinal);
     if (this.replica.isLoaded && this.replica.job(id) && (await this.awaitFreshReplica())) {
       const final = this.replica.final(id);
       if (final) return finishedJobLookup(final);
--- a/src/coordination/api/job-verifier.ts
+++ b/src/coordination/api/job-verifier.ts
@@ -47,9 +47,11 @@
     const { limiter, keyValueStore, replica } = this.options;
     if (!isFinished) {
       await limiter.acquire('check', 0);
-      const live = await keyValueStore.get(jobKey(id));
-      if (live) {
-        replica.applyOwnChanges([{ key: jobKey(id), value: live.value, revision: live.revision }]);
+      const stored = await keyValueStore.get(jobKey(id));
+      if (stored) {
+        replica.applyOwnChanges([
+          { key: jobKey(id), value: stored.value, revision: stored.revision },
+        ]);
         return this.openLookup(id);
       }
     }
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -134,20 +134,20 @@
       guards.push({ key: jobKey(spec.id), revision: 0 }, { key: finalKey(spec.id), revision: 0 });
       changes.push({ key: jobKey(spec.id), value: this.recordOf(spec) });
     }
-    const isWanted = (): boolean => group.some((one) => !one.isResolved);
-    return this.options.committer.commit('submit', guards, changes, isWanted);
+    const isStillWanted = (): boolean => group.some((submission) => !submission.isResolved);
+    return this.options.committer.commit('submit', guards, changes, isStillWanted);
   }
 
   /** Resolves the submissions of a group by the result of their transaction. */
   private async resolveByResult(group: Submission[], result: CommitResult): Promise<void> {
     if (result.kind === 'done') {
       this.resolveAll(group, 'accepted');
-      this.options.onCommitted(group.map((one) => one.spec.id));
+      this.options.onCommitted(group.map((submission) => submission.spec.id));
     } else if (result.kind !== 'rejected') {
       this.resolveAll(group, 'unknown');
     } else if (group.length > 1) {
       // One invalid job must not make the others fail, so each is tried on its own.
-      for (const one of group) await this.commitGroup([one]);
+      for (const submission of group) await this.commitGroup([submission]);
     } else {
       this.resolveAll(group, result.mayCommitLater ? 'unknown' : 'invalid');
     }
@@ -162,7 +162,7 @@
       failed.has(jobKey(spec.id)) || failed.has(finalKey(spec.id));
     const existing = group.filter(exists);
     this.resolveAll(existing, 'exists');
-    const remaining = group.filter((one) => !exists(one) && !one.isResolved);
+    const remaining = group.filter((submission) => !exists(submission) && !submission.isResolved);
     if (existing.length > 0) return remaining;
     // No failed key belongs to these jobs, so the cause of the conflict is unknown.
     this.resolveAll(remaining, 'unknown');
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -78,16 +78,16 @@
 
   /**
    * Replies with the job's state if the key-value store holds the job, and with the result of
-   * `replyOf` if the job is proven to be absent.
+   * `replyIfAbsent` if the job is proven to be absent.
    */
   private async unlessKnown(
     id: string,
-    replyOf: (proof: AbsenceProof) => HttpReply,
+    replyIfAbsent: (proof: AbsenceProof) => HttpReply,
   ): Promise<HttpReply> {
-    const stored = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
-    if (stored.kind === 'unknown') return storeNotResponding();
-    if (stored.kind === 'found') return stateReply(id, stored.job.state);
-    return replyOf(stored.proof);
+    const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
+    if (lookup.kind === 'unknown') return storeNotResponding();
+    if (lookup.kind === 'found') return stateReply(id, lookup.job.state);
+    return replyIfAbsent(lookup.proof);
   }
 
   private async accept(spec: JobSpec): Promise<HttpReply> {
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -59,9 +59,9 @@
   /** The roles that have used half of their term's numbers, such as attempts and fencing tokens. */
   rolesNeedingTermRenewal(): string[] {
     const shards = [...this.shards].filter(([, shard]) => shard.needsTermRenewal);
-    const election = shards.map(([name]) => shardRole(name));
-    if (this.activeLeader?.needsTermRenewal) election.push(LEADER);
-    return election;
+    const roles = shards.map(([name]) => shardRole(name));
+    if (this.activeLeader?.needsTermRenewal) roles.push(LEADER);
+    return roles;
   }
 
   /** Runs one scheduling cycle; notifies the holders of shards that got urgent work. */
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -2,7 +2,7 @@
 import {
   LOOP_COALESCE_MS,
   LOOP_INTERVAL_MS,
-  REST_PER_CPU_TIME,
+  PAUSE_PER_CPU_TIME,
 } from '../../constants/controller.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
@@ -54,7 +54,7 @@
 
   private coalesceMs(): number {
     const costMs = this.options.lastCycleCpuMs?.() ?? 0;
-    return Math.max(LOOP_COALESCE_MS, costMs * REST_PER_CPU_TIME);
+    return Math.max(LOOP_COALESCE_MS, costMs * PAUSE_PER_CPU_TIME);
   }
 
   private async run(): Promise<void> {
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -4,7 +4,7 @@
   LEADER_COALESCE_MS,
   STANDBY_INTERVAL_MS,
   LOOP_INTERVAL_MS,
-  REST_PER_CPU_TIME,
+  PAUSE_PER_CPU_TIME,
   ELECTION_INTERVAL_MS,
 } from '../../constants/controller.js';
 import { ARMS, NODES, ROLES } from '../../storage/keys.js';
@@ -88,9 +88,9 @@
     const peerRelay = new PeerRelay(environment);
     this.peerRelay = peerRelay;
     const { node } = settings;
-    const isAlone = settings.peers.length === 0;
-    const userServices = { environment, userRequests, reachability, limiter, peerRelay, isAlone };
-    this.userEndpoint = new UserEndpoint(userServices);
+    const isSingle = settings.peers.length === 0;
+    const userOptions = { environment, userRequests, reachability, limiter, peerRelay, isSingle };
+    this.userEndpoint = new UserEndpoint(userOptions);
     this.heartbeatEndpoint = new HeartbeatEndpoint({
       controllerName: node,
       clock,
@@ -207,7 +207,7 @@
         name: 'leader',
         reconcile: () => activeRoles.reconcileLeader(),
         lastCycleCpuMs: () =>
-          Math.max(LEADER_COALESCE_MS / REST_PER_CPU_TIME, this.leader?.lastCycleCpuMs ?? 0),
+          Math.max(LEADER_COALESCE_MS / PAUSE_PER_CPU_TIME, this.leader?.lastCycleCpuMs ?? 0),
         intervalMs: () => (this.leader ? LOOP_INTERVAL_MS : STANDBY_INTERVAL_MS),
       }),
       autoscaler: loop({
@@ -230,7 +230,7 @@
     this.requestLog.writeIfDue();
     this.detection?.recordProbeTimesIfDue();
     for (const shard of [...this.heldShards.values()]) await shard.reconcile();
-    this.heartbeatEndpoint.forgetOldRedirects();
+    this.heartbeatEndpoint.removeExpiredForwardTimes();
     this.peerRelay.probeUnresponsivePeers();
   }
 
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -1,7 +1,7 @@
 /**
  * Creates the services that all modules of a controller share, in the order of their dependencies.
  */
-import { CHECK_RATE_SHARE } from '../../constants/api.js';
+import { CHECK_RATE_FRACTION } from '../../constants/api.js';
 import { WATCH_GRACE_SHARE } from '../../constants/election.js';
 import { WATCH_HOLD_MS, WATCH_SHARE, WATCH_SPACING_MS } from '../../constants/storage.js';
 import { Committer } from '../../storage/committer.js';
@@ -65,18 +65,18 @@
 
 /** Creates the services of a controller. */
 export function createControllerServices(options: ControllerServicesOptions): ControllerServices {
-  const store = createStoreServices(options);
-  const detection = createDetection(store, () => election);
-  const election = createElection(store, detection?.policy ?? STORE_ONLY_POLICY);
+  const storageServices = createStorageServices(options);
+  const detection = createDetection(storageServices, () => election);
+  const election = createElection(storageServices, detection?.policy ?? STORE_ONLY_POLICY);
   const { environment, settings } = options;
-  const { replica } = store;
+  const { replica } = storageServices;
   const holderNotifier = new HolderNotifier({
     controllerName: settings.node,
     environment,
     election,
     replica,
   });
-  const withElection = { ...store, election, detection, holderNotifier };
+  const withElection = { ...storageServices, election, detection, holderNotifier };
   return { ...withElection, userRequests: createUserRequests(withElection) };
 }
 
@@ -84,12 +84,12 @@
  * ms between two requests of one controller with which all controllers together take this fraction
  * of the key-value store's limit of requests.
  */
-function requestSpacingMs({ peers, storeRps }: Settings, share: number): number {
+function requestSpacingMs({ peers, storeRps }: Settings, fraction: number): number {
   const memberCount = peers.length + 1;
-  return (1000 * memberCount) / (storeRps * share);
+  return (1000 * memberCount) / (storeRps * fraction);
 }
 
-function createStoreServices(options: ControllerServicesOptions): StorageServices {
+function createStorageServices(options: ControllerServicesOptions): StorageServices {
   const { environment, incarnation, log, settings } = options;
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
@@ -163,7 +163,7 @@
     teams: settings.teams,
     transactionOps: settings.transactionOps,
     valueBytes: settings.valueBytes,
-    checkMs: requestSpacingMs(settings, CHECK_RATE_SHARE),
+    checkMs: requestSpacingMs(settings, CHECK_RATE_FRACTION),
     replica,
     keyValueStore,
     limiter,
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -6,11 +6,11 @@
 import { RETRY_AFTER_S } from '../../constants/api.js';
 import {
   CLOUD_TIMEOUT_MS,
-  CROWDED_SOCKET_SHARE,
+  SOFT_CONNECTION_LIMIT_FRACTION,
   MAX_CONCURRENT_DIRECT_CALLS,
-  DIRECT_SOCKET_SHARE,
+  DIRECT_SOCKET_FRACTION,
   DIRECT_CALL_TIMEOUT_MS,
-  FULL_SOCKET_SHARE,
+  HARD_CONNECTION_LIMIT_FRACTION,
   KEEP_ALIVE_MS,
   MAX_PEER_FRAME_BYTES,
   PEER_RECONNECT_MS,
@@ -50,12 +50,12 @@
 }
 
 function divideSockets(sockets: number): SocketBudget {
-  const direct = Math.floor(sockets * DIRECT_SOCKET_SHARE);
+  const direct = Math.floor(sockets * DIRECT_SOCKET_FRACTION);
   return { direct, connections: sockets - direct - RESERVED_SOCKETS };
 }
 
-function readinessReply(node: ControllerCore): HttpReply {
-  return node.isReady
+function readinessReply(core: ControllerCore): HttpReply {
+  return core.isReady
     ? { status: 200, body: { ready: true } }
     : { status: 503, body: { ready: false }, retryAfterS: RETRY_AFTER_S };
 }
@@ -66,32 +66,32 @@
   return [{ method: 'GET', path: '/detections', handle }];
 }
 
-function createRoutes(node: ControllerCore): Route[] {
+function createRoutes(core: ControllerCore): Route[] {
   return [
-    ...detectionRoutes(node.detection),
+    ...detectionRoutes(core.detection),
     {
       method: 'POST',
       path: '/checkin',
       keepsConnection: true,
-      handle: ({ text }) => node.handleHeartbeat(text),
+      handle: ({ text }) => core.handleHeartbeat(text),
     },
     {
       method: 'POST',
       path: '/v2/runs',
-      handle: ({ text }) => node.handleUserRequest('submit', '', text),
+      handle: ({ text }) => core.handleUserRequest('submit', '', text),
     },
     {
       method: 'GET',
       path: '/v2/runs/:id',
-      handle: ({ id }) => node.handleUserRequest('poll', id, null),
+      handle: ({ id }) => core.handleUserRequest('poll', id, null),
     },
     {
       method: 'POST',
       path: '/v2/runs/:id/cancel',
-      handle: ({ id }) => node.handleUserRequest('cancel', id, null),
+      handle: ({ id }) => core.handleUserRequest('cancel', id, null),
     },
-    { method: 'GET', path: '/metrics', handle: () => node.metrics() },
-    { method: 'GET', path: '/ready', handle: () => readinessReply(node) },
+    { method: 'GET', path: '/metrics', handle: () => core.metrics() },
+    { method: 'GET', path: '/ready', handle: () => readinessReply(core) },
   ];
 }
 
@@ -99,20 +99,20 @@
   return {
     bodyBytes: MAX_BODY_BYTES,
     connections,
-    crowded: Math.floor(connections * CROWDED_SOCKET_SHARE),
-    full: Math.floor(connections * FULL_SOCKET_SHARE),
+    crowded: Math.floor(connections * SOFT_CONNECTION_LIMIT_FRACTION),
+    full: Math.floor(connections * HARD_CONNECTION_LIMIT_FRACTION),
     keepAliveMs: KEEP_ALIVE_MS,
   };
 }
 
-function createPeerOptions(node: ControllerCore): PeerLinkOptions {
+function createPeerOptions(core: ControllerCore): PeerLinkOptions {
   return {
     clock: systemClock,
     retryMs: PEER_RECONNECT_MS,
     maxFrameBytes: MAX_PEER_FRAME_BYTES,
-    onFrame: (frame, answer) => {
+    onFrame: (frame, respond) => {
       const message = decodePeer(frame);
-      if (message) node.receive(message, (reply) => answer(encodePeer(reply)));
+      if (message) core.receive(message, (reply) => respond(encodePeer(reply)));
     },
   };
 }
@@ -154,7 +154,7 @@
 /** A controller with its sockets, on the real clock. */
 export class Controller {
   private constructor(
-    private readonly node: ControllerCore,
+    private readonly core: ControllerCore,
     private readonly links: Map<string, PeerLink>,
     private readonly servers: (Server | net.Server)[],
     private readonly clients: { close(): void }[],
@@ -167,26 +167,26 @@
     const { environment, clients } = connectEnvironment(settings, direct, links);
     const incarnation = randomUUID();
     const createDetection = await loadDetection(settings);
-    const node = new ControllerCore({ settings, environment, log, incarnation, createDetection });
-    const http = await listenHttp(
+    const core = new ControllerCore({ settings, environment, log, incarnation, createDetection });
+    const httpServer = await listenHttp(
       settings.listen,
-      createRoutes(node),
+      createRoutes(core),
       serverLimits(connections),
       (error) => log.error({ error: String(error) }, 'HTTP request handler failed'),
     );
-    const peerOptions = createPeerOptions(node);
-    const peers = await listenPeers(settings.peerListen, peerOptions);
-    node.start();
+    const peerOptions = createPeerOptions(core);
+    const peerServer = await listenPeers(settings.peerListen, peerOptions);
+    core.start();
     for (const peer of settings.peers) {
       links.set(peer.node, new PeerLink(peer.address, peerOptions));
     }
     log.info({ node: settings.node, incarnation }, 'controller started');
-    return new Controller(node, links, [http, peers], clients);
+    return new Controller(core, links, [httpServer, peerServer], clients);
   }
 
   /** Stops the core and closes all sockets. */
   stop(): void {
-    this.node.stop();
+    this.core.stop();
     for (const link of this.links.values()) link.close();
     for (const server of this.servers) server.close();
     for (const client of this.clients) client.close();
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -29,7 +29,7 @@
 /** The endpoint of workers' heartbeats. */
 export class HeartbeatEndpoint {
   /** Steady time at which each machine's last heartbeat was redirected or relayed. */
-  private readonly redirectedAt = new Map<string, number>();
+  private readonly lastForwardedAt = new Map<string, number>();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
@@ -48,9 +48,9 @@
     const holder = election.holderOf(shardRole(shard));
     if (holder === null || holder === controllerName) return unavailable('no owner acts');
     const now = clock.now();
-    const lastRedirectedAt = this.redirectedAt.get(machine);
-    this.redirectedAt.set(machine, now);
-    if (lastRedirectedAt === undefined || now - lastRedirectedAt > REDIRECT_RETRY_MS) {
+    const previousForwardedAt = this.lastForwardedAt.get(machine);
+    this.lastForwardedAt.set(machine, now);
+    if (previousForwardedAt === undefined || now - previousForwardedAt > REDIRECT_RETRY_MS) {
       return { status: 421, body: encodeRedirect(holder) };
     }
     // A worker that sends its heartbeat here again so soon after a redirect can't reach the holder,
@@ -72,10 +72,10 @@
   }
 
   /** Removes entries older than `REDIRECT_RETRY_MS`, which no longer cause a heartbeat's relay. */
-  forgetOldRedirects(): void {
+  removeExpiredForwardTimes(): void {
     const now = this.options.clock.now();
-    for (const [machine, at] of this.redirectedAt) {
-      if (now - at > REDIRECT_RETRY_MS) this.redirectedAt.delete(machine);
+    for (const [machine, at] of this.lastForwardedAt) {
+      if (now - at > REDIRECT_RETRY_MS) this.lastForwardedAt.delete(machine);
     }
   }
 
--- a/src/coordination/controller/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -25,28 +25,28 @@
 
 type AddGauge = (name: string, help: string, read: () => number) => void;
 
-function addDetectionGauges(detection: DetectionService, gauge: AddGauge): void {
+function addDetectionGauges(detection: DetectionService, addGauge: AddGauge): void {
   const { counts, probeCounts } = detection;
-  gauge('suspicions', 'Peers that were suspected', () => counts.suspicions);
-  gauge('suspicions_refuted', 'Suspected peers that answered in time', () => counts.refutations);
-  gauge('failures_detected', 'Peers that were found failed', () => counts.failures);
-  gauge('failures_false', 'Of these, peers that answered again', () => counts.falseFailures);
-  gauge('detection_ms', 'Sum of the time from the last answer to the verdict', () => {
+  addGauge('suspicions', 'Peers that were suspected', () => counts.suspicions);
+  addGauge('suspicions_refuted', 'Suspected peers that answered in time', () => counts.refutations);
+  addGauge('failures_detected', 'Peers that were found failed', () => counts.failures);
+  addGauge('failures_false', 'Of these, peers that answered again', () => counts.falseFailures);
+  addGauge('detection_ms', 'Sum of the time from the last answer to the verdict', () => {
     return counts.detectionMs;
   });
-  gauge('probes_sent', 'Probes of peers', () => probeCounts.sent);
-  gauge('probes_failed', 'Probes of peers without an answer', () => probeCounts.failed);
-  gauge('detector_bytes_sent', 'Bytes of probes and answers', () => detection.bytesSent);
-  gauge('detector_messages_dropped', 'Messages and rumours passed over', () =>
+  addGauge('probes_sent', 'Probes of peers', () => probeCounts.sent);
+  addGauge('probes_failed', 'Probes of peers without an answer', () => probeCounts.failed);
+  addGauge('detector_bytes_sent', 'Bytes of probes and answers', () => detection.bytesSent);
+  addGauge('detector_messages_dropped', 'Messages and rumours passed over', () =>
     Object.values(counts.dropped).reduce((sum, count) => sum + count, 0),
   );
-  gauge('local_health', '0: trusts its own observations', () => detection.localHealthScore);
+  addGauge('local_health', '0: trusts its own observations', () => detection.localHealthScore);
 }
 
 /** Returns a function that renders the metrics in the Prometheus text format. */
 export function createMetricsReader(source: MetricsSource): () => Promise<string> {
   const registry = new Registry();
-  const gauge = (name: string, help: string, read: () => number): void => {
+  const addGauge = (name: string, help: string, read: () => number): void => {
     new Gauge({
       name: `mothbank_${name}`,
       help,
@@ -58,18 +58,18 @@
   };
   const sumOverShards = (count: keyof ShardCounts): number =>
     [...source.heldShards.values()].reduce((sum, shard) => sum + shard.counts()[count], 0);
-  gauge('view_age_ms', 'Age of the view of the state service', () => source.replicaAgeMs());
-  gauge('leader', '1 on the node that leads', () => (source.leader ? 1 : 0));
-  gauge('parts', 'Parts that this node owns', () => source.heldShards.size);
-  gauge('machines', 'Machines of these parts', () => sumOverShards('machines'));
-  gauge('tasks_placed', 'Tasks placed on them', () => sumOverShards('placed'));
-  gauge('tasks_waiting', 'Tasks that wait in them for room', () => sumOverShards('waiting'));
-  gauge(
+  addGauge('view_age_ms', 'Age of the view of the state service', () => source.replicaAgeMs());
+  addGauge('leader', '1 on the node that leads', () => (source.leader ? 1 : 0));
+  addGauge('parts', 'Parts that this node owns', () => source.heldShards.size);
+  addGauge('machines', 'Machines of these parts', () => sumOverShards('machines'));
+  addGauge('tasks_placed', 'Tasks placed on them', () => sumOverShards('placed'));
+  addGauge('tasks_waiting', 'Tasks that wait in them for room', () => sumOverShards('waiting'));
+  addGauge(
     'chunks',
     'Ranges of tasks of all jobs that are not over',
     () => source.replica.assignmentCount,
   );
   const { detection } = source;
-  if (detection) addDetectionGauges(detection, gauge);
+  if (detection) addDetectionGauges(detection, addGauge);
   return () => registry.metrics();
 }
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -7,7 +7,7 @@
 import {
   POLL_DEADLINE_MS,
   CHANGE_RELAY_TIMING,
-  COMMIT_RELAY_TIMING,
+  SHORT_OF_WRITES_RELAY_TIMING,
   POLL_RELAY_TIMING,
   CHANGE_DEADLINE_MS,
 } from '../../constants/controller.js';
@@ -37,7 +37,7 @@
   readonly limiter: RateLimiter;
   readonly peerRelay: PeerRelay;
   /** Whether this is the only controller. */
-  readonly isAlone: boolean;
+  readonly isSingle: boolean;
 }
 
 /** The endpoint of users' requests. */
@@ -51,9 +51,9 @@
    * this controller has lost the store and its peers, since the others can answer its users.
    */
   get isReady(): boolean {
-    const { isAlone, reachability, peerRelay, userRequests } = this.options;
+    const { isSingle, reachability, peerRelay, userRequests } = this.options;
     if (peerRelay.responsivePeers().length > 0) return true;
-    return userRequests.isReady && (isAlone || reachability.isReachable);
+    return userRequests.isReady && (isSingle || reachability.isReachable);
   }
 
   /**
@@ -129,7 +129,7 @@
     if (request.operation === 'submit' && userRequests.isReady && limiter.supply === 'short') {
       const isAcceptable = ({ status }: HttpReply): boolean => status !== 503;
       const reply = await this.relayToPeers(request, {
-        ...COMMIT_RELAY_TIMING,
+        ...SHORT_OF_WRITES_RELAY_TIMING,
         isAcceptable,
       });
       if (reply) return isTemporary(reply) ? { ...reply, retryAfterS: RETRY_AFTER_S } : reply;
