--- a/test/api/accepted-job-lookups.test.ts
+++ b/test/api/accepted-job-lookups.test.ts
@@ -1,4 +1,8 @@
-/** An accepted job is never answered as absent, or refused, whatever this controller had seen of it. */
+/**
+ * Guards against replies that an accepted job is absent, or is refused. They come about when a
+ * controller's replica lacks the job, holds an older state of it, or gets an answer from the
+ * key-value store that proves nothing.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_WAITING_CHECKS } from '../../src/constants/api.js';
@@ -17,17 +21,17 @@
 /** The record of a job that another controller accepted. */
 const recordOf = (id: string): { spec: JobSpec; at: number } => ({ spec: { ...SPEC, id }, at: 0 });
 
-// Checks of one job shared a transaction with one guard: the last one's. Where the controller heard
-// of the job between two checks, the guard said that the job is there, and the first was told that
-// it is absent.
-test('forgotten: a controller hears of an accepted job between two requests about it', async () => {
+// Two checks of one job shared a transaction with the guard of the later check alone. If the job
+// reached the replica between the two, this guard required the job's record and held, and the first
+// check returned nevertheless that the job is absent.
+test('accepted jobs: when a job reaches the replica between two requests about it, both get its state', async () => {
   const wrong: string[] = [];
   const orders = REQUESTS.flatMap((first) =>
     REQUESTS.map((second): [UserRequestKind, UserRequestKind] => [first, second]),
   );
   for (const [first, second] of orders) {
     const node = await userRequestsFixture();
-    // The transaction of another job holds the next one back, so that both checks share it.
+    // The check of another job delays the next transaction, so that both checks share it.
     const other = node.request('poll', 'j-000001');
     await node.clock.run(node.clock.now() + 50);
     node.state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
@@ -46,17 +50,17 @@
 
 type UserNode = Awaited<ReturnType<typeof userRequestsFixture>>;
 
-/** What the key-value store says, and what no controller may conclude from it. */
+/** A state or answer of the key-value store, and the status that each request must get. */
 interface Answer {
   name: string;
-  /** What is prepared before the job is asked about. */
+  /** Prepares the store and the controller before the job is requested. */
   prepare: (node: UserNode) => void;
   expected: Record<UserRequestKind, number>;
-  /** The operators are told of an error, by a repeated submission. */
+  /** Whether a repeated submission logs an error for the operators. */
   isLogged?: true;
 }
 
-/** Another controller accepted the job, and this one has not heard of it. */
+/** Lets another controller accept the job, while this one's replica no longer receives changes. */
 function accept({ state, replica }: UserNode): void {
   replica.stop();
   state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
@@ -70,7 +74,8 @@
 const KNOWN = { poll: 200, repeat: 200, malformed: 200, unfit: 200, cancel: 200 };
 const UNSURE = { poll: 503, repeat: 503, malformed: 503, unfit: 503, cancel: 503 };
 
-// Each was answered 404, 400 or 422 where it is not 200 or 503 here.
+// Guards against statuses 404, 400 and 422, which each of these cases got in place of the 200 or
+// 503 expected here.
 const ANSWERS: Answer[] = [
   { name: 'an accepted job', prepare: accept, expected: KNOWN },
   {
@@ -113,7 +118,7 @@
     name: 'a limit on values that has become too small for it',
     prepare: (node) => {
       accept(node);
-      // An end still fits.
+      // A final record still fits.
       node.state.valueBytes = 40;
     },
     expected: KNOWN,
@@ -129,7 +134,7 @@
   },
 ];
 
-test('forgotten: a job counts as absent only if an answered transaction says so', async () => {
+test('accepted jobs: a job is reported as absent only after a transaction has proven it', async () => {
   const wrong: string[] = [];
   for (const { name, prepare, expected, isLogged } of ANSWERS) {
     for (const ask of REQUESTS) {
@@ -144,9 +149,10 @@
   assert.deepEqual(wrong, []);
 });
 
-// A controller that was restarted knows no ends. Each question about one took a transaction and two
-// reads, one job after the other: of those that came together most were answered 503.
-test('forgotten: many questions about ended jobs at a controller that has heard of none', async () => {
+// The replica of a restarted controller holds no final records. Each request about a finished job
+// took a transaction and two reads, one job after the other, so that most of those that arrived
+// together got 503.
+test('accepted jobs: many polls of finished jobs that the replica lacks are all answered within 2 s', async () => {
   const jobs = Array.from({ length: 40 }, (_, number) => `j-${String(700_000 + number)}`);
   const node = await userRequestsFixture({ checkMs: 375, rps: 27 });
   node.replica.stop();
@@ -163,7 +169,7 @@
   assert.ok(Math.max(...answers.map(({ ms }) => ms)) < 2000);
 });
 
-test('forgotten: a request that a full queue rejects is answered the next time', async () => {
+test('accepted jobs: a request that was rejected because of a full queue is answered when repeated', async () => {
   const node = await userRequestsFixture();
   node.state.answerMs = 1000;
   const ask = (): Promise<number[]> =>
@@ -186,7 +192,7 @@
   for (const { status } of await node.settle(...second)) assert.equal(status, 404);
 });
 
-test('forgotten: checks that are refused for now are retried, with those that came since', async () => {
+test('accepted jobs: checks that the store refused with 429 are retried together with later checks', async () => {
   const node = await userRequestsFixture();
   node.state.limits = { rps: 0.1, writeRps: 0.1 };
   const first = node.request('poll', JOB);
@@ -202,8 +208,9 @@
   assert.ok(node.state.rateLimitRejections > 0);
 });
 
-// The guard held before the end; the controller has heard of the end when the answer comes.
-test('forgotten: an end that comes before the answer to a check is returned', async () => {
+// The guards of the check hold, because the job is open when the transaction is executed. The job's
+// final record reaches the replica before the delayed answer to the transaction.
+test('accepted jobs: a cancellation that reaches the replica before the answer to a check is returned', async () => {
   for (const ask of ['repeat', 'malformed', 'unfit'] as const) {
     const node = await userRequestsFixture();
     node.state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
--- a/test/api/degraded-controllers.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -1,23 +1,28 @@
-/** Controllers that serve users and can't decide alone: each request is answered in time, by one that can. */
+/**
+ * Controllers that have lost the key-value store or their peers. Guards against answers that come
+ * after users have timed out, and against controllers that stay ready although they can serve
+ * nobody.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Reply } from '../world/jobs.js';
 import { SERVICE, submit } from '../world/overlapping-faults.js';
 import { World } from '../world/world.js';
 
-/** ms that users wait for answers. */
+/** ms; how long users wait for the answer to a poll, and to a submission or cancellation. */
 const POLL_MS = 2000;
 const CHANGE_MS = 5000;
 
+/** A fault of controller n0, and how requests to it must be answered. */
 interface UnableNode {
   name: string;
-  /** What controller n0 loses. */
+  /** Lets controller n0 lose what `name` says. */
   lose: (world: World) => void;
-  /** Its peers answer for it. */
+  /** Whether requests are served, by n0 or through it by a peer. */
   isServed: boolean;
-  /** It takes users after 5 s, and after 20 s. */
+  /** Whether n0 is ready for users 5 s after the loss, and 20 s after it. */
   isReady: [boolean, boolean];
-  /** ms within which a submission is answered, if sooner than users wait. */
+  /** ms within which a submission must be answered, if less than users wait. */
   submittedMs?: number;
 }
 
@@ -72,7 +77,7 @@
       for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
-    // It takes until its requests are given up, and then those to its peers.
+    // It stays ready until its requests to the store, and then those to its peers, have timed out.
     isReady: [true, false],
   },
   { name: 'its peers', lose: cutPeers, isServed: true, isReady: [true, true] },
@@ -87,7 +92,7 @@
   },
 ];
 
-/** The answer to a request, and the ms that it took. */
+/** Returns the reply to a request, and the time in ms that it took. */
 async function timed(world: World, request: Promise<Reply>): Promise<{ reply: Reply; ms: number }> {
   const from = world.clock.now();
   const answered = request.then((reply) => ({ reply, ms: world.clock.now() - from }));
@@ -95,10 +100,11 @@
   return answered;
 }
 
-// Peers were asked one after the other, each for 2.5 s: behind one that was paused no poll was answered
-// in the 2 s that users wait. And a controller that had lost the key-value store and its peers went on taking
-// users, whose every question failed as long as it lasted.
-test('degraded controllers: each request is answered in time, and users are accepted only if one can be', async () => {
+// Peers were asked one after the other, each for 2.5 s, so that with one paused peer no poll was
+// answered in the 2 s that users wait. A controller that had lost the key-value store and its peers
+// stayed ready, so that all requests of its users failed until it reached the store or a peer
+// again.
+test('degraded controllers: after each loss, requests are answered in time and readiness is right', async () => {
   const wrong: string[] = [];
   for (const { name, lose, isServed, isReady, submittedMs = CHANGE_MS } of UNABLE) {
     const world = new World(41);
@@ -128,7 +134,7 @@
       const isGood = isServed ? reply.status < 300 : reply.status === 503;
       if (!isGood || ms > most) wrong.push(`${name}: ${ask} ${reply.status} after ${ms} ms`);
     }
-    // Users who hold a connection go on asking.
+    // Users with an open connection continue to send requests.
     for (let turn = 0; turn < 5; turn++) {
       const { ms } = await timed(world, world.poll('j-000001'));
       if (ms > POLL_MS) wrong.push(`${name}: later poll after ${ms} ms`);
@@ -144,7 +150,7 @@
   assert.deepEqual(wrong, []);
 });
 
-test('degraded controllers: a single controller stays ready in an outage', async () => {
+test('degraded controllers: a single controller stays ready in an outage of the store', async () => {
   const world = new World(42, [['n0', 'a']]);
   await world.run(7);
   world.store.hasOutage = true;
@@ -152,8 +158,9 @@
   assert.equal(world.nodes.get('n0')?.node.isReady, true);
 });
 
-// What it read before the pause may be out of date: the job may have been accepted since.
-test('degraded controllers: a controller that was paused gives no answer from before the pause', async () => {
+// What a controller read before a pause may be outdated, since jobs may have been accepted
+// meanwhile.
+test('degraded controllers: requests that were pending when a controller was paused get 503', async () => {
   const world = new World(43);
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
@@ -163,7 +170,7 @@
     world.submit('j-000011', {}, 'n0', { crew: 'nobody' }),
     world.cancel('j-000012'),
   ];
-  // Its questions to the key-value store are under way.
+  // At this time its requests to the key-value store are in flight.
   await world.clock.run(world.clock.now() + 18);
   world.pause('n0', 20);
   await world.run(25);
--- a/test/api/job-answers.test.ts
+++ b/test/api/job-answers.test.ts
@@ -1,11 +1,15 @@
-/** Answers about jobs: ends that are not known yet, and those that are. */
+/**
+ * Answers about jobs that were cancelled or have finished. Guards against answers that are
+ * confirmed too early, and against outdated answers by controllers that have not read the final
+ * record.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf as stage } from '../world/jobs.js';
 import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
-test('a cancellation that is not committed is not confirmed, and holds once it is', async () => {
+test('a cancellation is confirmed only after its commit, and then by all controllers', async () => {
   const world = new World(7);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
@@ -23,9 +27,10 @@
   }
 });
 
-// A retry is answered from the key-value store too: a controller that has not heard of the end told its user
-// that the job waits, after another had confirmed the cancellation.
-test('a controller that has not heard of the end gives no older answer, nor one that was paused', async () => {
+// Guards against answering a repeated submission from the replica alone. A controller that had not
+// read the final record replied that the job was queued, after another had confirmed the
+// cancellation.
+test('after a cancellation, a controller that was cut off or paused gives no older answer', async () => {
   const world = new World(17);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
@@ -44,7 +49,8 @@
   await world.run(5);
   await awaitReply(world, world.submit('j-000002', { tasks: 1, service: true, spot: false }));
   await world.run(2);
-  // Asked before the pause, answered after it: whatever it read then is stale.
+  // The poll arrives before the pause and is answered after it, so the state read before is
+  // outdated.
   const pending = world.poll('j-000002');
   await world.clock.run(world.clock.now() + 100);
   world.pause('n0', 10);
@@ -55,7 +61,7 @@
   assert.equal(stage(await awaitReply(world, world.poll('j-000002'))), 'withdrawn');
 });
 
-test('an owner without news from the store stops answering before a cancellation is due', async () => {
+test('a holder cut off from the store stops answering heartbeats before a cancellation is due', async () => {
   const world = new World(8, [
     ['n0', 'a'],
     ['n1', 'b'],
@@ -66,7 +72,7 @@
   await world.run(10);
   assert.equal(world.starts.length, 1);
   assert.equal(world.starts[0]?.machine, machine);
-  // Only its owner reaches the machine, and the owner reaches nothing else.
+  // Only the holder of its shard, n0, can reach the machine, and n0 can reach nothing else.
   world.cutLinks.add(`n1>${machine}`);
   world.cutLinks.add('n0>n1');
   world.store.refusedControllers.add('n0');
--- a/test/api/mistaken-requests.test.ts
+++ b/test/api/mistaken-requests.test.ts
@@ -1,4 +1,4 @@
-/** Requests that users send by mistake, once more, or too early. */
+/** Replies to requests that users send by mistake, repeatedly, or before they can be served. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
@@ -6,11 +6,12 @@
 import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
-/** What users send by mistake, and what each must get. */
+/** The fields of a submission that may not be missing or null. */
 const FIELDS = [
   'ref', 'lane', 'crew', 'shape', 'rank', 'larvae', 'cores', 'gpus', 'memGb', 'cocoon', 'imageGb',
   'samePlace', 'apart', 'windfall', 'guessS', 'moltS', 'spinS',
 ]; // prettier-ignore
+/** Submissions with a mistake in one field or none, and the status that each must get. */
 const ODD: { name: string; raw: Record<string, unknown>; status: number }[] = [
   ...FIELDS.map((field) => ({ name: `no ${field}`, raw: { [field]: undefined }, status: 400 })),
   ...FIELDS.map((field) => ({ name: `${field} null`, raw: { [field]: null }, status: 400 })),
@@ -43,7 +44,7 @@
   { name: 'a deadline as text', raw: { duskS: 'noon' }, status: 400 },
 ];
 
-test('mistaken requests: each gets what the protocol says, many at once', async () => {
+test('mistaken requests: when many are sent at once, each gets the right status', async () => {
   const world = new World(1);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
@@ -60,12 +61,13 @@
   assert.deepEqual(world.violations, []);
 });
 
-test('mistaken requests: repeats, also with faults, and cancellations of what is done', async () => {
+test("mistaken requests: repeats, even malformed ones, and late cancellations get the job's state", async () => {
   const world = new World(2);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
   const at = controllerNames(world);
-  // The same submission through all controllers at once: accepted once, known to the others.
+  // Of equal submissions through all controllers at once, one is accepted; the others get the
+  // state.
   const first = at.map((node) => world.submit('j-000001', { tasks: 2, runS: 30 }, node));
   const statuses = await Promise.all(
     first.map(async (one) => (await awaitReply(world, one)).status),
--- a/test/api/submissions.test.ts
+++ b/test/api/submissions.test.ts
@@ -1,4 +1,4 @@
-/** Submissions: which are malformed, and which can never run. */
+/** Validation of submissions: which are malformed, and which jobs can never run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { reasonNeverRunnable } from '../../src/coordination/api/admission.js';
@@ -29,7 +29,7 @@
   duskS: 900.0,
 };
 
-test('submissions: a malformed one is rejected with the name of its field', () => {
+test('submissions: a malformed one is rejected with an error that names the field', () => {
   const cases: [string, Record<string, unknown> | string, string | null][] = [
     ['as it should be', good, null],
     ['unknown fields', { ...good, more: 1 }, null],
@@ -45,7 +45,8 @@
     ['half a task', { ...good, larvae: 1.5 }, 'larvae'],
     ['text for a number', { ...good, cores: '8' }, 'cores'],
     ['negative memory', { ...good, memGb: -1 }, 'memGb'],
-    // Users send each field that may not be null: a job that lacks one is not theirs to run.
+    // Users send every field that may not be null. A submission that lacks one is rejected, because
+    // its job would not be the one that the user meant.
     ...Object.keys(good)
       .filter((field) => !['breeds', 'grove', 'duskS'].includes(field))
       .map((field): [string, Record<string, unknown>, string] => [
@@ -64,7 +65,7 @@
   assert.ok(!parseJson(null).ok);
 });
 
-test('jobs that can never run, and those that can', () => {
+test('admission: a job that can never run gets a reason that names the field, others get none', () => {
   const parsed = parseSubmission(good);
   assert.ok(parsed.ok);
   const spec = parsed.value;
--- a/test/controller/request-relay.test.ts
+++ b/test/controller/request-relay.test.ts
@@ -1,11 +1,16 @@
+/**
+ * Requests of users that a controller relays to a peer. Guards against failed or outdated answers
+ * by a controller that alone can't reach the key-value store, and against refusals of accepted jobs
+ * by peers of an older version.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { awaitReply } from '../world/await-reply.js';
 import { World } from '../world/world.js';
 
-// A controller that alone is refused by the key-value store, or has not read its keys yet, still serves
-// users through its peers, and never with an older answer than theirs.
-test('a controller without the key-value store serves users through a peer', async () => {
+// A controller that alone is refused by the key-value store, or has not loaded its keys yet, relays
+// users' requests to its peers, so that its answers are never older than theirs.
+test('a controller that the key-value store refuses serves users through a peer', async () => {
   const world = new World(5);
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
@@ -30,11 +35,12 @@
   }
 });
 
-// Versions before this one may refuse a job that was accepted: a controller that asks them for its
-// users passes on what they know, and none of their refusals.
-test('a refusal of a peer is only passed on with its proof', async () => {
+// Older versions may refuse a job that was accepted. A controller that relays requests to them
+// passes on their answers about known jobs, and replaces their refusals by 503.
+test("a peer's refusal is passed on to the user only if it carries a proof", async () => {
   const cases: [string, boolean, number, number, number][] = [
-    // [who refuses, with a proof, poll, malformed submission, submission that fits nowhere]
+    // [version of the peer, whether its replies carry a proof, statuses of: a poll of an unknown
+    // job, a malformed submission, a submission of an unknown team]
     ['this version', true, 404, 400, 422],
     ['an older version', false, 503, 503, 503],
   ];
--- a/test/controller/startup.test.ts
+++ b/test/controller/startup.test.ts
@@ -1,4 +1,7 @@
-/** A controller's startup: how soon it has loaded the store, and what it can answer before. */
+/**
+ * Startup of a controller: the load of all keys completes although requests fail or keys change,
+ * and until then only those requests are answered for which that is safe.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CATALOG, finalKey, jobKey } from '../../src/storage/keys.js';
@@ -11,7 +14,7 @@
 
 const jobName = (number: number): string => `j-${String(number).padStart(6, '0')}`;
 
-/** As many open jobs as this. */
+/** Stores the machine types and this many open jobs. */
 function fill(state: SimKeyValueStore, jobs: number): void {
   const numbers = Array.from({ length: jobs }, (_, number) => number);
   state.change([
@@ -23,8 +26,9 @@
   ]);
 }
 
-// An error on any page started the load again: of 30 pages with each third refused it never ended.
-test('startup: a page that fails does not discard those that were read', async () => {
+// Guards against a load that restarts from its first page after any failed page. Of 30 pages with
+// each third request refused, such a load never completed.
+test('startup: when reading a page fails, the pages read before are kept', async () => {
   const cases: [string, (listing: number) => boolean, number][] = [
     ['none fails', () => false, 31],
     ['each third is refused', (listing) => listing % 3 === 0, 47],
@@ -45,12 +49,12 @@
   }
 });
 
-test('startup: a load that takes longer than changes are kept starts again, and ends', async () => {
+test('startup: a load that spans more changes than the store keeps restarts and completes', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   fill(state, 300);
   state.pageKeys = 100;
-  // Between its first two pages more changes pass by than a watch could tell of.
+  // Between the first two pages, more changes occur than the store keeps for watches.
   state.refusesListing = (listing) => {
     if (listing === 2) state.revision += 10_001;
     return false;
@@ -62,13 +66,14 @@
   assert.equal(state.listings, 6);
 });
 
-test('startup: keys that change while pages are read are right in the end', async () => {
+test('startup: when keys change while pages are read, the replica equals the store in the end', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   fill(state, 300);
   state.pageKeys = 20;
   state.refusesListing = (listing) => listing % 3 !== 0;
-  // Made, ended and made anew while pages are read: before and behind what was read by then.
+  // Jobs are created and removed while pages are read, among keys that have been read already and
+  // among keys that have not.
   let at = 0;
   const change = (): void => {
     at++;
@@ -87,14 +92,15 @@
   assert.deepEqual(held, stored);
 });
 
-test('startup: a reload after missed changes keeps the stored keys, and nothing else', async () => {
+test('startup: after a reload because of missed changes, the replica equals the store', async () => {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
   fill(state, 200);
   state.pageKeys = 30;
   const { replica } = followingReplica(clock, state, 100);
   await clock.run(3000);
-  // Its watches fail while more changes than are kept pass by; then pages are read among further ones.
+  // Its watches fail while more changes occur than the store keeps. The pages are then read again
+  // while further changes occur.
   state.refusedControllers.add('p');
   await clock.run(6000);
   for (let turn = 0; turn < 150; turn++) {
@@ -120,7 +126,7 @@
   assert.deepEqual(held, stored);
 });
 
-test('startup: ended and unknown jobs are answered before all is read, all others with 503', async () => {
+test('startup: during the load, finished and unknown jobs are answered, all others get 503', async () => {
   const wrong: string[] = [];
   const expected = { 'j-000001': 503, 'j-900001': 200, 'j-900002': 404 };
   for (const [id, status] of Object.entries(expected)) {
@@ -134,7 +140,7 @@
       });
       assert.ok(!node.replica.isLoaded);
       const [reply] = await node.settle(node.request(ask, id));
-      // Nothing is accepted or refused before the machine types are known.
+      // No submission is accepted or refused before the machine types are known.
       const isSubmission = ask !== 'poll' && ask !== 'cancel';
       const wanted = status === 404 && isSubmission ? 503 : status;
       if (reply?.status !== wanted) wrong.push(`${id}: ${ask} ${reply?.status}`);
