--- a/test/api/degraded-controllers.test.ts
+++ b/test/api/degraded-controllers.test.ts
@@ -14,7 +14,7 @@
 const CHANGE_MS = 5000;
 
 /** A fault of controller n0, and how requests to it must be answered. */
-interface UnableNode {
+interface LossCase {
   name: string;
   /** Lets controller n0 lose what `name` says. */
   lose: (world: World) => void;
@@ -26,18 +26,18 @@
   submittedMs?: number;
 }
 
-const others = ['n1', 'n2'];
-const refused = (world: World): void => void world.store.refusedControllers.add('n0');
-const cutPeers = (world: World): void => {
-  for (const peer of others) world.cutLinks.add(`n0>${peer}`);
+const PEERS = ['n1', 'n2'];
+const loseStore = (world: World): void => void world.store.refusedControllers.add('n0');
+const losePeers = (world: World): void => {
+  for (const peer of PEERS) world.cutLinks.add(`n0>${peer}`);
 };
 
-const UNABLE: UnableNode[] = [
-  { name: 'the key-value store', lose: refused, isServed: true, isReady: [true, true] },
+const LOSSES: LossCase[] = [
+  { name: 'the key-value store', lose: loseStore, isServed: true, isReady: [true, true] },
   {
     name: 'the key-value store, while its first peer is paused',
     lose: (world) => {
-      refused(world);
+      loseStore(world);
       world.pause('n1', 60);
     },
     isServed: true,
@@ -46,7 +46,7 @@
   {
     name: 'the key-value store, while a peer drops what it is sent',
     lose: (world) => {
-      refused(world);
+      loseStore(world);
       world.lossyLinks.add('n0>n1');
     },
     isServed: true,
@@ -55,8 +55,8 @@
   {
     name: 'the key-value store and its peers',
     lose: (world) => {
-      refused(world);
-      cutPeers(world);
+      loseStore(world);
+      losePeers(world);
     },
     isServed: false,
     isReady: [false, false],
@@ -64,8 +64,8 @@
   {
     name: 'the key-value store and its peers, unnoticed',
     lose: (world) => {
-      refused(world);
-      for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
+      loseStore(world);
+      for (const peer of PEERS) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
     isReady: [false, false],
@@ -74,13 +74,13 @@
     name: 'the key-value store and its peers, and nothing answers',
     lose: (world) => {
       world.store.unansweredControllers.add('n0');
-      for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
+      for (const peer of PEERS) world.lossyLinks.add(`n0>${peer}`);
     },
     isServed: false,
     // It stays ready until its requests to the store, and then those to its peers, have timed out.
     isReady: [true, false],
   },
-  { name: 'its peers', lose: cutPeers, isServed: true, isReady: [true, true] },
+  { name: 'its peers', lose: losePeers, isServed: true, isReady: [true, true] },
   {
     name: 'the key-value store, as all do',
     lose: (world) => {
@@ -94,8 +94,8 @@
 
 /** Returns the reply to a request, and the time in ms that it took. */
 async function timed(world: World, request: Promise<Reply>): Promise<{ reply: Reply; ms: number }> {
-  const from = world.clock.now();
-  const answered = request.then((reply) => ({ reply, ms: world.clock.now() - from }));
+  const startedAt = world.clock.now();
+  const answered = request.then((reply) => ({ reply, ms: world.clock.now() - startedAt }));
   await world.run(8);
   return answered;
 }
@@ -105,49 +105,49 @@
 // stayed ready, so that all requests of its users failed until it reached the store or a peer
 // again.
 test('degraded controllers: after each loss, requests are answered in time and readiness is right', async () => {
-  const wrong: string[] = [];
-  for (const { name, lose, isServed, isReady, submittedMs = CHANGE_MS } of UNABLE) {
+  const failures: string[] = [];
+  for (const { name, lose, isServed, isReady, submittedMs = CHANGE_MS } of LOSSES) {
     const world = new World(41);
     world.addMachine('small', 'a', false, 500);
     await world.run(7);
     await submit(world, 'j-000001', { ...SERVICE, tasks: 1 }, 'n2');
     await world.run(5);
     lose(world);
-    const seen: boolean[] = [];
-    const node = (): boolean => world.nodes.get('n0')?.node.isReady ?? false;
-    world.clock.after(5000, () => seen.push(node()));
-    world.clock.after(20_000, () => seen.push(node()));
+    const readiness: boolean[] = [];
+    const isReadyNow = (): boolean => world.nodes.get('n0')?.node.isReady ?? false;
+    world.clock.after(5000, () => readiness.push(isReadyNow()));
+    world.clock.after(20_000, () => readiness.push(isReadyNow()));
     await world.run(2);
-    const answers: [string, number, Promise<Reply>][] = [
+    const requests: [string, number, Promise<Reply>][] = [
       ['poll', POLL_MS, world.poll('j-000001')],
       ['repeat', CHANGE_MS, world.submit('j-000001', SERVICE)],
       ['submission', submittedMs, world.submit('j-000002', { tasks: 1 })],
     ];
     const replies = await Promise.all(
-      answers.map(async ([ask, most, request]) => ({
-        ask,
-        most,
+      requests.map(async ([kind, limitMs, request]) => ({
+        kind,
+        limitMs,
         ...(await timed(world, request)),
       })),
     );
-    for (const { ask, most, reply, ms } of replies) {
+    for (const { kind, limitMs, reply, ms } of replies) {
       const isGood = isServed ? reply.status < 300 : reply.status === 503;
-      if (!isGood || ms > most) wrong.push(`${name}: ${ask} ${reply.status} after ${ms} ms`);
+      if (!isGood || ms > limitMs) failures.push(`${name}: ${kind} ${reply.status} after ${ms} ms`);
     }
     // Users with an open connection continue to send requests.
-    for (let turn = 0; turn < 5; turn++) {
+    for (let attempt = 0; attempt < 5; attempt++) {
       const { ms } = await timed(world, world.poll('j-000001'));
-      if (ms > POLL_MS) wrong.push(`${name}: later poll after ${ms} ms`);
+      if (ms > POLL_MS) failures.push(`${name}: later poll after ${ms} ms`);
     }
-    if (String(seen) !== String(isReady)) wrong.push(`${name}: ready ${String(seen)}`);
+    if (String(readiness) !== String(isReady)) failures.push(`${name}: ready ${String(readiness)}`);
     world.store.refusedControllers.clear();
     world.store.unansweredControllers.clear();
     world.store.endOutage();
     await world.run(10);
-    if (!node()) wrong.push(`${name}: not ready again`);
+    if (!isReadyNow()) failures.push(`${name}: not ready again`);
     assert.deepEqual(world.violations, [], name);
   }
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(failures, []);
 });
 
 test('degraded controllers: a single controller stays ready in an outage of the store', async () => {
@@ -183,7 +183,7 @@
   world.addMachine('small', 'a', false, 500);
   await world.run(7);
   world.store.refusedControllers.add('n0');
-  for (const peer of others) world.lossyLinks.add(`n0>${peer}`);
+  for (const peer of PEERS) world.lossyLinks.add(`n0>${peer}`);
   await world.run(3);
   await timed(world, world.poll('j-000009'));
   assert.equal(world.nodes.get('n0')?.node.isReady, false);
--- a/test/api/job-answers.test.ts
+++ b/test/api/job-answers.test.ts
@@ -19,10 +19,10 @@
   world.store.endOutage();
   await world.run(5);
   assert.equal(stage(await awaitReply(world, world.cancel('j-000001', 'n1'))), 'withdrawn');
-  for (const [node] of world.members) {
-    assert.equal(stage(await awaitReply(world, world.poll('j-000001', node))), 'withdrawn');
-    assert.equal((await awaitReply(world, world.poll('j-000002', node))).status, 404);
-    const again = await awaitReply(world, world.submit('j-000001', { tasks: 0 }, node));
+  for (const [controller] of world.members) {
+    assert.equal(stage(await awaitReply(world, world.poll('j-000001', controller))), 'withdrawn');
+    assert.equal((await awaitReply(world, world.poll('j-000002', controller))).status, 404);
+    const again = await awaitReply(world, world.submit('j-000001', { tasks: 0 }, controller));
     assert.deepEqual([again.status, stage(again)], [200, 'withdrawn']);
   }
 });
@@ -87,7 +87,7 @@
   world.addMachine('small', 'a', false, 500);
   await world.run(6);
   await awaitReply(world, world.submit('j-000001', { tasks: 6, cpus: 4, runS: 20, team: 'blue' }));
-  for (let turn = 0; turn < 120; turn++) {
+  for (let attempt = 0; attempt < 120; attempt++) {
     await world.run(1);
     const poll = await awaitReply(world, world.poll('j-000001', 'n1'));
     if (stage(poll) !== 'done') continue;
--- a/test/api/mistaken-requests.test.ts
+++ b/test/api/mistaken-requests.test.ts
@@ -12,7 +12,7 @@
   'samePlace', 'apart', 'windfall', 'guessS', 'moltS', 'spinS',
 ]; // prettier-ignore
 /** Submissions with a mistake in one field or none, and the status that each must get. */
-const ODD: { name: string; raw: Record<string, unknown>; status: number }[] = [
+const MISTAKEN: { name: string; raw: Record<string, unknown>; status: number }[] = [
   ...FIELDS.map((field) => ({ name: `no ${field}`, raw: { [field]: undefined }, status: 400 })),
   ...FIELDS.map((field) => ({ name: `${field} null`, raw: { [field]: null }, status: 400 })),
   ...['breeds', 'grove', 'duskS'].map((field) => ({
@@ -48,16 +48,16 @@
   const world = new World(1);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
-  const replies = ODD.map(({ raw }, at) =>
-    world.submit(`j-1000${at + 10}`, { tasks: 1 }, `n${at % 3}`, raw),
+  const replies = MISTAKEN.map(({ raw }, index) =>
+    world.submit(`j-1000${index + 10}`, { tasks: 1 }, `n${index % 3}`, raw),
   );
   await world.run(8);
-  const wrong: string[] = [];
-  for (const [at, { name, status }] of ODD.entries()) {
-    const reply = await awaitReply(world, replies[at] ?? Promise.reject(new Error('not sent')));
-    if (reply.status !== status) wrong.push(`${name}: ${reply.status} instead of ${status}`);
+  const failures: string[] = [];
+  for (const [index, { name, status }] of MISTAKEN.entries()) {
+    const reply = await awaitReply(world, replies[index] ?? Promise.reject(new Error('not sent')));
+    if (reply.status !== status) failures.push(`${name}: ${reply.status} instead of ${status}`);
   }
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(failures, []);
   assert.deepEqual(world.violations, []);
 });
 
@@ -65,10 +65,12 @@
   const world = new World(2);
   for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
-  const at = controllerNames(world);
+  const controllers = controllerNames(world);
   // Of equal submissions through all controllers at once, one is accepted; the others get the
   // state.
-  const first = at.map((node) => world.submit('j-000001', { tasks: 2, runS: 30 }, node));
+  const first = controllers.map((controller) =>
+    world.submit('j-000001', { tasks: 2, runS: 30 }, controller),
+  );
   const statuses = await Promise.all(
     first.map(async (one) => (await awaitReply(world, one)).status),
   );
@@ -76,17 +78,20 @@
   await submit(world, 'j-000002', { tasks: 1, runS: 5 });
   await world.run(15);
   for (const raw of [{}, { larvae: 0 }, { crew: 'nobody' }, { gpus: undefined }]) {
-    for (const node of at) {
-      const reply = await awaitReply(world, world.submit('j-000001', {}, node, raw));
+    for (const controller of controllers) {
+      const reply = await awaitReply(world, world.submit('j-000001', {}, controller, raw));
       assert.deepEqual([reply.status, stageOf(reply)], [200, 'running'], JSON.stringify(raw));
-      const over = await awaitReply(world, world.submit('j-000002', {}, node, raw));
-      assert.deepEqual([over.status, stageOf(over)], [200, 'done'], JSON.stringify(raw));
+      const finished = await awaitReply(world, world.submit('j-000002', {}, controller, raw));
+      assert.deepEqual([finished.status, stageOf(finished)], [200, 'done'], JSON.stringify(raw));
     }
   }
-  for (const node of at) {
-    const reply = await awaitReply(world, world.cancel('j-000002', node));
+  for (const controller of controllers) {
+    const reply = await awaitReply(world, world.cancel('j-000002', controller));
     assert.deepEqual([reply.status, stageOf(reply)], [200, 'done']);
-    for (const request of [world.poll('j-000009', node), world.cancel('j-000009', node)]) {
+    for (const request of [
+      world.poll('j-000009', controller),
+      world.cancel('j-000009', controller),
+    ]) {
       assert.equal((await awaitReply(world, request)).status, 404);
     }
   }
@@ -99,18 +104,21 @@
   const world = new World(3);
   world.cloudHasCatalog = false;
   await world.run(7);
-  for (const node of controllerNames(world)) {
+  for (const controller of controllerNames(world)) {
     for (const raw of [{}, { breeds: ['g99'] }, { cores: 5 }]) {
-      const reply = await awaitReply(world, world.submit('j-000001', { tasks: 1 }, node, raw));
+      const reply = await awaitReply(
+        world,
+        world.submit('j-000001', { tasks: 1 }, controller, raw),
+      );
       assert.equal(reply.status, 503, JSON.stringify(raw));
     }
     assert.equal(
-      (await awaitReply(world, world.submit('j-000002', {}, node, { cores: 'x' }))).status,
+      (await awaitReply(world, world.submit('j-000002', {}, controller, { cores: 'x' }))).status,
       400,
     );
   }
   world.cloudHasCatalog = true;
-  for (let turn = 0; turn < 90 && world.accepted.size === 0; turn++) {
+  for (let attempt = 0; attempt < 90 && world.accepted.size === 0; attempt++) {
     await awaitReply(world, world.submit('j-000001', { tasks: 1 }, 'n1'));
     await world.run(1);
   }
--- a/test/controller/request-relay.test.ts
+++ b/test/controller/request-relay.test.ts
@@ -25,8 +25,8 @@
   assert.equal((await replyTo(world.poll('j-000009', 'n0'))).status, 404);
   const cancelled = await replyTo(world.cancel('j-000001', 'n0'));
   assert.deepEqual(cancelled, { status: 200, body: { ref: 'j-000001', stage: 'withdrawn' } });
-  for (const [node] of world.members) {
-    assert.deepEqual((await replyTo(world.poll('j-000001', node))).body, {
+  for (const [controller] of world.members) {
+    assert.deepEqual((await replyTo(world.poll('j-000001', controller))).body, {
       ref: 'j-000001',
       stage: 'withdrawn',
       done: 0,
