--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -11,7 +11,8 @@
 export const USER_CHANGE_TIMEOUT_MS = 5_000;
 
 /**
- * ms; a request waits this long for the check of its job; a poll then gets 503 (users wait 2 s).
+ * ms; a poll, submission or cancellation waits this long for a check of its job. A poll then gets
+ * 503, within the 2 s that users wait.
  */
 export const JOB_CHECK_TIMEOUT_MS = 1_700;
 
@@ -28,7 +29,10 @@
 /** s; value of the header `Retry-After` in replies to requests that may succeed later. */
 export const RETRY_AFTER_S = 1;
 
-/** Bytes that a submission takes in a transaction besides its job's record: its keys, twice. */
+/**
+ * Bytes that a submission takes in a transaction besides its job's record, for its keys, which are
+ * contained twice.
+ */
 export const SUBMISSION_OVERHEAD_BYTES = 400;
 
 /** Submissions waiting for their commit in one controller; more get 429. */
--- a/src/constants/controller.ts
+++ b/src/constants/controller.ts
@@ -22,9 +22,9 @@
 export const LOOP_COALESCE_MS = 40;
 
 /**
- * ms; the same delay for the leader's loop, whose scheduling cycle goes through all machines and
- * open jobs. It allows ten cycles a second, and adds a tenth of a second to the time until a task
- * starts, for which the objective is some seconds.
+ * ms; delay of the leader's loop after a change has woken it. A scheduling cycle goes through all
+ * machines and open jobs, and the delay limits it to ten cycles a second. It adds a tenth of a
+ * second to the time until a task starts, for which the objective is some seconds.
  */
 export const LEADER_COALESCE_MS = 100;
 
@@ -41,9 +41,9 @@
 export const REQUEST_LOG_INTERVAL_MS = 20_000;
 
 /**
- * ms; deadlines after which a poll, or a submission or cancellation, is answered 503. They are
- * shorter than the users' time-outs of 2 s and 5 s, to leave time for sending the reply and for a
- * process that runs its timers late.
+ * ms; a poll gets 503 after the first of these times, a submission or cancellation after the
+ * second. They are shorter than the 2 s and 5 s that users wait, to leave time for sending the
+ * reply, and for a process that runs its timers late.
  */
 export const POLL_DEADLINE_MS = 1_850;
 export const CHANGE_DEADLINE_MS = 4_700;
@@ -58,9 +58,9 @@
 export const CHANGE_RELAY_TIMING = { nextPeerDelayMs: 1_200, timeoutMs: 2_500 };
 
 /**
- * ms; the same times for a controller that relays a submission because it is short of writes. Both
- * are equal, so that no two peers commit the same job at a time: the second commit would cost them
- * writes as well.
+ * ms; times for a submission that a controller relays because it is short of writes. They are
+ * equal, so that no second peer gets the submission while the first may still reply. Two peers that
+ * commit the same job would both use up writes.
  */
 export const SHORT_OF_WRITES_RELAY_TIMING = { nextPeerDelayMs: 2_500, timeoutMs: 2_500 };
 
@@ -70,7 +70,10 @@
  */
 export const REDIRECT_RETRY_MS = 12_000;
 
-/** ms; time-out of a request to a peer: workers wait 4 s for the answer to a relayed heartbeat. */
+/**
+ * ms; time-out of a request to a peer. A relayed heartbeat must be answered well within the 4 s
+ * that its worker waits.
+ */
 export const RELAY_TIMEOUT_MS = 2_500;
 
 /** ms; pause before a broken connection to a peer is opened again. */
@@ -87,8 +90,8 @@
 export const DIRECT_SOCKET_FRACTION = 0.125;
 
 /**
- * Direct calls in flight at a time. Their answers are processed well within the duration of one
- * call, and calls that some dozens of unresponsive machines don't answer leave enough for the
+ * Most direct calls in flight at a time. The answers to this many calls are processed well within
+ * the duration of one call, and some dozens of unresponsive machines leave enough calls for the
  * others.
  */
 export const MAX_CONCURRENT_DIRECT_CALLS = 64;
@@ -101,9 +104,9 @@
 export const SOFT_CONNECTION_LIMIT_FRACTION = 0.7;
 
 /**
- * Hard limit of open connections, as a fraction of the same number. Above it, workers' connections
- * are closed after their response too. When only one controller is up, 4,000 workers need more
- * connections than it accepts, so they have to take turns.
+ * Hard limit of open connections, as a fraction of the most that the HTTP server accepts. Above it,
+ * workers' connections are closed after their response too. When only one controller is up, 4,000
+ * workers need more connections than it accepts, so they have to take turns.
  */
 export const HARD_CONNECTION_LIMIT_FRACTION = 0.9;
 
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Looks up a job unless the loaded replica holds no record of it; null: it holds none, which does
-   * not prove that the job is absent.
+   * Looks up a job. Null: the replica is loaded and holds no record of the job, which does not
+   * prove that the job is absent.
    */
   lookUpIfKnown(id: string): Promise<JobLookup | null> {
     const final = this.replica.final(id);
@@ -55,8 +55,9 @@
 
   /**
    * Looks up a job as the key-value store holds it now. Once a watch that was sent after the poll
-   * arrived is answered, the replica's state of an open job is as current as that of a separate
-   * request. Where changes are rare, or the replica does not hold the job, the store is asked.
+   * arrived is answered, the replica's state of an open job is as current as the answer to a
+   * separate request, which is thus saved. Where changes are rare, or the replica does not hold the
+   * job, the store is asked.
    */
   private async lookUpNewest(id: string): Promise<JobLookup> {
     const knownFinal = this.replica.final(id);
@@ -88,7 +89,7 @@
     });
   }
 
-  /** Resolves the polls that arrived before the steady time at which an answered watch was sent. */
+  /** Resolves the polls that arrived by `sentAt`, the steady time at which a watch was sent. */
   private resolveWaiters(sentAt: number): void {
     for (const waiter of this.waiters) {
       if (waiter.arrivedAt > sentAt) continue;
--- a/src/coordination/api/job-verifier.ts
+++ b/src/coordination/api/job-verifier.ts
@@ -18,7 +18,7 @@
 export class JobVerifier {
   constructor(private readonly options: JobVerifierOptions) {}
 
-  /** Returns guards that hold if each job has not finished, and its record is the replica's. */
+  /** Returns guards that hold if no job has finished and all records are as in the replica. */
   guardsOf(ids: readonly string[]): Guard[] {
     const { replica } = this.options;
     return ids.flatMap((id) => [
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -53,8 +53,8 @@
     if (previousForwardedAt === undefined || now - previousForwardedAt > REDIRECT_RETRY_MS) {
       return { status: 421, body: encodeRedirect(holder) };
     }
-    // A worker that sends its heartbeat here again so soon after a redirect can't reach the holder,
-    // but this controller may reach it.
+    // The worker sent a heartbeat here again soon after a redirect, so it probably can't reach the
+    // holder, but this controller may reach it.
     const relayed = await peerRelay.request(holder, {
       operation: 'heartbeat',
       jobId: '',
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -22,7 +22,7 @@
 export interface RelayPolicy {
   /** ms without a reply after which the request is sent to the next peer as well. */
   readonly nextPeerDelayMs: number;
-  /** ms after which the relay fails, although requests are pending. */
+  /** ms after which the relay fails if no acceptable reply has come. */
   readonly timeoutMs: number;
   /** Whether a reply may be returned; otherwise the next peer is asked. */
   readonly isAcceptable: (reply: HttpReply) => boolean;
@@ -32,7 +32,7 @@
 export class PeerRelay {
   private readonly pendingRequests = new Map<number, (reply: HttpReply | null) => void>();
   private requestCount = 0;
-  /** Peers to which a request timed out, and that have replied to none since. */
+  /** Peers that let a request time out, and have replied to no request since. */
   private readonly unresponsivePeers = new Set<string>();
   /** Unresponsive peers with a pending `PROBE`. */
   private readonly probedPeers = new Set<string>();
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Serves a user's request in the time that users wait. A reply that took longer is replaced by
-   * 503, because this process may have been suspended while other controllers gave newer replies.
+   * Serves a user's request in the time that users wait. A reply on a job that took longer is
+   * replaced by 503, because this process may have been suspended while other controllers gave
+   * newer replies.
    */
   async handle(request: UserRequest): Promise<HttpReply> {
     const { clock } = this.options.environment;
