--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Answers while the replica is being loaded: only jobs that have finished or never existed get a
+   * Answers while the replica is being loaded. Only jobs that have finished or never existed get a
    * final reply.
    */
   private async cancelWhileLoading(id: string): Promise<HttpReply> {
--- a/src/coordination/api/http-replies.ts
+++ b/src/coordination/api/http-replies.ts
@@ -27,7 +27,7 @@
   body: encodeJobState(id, state),
 });
 
-/** Reply for an id whose form no accepted job's id has. */
+/** Reply for an id that no accepted job can have, because of its form. */
 export const invalidJobId = (): HttpReply => errorReply(404, 'no such job');
 
 /** Reply for an id that no job has or had. */
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -5,10 +5,10 @@
 
 /** A request that waits for the result of a check. */
 interface Waiter {
-  /** The check whose result is awaited; replaced when it is merged into a later one of the job. */
+  /** The check that is waited for; replaced when it is merged into a later one of the same job. */
   check: JobCheck;
   resolve: (lookup: JobLookup) => void;
-  /** Cancels the time-out; without it, thousands of timers would each wake the process later. */
+  /** Cancels the time-out; otherwise thousands of timers would each wake the process to no use. */
   cancelTimer: () => void;
 }
 
--- a/src/coordination/api/job-lookup.ts
+++ b/src/coordination/api/job-lookup.ts
@@ -1,4 +1,4 @@
-/** The result of looking up a job. */
+/** The result of looking up a job, and how it follows from a final record or from assignments. */
 import type { JobState } from '../../protocol/model.js';
 import type { FinalRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -9,7 +9,7 @@
   state: JobState;
   /** Number of tasks that are done. */
   doneTasks: number;
-  /** Number of tasks that run. */
+  /** Number of tasks that are placed on machines. */
   runningTasks: number;
   /** Whether the job has finished, so that its state never changes again. */
   isFinal: boolean;
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -67,7 +67,7 @@
     const { teams, replica, queue, valueBytes } = this.options;
     const reason = reasonNeverRunnable(spec, teams, readCatalog(replica));
     if (reason !== null) return reason;
-    // A larger record can never be written, so its user would retry without end.
+    // A larger record can never be written. Without this reason, its user would retry without end.
     return queue.recordBytes(spec) > valueBytes ? RECORD_TOO_LARGE : null;
   }
 
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -1,4 +1,4 @@
-/** Serves users' requests by the handlers of submissions, polls and cancellations. */
+/** Serves users' requests with the handlers of submissions, polls and cancellations. */
 import type { Team } from '../../protocol/settings.js';
 import type { KeyValueStore } from '../../protocol/key-value-store.js';
 import type { Committer } from '../../storage/committer.js';
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -144,7 +144,7 @@
   return { environment, clients: [storeHttp, watchHttp, cloudHttp, workers] };
 }
 
-/** Loads failure detection if it is enabled; otherwise a start takes no time for its code. */
+/** Loads failure detection only if it is enabled, so that a start without it takes less time. */
 async function loadDetection({ suspicion }: Settings): Promise<CreateDetection> {
   if (!suspicion) return null;
   const { FailureDetection } = await import('../failure-detection/failure-detection.js');
