--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -1,7 +1,7 @@
 /**
  * Creates the services that all modules of a controller share, in the order of their dependencies.
  */
-import { CHECK_RATE_SHARE } from '../../constants/api.js';
+import { CHECK_RATE_FRACTION } from '../../constants/api.js';
 import { WATCH_GRACE_SHARE } from '../../constants/election.js';
 import { WATCH_HOLD_MS, WATCH_SHARE, WATCH_SPACING_MS } from '../../constants/storage.js';
 import { Committer } from '../../storage/committer.js';
@@ -25,33 +25,33 @@
 } from '../failure-detection/detection-service.js';
 import { HolderNotifier } from './holder-notifier.js';
 
-/** What a controller is created from. */
+/** Options from which the services are created. */
 export interface ControllerServicesOptions {
   readonly settings: Settings;
   readonly environment: Environment;
   readonly log: Log;
-  /** Identifies this process among all that ever ran as this controller. */
+  /** Identifier that no other process of this controller ever has. */
   readonly incarnation: string;
-  /** Creates failure detection; null: it is off. */
+  /** Creates failure detection; null: it is disabled. */
   readonly createDetection: CreateDetection;
-  /** Events of failure detection. */
+  /** Callbacks of failure detection. */
   readonly detectionEvents: Pick<DetectionServiceOptions, 'onSteppedDown' | 'onChanged'>;
 }
 
 /** The services that the modules of a controller share. */
 export interface ControllerServices extends ControllerServicesOptions {
-  /** The outcome of every request to the store is noted for `reachability`. */
+  /** The key-value store; `reachability` records the outcome of each request to it. */
   readonly keyValueStore: KeyValueStore;
   /** All controllers of the cluster, by name. */
   readonly members: readonly Member[];
-  /** Uniform in [0, 1). */
+  /** Returns random numbers, uniform in [0, 1). */
   readonly random: () => number;
   readonly reachability: StoreReachability;
   readonly limiter: RateLimiter;
   readonly replica: StoreReplica;
   readonly committer: Committer;
   readonly election: RoleElection;
-  /** Null: it is off. */
+  /** Null: failure detection is disabled. */
   readonly detection: DetectionService | null;
   readonly holderNotifier: HolderNotifier;
   readonly userRequests: UserRequests;
@@ -65,28 +65,31 @@
 
 /** Creates the services of a controller. */
 export function createControllerServices(options: ControllerServicesOptions): ControllerServices {
-  const store = createStoreServices(options);
-  const detection = createDetection(store, () => election);
-  const election = createElection(store, detection?.policy ?? STORE_ONLY_POLICY);
+  const storageServices = createStorageServices(options);
+  const detection = createDetection(storageServices, () => election);
+  const election = createElection(storageServices, detection?.policy ?? STORE_ONLY_POLICY);
   const { environment, settings } = options;
-  const { replica } = store;
+  const { replica } = storageServices;
   const holderNotifier = new HolderNotifier({
     controllerName: settings.node,
     environment,
     election,
     replica,
   });
-  const withElection = { ...store, election, detection, holderNotifier };
+  const withElection = { ...storageServices, election, detection, holderNotifier };
   return { ...withElection, userRequests: createUserRequests(withElection) };
 }
 
-/** ms between requests of all members that take `share` of the key-value store's limit. */
-function requestSpacingMs({ peers, storeRps }: Settings, share: number): number {
+/**
+ * ms between two requests of one controller with which all controllers together take this fraction
+ * of the key-value store's limit of requests.
+ */
+function requestSpacingMs({ peers, storeRps }: Settings, fraction: number): number {
   const memberCount = peers.length + 1;
-  return (1000 * memberCount) / (storeRps * share);
+  return (1000 * memberCount) / (storeRps * fraction);
 }
 
-function createStoreServices(options: ControllerServicesOptions): StorageServices {
+function createStorageServices(options: ControllerServicesOptions): StorageServices {
   const { environment, incarnation, log, settings } = options;
   const { clock } = environment;
   const reachability = new StoreReachability(clock);
@@ -160,7 +163,7 @@
     teams: settings.teams,
     transactionOps: settings.transactionOps,
     valueBytes: settings.valueBytes,
-    checkMs: requestSpacingMs(settings, CHECK_RATE_SHARE),
+    checkMs: requestSpacingMs(settings, CHECK_RATE_FRACTION),
     replica,
     keyValueStore,
     limiter,
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves workers' heartbeats: here, or by sending worker or heartbeat to the shard's holder. */
+/** Answers workers' heartbeats, or redirects or relays them to the holder of the worker's shard. */
 import { REDIRECT_RETRY_MS } from '../../constants/controller.js';
 import type { Heartbeat } from '../../protocol/model.js';
 import { parseJson, type Parsed } from '../../protocol/validation.js';
@@ -15,7 +15,7 @@
 import type { PeerRelay } from './peer-relay.js';
 import { unavailable } from '../api/http-replies.js';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface HeartbeatEndpointOptions {
   /** Name of this controller. */
   readonly controllerName: string;
@@ -28,13 +28,14 @@
 
 /** The endpoint of workers' heartbeats. */
 export class HeartbeatEndpoint {
-  /** Machines that were redirected lately, and when. */
-  private readonly redirectedAt = new Map<string, number>();
+  /** Steady time at which each machine's last heartbeat was redirected or relayed. */
+  private readonly lastForwardedAt = new Map<string, number>();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
   /**
-   * Answers a heartbeat, redirects its worker to the shard's holder, or relays the heartbeat there.
+   * Answers a heartbeat if this controller holds the machine's shard. Otherwise redirects the
+   * worker to the holder, or relays the heartbeat if the worker was redirected lately.
    */
   async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
@@ -47,13 +48,13 @@
     const holder = election.holderOf(shardRole(shard));
     if (holder === null || holder === controllerName) return unavailable('no owner acts');
     const now = clock.now();
-    const lastRedirectedAt = this.redirectedAt.get(machine);
-    this.redirectedAt.set(machine, now);
-    if (lastRedirectedAt === undefined || now - lastRedirectedAt > REDIRECT_RETRY_MS) {
+    const previousForwardedAt = this.lastForwardedAt.get(machine);
+    this.lastForwardedAt.set(machine, now);
+    if (previousForwardedAt === undefined || now - previousForwardedAt > REDIRECT_RETRY_MS) {
       return { status: 421, body: encodeRedirect(holder) };
     }
-    // Back so soon after a redirect: the worker can't reach the holder, but perhaps this controller
-    // can.
+    // The worker sent a heartbeat here again soon after a redirect, so it probably can't reach the
+    // holder, but this controller may reach it.
     const relayed = await peerRelay.request(holder, {
       operation: 'heartbeat',
       jobId: '',
@@ -62,7 +63,7 @@
     return relayed ?? unavailable('no owner acts');
   }
 
-  /** Answers a heartbeat that a peer relayed; null: it is invalid, or not for this controller. */
+  /** Answers a relayed heartbeat; null: it is invalid, or this controller may not answer it. */
   handleRelayed(text: string): HttpReply | null {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return null;
@@ -70,15 +71,18 @@
     return this.replyAsHolder(shardOf(machine, zone, this.options.members), parsed.value);
   }
 
-  /** Forgets redirects that are too old to matter. */
-  forgetOldRedirects(): void {
+  /** Removes entries older than `REDIRECT_RETRY_MS`, which no longer cause a heartbeat's relay. */
+  removeExpiredForwardTimes(): void {
     const now = this.options.clock.now();
-    for (const [machine, at] of this.redirectedAt) {
-      if (now - at > REDIRECT_RETRY_MS) this.redirectedAt.delete(machine);
+    for (const [machine, at] of this.lastForwardedAt) {
+      if (now - at > REDIRECT_RETRY_MS) this.lastForwardedAt.delete(machine);
     }
   }
 
-  /** Null: this controller may not answer for the shard. */
+  /**
+   * Answers a heartbeat as the holder of its shard; null: this controller does not hold the shard,
+   * or its replica is not current.
+   */
   private replyAsHolder(shard: string, heartbeat: Heartbeat): HttpReply | null {
     const { activeRoles, election } = this.options;
     const heldRole = election.heldRole(shardRole(shard));
