--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -32,7 +32,7 @@
 
 /** A watch returns within this fraction of the grace, so that a working holder's replica stays
  * current. */
-export const WATCH_GRACE_SHARE = 0.25;
+export const WATCH_GRACE_FRACTION = 0.25;
 
 /** ms; time after which a holder that stepped down continues under a new term if no other
  * controller has claimed its role. The controller that requested the step-down claims the role in
@@ -47,4 +47,4 @@
  * attempt number is used twice. The leader has the last range of a term, for gangs. */
 export const SHARDS_PER_TERM = 64;
 /** Size of the range of attempt numbers that a shard, or the leader, has in a term. */
-export const ATTEMPT_STEP = 2 ** 20;
+export const ATTEMPT_RANGE_SIZE = 2 ** 20;
--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -77,11 +77,11 @@
  * A value that is too low is safe; with one that is too high, tasks would end by themselves before
  * the shard expects it.
  */
-export const GANG_WAIT_S = 30;
-export const GANG_PEER_S = 4;
+export const DEFAULT_GANG_WAIT_S = 30;
+export const DEFAULT_GANG_PEER_S = 4;
 
 /** Longest assumed duration of an image fetch, as a multiple of its nominal duration. */
-export const FETCH_TIME_MAX_RATIO = 4 / 3;
+export const FETCH_TIME_MAX_FACTOR = 4 / 3;
 
 /**
  * ms; maximum time from a shard's decision to stop a gang until the stop reaches the gang's tasks
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -10,7 +10,7 @@
  * Fraction of a start target that an image fetch may take; the rest is for scheduling and for
  * sending the start command.
  */
-export const START_TARGET_FETCH_SHARE = 0.6;
+export const START_TARGET_FETCH_FRACTION = 0.6;
 
 /** ms; interval between two searches for machines with low CPU use whose services could move. */
 export const CONSOLIDATION_INTERVAL_MS = 15_000;
--- a/src/constants/storage.ts
+++ b/src/constants/storage.ts
@@ -32,7 +32,7 @@
 
 /** Fraction of the size limit up to which a value is filled when records are split. The store may
  * count spaces, escapes or digits differently. */
-export const VALUE_SHARE = 0.95;
+export const VALUE_FILL_FRACTION = 0.95;
 
 /** Final records cached in memory. Older ones are read from the store again. */
 export const MAX_CACHED_FINAL_RECORDS = 20_000;
@@ -57,7 +57,7 @@
 export const STORE_LIMIT_REFUSAL_FACTOR = 0.7;
 
 /** Fraction of the store's request limit that the watches of all members may use together. */
-export const WATCH_SHARE = 0.15;
+export const WATCH_LIMIT_FRACTION = 0.15;
 
 /** Fraction of the usual spacing of watches that remains after a peer announced a change. */
 export const ANNOUNCED_WATCH_SPACING_FRACTION = 0.25;
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -57,7 +57,7 @@
   /** Tries to cancel a job as the replica holds it; null: the replica was outdated, try again. */
   private async attempt(id: string, deadline: number): Promise<HttpReply | null> {
     const { replica, checks, onCommitted } = this.options;
-    const final = replica.final(id);
+    const final = replica.finalRecord(id);
     if (final) return stateReply(id, final.state);
     const stored = replica.get<JobRecord>(jobKey(id));
     if (!stored) return this.cancelWithoutRecord(id);
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -20,7 +20,7 @@
   /** Changes that one transaction may hold. */
   transactionOps: number;
   /** ms between two transactions that check jobs; checks that arrive in between share the next. */
-  checkMs: number;
+  checkIntervalMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
   limiter: RateLimiter;
@@ -62,7 +62,7 @@
   private schedule(): void {
     if (this.isScheduled || this.queue.size === 0) return;
     this.isScheduled = true;
-    const { clock, checkMs } = this.options;
+    const { clock, checkIntervalMs: checkMs } = this.options;
     const isFull = this.queue.size >= this.checksPerTransaction;
     const remainingMs = isFull ? 0 : checkMs - (clock.now() - this.lastCheckedAt);
     clock.after(Math.max(GROUP_COMMIT_DELAY_MS, remainingMs), () => void this.checkNextBatch());
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -45,7 +45,7 @@
    * prove that the job is absent.
    */
   lookUpIfKnown(id: string): Promise<JobLookup | null> {
-    const final = this.replica.final(id);
+    const final = this.replica.finalRecord(id);
     if (final) return Promise.resolve(finishedJobLookup(final));
     // Until the replica is loaded no submission is accepted, and finished jobs can only be looked
     // up in the store.
@@ -60,10 +60,10 @@
    * job, the store is asked.
    */
   private async lookUpNewest(id: string): Promise<JobLookup> {
-    const knownFinal = this.replica.final(id);
+    const knownFinal = this.replica.finalRecord(id);
     if (knownFinal) return finishedJobLookup(knownFinal);
     if (this.replica.isLoaded && this.replica.job(id) && (await this.awaitFreshReplica())) {
-      const final = this.replica.final(id);
+      const final = this.replica.finalRecord(id);
       if (final) return finishedJobLookup(final);
       if (this.replica.job(id)) return openJobLookup(this.replica, id);
     }
--- a/src/coordination/api/job-verifier.ts
+++ b/src/coordination/api/job-verifier.ts
@@ -35,7 +35,7 @@
 
   /** Returns the result for a job whose final record the replica holds; null: it holds none. */
   finishedLookup(id: string): JobLookup | null {
-    const final = this.options.replica.final(id);
+    const final = this.options.replica.finalRecord(id);
     return final ? finishedJobLookup(final) : null;
   }
 
@@ -60,7 +60,7 @@
     const final = await keyValueStore.get(finalKey(id));
     // Two reads at two moments don't prove that the job had neither record at one moment.
     if (!final) return UNKNOWN_LOOKUP;
-    replica.keepFinal(id, final.value as FinalRecord);
+    replica.cacheFinalRecord(id, final.value as FinalRecord);
     return finishedJobLookup(final.value as FinalRecord);
   }
 
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -22,7 +22,7 @@
   /** Largest size in bytes of a job's record in the key-value store. */
   valueBytes: number;
   /** ms between two transactions that check jobs; checks that arrive in between share the next. */
-  checkMs: number;
+  checkIntervalMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
   limiter: RateLimiter;
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -56,7 +56,7 @@
 
   private async runPass(snapshot: FleetSnapshot): Promise<void> {
     const { clock, headroom, rejectedChangeBackoff, log, replica } = this.context;
-    rejectedChangeBackoff.sweep();
+    rejectedChangeBackoff.removeExpired();
     headroom.update();
     try {
       await this.catalogRefresh.run();
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -34,7 +34,7 @@
   /** Free CPUs of on-demand machines that are kept for urgent work while jobs are open. */
   readonly headroomCpus: number;
   /** Whether spot instances may be rented. */
-  readonly spot: boolean;
+  readonly isSpotAllowed: boolean;
   /** Maximum number of machines in the fleet. */
   readonly maxMachines: number;
   /** The controllers. Machines send their heartbeats to those of their own zone. */
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -25,12 +25,12 @@
     const types = await cloud.types();
     if (!types) return;
     this.refreshedAt = now;
-    if (rejectedChangeBackoff.has(CATALOG)) return;
+    if (rejectedChangeBackoff.isPaused(CATALOG)) return;
     const changes = writeCatalog(replica, types, valueBytes);
     for (const transaction of this.transactions(changes)) {
       const guards = transaction.map(({ key }) => ({ key, revision: replica.revisionOf(key) }));
       const result = await writer.commit('leader', guards, transaction);
-      if (result.kind === 'rejected') rejectedChangeBackoff.add(CATALOG);
+      if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(CATALOG);
       else rejectedChangeBackoff.clear(CATALOG);
       if (result.kind !== 'done') return;
     }
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -25,7 +25,7 @@
     const faulty = snapshot.machines.filter((machine) => machine.health === 'faulty');
     const unneeded = this.unneededMachines(snapshot);
     const machinesToDrain = [...faulty, ...unneeded].filter(
-      (machine) => !rejectedChangeBackoff.has(machine.name),
+      (machine) => !rejectedChangeBackoff.isPaused(machine.name),
     );
     if (machinesToDrain.length === 0) return;
     if ((await this.records.recordState(machinesToDrain, 'drain')) === 'written') {
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -27,17 +27,17 @@
     state: MachineState,
   ): Promise<RecordOutcome> {
     const { rejectedChangeBackoff, transactionOps, writer } = this.context;
-    const writable = machines.filter((machine) => !rejectedChangeBackoff.has(machine.name));
+    const writable = machines.filter((machine) => !rejectedChangeBackoff.isPaused(machine.name));
     const names = writable.map((machine) => machine.name);
     let start = 0;
     while (start < writable.length) {
-      const size = rejectedChangeBackoff.together(names.slice(start), transactionOps);
+      const size = rejectedChangeBackoff.batchSize(names.slice(start), transactionOps);
       const group = writable.slice(start, start + size);
       start += group.length;
       const { guards, changes } = this.stateTransaction(group, state);
       const result = await writer.commit('leader', guards, changes);
       for (const { name } of group) {
-        if (result.kind === 'rejected') rejectedChangeBackoff.add(name);
+        if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(name);
         else rejectedChangeBackoff.clear(name);
       }
       if (result.kind !== 'done') return 'incomplete';
@@ -71,16 +71,16 @@
     const wall = clock.wall();
     const changes: Change[] = [];
     const guards: Guard[] = [];
-    for (const [key, stored] of replica.below<MachineRecord>(MACHINES)) {
+    for (const [key, stored] of replica.entriesWithPrefix<MachineRecord>(MACHINES)) {
       if (stored.value.state !== 'gone' || listed.has(key.slice(MACHINES.length))) continue;
       if (wall - stored.value.at < RETURNED_RECORD_RETENTION_MS || changes.length >= transactionOps)
         continue;
       guards.push({ key, revision: stored.revision });
       changes.push({ key, remove: true });
     }
-    if (changes.length === 0 || rejectedChangeBackoff.has(MACHINES)) return;
+    if (changes.length === 0 || rejectedChangeBackoff.isPaused(MACHINES)) return;
     const result = await writer.commit('leader', guards, changes);
-    if (result.kind === 'rejected') rejectedChangeBackoff.add(MACHINES);
+    if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(MACHINES);
     else rejectedChangeBackoff.clear(MACHINES);
   }
 }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -53,10 +53,10 @@
     const isOccupied = this.occupancyCheck();
     const hasBootTimedOut = this.bootTimeoutCheck(snapshot);
     const returnable: RecordedMachine[] = [];
-    for (const [key, stored] of replica.below<MachineRecord>(MACHINES)) {
+    for (const [key, stored] of replica.entriesWithPrefix<MachineRecord>(MACHINES)) {
       const name = key.slice(MACHINES.length);
       const record = stored.value;
-      if (record.state === 'gone' || rejectedChangeBackoff.has(name)) continue;
+      if (record.state === 'gone' || rejectedChangeBackoff.isPaused(name)) continue;
       // No task is placed on a machine after its `drain` record was committed, so a replica that
       // has reached the revision of this record shows all of the machine's tasks.
       const hasAllTasks = replica.revision >= stored.revision;
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -20,7 +20,7 @@
     private readonly context: AutoscalingContext,
     private readonly records: MachineRecords,
   ) {
-    this.offers = new Offers(context.clock, context.spot);
+    this.offers = new Offers(context.clock, context.isSpotAllowed);
   }
 
   /** Rents machines for the missing capacity, as far as the request budget allows. */
--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -104,7 +104,7 @@
   }
 
   /** Updates the sums after a change of a key in the replica. */
-  changed(key: string): void {
+  onKeyChanged(key: string): void {
     if (key.startsWith(ASSIGNMENTS)) this.recount(key);
     else if (key.startsWith(JOBS)) {
       for (const assignment of this.replica.assignmentKeysOf(key.slice(JOBS.length)))
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -21,7 +21,7 @@
 export function* healthyMachines(
   replica: StoreReplica,
 ): Generator<{ shard: string; type: string; zone: string; spot: boolean }> {
-  for (const [key, versioned] of replica.below<StatusRecord>(STATUSES)) {
+  for (const [key, versioned] of replica.entriesWithPrefix<StatusRecord>(STATUSES)) {
     const shard = key.slice(STATUSES.length).split('/')[0] ?? '';
     for (const [type, zone, spot, health] of Object.values(versioned.value.machines)) {
       if (health === 'ok') yield { shard, type, zone, spot: spot === 1 };
@@ -59,12 +59,12 @@
       const type = types.get(identity.type);
       if (type) machines.set(identity.name, this.capacityOf(identity, type));
     };
-    for (const [key, versioned] of this.replica.below<MachineRecord>(MACHINES)) {
+    for (const [key, versioned] of this.replica.entriesWithPrefix<MachineRecord>(MACHINES)) {
       if (versioned.value.state !== 'rented') continue;
       for (const identity of this.decode(versioned, () => this.rentedMachine(key, versioned.value)))
         add(identity);
     }
-    for (const [key, versioned] of this.replica.below<StatusRecord>(STATUSES)) {
+    for (const [key, versioned] of this.replica.entriesWithPrefix<StatusRecord>(STATUSES)) {
       for (const identity of this.decode(versioned, () => reportedMachines(key, versioned.value))) {
         const state = this.replica.machine(identity.name)?.state;
         if (state !== 'drain' && state !== 'gone') add(identity);
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -42,9 +42,9 @@
   handleKeyChange(key: string): { affectsShards: boolean } {
     let affectsShards = false;
     for (const shard of this.shards.values()) {
-      if (shard.changed(key)) affectsShards = true;
+      if (shard.handleChange(key)) affectsShards = true;
     }
-    this.activeLeader?.changed(key);
+    this.activeLeader?.onKeyChanged(key);
     return { affectsShards };
   }
 
@@ -183,7 +183,7 @@
       leaseS: settings.leaseS,
       idleMs: fleet.idleS * 1000,
       headroomCpus: fleet.headroomCpus,
-      spot: fleet.spot,
+      isSpotAllowed: fleet.spot,
       maxMachines: fleet.maxMachines,
       members,
       replica,
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -207,7 +207,7 @@
         name: 'leader',
         reconcile: () => activeRoles.reconcileLeader(),
         lastCycleCpuMs: () =>
-          Math.max(LEADER_COALESCE_MS / PAUSE_PER_CPU_TIME, this.leader?.lastCycleCpuMs ?? 0),
+          Math.max(LEADER_COALESCE_MS / PAUSE_PER_CPU_TIME, this.leader?.lastPlanningMs ?? 0),
         intervalMs: () => (this.leader ? LOOP_INTERVAL_MS : STANDBY_INTERVAL_MS),
       }),
       autoscaler: loop({
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -2,8 +2,8 @@
  * Creates the services that all modules of a controller share, in the order of their dependencies.
  */
 import { CHECK_RATE_FRACTION } from '../../constants/api.js';
-import { WATCH_GRACE_SHARE } from '../../constants/election.js';
-import { WATCH_HOLD_MS, WATCH_SHARE, WATCH_SPACING_MS } from '../../constants/storage.js';
+import { WATCH_GRACE_FRACTION } from '../../constants/election.js';
+import { WATCH_HOLD_MS, WATCH_LIMIT_FRACTION, WATCH_SPACING_MS } from '../../constants/storage.js';
 import { Committer } from '../../storage/committer.js';
 import type { Log } from '../../storage/log.js';
 import { RateLimiter } from '../../storage/rate-limiter.js';
@@ -104,8 +104,8 @@
   const common = { keyValueStore, limiter, clock, log, random };
   const replica = new StoreReplica({
     ...common,
-    holdMs: Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_SHARE)),
-    spacingMs: Math.max(WATCH_SPACING_MS, requestSpacingMs(settings, WATCH_SHARE)),
+    holdMs: Math.floor(Math.min(WATCH_HOLD_MS, graceMs(settings) * WATCH_GRACE_FRACTION)),
+    spacingMs: Math.max(WATCH_SPACING_MS, requestSpacingMs(settings, WATCH_LIMIT_FRACTION)),
   });
   const committer = new Committer({ ...common, replica });
   const members = [selfOf(settings), ...settings.peers].sort((a, b) => (a.node < b.node ? -1 : 1));
@@ -163,7 +163,7 @@
     teams: settings.teams,
     transactionOps: settings.transactionOps,
     valueBytes: settings.valueBytes,
-    checkMs: requestSpacingMs(settings, CHECK_RATE_FRACTION),
+    checkIntervalMs: requestSpacingMs(settings, CHECK_RATE_FRACTION),
     replica,
     keyValueStore,
     limiter,
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -31,7 +31,7 @@
     switch (message.kind) {
       case 'poke':
         if (message.cancelled) this.applyCancellation(message.cancelled, message.revision);
-        replica.pollSoon(message.revision);
+        replica.watchSoon(message.revision);
         return;
       case 'relay':
         void this.handleRelayed(message).then((reply) => {
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -54,7 +54,7 @@
       this.freeSince.delete(role);
       return steppedDown.isUnclaimed(role, holder.term);
     }
-    if (rejectedChangeBackoff.has(role)) return false;
+    if (rejectedChangeBackoff.isPaused(role)) return false;
     const isPreferredHolder = preferredHolder?.node === self.node;
     if (
       this.isHolderRegistered(holder) &&
--- a/src/coordination/election/member-registration.ts
+++ b/src/coordination/election/member-registration.ts
@@ -40,7 +40,7 @@
     const now = this.context.clock.now();
     const { isRegistered, lease } = this;
     if (lease !== null && isRegistered && (await this.renewLease(lease, now))) return;
-    if (this.context.rejectedChangeBackoff.has(REGISTRATION)) return;
+    if (this.context.rejectedChangeBackoff.isPaused(REGISTRATION)) return;
     await this.register(now);
   }
 
@@ -65,7 +65,7 @@
     const lease = await keyValueStore.grant(MEMBER_LEASE_TTL_MS);
     const { guards, changes } = this.buildTransaction(lease);
     const result = await committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'rejected') rejectedChangeBackoff.add(REGISTRATION);
+    if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(REGISTRATION);
     if (result.kind !== 'done') return;
     rejectedChangeBackoff.clear(REGISTRATION);
     this.lease = lease;
--- a/src/coordination/election/role-claims.ts
+++ b/src/coordination/election/role-claims.ts
@@ -44,7 +44,7 @@
     const record = claimRecord(this.context, holder);
     const changes: Change[] = [{ key, value: record }];
     const result = await committer.commit('role', guards, changes, () => true);
-    if (result.kind === 'rejected') rejectedChangeBackoff.add(role);
+    if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(role);
     else rejectedChangeBackoff.clear(role);
     const formerHolder = holder?.owner ?? null;
     log.info({ role, formerHolder, term: record.term, result: result.kind }, 'role claim finished');
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -44,7 +44,8 @@
     const urgentShards = new Set<string>();
     for (let start = 0; start < assignments.length;) {
       const end =
-        start + rejectedChangeBackoff.together(assignments.slice(start).map(jobOf), transactionOps);
+        start +
+        rejectedChangeBackoff.batchSize(assignments.slice(start).map(jobOf), transactionOps);
       const group = assignments.slice(start, end);
       start = end;
       const jobs = new Set(group.map(jobOf));
@@ -60,7 +61,7 @@
       );
       log.debug({ jobs: [...jobs], result: result.kind }, 'assignment transaction finished');
       for (const job of jobs) {
-        if (result.kind === 'rejected') rejectedChangeBackoff.add(job);
+        if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(job);
         else rejectedChangeBackoff.clear(job);
       }
       if (result.kind !== 'done') break;
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -1,6 +1,6 @@
 /** Creates the records that assign tasks of a job to a shard. */
 import { ASSIGNMENT_BASE_BYTES, ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
-import { VALUE_SHARE } from '../../constants/storage.js';
+import { VALUE_FILL_FRACTION } from '../../constants/storage.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { assignmentKey } from '../../storage/keys.js';
 import { writeRanges } from '../../storage/ranges.js';
@@ -30,7 +30,7 @@
 
   constructor(term: number, valueBytes: number) {
     this.numbers = new TermNumbers(term * NUMBERS_PER_TERM, NUMBERS_PER_TERM);
-    const bytes = valueBytes * VALUE_SHARE - ASSIGNMENT_BASE_BYTES;
+    const bytes = valueBytes * VALUE_FILL_FRACTION - ASSIGNMENT_BASE_BYTES;
     this.tasksPerAssignment = Math.max(1, Math.floor(bytes / ASSIGNMENT_TASK_BYTES));
   }
 
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -157,7 +157,7 @@
   }
 
   private assignJob(job: OpenJob, cycle: SchedulingCycle): void {
-    if (this.options.rejectedChangeBackoff.has(job.id)) return;
+    if (this.options.rejectedChangeBackoff.isPaused(job.id)) return;
     if (job.spec.kind === 'gang') this.gangAssignment.assign(job, cycle);
     else this.shardAssignment.assign(job, cycle);
   }
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -1,7 +1,7 @@
 /**
  * Assigns gangs to shards. All tasks of a gang are assigned under one attempt number, or none is.
  */
-import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
+import { START_TARGET_FETCH_FRACTION } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { Log } from '../../storage/log.js';
@@ -140,7 +140,7 @@
       isFetchInTime: (name) => {
         const type = types.get(name);
         if (startLimitS === undefined || !type) return true;
-        return spec.imageGb <= type.fetchGbPerS * startLimitS * START_TARGET_FETCH_SHARE;
+        return spec.imageGb <= type.fetchGbPerS * startLimitS * START_TARGET_FETCH_FRACTION;
       },
     };
   }
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -1,6 +1,6 @@
 /** Keeps the leader's history of gangs: attempts, waiting times, and where images were used. */
 
-import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
+import { ATTEMPT_RANGE_SIZE, SHARDS_PER_TERM } from '../../constants/election.js';
 import {
   GANG_IMAGE_HISTORY_MAX_IMAGES,
   GANG_RESERVATION_MS,
@@ -31,7 +31,7 @@
 
   constructor(term: number) {
     const range = term * SHARDS_PER_TERM + SHARDS_PER_TERM - 1;
-    this.attempts = new TermNumbers(range * ATTEMPT_STEP, ATTEMPT_STEP);
+    this.attempts = new TermNumbers(range * ATTEMPT_RANGE_SIZE, ATTEMPT_RANGE_SIZE);
   }
 
   /**
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -57,7 +57,7 @@
     const completed = this.completedJobs();
     for (let start = 0; start < completed.length;) {
       const ids = completed.slice(start).map((job) => job.id);
-      const end = start + rejectedChangeBackoff.together(ids, this.jobsPerTransaction);
+      const end = start + rejectedChangeBackoff.batchSize(ids, this.jobsPerTransaction);
       const group = completed.slice(start, end);
       start = end;
       const { guards, changes } = completionOf(group);
@@ -68,7 +68,7 @@
       );
       if (result.kind === 'abandoned') return;
       for (const { id } of group) {
-        if (result.kind === 'rejected') rejectedChangeBackoff.add(id);
+        if (result.kind === 'rejected') rejectedChangeBackoff.recordRejection(id);
         else rejectedChangeBackoff.clear(id);
       }
     }
@@ -79,7 +79,7 @@
     const { rejectedChangeBackoff, accounting, replica } = this.options;
     const completed: CompletedJob[] = [];
     for (const id of accounting.completionCandidates) {
-      if (rejectedChangeBackoff.has(id)) continue;
+      if (rejectedChangeBackoff.isPaused(id)) continue;
       const versioned = replica.get<JobRecord>(jobKey(id));
       const done = accounting.jobs.get(id)?.done ?? 0;
       if (versioned && done >= doneTasksToComplete(versioned.value.spec)) {
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -38,7 +38,7 @@
   private readonly assignmentCommit: AssignmentCommit;
   private readonly singleFlight = new SingleFlight();
   /** Duration of planning in the last cycle in ms, without waiting for the key-value store. */
-  lastCycleCpuMs = 0;
+  lastPlanningMs = 0;
   /** The machines after the last scheduling cycle was planned, and the unmet demand. */
   snapshot: FleetSnapshot = {
     machines: [],
@@ -83,8 +83,8 @@
   }
 
   /** Updates the accounting and the recent arrivals after a change of a key in the replica. */
-  changed(key: string): void {
-    this.accounting.changed(key);
+  onKeyChanged(key: string): void {
+    this.accounting.onKeyChanged(key);
     if (key.startsWith(JOBS)) this.arrivals.onJobChanged(key.slice(JOBS.length));
   }
 
@@ -98,12 +98,12 @@
 
   private async runCycle(): Promise<Set<string>> {
     this.accounting.refresh();
-    this.rejectedChangeBackoff.sweep();
+    this.rejectedChangeBackoff.removeExpired();
     await this.jobCompletion.run();
     if (!this.replica.isSynced) return new Set();
     const cycle = this.planner.plan();
     this.snapshot = this.snapshotOf(cycle);
-    this.lastCycleCpuMs = this.clock.now() - cycle.startedAt;
+    this.lastPlanningMs = this.clock.now() - cycle.startedAt;
     return await this.assignmentCommit.run(cycle.assignments, cycle.urgentAssignmentKeys);
   }
 
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -94,14 +94,14 @@
   }
 
   /** Learns from a finished task; the payoff is the negative cost of its run. */
-  finished(type: string, context: number[], cost: number): void {
+  recordSuccess(type: string, context: number[], cost: number): void {
     const classIndex = context.indexOf(1);
     this.highestCosts.set(classIndex, Math.max(this.highestCosts.get(classIndex) ?? 0, cost));
     this.updateArm(type, context, -cost);
   }
 
   /** Learns from a failed task, which costs `penalty` times the highest cost of its class. */
-  failed(type: string, context: number[]): void {
+  recordFailure(type: string, context: number[]): void {
     const highestCost = this.highestCosts.get(context.indexOf(1)) ?? 0;
     this.updateArm(type, context, -this.penalty * highestCost);
   }
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -1,6 +1,6 @@
 /** Selects a machine for one task: the bandit selects the machine type, first fit the machine. */
 
-import { START_TARGET_FETCH_SHARE } from '../../constants/scheduling.js';
+import { START_TARGET_FETCH_FRACTION } from '../../constants/scheduling.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { fits, type Resources } from '../capacity/resources.js';
 import type { Machine } from '../shard-state/machine.js';
@@ -80,7 +80,7 @@
     const withinS = this.options.startWithinS[spec.class];
     return (
       withinS === undefined ||
-      this.fetchSeconds(machine, spec) <= withinS * START_TARGET_FETCH_SHARE
+      this.fetchSeconds(machine, spec) <= withinS * START_TARGET_FETCH_FRACTION
     );
   }
 
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -12,9 +12,9 @@
 
 /** Rules on which tasks may be preempted. */
 export interface PreemptionRules {
-  job: JobLookup;
+  findJob: JobLookup;
   /** Whether a job waited long for its start and none of its tasks is done yet. */
-  beganLate: (id: string) => boolean;
+  hasStartedLate: (id: string) => boolean;
   /** Whether a gang may be preempted. */
   mayStopGang: (assignment: Assignment) => boolean;
 }
@@ -131,7 +131,7 @@
     assignment: Assignment,
     { rank, arrayCpus }: PreemptionRights,
   ): PreemptionCandidate | null {
-    const { job, beganLate, mayStopGang } = this.rules;
+    const { findJob: job, hasStartedLate: beganLate, mayStopGang } = this.rules;
     const spec = task.isStopping ? null : job(assignment.job)?.spec;
     if (!spec) return null;
     // The first tasks of a job that started late are the newest on their machines. Without this
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -2,8 +2,8 @@
  * The scheduler of one shard: assigns waiting tasks to machines in the order of their priorities.
  */
 
-import { ATTEMPT_STEP, SHARDS_PER_TERM } from '../../constants/election.js';
-import { FETCH_TIME_MAX_RATIO } from '../../constants/gangs.js';
+import { ATTEMPT_RANGE_SIZE, SHARDS_PER_TERM } from '../../constants/election.js';
+import { FETCH_TIME_MAX_FACTOR } from '../../constants/gangs.js';
 import type { Log } from '../../storage/log.js';
 import type { Clock } from '../../transport/clock.js';
 import { allocate } from '../capacity/resources.js';
@@ -31,7 +31,7 @@
 export interface SchedulerOptions
   extends MachineChoiceOptions, PreemptionRules, SchedulingCycleRules {
   /** The shard's number and the term of its holder; attempt numbers are derived from both. */
-  number: number;
+  shardNumber: number;
   term: number;
   /** Seconds that a gang's task waits for the other tasks to start. */
   gangWaitS: number;
@@ -60,13 +60,13 @@
     private readonly dependencies: SchedulerDependencies,
   ) {
     const { tasks, machines, bandit, clock } = dependencies;
-    const attemptRange = options.term * SHARDS_PER_TERM + options.number;
-    this.attempts = new TermNumbers(attemptRange * ATTEMPT_STEP, ATTEMPT_STEP);
+    const attemptRange = options.term * SHARDS_PER_TERM + options.shardNumber;
+    this.attempts = new TermNumbers(attemptRange * ATTEMPT_RANGE_SIZE, ATTEMPT_RANGE_SIZE);
     this.machineChoice = new MachineChoice(options, machines, bandit);
     this.preemption = new Preemption(options, dependencies);
     this.gangPlacement = new GangPlacement(new GangPreemption(this.preemption, clock));
-    this.reservations = new GangReservations(tasks, options.job);
-    this.consolidation = new Consolidation(options.job, dependencies);
+    this.reservations = new GangReservations(tasks, options.findJob);
+    this.consolidation = new Consolidation(options.findJob, dependencies);
   }
 
   /**
@@ -160,7 +160,7 @@
       fetches: {
         isInTime: (machine) => this.machineChoice.fetchesInTime(machine, spec),
         isWithinGangWait: (machine) =>
-          this.machineChoice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_RATIO <=
+          this.machineChoice.fetchSeconds(machine, spec) * FETCH_TIME_MAX_FACTOR <=
           this.options.gangWaitS,
       },
     });
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -16,16 +16,16 @@
 
 /** Rules on which work a cycle considers, and which machines that work may use. */
 export interface SchedulingCycleRules {
-  job: JobLookup;
+  findJob: JobLookup;
   /** Whether a job was accepted long ago and none of its tasks is placed. */
-  waitsLong: (id: string) => boolean;
+  hasWaitedLong: (id: string) => boolean;
   /**
    * The largest recent gang, if this shard keeps arrays off some machines so that another one like
    * it would fit; null if it doesn't.
    */
-  nextGang: () => JobSpec | null;
+  expectedGang: () => JobSpec | null;
   /** Whether a job is paused after failures. */
-  pauses: (id: string) => boolean;
+  isPaused: (id: string) => boolean;
 }
 
 /** Services and state that a cycle uses. */
@@ -50,8 +50,8 @@
 export function waitingAssignments(tasks: Tasks, rules: SchedulingCycleRules): WaitingAssignment[] {
   const waiting: WaitingAssignment[] = [];
   for (const assignment of tasks.waitingAssignments) {
-    const job = rules.job(assignment.job);
-    if (!job || rules.pauses(assignment.job)) continue;
+    const job = rules.findJob(assignment.job);
+    if (!job || rules.isPaused(assignment.job)) continue;
     waiting.push({ assignment, spec: job.spec });
   }
   return waiting.sort(
@@ -79,7 +79,7 @@
     { machines, tasks, reservations }: SchedulingCycleDependencies,
   ) {
     this.candidates = listCandidates(machines, tasks);
-    const expectedGang = rules.nextGang();
+    const expectedGang = rules.expectedGang();
     this.expectedGang = expectedGang;
     if (expectedGang) {
       const isUsable = ({ machine }: CandidateMachine): boolean =>
@@ -87,13 +87,15 @@
       reservations.excludeArrays(expectedGang, this.candidates.filter(isUsable));
     }
     this.taskCounts = countTasksByType(machines, tasks);
-    this.lowestRank = lowestPlacedRank(tasks, rules.job);
+    this.lowestRank = lowestPlacedRank(tasks, rules.findJob);
   }
 
   /** The machines that an assignment may use, without those that are reserved for gangs. */
   candidatesFor({ assignment, spec }: WaitingAssignment): CandidateMachine[] {
     const isExcludedArray =
-      this.expectedGang !== null && spec.kind === 'array' && !this.rules.waitsLong(assignment.job);
+      this.expectedGang !== null &&
+      spec.kind === 'array' &&
+      !this.rules.hasWaitedLong(assignment.job);
     return this.candidates.filter(
       ({ machine, isReserved, excludesArrays }) =>
         !isReserved && !(excludesArrays && isExcludedArray) && mayRunOn(machine, spec, assignment),
--- a/src/coordination/shard-state/machine-heartbeats.ts
+++ b/src/coordination/shard-state/machine-heartbeats.ts
@@ -25,7 +25,8 @@
   if (!unconfirmedCall) return;
   const isFenced =
     unconfirmedCall.fencedBy !== null && heartbeat.fencingToken >= unconfirmedCall.fencedBy;
-  if (heartbeat.agentEpoch > unconfirmedCall.agentEpoch || isFenced) machine.unconfirmedCall = null;
+  if (heartbeat.workerEpoch > unconfirmedCall.workerEpoch || isFenced)
+    machine.unconfirmedCall = null;
 }
 
 /**
@@ -47,7 +48,7 @@
    */
   apply(machine: Machine, heartbeat: Heartbeat, callSentAt: number | null): HeartbeatFreshness {
     const order =
-      heartbeat.agentEpoch - machine.agentEpoch || heartbeat.sequence - machine.sequence;
+      heartbeat.workerEpoch - machine.workerEpoch || heartbeat.sequence - machine.sequence;
     const acknowledgesMachine =
       heartbeat.fencingToken >= this.fencingTokens.base + machine.requiredFencingOffset;
     // A machine that restarted at once may number its heartbeats from 1 again, so that they look
@@ -60,7 +61,7 @@
       this.requireAcknowledgementIfSilent(machine);
       return 'older';
     }
-    const hasNewEpoch = machine.agentEpoch > 0 && heartbeat.agentEpoch > machine.agentEpoch;
+    const hasNewEpoch = machine.workerEpoch > 0 && heartbeat.workerEpoch > machine.workerEpoch;
     this.storeHeartbeat(machine, heartbeat, acknowledgesMachine);
     if (callSentAt === null) machine.heartbeatAt = machine.observedAt;
     clearEndedCall(machine, heartbeat);
@@ -87,7 +88,7 @@
   ): void {
     const now = this.clock.now();
     const { base } = this.fencingTokens;
-    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.workerEpoch = heartbeat.workerEpoch;
     machine.sequence = heartbeat.sequence;
     machine.observedAt = now;
     machine.hasShownTokenOfEntry = heartbeat.fencingToken >= base + machine.initialFencingOffset;
--- a/src/coordination/shard-state/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -4,7 +4,7 @@
 
 /** Commands that were sent directly to a worker and may still be carried out. */
 export interface UnconfirmedCall {
-  agentEpoch: number;
+  workerEpoch: number;
   attempts: Set<number>;
   /**
    * The token that fences the commands after a call without an answer. A heartbeat that shows this
@@ -23,7 +23,7 @@
   spot: boolean;
 
   /** Worker epoch of the newest heartbeat, and the heartbeat's sequence number in that epoch. */
-  agentEpoch: number;
+  workerEpoch: number;
   sequence: number;
   /** Steady time at which the newest heartbeat arrived, on its own or in answer to a call. */
   observedAt: number;
@@ -90,7 +90,7 @@
     type,
     zone,
     spot,
-    agentEpoch: 0,
+    workerEpoch: 0,
     sequence: 0,
     observedAt: now,
     heartbeatAt: now,
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -29,7 +29,7 @@
   loadAll(): void {
     const { replica } = this.dependencies;
     const prefix = assignmentPrefix(this.shard);
-    for (const [key] of replica.below<AssignmentRecord>(prefix)) this.handleChange(key);
+    for (const [key] of replica.entriesWithPrefix<AssignmentRecord>(prefix)) this.handleChange(key);
   }
 
   /**
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -2,7 +2,7 @@
 import { ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
 import { GUARDS_PER_OP, TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { ASSIGNMENT_OVERHEAD_BYTES } from '../../constants/shard.js';
-import { VALUE_SHARE } from '../../constants/storage.js';
+import { VALUE_FILL_FRACTION } from '../../constants/storage.js';
 import { jobKey, machineKey } from '../../storage/keys.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import type { ShardContext } from './shard-context.js';
@@ -48,7 +48,7 @@
     const allMachines = new Set([...this.machines, ...uncommitted]);
     if (allMachines.size > maxMachines && this.changes.length > 0) return { kind: 'full' };
     const newMachines = new Set([...uncommitted].slice(0, maxMachines));
-    const maxBytes = options.valueBytes * VALUE_SHARE;
+    const maxBytes = options.valueBytes * VALUE_FILL_FRACTION;
     const pieces = isRemoved ? [] : tasks.split(assignment, newMachines, maxBytes);
     // All pieces go into one transaction. Otherwise a task would be in two assignments or in none
     // between two transactions.
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -33,7 +33,7 @@
 
   /** Removes pauses that expired long ago. */
   sweep(): void {
-    this.withheld.sweep();
+    this.withheld.removeExpired();
   }
 
   /** Writes all assignments that are due. */
@@ -73,7 +73,7 @@
     const { log, options } = this.context;
     const transaction = new AssignmentTransaction(this.context);
     const keys = due.map((assignment) => assignment.key);
-    for (const assignment of due.slice(0, this.withheld.together(keys, options.transactionOps))) {
+    for (const assignment of due.slice(0, this.withheld.batchSize(keys, options.transactionOps))) {
       if (this.schedule.isUrgent(assignment) !== urgent) break;
       const result = transaction.add(assignment, this.schedule.mustBeRemoved(assignment));
       if (result.kind === 'full') break;
@@ -82,7 +82,7 @@
         { shard: options.shard, assignment: assignment.key, pieces: result.pieces },
         'assignment too large for one transaction',
       );
-      this.withheld.hold(assignment.key, OVERSIZED_ASSIGNMENT_RETRY_MS);
+      this.withheld.pause(assignment.key, OVERSIZED_ASSIGNMENT_RETRY_MS);
     }
     return transaction;
   }
@@ -92,7 +92,7 @@
     const { log, options, tasks } = this.context;
     log.info({ shard: options.shard, result }, 'assignments not committed');
     for (const { assignment } of writes) {
-      if (result.kind === 'rejected') this.withheld.add(assignment.key);
+      if (result.kind === 'rejected') this.withheld.recordRejection(assignment.key);
       tasks.reload(assignment);
     }
   }
--- a/src/coordination/shard/bandit-snapshot.ts
+++ b/src/coordination/shard/bandit-snapshot.ts
@@ -1,6 +1,6 @@
 /** Stores the arms of a shard's bandit, so that the shard's next holder can continue with them. */
 import { TRANSACTION_BYTES } from '../../constants/protocol.js';
-import { VALUE_SHARE } from '../../constants/storage.js';
+import { VALUE_FILL_FRACTION } from '../../constants/storage.js';
 import type { Change } from '../../protocol/key-value-store.js';
 import { armKey } from '../../storage/keys.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -51,7 +51,7 @@
 
   /** Maximum size of a record, in bytes. */
   private get maxBytes(): number {
-    return Math.floor(this.options.valueBytes * VALUE_SHARE);
+    return Math.floor(this.options.valueBytes * VALUE_FILL_FRACTION);
   }
 
   private get changesPerTransaction(): number {
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -20,7 +20,7 @@
   recordSuccess(machine: Machine, { assignment, task }: AssignedTask): void {
     if (!task.banditContext || task.runningAt === null || !this.bandit) return;
     const runTimeS = (this.clock.now() - task.runningAt) / 1000;
-    this.bandit.finished(
+    this.bandit.recordSuccess(
       machine.type,
       task.banditContext,
       runTimeS * this.pricePerS(machine, assignment.record),
@@ -29,7 +29,7 @@
 
   /** Reports a task that failed on the machine. */
   recordFailure(machine: Machine, { task }: AssignedTask): void {
-    if (task.banditContext) this.bandit?.failed(machine.type, task.banditContext);
+    if (task.banditContext) this.bandit?.recordFailure(machine.type, task.banditContext);
   }
 
   /**
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -45,7 +45,7 @@
   private async send(machine: Machine, commands: Command[]): Promise<void> {
     const { clock, machinesToCommand, log, machines, wake, workers } = this.context;
     const call: UnconfirmedCall = {
-      agentEpoch: machine.agentEpoch,
+      workerEpoch: machine.workerEpoch,
       attempts: new Set(commands.map((command) => command.attempt)),
       fencedBy: null,
     };
@@ -57,7 +57,7 @@
       const result = await workers.command(
         machine.address,
         fencingToken,
-        machine.agentEpoch,
+        machine.workerEpoch,
         commands,
       );
       if (machine.unconfirmedCall === call) machine.unconfirmedCall = null;
--- a/src/coordination/shard/gang-shares.ts
+++ b/src/coordination/shard/gang-subsets.ts
@@ -6,7 +6,7 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import { rankOf, type JobSpec } from '../../protocol/model.js';
 import type { Clock } from '../../transport/clock.js';
-import { URGENT } from '../capacity/priorities.js';
+import { LOWEST_URGENT_RANK } from '../capacity/priorities.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
 
@@ -157,7 +157,7 @@
    * ones wait less.
    */
   private returnIfTimedOut(assignment: Assignment, spec: JobSpec, now: number): void {
-    const isUrgent = rankOf(spec.priority) >= URGENT;
+    const isUrgent = rankOf(spec.priority) >= LOWEST_URGENT_RANK;
     const maxWaitMs =
       isUrgent || assignment.isInfeasible ? UNPLACED_RELEASE_MS : GANG_RESERVATION_TIMEOUT_MS;
     const [first] = assignment.waitingTasks;
--- a/src/coordination/shard/heartbeat-observer.ts
+++ b/src/coordination/shard/heartbeat-observer.ts
@@ -25,7 +25,7 @@
       log.debug(
         {
           machine: machine.name,
-          workerEpoch: machine.agentEpoch,
+          workerEpoch: machine.workerEpoch,
           acknowledged: machine.isAcknowledged,
         },
         freshness === 'newEpoch' ? 'worker epoch changed' : 'machine acknowledgement changed',
--- a/src/coordination/shard/holder-records.ts
+++ b/src/coordination/shard/holder-records.ts
@@ -33,7 +33,7 @@
 
   /** Whether changes of this key are paused because the store rejected one recently. */
   isRejected(key: string): boolean {
-    return this.rejected.has(key);
+    return this.rejected.isPaused(key);
   }
 
   /** Commits changes; returns whether they were. Keys that the store rejects are paused. */
@@ -44,7 +44,7 @@
     for (const { key } of changes) guards.push({ key, revision: replica.revisionOf(key) });
     const result = await committer.commit(purpose, guards, changes, isHolder);
     for (const { key } of changes) {
-      if (result.kind === 'rejected') this.rejected.add(key);
+      if (result.kind === 'rejected') this.rejected.recordRejection(key);
       else this.rejected.clear(key);
     }
     return result.kind === 'done';
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -41,7 +41,7 @@
   /** Restores the bandit's arms from the stored records. */
   private restore(bandit: Bandit): void {
     const { options, replica } = this.context;
-    for (const [key, stored] of replica.below<ArmRecord>(`${ARMS}${options.shard}/`)) {
+    for (const [key, stored] of replica.entriesWithPrefix<ArmRecord>(`${ARMS}${options.shard}/`)) {
       const further = (at: number) => replica.get<ArmRecord>(`${key}+${at}`)?.value;
       bandit.restore(key.slice(key.lastIndexOf('/') + 1), stored.value, further);
     }
@@ -51,14 +51,14 @@
     const { jobFailureBackoff, options, replica } = this.context;
     const gangStopCost = new GangStopCost(this.context);
     return {
-      number: options.number,
+      shardNumber: options.number,
       term: options.term,
       startWithinS: options.startWithinS,
-      job: (id) => replica.job(id),
-      beganLate: (id) => this.startedLate(id),
-      waitsLong: (id) => this.hasWaitedLong(id),
-      nextGang: () => this.reservedGang.next(),
-      pauses: (id) => jobFailureBackoff.isPaused(id),
+      findJob: (id) => replica.job(id),
+      hasStartedLate: (id) => this.startedLate(id),
+      hasWaitedLong: (id) => this.hasWaitedLong(id),
+      expectedGang: () => this.reservedGang.next(),
+      isPaused: (id) => jobFailureBackoff.isPaused(id),
       mayStopGang: (assignment) => gangStopCost.mayStop(assignment),
       gangWaitS: options.gangWaitS,
     };
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -7,7 +7,7 @@
 import type { JobSpec } from '../../protocol/model.js';
 import type { WorkerApi } from '../../protocol/worker-api.js';
 import type { Clock } from '../../transport/clock.js';
-import type { GangSubsets } from './gang-shares.js';
+import type { GangSubsets } from './gang-subsets.js';
 import type { Machines } from '../shard-state/machines.js';
 import type { Assignment } from '../shard-state/assignment.js';
 import type { Tasks } from '../shard-state/tasks.js';
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -1,6 +1,6 @@
 /** Writes the status records from which other controllers read the health of a shard's machines. */
 import { STATUS_INTERVAL_MS } from '../../constants/shard.js';
-import { VALUE_SHARE } from '../../constants/storage.js';
+import { VALUE_FILL_FRACTION } from '../../constants/storage.js';
 import type { RateLimiter } from '../../storage/rate-limiter.js';
 import { STATUSES, statusKey } from '../../storage/keys.js';
 import type { StatusRecord } from '../../storage/records.js';
@@ -46,7 +46,7 @@
   private addStoredMachines(): void {
     const { machines, replica } = this.dependencies;
     const prefix = `${STATUSES}${this.options.shard}/`;
-    for (const [key, stored] of replica.below<StatusRecord>(prefix)) {
+    for (const [key, stored] of replica.entriesWithPrefix<StatusRecord>(prefix)) {
       this.storedPages.set(Number(key.slice(prefix.length)), stored.value.machines);
       for (const [name, [type, zone, spot, health]] of Object.entries(stored.value.machines)) {
         const machine = machines.add(name, type, zone, spot === 1);
@@ -62,7 +62,7 @@
     const now = clock.now();
     if (now - this.lastWriteAt < STATUS_INTERVAL_MS[this.options.limiter.supply]) return;
     this.lastWriteAt = now;
-    const maxBytes = Math.floor(this.options.valueBytes * VALUE_SHARE);
+    const maxBytes = Math.floor(this.options.valueBytes * VALUE_FILL_FRACTION);
     const plan = new StatusPagePlan(this.currentEntries(), this.storedPages, maxBytes);
     const pages = plan.pages.map((_, number) => plan.machinesOf(number));
     for (const number of plan.writeOrder()) {
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -5,7 +5,7 @@
 import type { Bandit } from '../scheduling/bandit.js';
 import { AssignmentWriter } from './assignment-writer.js';
 import { BanditSnapshot } from './bandit-snapshot.js';
-import { GangSubsets } from './gang-shares.js';
+import { GangSubsets } from './gang-subsets.js';
 import type { Machine } from '../shard-state/machine.js';
 import { Machines } from '../shard-state/machines.js';
 import { CostLearning } from './cost-learning.js';
@@ -103,7 +103,7 @@
   // --- Changes of stored records -------------------------------------------------------------
 
   /** Handles a changed key of the replica; returns whether the shard should reconcile. */
-  changed(key: string): boolean {
+  handleChange(key: string): boolean {
     if (key.startsWith(JOBS)) return this.handleJobChange(key.slice(JOBS.length));
     const { assignmentsOfEndedJobs, tasks } = this.context;
     if (tasks.gangAssignments.size > 0 && this.handleOtherSubsetChange(key)) return true;
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -27,7 +27,8 @@
       if (this.mustBeRemoved(assignment)) tasks.markChanged(assignment);
     const due: Assignment[] = [];
     for (const assignment of tasks.changedAssignments) {
-      if (!this.withheld.has(assignment.key) && this.isDue(assignment, now)) due.push(assignment);
+      if (!this.withheld.isPaused(assignment.key) && this.isDue(assignment, now))
+        due.push(assignment);
     }
     return due.sort((a, b) => Number(this.isUrgent(b)) - Number(this.isUrgent(a)));
   }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -75,7 +75,7 @@
   type: string;
   zone: string;
   spot: boolean;
-  agentEpoch: number;
+  workerEpoch: number;
   sequence: number;
   fencingToken: number;
   noticeS: number | null;
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,6 +1,6 @@
 /** The settings of a controller: from the platform's file and the operators' files. */
 
-import { GANG_PEER_S, GANG_WAIT_S } from '../constants/gangs.js';
+import { DEFAULT_GANG_PEER_S, DEFAULT_GANG_WAIT_S } from '../constants/gangs.js';
 import {
   readOperatorSettings,
   type FleetSettings,
@@ -104,8 +104,8 @@
     heartbeatIntervalS: workers.report_s,
     leaseS: workers.lease_s,
     cancelS: workers.cancel_s,
-    gangWaitS: workers.gang_wait_s ?? GANG_WAIT_S,
-    gangPeerS: workers.gang_peer_s ?? GANG_PEER_S,
+    gangWaitS: workers.gang_wait_s ?? DEFAULT_GANG_WAIT_S,
+    gangPeerS: workers.gang_peer_s ?? DEFAULT_GANG_PEER_S,
   };
 }
 
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -21,7 +21,7 @@
   command(
     address: string,
     fencingToken: number,
-    agentEpoch: number,
+    workerEpoch: number,
     commands: Command[],
   ): Promise<DirectResult>;
 }
@@ -61,11 +61,11 @@
   async command(
     address: string,
     fencingToken: number,
-    agentEpoch: number,
+    workerEpoch: number,
     commands: Command[],
   ): Promise<DirectResult> {
     this.calling.add(address);
-    const body = encodeDirectCommands(fencingToken, agentEpoch, commands);
+    const body = encodeDirectCommands(fencingToken, workerEpoch, commands);
     const answer = await this.client(address)
       .call('POST', '/commands', body, this.timeoutMs)
       .finally(() => this.calling.delete(address));
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -78,7 +78,7 @@
       type: wire.breed,
       zone: wire.grove,
       spot: wire.windfall,
-      agentEpoch: wire.flight,
+      workerEpoch: wire.flight,
       sequence: wire.wingbeat,
       fencingToken: wire.mandate,
       noticeS: wire.warningS,
@@ -104,10 +104,10 @@
 /** Commands sent directly to a worker, for the agent epoch that the sender knows. */
 export function encodeDirectCommands(
   fencingToken: number,
-  agentEpoch: number,
+  workerEpoch: number,
   commands: Command[],
 ): unknown {
-  return { mandate: fencingToken, flight: agentEpoch, calls: encodeCommands(commands) };
+  return { mandate: fencingToken, flight: workerEpoch, calls: encodeCommands(commands) };
 }
 
 /** The response of a controller that does not hold the worker's shard; null: its holder is unknown. */
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -1,6 +1,6 @@
 /** Reads and writes the catalog of machine types, which may span several records. */
 
-import { VALUE_SHARE } from '../constants/storage.js';
+import { VALUE_FILL_FRACTION } from '../constants/storage.js';
 import type { Change } from '../protocol/key-value-store.js';
 import type { MachineType } from '../protocol/model.js';
 import { bytesOf } from './committer.js';
@@ -29,8 +29,8 @@
 function mergeRecords(replica: StoreReplica): MachineType[] | null {
   const first = replica.get<MachineType[]>(CATALOG);
   if (!first) return null;
-  const overflow = [...replica.below<MachineType[]>(CATALOG_OVERFLOW)].sort(([a], [b]) =>
-    a < b ? -1 : 1,
+  const overflow = [...replica.entriesWithPrefix<MachineType[]>(CATALOG_OVERFLOW)].sort(
+    ([a], [b]) => (a < b ? -1 : 1),
   );
   const types = new Map<string, MachineType>();
   for (const list of [first.value, ...overflow.map(([, stored]) => stored.value)]) {
@@ -49,7 +49,7 @@
   let bytes = 2;
   for (const type of types) {
     const size = bytesOf(type) + 1;
-    if (bytes + size > valueBytes * VALUE_SHARE && bytes > 2) {
+    if (bytes + size > valueBytes * VALUE_FILL_FRACTION && bytes > 2) {
       records.push([]);
       bytes = 2;
     }
@@ -64,7 +64,7 @@
     if (JSON.stringify(replica.get(key)?.value) !== JSON.stringify(value))
       changes.push({ key, value });
   }
-  for (const [key] of replica.below(CATALOG_OVERFLOW)) {
+  for (const [key] of replica.entriesWithPrefix(CATALOG_OVERFLOW)) {
     if (!desired.has(key)) changes.push({ key, remove: true });
   }
   return changes;
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -61,7 +61,7 @@
   }
 
   /** Returns the keys with a prefix and their values, in no particular order. */
-  *below<Value>(prefix: string): Generator<[string, VersionedValue<Value>]> {
+  *entriesWithPrefix<Value>(prefix: string): Generator<[string, VersionedValue<Value>]> {
     for (const [key, versioned] of this.valuesByKind.get(kindOf(prefix)) ?? []) {
       if (key.startsWith(prefix)) yield [key, versioned as VersionedValue<Value>];
     }
@@ -78,7 +78,7 @@
   }
 
   /** Returns the final record of an ended job, or null if it is not cached. */
-  final(id: string): FinalRecord | null {
+  finalRecord(id: string): FinalRecord | null {
     return this.finalRecords.get(id) ?? null;
   }
 
@@ -119,7 +119,7 @@
   /**
    * Caches the final record of a job, and evicts the oldest one beyond `MAX_CACHED_FINAL_RECORDS`.
    */
-  keepFinal(id: string, record: FinalRecord): void {
+  cacheFinalRecord(id: string, record: FinalRecord): void {
     this.finalRecords.set(id, record);
     if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS) {
       const oldest = this.finalRecords.keys().next();
@@ -133,7 +133,8 @@
    */
   apply(key: string, value: unknown, revision: number): boolean {
     if (key.startsWith(FINALS)) {
-      if (value !== undefined) this.keepFinal(key.slice(FINALS.length), value as FinalRecord);
+      if (value !== undefined)
+        this.cacheFinalRecord(key.slice(FINALS.length), value as FinalRecord);
       return true;
     }
     if (!key.startsWith(LIVE)) return false;
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -17,12 +17,12 @@
   }
 
   /** Records that a transaction with a change of the subject was rejected. */
-  add(subject: string): void {
+  recordRejection(subject: string): void {
     this.backoff.recordFailure(subject);
   }
 
   /** Pauses the subject for `pauseMs` without counting a rejection. */
-  hold(subject: string, pauseMs: number): void {
+  pause(subject: string, pauseMs: number): void {
     this.backoff.pause(subject, pauseMs);
   }
 
@@ -32,7 +32,7 @@
   }
 
   /** Returns whether the subject is paused now. */
-  has(subject: string): boolean {
+  isPaused(subject: string): boolean {
     return this.backoff.isPaused(subject);
   }
 
@@ -41,7 +41,7 @@
    * subject of a rejected transaction is sent alone, so that the others are committed and only the
    * invalid change is rejected again.
    */
-  together(subjects: readonly string[], limit: number): number {
+  batchSize(subjects: readonly string[], limit: number): number {
     const firstRejected = subjects
       .slice(0, limit)
       .findIndex((subject) => this.backoff.isTracked(subject));
@@ -50,7 +50,7 @@
   }
 
   /** Removes subjects whose pause ended long ago, because they no longer exist. */
-  sweep(): void {
+  removeExpired(): void {
     this.backoff.forgetExpired();
   }
 }
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -132,7 +132,7 @@
   /**
    * Shortens the pause before the next watch, because a peer announced a change of this revision.
    */
-  pollSoon(revision: number): void {
+  watchSoon(revision: number): void {
     if (revision <= this.revision) return;
     this.announcedRevision = Math.max(this.announcedRevision, revision);
     this.pause.shorten();
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -57,7 +57,7 @@
     leaseS: 24,
     idleMs: 1e9,
     headroomCpus: 0,
-    spot: true,
+    isSpotAllowed: true,
     maxMachines: 100,
     members: [],
     replica,
@@ -98,7 +98,7 @@
   const replica = await followedReplica(clock, state);
   const accounting = new CapacityAccounting(replica, clock);
   accounting.refresh();
-  replica.onChange((keys) => keys.forEach((key) => accounting.changed(key)));
+  replica.onChange((keys) => keys.forEach((key) => accounting.onKeyChanged(key)));
   const random = xoroshiro128plus(4);
   const draw = (most: number): number => uniformInt(random, 0, most - 1);
   const simple = (of: CapacityAccounting): unknown => {
--- a/test/controller/startup.test.ts
+++ b/test/controller/startup.test.ts
@@ -88,7 +88,7 @@
   await clock.run(40_000);
   assert.ok(replica.isSynced);
   const stored = [...store.entries.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
-  const replicated = [...replica.below(jobKey(''))].map(([key]) => key).sort();
+  const replicated = [...replica.entriesWithPrefix(jobKey(''))].map(([key]) => key).sort();
   assert.deepEqual(replicated, stored);
 });
 
@@ -121,7 +121,7 @@
   }
   await clock.run(clock.now() + 10_000);
   const stored = [...store.entries.keys()].filter((key) => key.startsWith(jobKey(''))).sort();
-  const replicated = [...replica.below(jobKey(''))].map(([key]) => key).sort();
+  const replicated = [...replica.entriesWithPrefix(jobKey(''))].map(([key]) => key).sort();
   assert.ok(replica.isSynced);
   assert.deepEqual(replicated, stored);
 });
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { GANG_PEER_S, GANG_WAIT_S } from '../../src/constants/gangs.js';
+import { DEFAULT_GANG_PEER_S, DEFAULT_GANG_WAIT_S } from '../../src/constants/gangs.js';
 import { VERSION } from '../../src/constants/program.js';
 import { readSettings } from '../../src/protocol/settings.js';
 import { SETTINGS_FILE as SETTINGS } from '../world/settings-file.js';
@@ -71,7 +71,10 @@
   assert.equal(settings.leaseS, 24);
   assert.equal(settings.placement.alpha, 0.5);
   assert.equal(settings.peers.length, 1);
-  assert.deepEqual([settings.gangWaitS, settings.gangPeerS], [GANG_WAIT_S, GANG_PEER_S]);
+  assert.deepEqual(
+    [settings.gangWaitS, settings.gangPeerS],
+    [DEFAULT_GANG_WAIT_S, DEFAULT_GANG_PEER_S],
+  );
   // Announced limits count from the start where they are stricter, and only there.
   const next = (fields: string): string =>
     SETTINGS.replace('[params.cloud]', `[params.state.next]\n${fields}\n[params.cloud]`);
--- a/test/scheduling/scheduling-sums.test.ts
+++ b/test/scheduling/scheduling-sums.test.ts
@@ -22,11 +22,11 @@
   );
   // A = I, b = 0: 0 + 2·√(x·x) = 2·√2.
   assert.ok(Math.abs(bandit.score('s', x) - 2 * Math.SQRT2) < 1e-9);
-  bandit.finished('s', x, 3);
+  bandit.recordSuccess('s', x, 3);
   // A = I + x·xᵀ, so A⁻¹x = x/3; b = -3x: theta·x = -3·2/3 = -2, and xᵀA⁻¹x = 2/3.
   assert.ok(Math.abs(bandit.score('s', x) - (-2 + 2 * Math.sqrt(2 / 3))) < 1e-9);
   // A failure costs twice the highest cost: b = -3x - 6x, A⁻¹x = x/5: theta·x = -18/5.
-  bandit.failed('s', x);
+  bandit.recordFailure('s', x);
   assert.ok(Math.abs(bandit.score('s', x) - (-18 / 5 + 2 * Math.sqrt(2 / 5))) < 1e-9);
   // The other arm has learned nothing. Its context contains the fractions of tasks by type.
   const y = bandit.context(
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -47,7 +47,7 @@
       await world.reconcile();
       // A new worker epoch shows that the worker's lease expired although its heartbeat was
       // answered.
-      world.heartbeat({ agentEpoch: 2 });
+      world.heartbeat({ workerEpoch: 2 });
       world.heartbeat({ machine: 'm-2' });
       await world.reconcile();
       assert.equal(placed(world), 'm-2');
@@ -57,10 +57,10 @@
     name: 'a machine whose worker epoch ended although it was answered gets no tasks until it shows a new fencing token',
     check: async (world) => {
       world.heartbeat();
-      world.heartbeat({ agentEpoch: 2 });
+      world.heartbeat({ workerEpoch: 2 });
       await world.reconcile();
       assert.equal(placed(world), undefined);
-      world.heartbeat({ agentEpoch: 2, fencingToken: FENCING_TOKEN + 1 });
+      world.heartbeat({ workerEpoch: 2, fencingToken: FENCING_TOKEN + 1 });
       await world.reconcile();
       assert.equal(placed(world), 'm-1');
     },
--- a/test/storage/multi-value-records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -27,7 +27,7 @@
       for (const type of ARM_TYPES) {
         const context = bandit.context(`class-of-work-${at}`, type, load);
         // Contexts with different values in each entry fill the whole matrix.
-        bandit.finished(
+        bandit.recordSuccess(
           type,
           context.map((one, nth) => one + ((at + nth) % 5) / 7),
           0.01 * (at + 1),
--- a/test/storage/rejected-changes.test.ts
+++ b/test/storage/rejected-changes.test.ts
@@ -70,18 +70,18 @@
 test('changes of a rejected transaction are paused longer each time and then sent alone', async () => {
   const clock = new SimClock();
   const rejectedChangeBackoff = new RejectedChangeBackoff(clock);
-  assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 2), 2);
-  rejectedChangeBackoff.add('b');
-  assert.ok(rejectedChangeBackoff.has('b') && !rejectedChangeBackoff.has('a'));
+  assert.equal(rejectedChangeBackoff.batchSize(['a', 'b', 'c'], 2), 2);
+  rejectedChangeBackoff.recordRejection('b');
+  assert.ok(rejectedChangeBackoff.isPaused('b') && !rejectedChangeBackoff.isPaused('a'));
   await clock.run(2100);
-  assert.ok(!rejectedChangeBackoff.has('b'));
-  assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 3), 1);
-  assert.equal(rejectedChangeBackoff.together(['b', 'c'], 3), 1);
-  rejectedChangeBackoff.add('b');
+  assert.ok(!rejectedChangeBackoff.isPaused('b'));
+  assert.equal(rejectedChangeBackoff.batchSize(['a', 'b', 'c'], 3), 1);
+  assert.equal(rejectedChangeBackoff.batchSize(['b', 'c'], 3), 1);
+  rejectedChangeBackoff.recordRejection('b');
   await clock.run(clock.now() + 2100);
-  assert.ok(rejectedChangeBackoff.has('b'), 'twice as long');
+  assert.ok(rejectedChangeBackoff.isPaused('b'), 'twice as long');
   rejectedChangeBackoff.clear('b');
-  assert.equal(rejectedChangeBackoff.together(['a', 'b', 'c'], 3), 3);
+  assert.equal(rejectedChangeBackoff.batchSize(['a', 'b', 'c'], 3), 3);
 });
 
 /** Machine types of about so many bytes that a job allows; all but the first do not exist. */
@@ -129,7 +129,7 @@
   return new UserRequests({
     teams: TEAMS,
     ...limits,
-    checkMs: 100,
+    checkIntervalMs: 100,
     replica,
     keyValueStore,
     limiter,
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -18,7 +18,7 @@
 interface DirectCall {
   address: string;
   fencingToken: number;
-  agentEpoch: number;
+  workerEpoch: number;
   commands: Command[];
 }
 
@@ -39,8 +39,8 @@
     cloud: world.cloud.api(),
     workers: {
       full: false,
-      command: (address, fencingToken, agentEpoch, commands) =>
-        guarded(callDirect(world, name, { address, fencingToken, agentEpoch, commands })),
+      command: (address, fencingToken, workerEpoch, commands) =>
+        guarded(callDirect(world, name, { address, fencingToken, workerEpoch, commands })),
     },
     connectedPeers: () =>
       [...world.nodes.keys()].filter((peer) => peer !== name && !world.isCut(name, peer)),
@@ -95,21 +95,21 @@
 function callDirect(
   world: World,
   node: string,
-  { address, fencingToken, agentEpoch, commands }: DirectCall,
+  { address, fencingToken, workerEpoch, commands }: DirectCall,
 ): Promise<DirectResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
     const cut = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
     const delayMs = Math.max(worker?.directDelayMs ?? 0, worker?.hungMs ?? 0);
-    const { calls } = encodeDirectCommands(fencingToken, agentEpoch, commands) as {
+    const { calls } = encodeDirectCommands(fencingToken, workerEpoch, commands) as {
       calls: never[];
     };
     world.clock.after(DIRECT_TIMEOUT_MS, () => reject(new OutcomeUnknownError('timed out')));
     if (cut) return;
     world.clock.after(world.linkDelayMs + delayMs, () => {
-      const reply = worker.command(fencingToken, agentEpoch, calls);
+      const reply = worker.command(fencingToken, workerEpoch, calls);
       for (const later of worker.directDuplicatesAfterMs) {
-        world.clock.after(later, () => worker.command(fencingToken, agentEpoch, calls));
+        world.clock.after(later, () => worker.command(fencingToken, workerEpoch, calls));
       }
       const parsed = parseHeartbeat(JSON.parse(reply.body) as Record<string, unknown>);
       if (parsed.ok && delayMs === 0)
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -160,7 +160,7 @@
       wake: () => undefined,
     },
   );
-  replica.onChange((keys) => keys.forEach((key) => shard.changed(key)));
+  replica.onChange((keys) => keys.forEach((key) => shard.handleChange(key)));
   let seq = 0;
   const answer = (change: Partial<Heartbeat> = {}, tasks: TaskStatus[] = []) =>
     shard.handleHeartbeat(heartbeatOf({ sequence: ++seq, tasks, ...change }));
@@ -222,7 +222,7 @@
   type: 'small',
   zone: 'a',
   spot: false,
-  agentEpoch: 1,
+  workerEpoch: 1,
   sequence: 1,
   fencingToken: FENCING_TOKEN,
   noticeS: null,
--- a/test/world/user-requests-fixture.ts
+++ b/test/world/user-requests-fixture.ts
@@ -50,7 +50,7 @@
     teams: TEAMS,
     transactionOps: 8,
     valueBytes: 8192,
-    checkMs,
+    checkIntervalMs: checkMs,
     committer: new Committer(store),
     log,
     onCommitted: () => undefined,
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -16,7 +16,7 @@
 /** A simulated worker of a machine: heartbeats, leases, fencing tokens, agent epochs and commands. */
 export class SimWorker {
   readonly tasks = new Map<string, SimTask>();
-  private agentEpoch = 1;
+  private workerEpoch = 1;
   private sequence = 0;
   private fencingToken = 0;
   private leaseRenewedAt: number;
@@ -57,7 +57,7 @@
   /** The machine is back at once, without memory of agent epochs, fencing tokens and tasks. */
   restart(): void {
     this.tasks.clear();
-    this.agentEpoch = 1;
+    this.workerEpoch = 1;
     this.sequence = 0;
     this.fencingToken = 0;
     this.leaseRenewedAt = this.world.clock.now();
@@ -78,12 +78,12 @@
   /** A direct call: carried out if fencing token and agent epoch match, perhaps late. */
   command(
     fencingToken: number,
-    agentEpoch: number,
+    workerEpoch: number,
     calls: WireCommand[],
   ): { status: number; body: string } {
     if (fencingToken < this.fencingToken) this.staleCommands++;
     const match =
-      !this.isDead && fencingToken >= this.fencingToken && agentEpoch === this.agentEpoch;
+      !this.isDead && fencingToken >= this.fencingToken && workerEpoch === this.workerEpoch;
     if (match) {
       this.fencingToken = fencingToken;
       for (const call of calls) this.execute(call);
@@ -105,7 +105,7 @@
     if (this.isDead) return;
     if (this.world.clock.now() - this.leaseRenewedAt > this.world.workerLeaseMs) {
       this.tasks.clear();
-      this.agentEpoch++;
+      this.workerEpoch++;
       this.leaseRenewedAt = this.world.clock.now();
     }
     this.world.clock.after(500, () => this.tick());
@@ -128,7 +128,7 @@
       breed: this.machine.type,
       grove: this.machine.zone,
       windfall: this.machine.spot,
-      flight: this.agentEpoch,
+      flight: this.workerEpoch,
       wingbeat: ++this.sequence,
       mandate: this.fencingToken,
       larvae: [...this.tasks].map(([larva, task]) => ({
@@ -147,7 +147,7 @@
     this.hasChanged = false;
     this.nextHeartbeatAt = world.clock.now() + HEARTBEAT_MS;
     const sentAt = world.clock.now();
-    const agentEpoch = this.agentEpoch;
+    const workerEpoch = this.workerEpoch;
     const [name = ''] = world.members[this.controllerIndex] ?? [];
     const reply = await this.send(name, this.heartbeatBody());
     this.isHeartbeatInFlight = false;
@@ -163,7 +163,7 @@
       this.nextHeartbeatAt = world.clock.now() + RETRY_MS;
       return;
     }
-    if (agentEpoch === this.agentEpoch) this.applyAnswer(parsed, sentAt);
+    if (workerEpoch === this.workerEpoch) this.applyAnswer(parsed, sentAt);
   }
 
   /** The answer to a heartbeat of this agent epoch renews the lease, unless its fencing token is older. */
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -16,8 +16,8 @@
   ]);
   for (const name of ['index', 'verify']) {
     for (const type of ['small', 'large']) {
-      bandit.finished(type, bandit.context(name, type, load), 0.0125);
-      bandit.failed(type, bandit.context(name, type, load));
+      bandit.recordSuccess(type, bandit.context(name, type, load), 0.0125);
+      bandit.recordFailure(type, bandit.context(name, type, load));
     }
   }
   return {
