--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -1,18 +1,18 @@
-/** Exponential backoff: randomised for one caller's retries, and counted for each of many keys. */
+/** Exponential backoff for the retries of one caller (randomised) and of many keys (deterministic). */
 
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Clock } from './clock.js';
 
-/** Random numbers from 0 to 1, the same ones for the same seed. */
+/** Returns a generator of random numbers from 0 to 1; the same seed gives the same sequence. */
 export function randomOf(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => uniformInt(generator, 0, 1_000_000) / 1_000_000;
 }
 
 /**
- * Pauses that double from the first to the longest, each cut by up to half so that controllers don't
- * retry in step.
+ * Pauses between one caller's attempts: each is twice the one before, up to the longest, and is
+ * shortened by a random part of up to half, so that controllers don't retry at the same moments.
  */
 export class Backoff {
   private pause: number;
@@ -32,19 +32,21 @@
     return pause;
   }
 
-  /** An attempt succeeded: the next pause is the shortest again. */
+  /** Records a successful attempt: the next pause starts from the first again. */
   reset(): void {
     this.pause = this.firstMs;
   }
 }
 
-/** The backoff of one key: how often it failed in a row, and until when it is paused. */
+/** The backoff of one key. */
 interface KeyPause {
+  /** Failures in a row. */
   failures: number;
+  /** Steady time in ms at which the pause ends. */
   until: number;
 }
 
-/** Pauses of single keys: each failure of a key doubles its pause, from the first to the longest. */
+/** Pauses of many keys, each on its own: every failure of a key doubles its pause, up to the longest. */
 export class KeyedBackoff {
   private readonly pauses = new Map<string, KeyPause>();
 
@@ -54,7 +56,7 @@
     private readonly longestMs: number,
   ) {}
 
-  /** The key failed now; returns for how many milliseconds it is paused. */
+  /** Records a failure of the key and returns for how many milliseconds it is paused. */
   recordFailure(key: string): number {
     const failures = this.pauses.get(key)?.failures ?? 0;
     const pauseMs = Math.min(this.firstMs * 2 ** failures, this.longestMs);
@@ -62,12 +64,12 @@
     return pauseMs;
   }
 
-  /** Pauses the key for so long without counting a failure; earlier ones are forgotten. */
+  /** Pauses the key for a given time and resets its count of failures to 0. */
   pause(key: string, pauseMs: number): void {
     this.pauses.set(key, { failures: 0, until: this.clock.now() + pauseMs });
   }
 
-  /** The key succeeded, or is no longer there. */
+  /** Removes the key's pause and count of failures: it succeeded or no longer exists. */
   clear(key: string): void {
     this.pauses.delete(key);
   }
@@ -76,12 +78,12 @@
     return (this.pauses.get(key)?.until ?? -Infinity) > this.clock.now();
   }
 
-  /** Whether the key was paused and not cleared since; its pause may be over. */
+  /** Whether the key was paused and not cleared since; true also after its pause has ended. */
   isTracked(key: string): boolean {
     return this.pauses.has(key);
   }
 
-  /** Forgets keys whose pause ended more than the longest pause ago: they are no longer there. */
+  /** Removes keys whose pause ended more than the longest pause ago, since nothing retried them. */
   forgetExpired(): void {
     const now = this.clock.now();
     for (const [key, { until }] of this.pauses) {
--- a/src/transport/budget.ts
+++ b/src/transport/budget.ts
@@ -1,8 +1,11 @@
-/** A token bucket for requests to a service with a rate limit. */
+/** A token bucket that limits the rate of requests to a service. */
 
 import type { Clock } from './clock.js';
 
-/** A token bucket that keeps this process within its share of a rate limit. */
+/**
+ * A token bucket that keeps this process within its part of a rate limit. `perSecond` tokens are
+ * added each second, up to `burst`.
+ */
 export class Budget {
   private tokens: number;
   private refilledAt: number;
@@ -25,37 +28,43 @@
     this.refilledAt = now;
   }
 
-  /** Tokens in the bucket; below 0 where some are borrowed. */
+  /** Tokens in the bucket; negative while it is overdrawn. */
   get available(): number {
     this.refill();
     return this.tokens;
   }
 
-  /** Changes the rate from now on; tokens in the bucket stay. */
+  /** Changes the rate at which tokens are added; those in the bucket stay. */
   setRate(perSecond: number): void {
     this.refill();
     this.perSecond = perSecond;
   }
 
-  /** Takes tokens for what must be sent at once, borrowing from later requests. */
+  /**
+   * Takes tokens for a request that is sent without waiting. The bucket may be overdrawn, down to
+   * `-burst`; later requests wait until it is refilled.
+   */
   borrow(cost: number): void {
     this.refill();
     this.tokens = Math.max(-this.burst, this.tokens - cost);
   }
 
-  /** Milliseconds until `cost` tokens are available; 0: they may be spent now. */
+  /**
+   * Milliseconds until `cost` tokens are available; 0: they may be spent now. A cost above `burst`
+   * waits for a full bucket.
+   */
   waitFor(cost: number): number {
     this.refill();
     const needed = Math.min(cost, this.burst);
     return this.tokens >= needed ? 0 : Math.ceil(((needed - this.tokens) / this.perSecond) * 1000);
   }
 
-  /** Takes tokens that `waitFor` said are available. */
+  /** Takes tokens for a request for which `waitFor` returned 0. */
   spend(cost: number): void {
     this.tokens -= cost;
   }
 
-  /** The service refused a request: no tokens are left. */
+  /** Removes all tokens, after the service refused a request because of its rate limit. */
   empty(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,12 +1,12 @@
-/** The clock: the only way in which the program reads time or waits. */
+/** The clock through which the program reads time and waits, so that tests can simulate time. */
 
-/** Time as the program sees it; tests put simulated time in its place. */
+/** Steady time, time of day and timers; tests pass a simulated clock. */
 export interface Clock {
-  /** Steady (monotonic) time in ms from an arbitrary start; drifts by the protocol's bound. */
+  /** Steady (monotonic) time in ms from an arbitrary start; its drift is bounded by the protocol. */
   now(): number;
-  /** Wall-clock time in ms, right only within the settings' bound. */
+  /** Time of day in ms since 1970; clocks of different controllers differ by the setting `skew_ms`. */
   wall(): number;
-  /** Calls back once after a delay in ms; the result cancels it. */
+  /** Calls `callback` once after a delay in ms; the returned function cancels the timer. */
   after(delayMs: number, callback: () => void): () => void;
 }
 
@@ -20,7 +20,7 @@
   },
 };
 
-/** Resolves after a delay in ms of this clock. */
+/** Resolves after `ms` milliseconds of the given clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.after(ms, resolve));
 }
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -1,6 +1,6 @@
-/** Bounded concurrency for work on the items of a list. */
+/** Limits on how many asynchronous operations run at the same time. */
 
-/** Runs `work` for each item, at most `limit` at a time; rejects with the first failure. */
+/** Calls `work` for each item, at most `limit` at a time; rejects with the first failure. */
 export async function forEachLimited<Item>(
   items: readonly Item[],
   limit: number,
@@ -16,16 +16,16 @@
   await Promise.all(Array.from({ length: workers }, worker));
 }
 
-/** Runs one piece of work at a time: a call while another runs is skipped. */
+/** Runs one operation at a time: a call that comes while another one runs is skipped. */
 export class SingleFlight {
   private running = false;
 
-  /** Whether a piece of work runs now. */
+  /** Whether an operation runs now. */
   get isRunning(): boolean {
     return this.running;
   }
 
-  /** Runs the work; undefined: it was skipped. */
+  /** Runs `work` and returns its result; undefined: it was skipped, because another call still runs. */
   async run<Result>(work: () => Promise<Result>): Promise<Result | undefined> {
     if (this.running) return undefined;
     this.running = true;
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,19 +1,19 @@
-/** The program's errors: each has a code and says what is known of the failed operation's outcome. */
+/** The program's errors, each with a code and with the outcome of the operation that failed. */
 
 /**
- * `notExecuted`: it had no effect and never will have one. `unknown`: it may have had one, or may
- * still have one later.
+ * The outcome of a failed operation. `notExecuted`: the operation has had no effect and will never
+ * have one. `unknown`: it may have taken effect, or may still do so later.
  */
 export type Outcome = 'notExecuted' | 'unknown';
 
 /** The base of all errors that the program throws. */
 export abstract class MothbankError extends Error {
-  /** Tells kinds of errors apart without their text. */
+  /** Identifies the kind of error independently of its text. */
   abstract readonly code: string;
   abstract readonly outcome: Outcome;
 }
 
-/** No response came: the request may have been executed, or may still be. */
+/** Thrown when a request got no valid response: it may have been executed, or still be executed later. */
 export class OutcomeUnknownError extends MothbankError {
   readonly code = 'OUTCOME_UNKNOWN';
   readonly outcome = 'unknown';
@@ -24,13 +24,13 @@
   }
 }
 
-/** A peer sent a frame longer than frames may be: its connection is closed. */
+/** Thrown when a frame's length prefix is malformed or above the limit; the connection is then closed. */
 export class FrameTooLongError extends MothbankError {
   readonly code = 'FRAME_TOO_LONG';
   readonly outcome = 'notExecuted';
 
   constructor() {
-    super('frame too long');
+    super('length prefix of a frame is malformed or above the limit');
     this.name = 'FrameTooLongError';
   }
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -12,7 +12,7 @@
   body: unknown;
 }
 
-/** A body that is not JSON counts as none: the status alone then decides. */
+/** Parses a body as JSON; returns null if it is empty or not JSON, so that only the status counts. */
 function parseBody(chunks: Buffer[]): unknown {
   if (chunks.length === 0) return null;
   try {
@@ -22,7 +22,10 @@
   }
 }
 
-/** Collects a response; the first callback that is called decides the outcome. */
+/**
+ * Collects a response and reports it to `succeed` or `fail`. Both may be called, since a connection
+ * can break with several events: the first call decides the outcome.
+ */
 function readResponse(
   response: http.IncomingMessage,
   succeed: (answer: HttpResponse) => void,
@@ -31,13 +34,15 @@
   const chunks: Buffer[] = [];
   response.on('data', (chunk: Buffer) => chunks.push(chunk));
   response.on('error', fail);
-  response.on('aborted', () => fail(new Error('connection ended')));
+  response.on('aborted', () =>
+    fail(new Error('connection closed before the response was complete')),
+  );
   response.on('end', () => {
     succeed({ status: response.statusCode ?? 0, body: parseBody(chunks) });
   });
 }
 
-/** JSON over HTTP/1.1 to one address, on keep-alive connections. */
+/** Sends JSON requests over HTTP/1.1 to one address, on at most `maxSockets` keep-alive connections. */
 export class HttpClient {
   private readonly agent: http.Agent;
   private readonly host: string;
@@ -54,7 +59,7 @@
     this.agent = new http.Agent({ keepAlive: true, maxSockets });
   }
 
-  /** Sends one request; rejects with `OutcomeUnknownError` without a complete response in time. */
+  /** Sends one request; rejects with `OutcomeUnknownError` if no complete response arrives in time. */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,7 +1,7 @@
 /**
- * An HTTP/1.1 server for a fixed set of routes with JSON answers: Hono's router on Node's own server.
- * Hono's adapter for Node is left out on purpose. It builds on the web's `Request` and `Response`,
- * which Node loads with its whole fetch client: half of a controller's start-up time.
+ * An HTTP/1.1 server for a fixed set of routes with JSON responses: Hono's router on Node's server.
+ * Hono's adapter for Node is not used, because it needs the web classes `Request` and `Response`.
+ * Node loads them together with its fetch client, which took half of a controller's start-up time.
  */
 
 import {
@@ -24,35 +24,44 @@
   type?: string;
 }
 
-/** What a route gets of a request. */
+/** The parts of a request that a route's handler receives. */
 interface HttpRequest {
-  /** The part of the path that a `:id` stands for, or ''. */
+  /** The path segment that matched `:id`, decoded; '' for paths without one. */
   id: string;
-  /** The body as text; null where it was longer than the limit. */
+  /** The body as text; null if it was longer than the limit. */
   text: string | null;
 }
 
-/** A method and path, and what answers it. */
+/** A method and path with the handler of its requests. */
 export interface Route {
   method: 'GET' | 'POST';
   path: string;
-  /** Its connections stay open longer than those of other routes, up to `full`. */
+  /** Connections stay open up to the hard limit `full`, those of other routes up to `crowded`. */
   keepsConnection?: boolean;
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
 
 /** Limits that keep a server responsive under load. */
 export interface ServerLimits {
+  /** Bytes; a handler gets null instead of a longer body. */
   bodyBytes: number;
+  /** Connections that are accepted; further ones are closed at once. */
   connections: number;
-  /** Above this many connections, those of other routes close after their response. */
+  /**
+   * Soft limit: with more connections than this, a connection is closed after its response, unless
+   * its route has `keepsConnection`.
+   */
   crowded: number;
-  /** Above this many, all close after their response, so that waiting clients get one in turn. */
+  /**
+   * Hard limit: with more connections than this, every connection is closed after its response, so
+   * that clients without one can connect.
+   */
   full: number;
+  /** Milliseconds after which an idle connection is closed. */
   keepAliveMs: number;
 }
 
-/** Milliseconds in which a client must have sent a request's headers. */
+/** Milliseconds within which a client must send the headers of a request. */
 const HEADERS_TIMEOUT_MS = 15_000;
 
 /** Hono's name for any method. */
@@ -61,13 +70,13 @@
 /** The routes of one path. */
 type PathRoutes = readonly Route[];
 
-/** The path of a request's target, without its query. */
+/** The path in a request's target, without query and fragment. */
 function pathOf(target: string): string {
   const end = target.search(/[?#]/);
   return end < 0 ? target : target.slice(0, end);
 }
 
-/** A path segment as text; one that can't be decoded is taken as it is. */
+/** Decodes a path segment; one with invalid percent-encoding is returned unchanged. */
 function decodeSegment(part: string): string {
   if (!part.includes('%')) return part;
   try {
@@ -77,7 +86,7 @@
   }
 }
 
-/** The body as text; null where it is longer than the limit. Rejects where it is cut off. */
+/** Reads the body as text; null if it is longer than the limit. Rejects if the connection breaks. */
 function readText(incoming: IncomingMessage, limit: number): Promise<string | null> {
   if (Number(incoming.headers['content-length'] ?? '0') > limit) {
     incoming.resume();
@@ -129,7 +138,7 @@
     socket.once('close', () => this.openConnections--);
   }
 
-  /** Answers one request; a failure is answered too, unless the client is gone. */
+  /** Responds to one request, also if its handler fails, unless the client closed the connection. */
   async handle(incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
     try {
       const route = this.findRoute(incoming);
@@ -145,13 +154,13 @@
     }
   }
 
-  /** Whether the connection of a request to this route stays open after the response. */
+  /** Whether a connection stays open after the response to a request of this route. */
   private mayKeepConnection(route: Route): boolean {
     const { crowded, full } = this.limits;
     return this.openConnections <= (route.keepsConnection ? full : crowded);
   }
 
-  /** The route of a request with the `:id` of its path, or the response where there is none. */
+  /** The route of a request with the `:id` of its path, or a 404 or 405 response if none matches. */
   private findRoute(incoming: IncomingMessage): HttpReply | { found: Route; id: string } {
     const { method = '', url = '/' } = incoming;
     const [match] = this.router.match(method, pathOf(url))[0];
@@ -172,7 +181,7 @@
   }
 
   private answerFailure(error: unknown, incoming: IncomingMessage, outgoing: ServerResponse): void {
-    // A client that closed its connection waits for no response, and is no error of the server.
+    // The client closed the connection before its request was complete: this is no server error.
     if (incoming.destroyed && !incoming.complete) return;
     this.onError(error);
     if (!outgoing.headersSent)
@@ -180,7 +189,10 @@
   }
 }
 
-/** Serves routes with JSON responses; unknown paths and failures get JSON too. */
+/**
+ * Serves the routes with JSON responses, also for unknown paths and failed handlers. Resolves once
+ * the server listens; `onError` receives the errors of handlers.
+ */
 export function listenHttp(
   address: string,
   routes: Route[],
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,24 +1,26 @@
-/** Connections between controllers: length-prefixed frames over TCP. */
+/** Connections between controllers, which carry length-prefixed frames over TCP. */
 
 import net from 'node:net';
 import { parseAddress } from './address.js';
 import type { Clock } from './clock.js';
 import { FrameTooLongError } from './errors.js';
 
-/** Bits of a frame's length as a varint: with more it can't be a length. */
+/** Bits of a length prefix at which it is rejected: 5 bytes of a varint, each with 7 bits. */
 const LENGTH_BITS = 35;
-/** Retry pauses after which a silent outgoing connection is closed. */
+/** Idle timeout of an outgoing connection, as a multiple of `retryMs`. */
 const SILENT_RETRIES = 5;
-/** Retry pauses after which a silent incoming connection is closed: the peer reconnects. */
+/** Idle timeout of an incoming connection, as a multiple of `retryMs`; the peer then reconnects. */
 const INCOMING_SILENT_RETRIES = 30;
 
-/** A frame's length, and the bytes that the prefix itself takes. */
+/** A decoded length prefix. */
 interface LengthPrefix {
+  /** Bytes of the frame after the prefix. */
   length: number;
+  /** Bytes of the prefix itself. */
   bytes: number;
 }
 
-/** Null where the bytes end within the prefix. Throws where they can't be a length. */
+/** Decodes the prefix at the start of `bytes`; null if it is incomplete. Throws if it is invalid. */
 function readLength(bytes: Buffer, maxBytes: number): LengthPrefix | null {
   let length = 0;
   let shift = 0;
@@ -34,13 +36,13 @@
   return null;
 }
 
-/** Cuts a byte stream into frames, each prefixed with its length as a varint, as protobuf does. */
+/** Splits a byte stream into frames, each prefixed with its length as a varint, as protobuf does. */
 export class FrameReader {
   private buffered: Buffer = Buffer.alloc(0);
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Throws where the stream can't be frames. */
+  /** Adds received bytes and returns the frames that are complete. Throws for an invalid prefix. */
   push(part: Buffer): Buffer[] {
     this.buffered = this.buffered.length === 0 ? part : Buffer.concat([this.buffered, part]);
     const frames: Buffer[] = [];
@@ -58,8 +60,11 @@
 /** Options of outgoing and incoming connections. */
 export interface PeerLinkOptions {
   clock: Clock;
+  /** Milliseconds between the end of an outgoing connection and the next attempt to connect. */
   retryMs: number;
+  /** Bytes; a connection with a longer frame, or with more bytes waiting to be sent, is closed. */
   maxFrameBytes: number;
+  /** Handles a received frame; `answer` sends a frame back on the same connection. */
   onFrame(frame: Buffer, answer: (frame: Uint8Array) => void): void;
 }
 
@@ -74,13 +79,13 @@
         });
       }
     } catch {
-      // A peer that sends malformed frames loses this connection and nothing else.
+      // A malformed frame closes only this connection; the controller continues to run.
       socket.destroy();
     }
   });
 }
 
-/** One outgoing connection to a peer, reconnected when it breaks. Frames may be lost. */
+/** One outgoing connection to a peer, reopened when it closes. Frames may be lost. */
 export class PeerLink {
   private socket: net.Socket | null = null;
   private isOpen = false;
@@ -102,7 +107,7 @@
     if (this.isClosed) return;
     const socket = net.connect(parseAddress(this.address));
     this.socket = socket;
-    // A connection that hangs in a network partition is closed, so that a new one reaches the peer.
+    // A connection that hangs in a network partition is closed, so that a new one can be opened.
     socket.setTimeout(this.options.retryMs * SILENT_RETRIES, () => socket.destroy());
     socket.on('connect', () => {
       this.isOpen = true;
@@ -115,7 +120,7 @@
     });
   }
 
-  /** False: not sent, since there is no connection. */
+  /** Sends a frame; false: not sent, because there is no connection or too much waits to be sent. */
   send(frame: Uint8Array): boolean {
     if (!this.isOpen || !this.socket) return false;
     if (this.socket.writableLength > this.options.maxFrameBytes) {
@@ -126,7 +131,7 @@
     return true;
   }
 
-  /** Closes the connection for good. */
+  /** Closes the connection; it is not reopened. */
   close(): void {
     this.isClosed = true;
     this.socket?.destroy();
