--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -15,26 +15,26 @@
  * shortened by a random part of up to half, so that controllers don't retry at the same moments.
  */
 export class Backoff {
-  private pause: number;
+  private pauseMs: number;
 
   constructor(
     private readonly firstMs: number,
-    private readonly lastMs: number,
+    private readonly longestMs: number,
     private readonly random: () => number,
   ) {
-    this.pause = firstMs;
+    this.pauseMs = firstMs;
   }
 
   /** Milliseconds to wait before the next attempt. */
   next(): number {
-    const pause = this.pause * (1 - this.random() / 2);
-    this.pause = Math.min(this.pause * 2, this.lastMs);
-    return pause;
+    const pauseMs = this.pauseMs * (1 - this.random() / 2);
+    this.pauseMs = Math.min(this.pauseMs * 2, this.longestMs);
+    return pauseMs;
   }
 
   /** Records a successful attempt: the next pause starts from the first again. */
   reset(): void {
-    this.pause = this.firstMs;
+    this.pauseMs = this.firstMs;
   }
 }
 
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -7,13 +7,13 @@
   work: (item: Item) => Promise<void>,
 ): Promise<void> {
   const remaining = [...items];
-  const worker = async (): Promise<void> => {
+  const processRemaining = async (): Promise<void> => {
     for (let item = remaining.shift(); item !== undefined; item = remaining.shift()) {
       await work(item);
     }
   };
-  const workers = Math.min(limit, items.length);
-  await Promise.all(Array.from({ length: workers }, worker));
+  const concurrency = Math.min(limit, items.length);
+  await Promise.all(Array.from({ length: concurrency }, processRemaining));
 }
 
 /** Runs one operation at a time: a call that comes while another one runs is skipped. */
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -6,11 +6,11 @@
 import { FrameTooLongError } from './errors.js';
 
 /** Bits of a length prefix at which it is rejected: 5 bytes of a varint, each with 7 bits. */
-const LENGTH_BITS = 35;
+const PREFIX_BITS_LIMIT = 35;
 /** Idle timeout of an outgoing connection, as a multiple of `retryMs`. */
-const SILENT_RETRIES = 5;
+const OUTGOING_IDLE_RETRY_INTERVALS = 5;
 /** Idle timeout of an incoming connection, as a multiple of `retryMs`; the peer then reconnects. */
-const INCOMING_SILENT_RETRIES = 30;
+const INCOMING_IDLE_RETRY_INTERVALS = 30;
 
 /** A decoded length prefix. */
 interface LengthPrefix {
@@ -24,15 +24,15 @@
 function readLength(bytes: Buffer, maxBytes: number): LengthPrefix | null {
   let length = 0;
   let shift = 0;
-  for (const [at, byte] of bytes.entries()) {
+  for (const [index, byte] of bytes.entries()) {
     length += (byte & 0x7f) * 2 ** shift;
     shift += 7;
-    if (shift >= LENGTH_BITS) break;
+    if (shift >= PREFIX_BITS_LIMIT) break;
     if ((byte & 0x80) !== 0) continue;
     if (length > maxBytes) break;
-    return { length, bytes: at + 1 };
+    return { length, bytes: index + 1 };
   }
-  if (length > maxBytes || shift >= LENGTH_BITS) throw new FrameTooLongError();
+  if (length > maxBytes || shift >= PREFIX_BITS_LIMIT) throw new FrameTooLongError();
   return null;
 }
 
@@ -108,7 +108,7 @@
     const socket = net.connect(parseAddress(this.address));
     this.socket = socket;
     // A connection that hangs in a network partition is closed, so that a new one can be opened.
-    socket.setTimeout(this.options.retryMs * SILENT_RETRIES, () => socket.destroy());
+    socket.setTimeout(this.options.retryMs * OUTGOING_IDLE_RETRY_INTERVALS, () => socket.destroy());
     socket.on('connect', () => {
       this.isOpen = true;
     });
@@ -144,7 +144,7 @@
   return new Promise((resolve, reject) => {
     const server = net.createServer((socket) => {
       socket.on('error', () => undefined);
-      socket.setTimeout(options.retryMs * INCOMING_SILENT_RETRIES, () => socket.destroy());
+      socket.setTimeout(options.retryMs * INCOMING_IDLE_RETRY_INTERVALS, () => socket.destroy());
       readFrames(socket, options);
     });
     server.on('error', reject);
