--- a/src/cli.ts
+++ b/src/cli.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
-/** The operators' command line: tools that read what controllers wrote. */
+/** The operators' command line: tools that read the logs and detection records of controllers. */
 
 import { writeFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { compress, readHistories, reportOf } from '@mothbank/detection-report';
 import { VERSION } from './constants/program.js';
 
-/** Exit code for a command line that can't be used. */
+/** Exit code for an invalid command line. */
 const EXIT_USAGE = 2;
-/** Exit code where something could not be read. */
+/** Exit code if a file, or a line of one, could not be read. */
 const EXIT_FAULT = 1;
 
 interface DetectionsOptions {
--- a/src/constants/program.ts
+++ b/src/constants/program.ts
@@ -1,4 +1,4 @@
-/** Constants, each with unit and reason. The program itself. */
+/** Constants of the program itself. */
 
-/** This program's version, as package.json has it; a test compares the two. */
+/** This program's version. It must equal the one in package.json; a test compares the two. */
 export const VERSION = '0.1.0';
--- a/src/constants/protocol.ts
+++ b/src/constants/protocol.ts
@@ -1,4 +1,4 @@
-/** Constants, each with unit and reason. Bounds given by the protocol and the settings. */
+/** Limits that the protocol sets, and limits that follow from the settings. */
 
 /** Bytes; the protocol's limit for a request body. */
 export const MAX_BODY_BYTES = 64 * 1024;
@@ -6,7 +6,7 @@
 /** Tasks; the protocol's limit for one job. */
 export const MAX_TASKS = 100_000;
 
-/** Ratio; the protocol's bound for the drift between two steady clocks, doubled for two of them. */
+/** Fraction; the maximum drift between two steady clocks: twice the protocol's bound for one clock. */
 export const CLOCK_DRIFT = 0.001;
 
 /** Machines; the protocol's limit for one rental request. */
@@ -15,17 +15,26 @@
 /** Machines; the protocol's limit for one return request. */
 export const RETURN_MAX = 100;
 
-/** Machines; the protocol's limit for one page of the machine list. */
+/** Machines; the protocol's limit for one page of the list of rented machines. */
 export const LIST_PAGE = 500;
 
-/** Guards per operation that the key-value store allows in one transaction. */
+/** Guards; the key-value store allows this many in a transaction for each write of `txn_ops`. */
 export const GUARDS_PER_OP = 4;
 
-/** Bytes; a transaction may hold 64 KiB; the remainder is for names and punctuation. */
+/**
+ * Bytes of keys and values in one transaction. The key-value store allows 64 KiB; the rest is for
+ * field names and punctuation.
+ */
 export const TRANSACTION_BYTES = 56 * 1024;
 
-/** KiB; with smaller values an assignment of a few tasks, or a job, could not be stored. */
+/**
+ * KiB; the smallest accepted limit for the size of values. With a lower one, a job or an assignment
+ * of a few tasks could not be stored.
+ */
 export const MIN_VALUE_KB = 0.5;
 
-/** Bytes; a failure detector's message with eight updates and the longest names; larger are dropped. */
+/**
+ * Bytes; enough for a failure detector's message with eight updates and the longest names. Larger
+ * messages are dropped.
+ */
 export const MAX_DETECTOR_MESSAGE_BYTES = 8 * 1024;
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** The library's entry: what a program needs to embed a controller. */
+/** The library's entry point, with the exports that a program needs to embed a controller. */
 
 export { Controller } from './coordination/controller/controller.js';
 export { ControllerCore, type Environment } from './coordination/controller/controller-core.js';
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,15 +1,15 @@
-/** The command line: reads the settings and runs one controller until the process ends. */
+/** Entry point of the controller: reads command line and settings, and runs one controller. */
 
 import { Command } from 'commander';
 import { pino, type Logger } from 'pino';
 import { Controller, SettingsError, readSettings, type Settings } from './index.js';
 import { VERSION } from './constants/program.js';
 
-/** Names that LOG_LEVEL may have; any other counts as `info`. */
+/** Accepted values of the environment variable LOG_LEVEL; any other value means `info`. */
 const LOG_LEVELS = ['fatal', 'error', 'warn', 'info', 'debug', 'trace', 'silent'];
-/** Exit code for settings that can't be used. */
+/** Exit code for invalid settings. */
 const EXIT_SETTINGS = 2;
-/** The file descriptor that the log goes to. */
+/** The file descriptor to which the log is written. */
 const STDERR = 2;
 
 interface CommandLine {
@@ -61,9 +61,14 @@
     return;
   }
   const log = openLog();
-  // Nothing unforeseen may end a controller: it would be missed more than what failed.
-  process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught'));
-  process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled'));
+  // An unexpected error is logged and does not end the process, because the loss of the whole
+  // controller would do more harm than the one operation that failed.
+  process.on('uncaughtException', (error) =>
+    log.error({ error: error.stack }, 'uncaught exception'),
+  );
+  process.on('unhandledRejection', (error) =>
+    log.error({ error: String(error) }, 'unhandled promise rejection'),
+  );
   await Controller.start(settings, log);
 }
 
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -1,17 +1,17 @@
-/** The client of the cloud: catalogue of machine types, scale-out (rentals) and scale-in (returns). */
+/** The client of the cloud's API: machine types, rentals, returns and the list of rented machines. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import type { HttpClient } from '../transport/http-client.js';
 import type { ListedMachine, MachineType } from './model.js';
 
 /**
- * The outcome of a rental request: machines, none for lack of capacity, or to be retried later, since
- * the cloud is busy or limits requests.
+ * The outcome of a rental request. `rented`: these machines were rented. `noCapacity`: the cloud has
+ * no capacity for it. `later`: the cloud is busy or limits requests; to be retried later.
  */
 export type RentResult =
   { kind: 'rented'; machines: string[] } | { kind: 'noCapacity' } | { kind: 'later' };
 
-/** A rental request, idempotent by `request`: a repeat under the same one rents nothing twice. */
+/** A rental request. `request` is its idempotency key: a repeat with the same key rents nothing more. */
 export interface Rental {
   request: string;
   type: string;
@@ -20,17 +20,22 @@
   count: number;
 }
 
-/** What the program needs of the cloud; tests pass a stand-in. */
+/** The operations of the cloud that the program uses; tests pass a stand-in. */
 export interface CloudApi {
-  /** Null: the cloud gave no usable response; to be retried later. */
+  /** Fetches the catalogue of machine types; null: no valid response, to be retried later. */
   types(): Promise<MachineType[] | null>;
+  /** Rents up to `count` machines. Throws if the response does not show whether any were rented. */
   rent(rental: Rental): Promise<RentResult>;
-  /** True: the machines are returned, with everything on them. */
+  /** Returns machines to the cloud, whatever runs on them; false: the cloud did not accept this. */
   returnMachines(machines: string[]): Promise<boolean>;
+  /**
+   * Fetches one page of the rented machines, those after the machine named `after` ('': the first
+   * page); null: no valid response, to be retried later.
+   */
   list(after: string): Promise<{ machines: ListedMachine[]; more: boolean } | null>;
 }
 
-/** A machine type as the cloud's catalogue has it. */
+/** A machine type in the cloud's catalogue, with the names that the cloud uses. */
 interface WireType {
   label: string;
   cores: number;
@@ -44,7 +49,7 @@
   groves: string[];
 }
 
-/** A rented machine as the cloud lists it. */
+/** A machine in the cloud's list of rented machines, with the names that the cloud uses. */
 interface WireMachine {
   ref: string;
   endpoint?: string;
@@ -82,7 +87,7 @@
   };
 }
 
-/** The cloud over HTTP; the wire's names stay in this module. */
+/** The client of the cloud over HTTP. The names that the cloud uses occur only in this module. */
 export class HttpCloudApi implements CloudApi {
   constructor(
     private readonly http: HttpClient,
@@ -111,7 +116,9 @@
     }
     if (answer.status === 503 && body?.error === 'no capacity') return { kind: 'noCapacity' };
     if (answer.status === 429 || answer.status === 503) return { kind: 'later' };
-    throw new OutcomeUnknownError(`rental: odd status ${answer.status}`);
+    throw new OutcomeUnknownError(
+      `cloud's answer to POST /rentals: expected 200 with a list "moths", 429 or 503, got status ${answer.status}`,
+    );
   }
 
   async returnMachines(machines: string[]): Promise<boolean> {
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -1,4 +1,4 @@
-/** The failure detector's messages in the protobuf encoding. Their field numbers never change. */
+/** Encodes and decodes the failure detector's messages in protobuf. Field numbers never change. */
 
 import type { DetectorBody, DetectorMessage, MemberUpdate } from '@mothbank/failure-detector';
 import protobuf from 'protobufjs/minimal.js';
@@ -22,7 +22,7 @@
   update: 11,
 } as const;
 
-/** Field numbers of an update. */
+/** Field numbers of an update about a member. */
 const UPDATE = {
   member: 1,
   instance: 2,
@@ -32,7 +32,7 @@
   storeAnswers: 6,
 } as const;
 
-/** Kinds of body, by their number on the wire. */
+/** Kinds of message; the index of a kind is its number on the wire. */
 const KINDS = ['ping', 'ack', 'indirectPing', 'indirectAck'] as const;
 
 function writeUpdate(writer: protobuf.Writer, update: MemberUpdate): void {
@@ -56,7 +56,7 @@
   writer.uint32(varint(MESSAGE.targetIncarnation)).uint64(body.incarnation);
 }
 
-/** A message as bytes. */
+/** Encodes a message as bytes, without a length prefix. */
 export function encodeDetector(message: DetectorMessage): Uint8Array {
   const writer = Writer.create();
   writer.uint32(delimited(MESSAGE.cluster)).string(message.cluster);
@@ -68,7 +68,7 @@
   return writer.finish();
 }
 
-/** The decoded fields of a message or an update; the last one of a number counts. */
+/** The decoded fields of a message or an update; the last occurrence of a field number counts. */
 class Fields {
   private readonly texts = new Map<number, string>();
   private readonly numbers = new Map<number, number>();
@@ -81,7 +81,7 @@
     return this.numbers.get(field) ?? 0;
   }
 
-  /** Reads one field; fields of wire types that this version does not use are skipped. */
+  /** Reads the value of one field; a value of a wire type that this version does not use is skipped. */
   read(reader: protobuf.Reader, tag: number): void {
     const field = tag >>> WIRE_TYPE_BITS;
     if (tag === varint(field)) this.numbers.set(field, Number(reader.uint64()));
@@ -149,7 +149,7 @@
   };
 }
 
-/** Null: too long, malformed, or of a kind that this version does not know. */
+/** Decodes a message; null: it is too long, malformed, or of a kind unknown to this version. */
 export function decodeDetector(bytes: Uint8Array): DetectorMessage | null {
   if (bytes.length > MAX_DETECTOR_MESSAGE_BYTES) return null;
   try {
--- a/src/protocol/environment.ts
+++ b/src/protocol/environment.ts
@@ -1,4 +1,4 @@
-/** A controller's external dependencies. */
+/** The interface of a controller to everything outside its own process. */
 
 import type { CloudApi } from './cloud-api.js';
 import type { PeerMessage } from './peer-messages.js';
@@ -6,13 +6,13 @@
 import type { WorkerApi } from './worker-api.js';
 import type { Clock } from '../transport/clock.js';
 
-/** The clock and the services that a controller uses; tests pass simulated ones. */
+/** The clock, the services and the peer connections of a controller; tests pass simulated ones. */
 export interface Environment {
   readonly clock: Clock;
   readonly keyValueStore: KeyValueStore;
   readonly cloud: CloudApi;
   readonly workers: WorkerApi;
-  /** Sends a message to a peer; false: there is no connection to it. */
+  /** Sends a message to a peer; false: it was not sent, for example without a connection to the peer. */
   sendToPeer(node: string, message: PeerMessage): boolean;
   /** Names of the peers to which a connection is open. */
   connectedPeers(): string[];
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -1,4 +1,4 @@
-/** The client of the key-value store over HTTP. */
+/** The client of the key-value store's HTTP API. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import type { HttpClient } from '../transport/http-client.js';
@@ -20,11 +20,11 @@
   method: 'GET' | 'POST';
   path: string;
   body?: unknown;
-  /** Statuses that are results; others are errors. */
+  /** Statuses that are results; any other status is an error. */
   expected: number[];
 }
 
-/** A put or removal as the watch reports it. */
+/** A change in the answer to a watch: `put` or `remove` holds the key. */
 interface WireChange {
   put?: string;
   remove?: string;
@@ -32,7 +32,7 @@
   mark: number;
 }
 
-/** Keys of one page of a listing. */
+/** Keys in one page of a listing. */
 const LIST_PAGE_KEYS = 1000;
 
 function encodeChange(change: Change): unknown {
@@ -50,21 +50,21 @@
   };
 }
 
-/** A number that a response must have: without it nothing may be concluded from the response. */
+/** Returns a number that the response must contain; without it the outcome of the request is unknown. */
 function requireNumber(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
-  throw new OutcomeUnknownError(`key-value store's answer lacks ${field}`);
+  throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a number`);
 }
 
-/** The same for a list. */
+/** Returns a list that the response must contain; without it the outcome of the request is unknown. */
 function requireList<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
-  throw new OutcomeUnknownError(`key-value store's answer lacks ${field}`);
+  throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a list`);
 }
 
-/** The key-value store over HTTP; the wire's names stay in this module. */
+/** The key-value store over HTTP. The names that its API uses occur only in this module. */
 export class HttpKeyValueStore implements KeyValueStore {
   constructor(
     private readonly http: HttpClient,
@@ -85,7 +85,9 @@
         const reason = (answer.body as Body | null)?.['error'];
         throw new StoreRejectedError(400, typeof reason === 'string' ? reason : null);
       }
-      throw new OutcomeUnknownError(`${method} ${path}: odd status ${answer.status}`);
+      throw new OutcomeUnknownError(
+        `key-value store's answer to ${method} ${path}: unexpected status ${answer.status}`,
+      );
     }
     const parsed = (answer.body as Body | null) ?? {};
     return { status: answer.status, body: parsed };
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The interface of the key-value store: compare-and-swap, leases and a watch over a key space. */
+/** The interface of the key-value store: reads, compare-and-swap, leases and watches. */
 
 import { MothbankError } from '../transport/errors.js';
 
@@ -9,38 +9,38 @@
   revision: number;
 }
 
-/** A condition of a compare-and-swap: the key is still at this revision; 0: it does not exist. */
+/** A condition of a compare-and-swap: the key still has this revision; 0: the key does not exist. */
 export interface Guard {
   key: string;
   revision: number;
 }
 
-/** One write of a compare-and-swap. A value under a lease is removed when the lease expires. */
+/** One write of a compare-and-swap. A key written under a lease is removed when the lease expires. */
 export type Change =
   { key: string; value: unknown; lease?: number } | { key: string; remove: true };
 
-/** `failed`: the keys whose guards did not hold. */
+/** The result of a compare-and-swap. `failed`: the keys whose guards did not hold. */
 export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
-/** One page of the keys with a prefix, as of `revision`. */
+/** One page of a listing, as of `revision` of the store. `more`: further pages follow. */
 export interface EntryPage {
   entries: Entry[];
   more: boolean;
   revision: number;
 }
 
-/** One change of a key; `value` is undefined for a removal. */
+/** One change of a key in a watch; `value` is undefined if the key was removed. */
 export interface ChangeEvent extends Entry {
   removed: boolean;
 }
 
-/** The changes up to `revision`, since the revision that was asked for. */
+/** The changes after the requested revision, up to `revision`. */
 export interface WatchResult {
   revision: number;
   events: ChangeEvent[];
 }
 
-/** The key-value store did not execute the request. */
+/** Thrown when the key-value store refused a request, so that it was not executed. */
 export class StoreRejectedError extends MothbankError {
   readonly code = 'STORE_REJECTED';
   readonly outcome = 'notExecuted';
@@ -54,20 +54,24 @@
   }
 }
 
-/** The reason of the one 400 that a valid transaction may get: its lease has expired. */
+/** The store's reason of the only 400 that a valid transaction can get: its lease has expired. */
 export const NO_SUCH_LEASE = 'no such lease';
 
-/** What the program needs of the key-value store; tests pass a stand-in. */
+/** The operations of the key-value store that the program uses; tests pass a stand-in. */
 export interface KeyValueStore {
-  /** Null: there is no such key. */
+  /** Reads a key; null: it does not exist. */
   get(key: string): Promise<{ value: unknown; revision: number } | null>;
-  /** The keys with a prefix that come after the key `after`. */
+  /** Reads a page of the keys with a prefix, from the one after the key `after`; null: from the first. */
   list(prefix: string, after: string | null): Promise<EntryPage>;
+  /** Applies all changes in one transaction if all guards hold, otherwise none. */
   compareAndSwap(guards: Guard[], changes: Change[]): Promise<CompareAndSwapResult>;
-  /** Grants a lease; returns its id. */
+  /** Creates a lease and returns its id. */
   grant(ttlMs: number): Promise<number>;
-  /** False: the lease has expired. */
+  /** Renews a lease; false: it has expired. */
   extend(lease: number): Promise<boolean>;
-  /** Null: the changes asked for were compacted. */
+  /**
+   * Returns the changes of keys with a prefix after the revision `since`, and waits up to `waitMs` for
+   * one if there are none. Null: the store no longer has them, because they were compacted.
+   */
   watch(prefix: string, since: number, waitMs: number): Promise<WatchResult | null>;
 }
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -1,4 +1,4 @@
-/** The operators' settings, from any number of files; docs/operations.md explains each. */
+/** Reads the operators' settings from any number of files. docs/operations.md explains each setting. */
 
 import * as v from 'valibot';
 import { MEMBER_LEASE_TTL_MS } from '../constants/election.js';
@@ -20,7 +20,7 @@
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-/** Strict: a misspelt key would silently leave detection at a default. */
+/** Strict, because a misspelt key would otherwise silently leave its setting at the default. */
 const suspicionSchema = v.strictObject({
   enabled: v.optional(v.boolean(), true),
   probe_interval_s: v.optional(positive, 1),
@@ -39,47 +39,58 @@
   suspicion: v.optional(suspicionSchema),
 });
 
-/** How machine types are chosen. */
+/** Settings of the bandit that chooses machine types. */
 export interface PlacementSettings {
+  /** Weight of the uncertainty of an estimate; 0: no exploration. */
   alpha: number;
+  /** Cost of a failed task, as a multiple of the highest cost of its class. */
   penalty: number;
+  /** Seconds between two stored snapshots of what the bandit has learned. */
   snapshotS: number;
 }
 
-/** Which machines are kept. */
+/** Settings of the rented machines. */
 export interface FleetSettings {
+  /** Seconds after which an idle machine may be returned. */
   idleS: number;
+  /** Free CPUs kept for urgent work. */
   headroomCpus: number;
+  /** Whether spot machines may be rented. */
   spot: boolean;
   maxMachines: number;
 }
 
-/** Failure detection between controllers. Times in ms. */
+/** Settings of failure detection between controllers. */
 export interface SuspicionSettings {
+  /** One peer is probed in each interval. */
   readonly probeIntervalMs: number;
+  /** Time without an answer to a direct probe after which indirect probes are sent. */
   readonly probeTimeoutMs: number;
+  /** Shortest duration of a suspicion, which applies when all confirmations have arrived. */
   readonly suspicionLeastMs: number;
+  /** Longest duration of a suspicion, which applies without any confirmation. */
   readonly suspicionMostMs: number;
-  /** Independent witnesses that confirm a failure; null: derived from the number of members. */
+  /** Independent witnesses that must confirm a failure; null: derived from the number of members. */
   readonly quorum: number | null;
-  /** How long a failover waits for confirmation before the key-value store alone decides. */
+  /** Longest wait of a failover for confirmation; then an expired registration alone is enough. */
   readonly confirmWithinMs: number;
-  /** How long the shard of a suspected holder gets no new work. */
+  /** Longest time for which the shard of a suspected holder gets no new work. */
   readonly holdNewWorkMs: number;
-  /** Detection records kept in memory. */
+  /** Number of detection records kept in memory. */
   readonly history: number;
 }
 
-/** The operators' settings. */
+/** All settings of the operators. */
 export interface OperatorSettings {
   placement: PlacementSettings;
   fleet: FleetSettings;
+  /** Null: failure detection is disabled. */
   suspicion: SuspicionSettings | null;
 }
 
 type SuspicionFile = v.InferOutput<typeof suspicionSchema>;
 
-/** Checks what the schema can't: relations between fields, and to the lease of a member. */
+/** Checks limits that depend on other fields, on a member's lease or on the number of members. */
 function checkSuspicion(file: string, raw: SuspicionFile, memberCount: number): void {
   const fail = (key: string, reason: string): never => {
     throw new SettingsError(file, `suspicion.${key}: ${reason}`);
@@ -92,13 +103,13 @@
     fail('suspicion_least_s', 'must not be above suspicion_most_s');
   }
   if (raw.suspicion_most_s > leaseS) {
-    fail('suspicion_most_s', `must not be above ${leaseS} s, the lease of a member`);
+    fail('suspicion_most_s', `must not be above ${leaseS} s, the time to live of a member's lease`);
   }
   if (raw.confirm_within_s > leaseS) {
-    fail('confirm_within_s', `must not be above ${leaseS} s, the lease of a member`);
+    fail('confirm_within_s', `must not be above ${leaseS} s, the time to live of a member's lease`);
   }
   if (raw.quorum !== undefined && raw.quorum > memberCount - 1) {
-    fail('quorum', `must not be above ${memberCount - 1}, the other members`);
+    fail('quorum', `must not be above ${memberCount - 1}, the number of other members`);
   }
 }
 
@@ -119,7 +130,7 @@
 
 type Sections = Record<string, unknown>;
 
-/** All sections of all files; each file is validated by itself, so that a fault names its file. */
+/** Merges the sections of all files. Each file is validated alone, so that an error names its file. */
 function mergeFiles(files: readonly string[], memberCount: number): Sections {
   const sections: Sections = {};
   for (const file of files) {
@@ -127,14 +138,15 @@
     const own = checkFile(file, operatorsSchema, raw);
     if (own.suspicion) checkSuspicion(file, own.suspicion, memberCount);
     for (const [name, section] of Object.entries(raw)) {
-      if (name in sections) throw new SettingsError(file, `${name}: stands in another file too`);
+      if (name in sections)
+        throw new SettingsError(file, `${name}: section is also in another operators' file`);
       sections[name] = section;
     }
   }
   return sections;
 }
 
-/** Reads the operators' files; throws `SettingsError` at the first fault. */
+/** Reads the operators' files; throws `SettingsError` for the first invalid setting. */
 export function readOperatorSettings(
   files: readonly string[],
   memberCount: number,
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -1,4 +1,4 @@
-/** The messages between controllers, in the protobuf encoding. Their field numbers never change. */
+/** Encodes and decodes the messages between controllers in protobuf. Field numbers never change. */
 
 import protobuf from 'protobufjs/minimal.js';
 import {
@@ -13,44 +13,47 @@
 const { Reader, Writer } = protobuf;
 
 /**
- * A message between controllers: a hint, or a request on another's behalf. No decision rests on one
- * that the key-value store would not allow.
+ * A message between controllers: a hint, or a request on behalf of the sender. A message permits
+ * nothing that the state of the key-value store would not permit.
  */
 export type PeerMessage =
-  /** There are changes up to this revision; `cancelled`: a job that was cancelled by it. */
+  /** The store has changes up to this revision; `cancelled`: a job that was cancelled by them. */
   | { kind: 'poke'; node: string; revision: number; cancelled?: CancelledJob }
-  /** A worker's or user's request that the sender can't serve itself. */
+  /** A request of a worker or user that the sender can't serve itself. `id`: chosen by the sender. */
   | { kind: 'relay'; id: number; operation: RelayOperation; jobId: string; body: string }
-  /** `isProven`: a refusal rests on a proof that the job is absent; older versions don't send it. */
+  /**
+   * The response to the relayed request with this id. `isProven`: if the response is a refusal, it
+   * rests on a proof that the job is absent; older versions don't send this field.
+   */
   | { kind: 'relayed'; id: number; status: number; body: string; isProven: boolean }
-  /** A message of the failure detector, encoded by its own codec. */
+  /** A message of the failure detector, which its own codec encodes. */
   | { kind: 'detector'; payload: Uint8Array }
-  /** The sender sees that the receiver's registration has expired, and asks it to step down. */
+  /** Asks the receiver to step down, because its registration has expired. */
   | ({ kind: 'stepDown' } & RoleTenure)
-  /** The sender has stepped down: it neither acts nor answers under this term any more. */
+  /** The sender has stepped down: it no longer acts or answers under this term. */
   | ({ kind: 'steppedDown' } & RoleTenure);
 
-/** A role that a process held under a term. `node`: the sender of the message. */
+/** One process's tenure of a role under a term. `node`: the sender of the message. */
 export interface RoleTenure {
   node: string;
   role: string;
   term: number;
-  /** Distinguishes the process that holds or held the role from others of the same controller. */
+  /** Identifies the process that holds or held the role, among all processes of its controller. */
   incarnation: string;
 }
 
-/** A job that was cancelled, and how many tasks it had. */
+/** A cancelled job with the number of its tasks. */
 export interface CancelledJob {
   job: string;
   tasks: number;
 }
 
-/** Kinds of relayed requests, by their number on the wire; `jobId` is the job's id, if any. */
+/** Kinds of relayed requests; the index of a kind is its number on the wire. */
 const RELAY_OPERATIONS = ['heartbeat', 'submit', 'poll', 'cancel'] as const;
 /** The kind of a relayed request. */
 export type RelayOperation = (typeof RELAY_OPERATIONS)[number];
 
-/** Field numbers of the kinds of message in the envelope. */
+/** Field numbers of the frame, one for each kind of message. */
 const POKE = 1;
 const RELAY = 2;
 const RELAYED = 3;
@@ -93,14 +96,14 @@
   writer.uint32(delimited(4)).string(tenure.incarnation);
 }
 
-/** The payload is written as it is: the failure detector has its own codec. */
+/** Encodes a frame with the payload unchanged, which the failure detector's codec has encoded. */
 function encodeDetectorFrame({ payload }: Message<'detector'>): Uint8Array {
   const writer = Writer.create().fork();
   writer.uint32(delimited(DETECTOR)).bytes(payload);
   return writer.ldelim().finish();
 }
 
-/** A message as a frame, prefixed with its length. */
+/** Encodes a message as a frame with a length prefix. */
 export function encodePeer(message: PeerMessage): Uint8Array {
   if (message.kind === 'detector') return encodeDetectorFrame(message);
   const writer = Writer.create();
@@ -127,7 +130,7 @@
   return writer.finish();
 }
 
-/** Field values by number; fields of wire types that this version does not use are skipped. */
+/** Decodes field values by field number; values of unused wire types are skipped. */
 function decodeFields(reader: protobuf.Reader, end: number): Record<number, number | string> {
   const fields: Record<number, number | string> = {};
   while (reader.pos < end) {
@@ -141,7 +144,10 @@
   return fields;
 }
 
-/** Null for a kind that this version does not know. Throws for malformed frames. */
+/**
+ * Decodes a frame without its length prefix; null: it is empty, or its kind of message or of relayed
+ * request is unknown to this version. Throws if the frame is malformed.
+ */
 export function decodePeer(frame: Uint8Array): PeerMessage | null {
   const reader = Reader.create(frame);
   if (reader.len === 0) return null;
--- a/src/protocol/platform-settings.ts
+++ b/src/protocol/platform-settings.ts
@@ -1,4 +1,4 @@
-/** The settings file that the platform provides: its schema, and the checks that no schema can make. */
+/** Reads the settings file that the platform provides, and checks it against its schema. */
 
 import * as v from 'valibot';
 import { SHARDS_PER_TERM } from '../constants/election.js';
@@ -6,9 +6,9 @@
 import { checkFile, readToml, SettingsError } from './settings-file.js';
 import { amount, positive } from './validation.js';
 
-const address = v.pipe(v.string(), v.regex(/^[^:]+:\d{1,5}$/, 'must be ADDRESS:PORT'));
+const address = v.pipe(v.string(), v.regex(/^[^:]+:\d{1,5}$/, 'must have the form HOST:PORT'));
 
-/** The limits of the key-value store. Names in these schemas are those of the file. */
+/** The limits of the key-value store, by their names in the file. */
 const storeLimitsSchema = {
   rps: positive,
   write_rps: positive,
@@ -67,12 +67,12 @@
   }),
 });
 
-/** The platform's file as its schema has it. */
+/** The validated content of the platform's file. */
 export type PlatformFile = v.InferOutput<typeof platformSchema>;
-/** Its parameters of the cluster. */
+/** The section `params` of the platform's file, with the parameters of the cluster. */
 export type PlatformParams = PlatformFile['params'];
 
-/** Checks what the schema can't: relations between fields. */
+/** Checks conditions that involve several fields. */
 function checkRelations(file: string, raw: PlatformFile): void {
   const { workers } = raw.params;
   if (workers.lease_s >= workers.cancel_s) {
@@ -80,15 +80,22 @@
   }
   const names = [raw.node_name, ...raw.members.map((member) => member.node_name)];
   if (new Set(names).size !== names.length) {
-    throw new SettingsError(file, 'members.node_name: a name stands twice');
+    throw new SettingsError(
+      file,
+      'members.node_name: must be unique, and differ from this node_name',
+    );
   }
-  // Attempt numbers contain the number of the shard that made them, or the leader's beside them.
+  // Attempt numbers contain the number of the shard that made them, or SHARDS_PER_TERM - 1 if the
+  // leader made them, so the shards' numbers must stay below that.
   if (names.length >= SHARDS_PER_TERM) {
-    throw new SettingsError(file, `members: more than ${SHARDS_PER_TERM - 1} controllers`);
+    throw new SettingsError(
+      file,
+      `members: at most ${SHARDS_PER_TERM - 1} controllers are allowed, this one included`,
+    );
   }
 }
 
-/** Reads the platform's file; throws `SettingsError` at the first fault. */
+/** Reads the platform's file; throws `SettingsError` for the first invalid setting. */
 export function readPlatformFile(file: string): PlatformFile {
   const raw = checkFile(file, platformSchema, readToml(file));
   checkRelations(file, raw);
--- a/src/protocol/protobuf-tags.ts
+++ b/src/protocol/protobuf-tags.ts
@@ -1,14 +1,15 @@
-/** Tags of protobuf fields: the field's number and its wire type. */
+/** Tags of protobuf fields: a tag combines the field's number and its wire type. */
 
-/** The low bits of a tag that hold the wire type; the others hold the field number. */
+/** Number of low bits of a tag that hold the wire type; the other bits hold the field number. */
 export const WIRE_TYPE_BITS = 3;
-/** Masks the wire type of a tag. */
+/** Mask of the bits that hold the wire type. */
 export const WIRE_TYPE_MASK = (1 << WIRE_TYPE_BITS) - 1;
-/** Protobuf's wire types of the fields used here. */
+/** Wire type of integers and booleans. */
 export const VARINT = 0;
+/** Wire type of texts, bytes and embedded messages, which are prefixed with their length. */
 export const DELIMITED = 2;
 
-/** The tag of an integer. */
+/** The tag of an integer or boolean field. */
 export const varint = (field: number): number => (field << WIRE_TYPE_BITS) | VARINT;
-/** The tag of a text, of bytes or of a message. */
+/** The tag of a field that holds a text, bytes or an embedded message. */
 export const delimited = (field: number): number => (field << WIRE_TYPE_BITS) | DELIMITED;
--- a/src/protocol/settings-file.ts
+++ b/src/protocol/settings-file.ts
@@ -1,4 +1,4 @@
-/** Reads one settings file as TOML and validates it against a schema. */
+/** Reads a settings file as TOML and validates it against a schema. */
 
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
@@ -6,7 +6,7 @@
 import { MothbankError } from '../transport/errors.js';
 import { validate } from './validation.js';
 
-/** Settings that can't be used; the message is one line that names file and field. */
+/** Thrown for invalid settings. The message is one line that names the file and the field. */
 export class SettingsError extends MothbankError {
   readonly code = 'SETTINGS';
   readonly outcome = 'notExecuted';
@@ -17,7 +17,7 @@
   }
 }
 
-/** The content of a TOML file. */
+/** Reads and parses a TOML file; throws `SettingsError` if this fails. */
 export function readToml(file: string): unknown {
   let text: string;
   try {
@@ -28,11 +28,11 @@
   try {
     return parse(text);
   } catch (error) {
-    throw new SettingsError(file, `no TOML: ${(error as Error).message}`);
+    throw new SettingsError(file, `not valid TOML: ${(error as Error).message}`);
   }
 }
 
-/** The content as the schema has it; throws `SettingsError` for its first fault. */
+/** Validates a file's content and fills in defaults; throws `SettingsError` for the first error. */
 export function checkFile<Schema extends v.GenericSchema>(
   file: string,
   schema: Schema,
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of a controller: from the platform's file and the operators' files. */
+/** The settings of a controller, read from the platform's file and the operators' files. */
 
 import { GANG_PEER_S, GANG_WAIT_S } from '../constants/gangs.js';
 import {
@@ -12,7 +12,7 @@
 export { SettingsError } from './settings-file.js';
 export type { SuspicionSettings } from './operator-settings.js';
 
-/** A team's fair share of the cluster, and its quota (`Max`). */
+/** A team with its fair share of the cluster (`cpus`, `gpus`) and its quota (`cpusMax`, `gpusMax`). */
 export interface Team {
   name: string;
   cpus: number;
@@ -21,38 +21,56 @@
   gpusMax: number;
 }
 
-/** All settings of one controller, validated, in the program's names and units. */
+/** All settings of one controller, validated, with the program's names and units. */
 export interface Settings {
+  /** The name of this controller. */
   node: string;
   zone: string;
+  /** Address of the HTTP server for users and workers. */
   listen: string;
+  /** Address on which connections from other controllers are accepted. */
   peerListen: string;
+  /** The other controllers. */
   peers: { node: string; zone: string; address: string }[];
+  /** Address of the cloud. */
   cloud: string;
+  /** Address of the key-value store. */
   keyValueStore: string;
   zones: string[];
+  /** Maximum difference between the times of day of two controllers. */
   skewMs: number;
   teams: Team[];
-  /** Seconds within which a class's tasks should start, by class. */
+  /** Seconds within which tasks should start, by class of jobs. */
   startWithinS: Record<string, number>;
   heartbeatIntervalS: number;
+  /** Seconds for which a worker's lease lasts; without a renewal the worker ends its tasks. */
   leaseS: number;
+  /** Seconds within which all tasks of a cancelled job must have ended. */
   cancelS: number;
-  /** Seconds for which a task of a gang waits for the others. */
+  /** Seconds for which a task of a gang waits for the other tasks to be ready. */
   gangWaitS: number;
-  /** Seconds within which tasks of a gang notice the end of another, and within which all get a stop. */
+  /**
+   * Seconds within which tasks of a gang notice the end of another task, and within which all of
+   * them must get a stop.
+   */
   gangPeerS: number;
-  /** The key-value store's limits: the stricter of the present and the announced ones. */
+  /**
+   * The limits of the key-value store (requests and writes per second, bytes of a value, writes of a
+   * transaction). Each is the stricter one of the present and the announced limit.
+   */
   storeRps: number;
   storeWriteRps: number;
   valueBytes: number;
   transactionOps: number;
+  /** The cloud's limit of requests per second. */
   cloudRps: number;
+  /** Seconds by which the cloud's list of rented machines may be out of date. */
   listLagS: number;
+  /** Maximum number of open sockets. */
   sockets: number;
   placement: PlacementSettings;
   fleet: FleetSettings;
-  /** Failure detection between controllers; null: off. */
+  /** Failure detection between controllers; null: disabled. */
   suspicion: SuspicionSettings | null;
 }
 
@@ -81,7 +99,7 @@
   'storeRps' | 'storeWriteRps' | 'valueBytes' | 'transactionOps'
 >;
 
-/** Announced limits come into force without notice, so they are respected from the start. */
+/** Returns the stricter limits, because announced limits may come into force at any moment. */
 function readStoreLimits(state: PlatformParams['state']): StoreLimitSettings {
   const { next, ...present } = state;
   const stricter = (name: keyof typeof present): number =>
@@ -109,7 +127,7 @@
   };
 }
 
-/** Reads all files; throws `SettingsError` at the first fault. */
+/** Reads the platform's file and all operators' files; throws `SettingsError` for the first error. */
 export function readSettings(platformFile: string, operatorFiles: readonly string[]): Settings {
   const raw = readPlatformFile(platformFile);
   const { params } = raw;
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -1,16 +1,16 @@
-/** The users' wire format: decodes submissions, encodes job states. */
+/** The codec of users' requests: decodes submissions and encodes job states. */
 
 import * as v from 'valibot';
 import { MAX_TASKS } from '../constants/protocol.js';
 import type { JobSpec, JobState, Priority } from './model.js';
 import { amount, positive, validate, type Parsed } from './validation.js';
 
-/** Job ids have this form on the wire. */
+/** The form of a job id. */
 const JOB_ID = /^j-\d{1,18}$/;
 
 const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(100));
 
-/** Only nullable fields may be left out: a job that lacks another field is malformed. */
+/** The schema of a submission. Only nullable fields are optional. */
 const submissionSchema = v.object({
   ref: v.pipe(v.string(), v.regex(JOB_ID, 'must look like j-000412')),
   lane: shortText,
@@ -53,17 +53,17 @@
   cancelled: 'withdrawn',
 };
 
-/** Whether a text has the form of a job id. */
+/** Whether the text has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
 
-/** The id alone: a known job is answered before the rest of the body is validated. */
+/** The valid job id of a submission or null. A job that exists is answered without further checks. */
 export function submissionId(body: Record<string, unknown>): string | null {
   return typeof body['ref'] === 'string' && JOB_ID.test(body['ref']) ? body['ref'] : null;
 }
 
-/** The job that a submission describes. */
+/** Decodes a submission, or returns the first reason why it is malformed. */
 export function parseSubmission(body: Record<string, unknown>): Parsed<JobSpec> {
   const parsed = validate(submissionSchema, body, 'body');
   if (!parsed.ok) return parsed;
@@ -95,12 +95,12 @@
   };
 }
 
-/** The response to a submission or cancellation. */
+/** Encodes the response to a submission or cancellation. */
 export function encodeJobState(id: string, state: JobState): unknown {
   return { ref: id, stage: WIRE_STATES[state] };
 }
 
-/** The response to a poll. */
+/** Encodes the response to a poll, with the numbers of tasks that are done and running. */
 export function encodeJobView(id: string, state: JobState, done: number, running: number): unknown {
   return { ref: id, stage: WIRE_STATES[state], done, running };
 }
--- a/src/protocol/validation.ts
+++ b/src/protocol/validation.ts
@@ -1,8 +1,8 @@
-/** Validation of what comes from outside: JSON bodies, and values against schemas. */
+/** Validation of input: JSON bodies of requests, and values against schemas. */
 
 import * as v from 'valibot';
 
-/** A value that was parsed, or a one-line reason for the sender why it could not be. */
+/** A parsed value, or a one-line error message for the sender of the input. */
 export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
 
 /** A finite number that is not negative. */
@@ -10,7 +10,7 @@
 /** A finite number above zero. */
 export const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 
-/** A body's JSON object; null stands for a body above the limit. */
+/** Parses a body that must be a JSON object; `text` is null if the body was longer than the limit. */
 export function parseJson(text: string | null): Parsed<Record<string, unknown>> {
   if (text === null) return { ok: false, error: 'body: longer than 64 KiB' };
   let value: unknown;
@@ -25,7 +25,10 @@
   return { ok: true, value: value as Record<string, unknown> };
 }
 
-/** The value as the schema has it, or its first fault; `root` names the value as a whole. */
+/**
+ * Validates a value against a schema; returns the output or the first error. The error begins with
+ * the path of the invalid field, or with `root` if the value as a whole is invalid.
+ */
 export function validate<Schema extends v.GenericSchema>(
   schema: Schema,
   value: unknown,
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -1,4 +1,4 @@
-/** The client of workers: commands sent directly, without waiting for the next heartbeat. */
+/** The client of workers' API, which sends commands without waiting for the next heartbeat. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import { HttpClient } from '../transport/http-client.js';
@@ -6,18 +6,19 @@
 import type { Command, Heartbeat } from './model.js';
 import { encodeDirectCommands, parseHeartbeat } from './worker-codec.js';
 
-/** The outcome of commands sent directly to a worker. */
+/** The result of commands sent directly to a worker. */
 export interface DirectResult {
+  /** False: the worker refused the commands because of their fencing token or worker epoch. */
   executed: boolean;
-  /** The worker's heartbeat after it. */
+  /** The heartbeat in the worker's answer. */
   heartbeat: Heartbeat;
 }
 
 /** Sends commands directly to workers; tests pass a stand-in. */
 export interface WorkerApi {
-  /** No further call should be made now: the rest is sent once responses have come. */
+  /** True: the limit of concurrent calls is reached; further calls must wait for responses. */
   readonly full: boolean;
-  /** Throws where no valid response came: the commands may still be executed. */
+  /** Sends commands. Throws if no valid response came; the commands may still be executed then. */
   command(
     address: string,
     fencingToken: number,
@@ -26,10 +27,10 @@
   ): Promise<DirectResult>;
 }
 
-/** Workers over HTTP, on a bounded number of kept connections. */
+/** The client of workers over HTTP, on at most `maxClients` keep-alive connections. */
 export class HttpWorkerApi implements WorkerApi {
   private readonly clients = new Map<string, HttpClient>();
-  /** Addresses with a call in flight, one each. */
+  /** Addresses of workers with a call in flight; each has at most one. */
   private readonly calling = new Set<string>();
 
   constructor(
@@ -47,7 +48,7 @@
     let client = this.clients.get(address);
     if (client) this.clients.delete(address);
     else client = new HttpClient(address, this.clock, 1);
-    // In the order of use: the least recently used client is evicted.
+    // The map is in order of use, so its first client without a call is the least recently used one.
     this.clients.set(address, client);
     for (const [oldest, unused] of this.clients) {
       if (this.clients.size <= this.maxClients) break;
@@ -71,12 +72,14 @@
       .finally(() => this.calling.delete(address));
     const parsed = parseHeartbeat((answer.body ?? {}) as Record<string, unknown>);
     if ((answer.status !== 200 && answer.status !== 409) || !parsed.ok) {
-      throw new OutcomeUnknownError(`commands: odd answer ${answer.status}`);
+      throw new OutcomeUnknownError(
+        `worker's answer to POST /commands: expected a heartbeat with 200 or 409, got status ${answer.status}`,
+      );
     }
     return { executed: answer.status === 200, heartbeat: parsed.value };
   }
 
-  /** Ends all connections. */
+  /** Closes all connections; calls in flight fail. */
   close(): void {
     for (const client of this.clients.values()) client.close();
   }
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -1,4 +1,4 @@
-/** The workers' wire format: decodes heartbeats, encodes commands. */
+/** The codec of workers' API: decodes heartbeats and encodes commands. */
 
 import * as v from 'valibot';
 import {
@@ -57,7 +57,7 @@
 };
 const WIRE_VERBS: Record<Command['op'], string> = { start: 'launch', stop: 'halt', forget: 'reap' };
 
-/** The heartbeat in a body; workers also answer commands with one. */
+/** Decodes the heartbeat in a request of a worker, or in a worker's answer to commands. */
 export function parseHeartbeat(body: Record<string, unknown>): Parsed<Heartbeat> {
   const parsed = validate(heartbeatSchema, body, 'body');
   if (!parsed.ok) return parsed;
@@ -96,12 +96,12 @@
   }));
 }
 
-/** The response to a heartbeat: the shard's fencing token and the commands for the worker. */
+/** Encodes the response to a heartbeat, with the shard's fencing token and commands for the worker. */
 export function encodeHeartbeatAnswer(fencingToken: number, commands: Command[]): unknown {
   return { mandate: fencingToken, calls: encodeCommands(commands) };
 }
 
-/** Commands sent directly to a worker, for the agent epoch that the sender knows. */
+/** Encodes commands sent directly to a worker, which executes them only in the given worker epoch. */
 export function encodeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
@@ -110,7 +110,7 @@
   return { mandate: fencingToken, flight: agentEpoch, calls: encodeCommands(commands) };
 }
 
-/** The response of a controller that does not hold the worker's shard; null: its holder is unknown. */
+/** Encodes a redirect of a worker to its shard's holder, `node`; null: the holder is unknown. */
 export function encodeRedirect(node: string | null): unknown {
   return node === null ? {} : { hive: node };
 }
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -52,7 +52,7 @@
   assert.notEqual(readSettings(platform, ['deploy/suspicion.toml']).suspicion, null);
   assert.throws(
     () => readSettings(platform, [suspicion, fleet, off]),
-    /off\.toml: suspicion: stands in another file too/,
+    /off\.toml: suspicion: section is also in another operators' file/,
   );
   const others = (text: string): string => write('many.toml', `${text}${members(62)}`);
   assert.equal(readSettings(others(SETTINGS), []).peers.length, 62);
@@ -95,10 +95,10 @@
     [gangs('gang_wait_s = 0'), null, /settings\.toml: params\.workers\.gang_wait_s/],
     [gangs('gang_peer_s = "soon"'), null, /settings\.toml: params\.workers\.gang_peer_s/],
 
-    ['x = [', null, /settings\.toml: no TOML/],
+    ['x = [', null, /settings\.toml: not valid TOML/],
     [SETTINGS.replace('site = "a"', ''), null, /settings\.toml: site/],
     [SETTINGS.replace('rps = 150.0', 'rps = "many"'), null, /params\.state\.rps/],
-    [SETTINGS.replace('127.0.0.1:8080', 'nowhere'), null, /front: must be ADDRESS:PORT/],
+    [SETTINGS.replace('127.0.0.1:8080', 'nowhere'), null, /front: must have the form HOST:PORT/],
     [SETTINGS.replace('cancel_s = 54.0', 'cancel_s = 24.0'), null, /params\.workers\.cancel_s/],
     [SETTINGS.replace('"moth-1"', '"moth-0"'), null, /members\.node_name/],
     [SETTINGS, '[fleet]\nidle_s = -1\n', /operators\.toml: fleet\.idle_s/],
@@ -107,7 +107,11 @@
       `[suspicion]\n${text}\n`,
       new RegExp(`operators\\.toml: suspicion\\.${key}: `),
     ]),
-    [`${SETTINGS}${members(63)}`, null, /settings\.toml: members: more than 63 controllers/],
+    [
+      `${SETTINGS}${members(63)}`,
+      null,
+      /settings\.toml: members: at most 63 controllers are allowed, this one included/,
+    ],
   ];
   for (const [text, operators, message] of cases) {
     assert.throws(
