--- a/src/cli.ts
+++ b/src/cli.ts
@@ -9,7 +9,7 @@
 /** Exit code for an invalid command line. */
 const EXIT_USAGE = 2;
 /** Exit code if a file, or a line of one, could not be read. */
-const EXIT_FAULT = 1;
+const EXIT_UNREADABLE = 1;
 
 interface DetectionsOptions {
   out: string;
@@ -24,7 +24,7 @@
   writeFileSync(options.out, reportOf(histories));
   if (options.export !== undefined) writeFileSync(options.export, compress(histories.records));
   process.stdout.write(`${histories.records.length} records: ${options.out}\n`);
-  if (histories.faults.length > 0) process.exitCode = EXIT_FAULT;
+  if (histories.faults.length > 0) process.exitCode = EXIT_UNREADABLE;
 }
 
 const program = new Command('mothbank')
--- a/src/main.ts
+++ b/src/main.ts
@@ -36,7 +36,7 @@
     .option(
       '--operators <file>',
       "the operators' own settings (TOML); repeatable",
-      (file: string, others: string[]) => [...others, file],
+      (file: string, previous: string[]) => [...previous, file],
       [],
     )
     .option('--check', 'check the settings and exit')
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -21,7 +21,7 @@
   path: string;
   body?: unknown;
   /** Statuses that are results; any other status is an error. */
-  expected: number[];
+  expectedStatuses: number[];
 }
 
 /** A change in the answer to a watch: `put` or `remove` holds the key. */
@@ -77,10 +77,10 @@
     client = this.http,
     timeoutMs = this.timeoutMs,
   ): Promise<{ status: number; body: Body }> {
-    const { method, path, expected } = request;
+    const { method, path, expectedStatuses } = request;
     const answer = await client.call(method, path, request.body, timeoutMs);
     if (answer.status === 429 || answer.status === 503) throw new StoreRejectedError(answer.status);
-    if (!expected.includes(answer.status)) {
+    if (!expectedStatuses.includes(answer.status)) {
       if (answer.status === 400) {
         const reason = (answer.body as Body | null)?.['error'];
         throw new StoreRejectedError(400, typeof reason === 'string' ? reason : null);
@@ -95,14 +95,14 @@
 
   async get(key: string): Promise<{ value: unknown; revision: number } | null> {
     const path = `/kv/${encodeURI(key)}`;
-    const { status, body } = await this.call({ method: 'GET', path, expected: [200, 404] });
+    const { status, body } = await this.call({ method: 'GET', path, expectedStatuses: [200, 404] });
     return status === 404 ? null : { value: body['v'], revision: requireNumber(body, 'mark') };
   }
 
   async list(prefix: string, after: string | null): Promise<EntryPage> {
     const since = after === null ? '' : `&since=${encodeURIComponent(after)}`;
     const path = `/kv?prefix=${encodeURIComponent(prefix)}${since}&page=${LIST_PAGE_KEYS}`;
-    const { body } = await this.call({ method: 'GET', path, expected: [200] });
+    const { body } = await this.call({ method: 'GET', path, expectedStatuses: [200] });
     const items = requireList<{ path: string; v: unknown; mark: number }>(body, 'items');
     return {
       entries: items.map((item) => ({ key: item.path, value: item.v, revision: item.mark })),
@@ -119,7 +119,7 @@
         guards: guards.map((guard) => ({ path: guard.key, mark: guard.revision })),
         apply: changes.map(encodeChange),
       },
-      expected: [200, 409],
+      expectedStatuses: [200, 409],
     });
     if (status === 409) return { ok: false, failed: (body['failed'] ?? []) as string[] };
     return { ok: true, revision: requireNumber(body, 'epoch') };
@@ -130,7 +130,7 @@
       method: 'POST',
       path: '/grants',
       body: { ttlMs },
-      expected: [200],
+      expectedStatuses: [200],
     });
     return requireNumber(body, 'perch');
   }
@@ -139,7 +139,7 @@
     const { status } = await this.call({
       method: 'POST',
       path: `/grants/${lease}/extend`,
-      expected: [200, 404],
+      expectedStatuses: [200, 404],
     });
     return status === 200;
   }
@@ -147,7 +147,7 @@
   async watch(prefix: string, since: number, waitMs: number): Promise<WatchResult | null> {
     const path = `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`;
     const { status, body } = await this.call(
-      { method: 'GET', path, expected: [200, 410] },
+      { method: 'GET', path, expectedStatuses: [200, 410] },
       this.watchHttp,
       this.timeoutMs + waitMs,
     );
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -88,10 +88,10 @@
   suspicion: SuspicionSettings | null;
 }
 
-type SuspicionFile = v.InferOutput<typeof suspicionSchema>;
+type SuspicionSection = v.InferOutput<typeof suspicionSchema>;
 
 /** Checks limits that depend on other fields, on a member's lease or on the number of members. */
-function checkSuspicion(file: string, raw: SuspicionFile, memberCount: number): void {
+function checkSuspicion(file: string, raw: SuspicionSection, memberCount: number): void {
   const fail = (key: string, reason: string): never => {
     throw new SettingsError(file, `suspicion.${key}: ${reason}`);
   };
@@ -113,17 +113,17 @@
   }
 }
 
-function readSuspicion(raw: SuspicionFile | undefined): SuspicionSettings | null {
+function readSuspicion(raw: SuspicionSection | undefined): SuspicionSettings | null {
   if (!raw?.enabled) return null;
-  const ms = (seconds: number): number => seconds * 1000;
+  const toMs = (seconds: number): number => seconds * 1000;
   return {
-    probeIntervalMs: ms(raw.probe_interval_s),
-    probeTimeoutMs: ms(raw.probe_timeout_s),
-    suspicionLeastMs: ms(raw.suspicion_least_s),
-    suspicionMostMs: ms(raw.suspicion_most_s),
+    probeIntervalMs: toMs(raw.probe_interval_s),
+    probeTimeoutMs: toMs(raw.probe_timeout_s),
+    suspicionLeastMs: toMs(raw.suspicion_least_s),
+    suspicionMostMs: toMs(raw.suspicion_most_s),
     quorum: raw.quorum ?? null,
-    confirmWithinMs: ms(raw.confirm_within_s),
-    holdNewWorkMs: ms(raw.hold_new_work_s),
+    confirmWithinMs: toMs(raw.confirm_within_s),
+    holdNewWorkMs: toMs(raw.hold_new_work_s),
     history: raw.history,
   };
 }
@@ -135,8 +135,8 @@
   const sections: Sections = {};
   for (const file of files) {
     const raw = readToml(file) as Sections;
-    const own = checkFile(file, operatorsSchema, raw);
-    if (own.suspicion) checkSuspicion(file, own.suspicion, memberCount);
+    const settings = checkFile(file, operatorsSchema, raw);
+    if (settings.suspicion) checkSuspicion(file, settings.suspicion, memberCount);
     for (const [name, section] of Object.entries(raw)) {
       if (name in sections)
         throw new SettingsError(file, `${name}: section is also in another operators' file`);
@@ -151,19 +151,19 @@
   files: readonly string[],
   memberCount: number,
 ): OperatorSettings {
-  const own = checkFile('defaults', operatorsSchema, mergeFiles(files, memberCount));
+  const settings = checkFile('defaults', operatorsSchema, mergeFiles(files, memberCount));
   return {
     placement: {
-      alpha: own.placement.alpha,
-      penalty: own.placement.penalty,
-      snapshotS: own.placement.snapshot_s,
+      alpha: settings.placement.alpha,
+      penalty: settings.placement.penalty,
+      snapshotS: settings.placement.snapshot_s,
     },
     fleet: {
-      idleS: own.fleet.idle_s,
-      headroomCpus: own.fleet.headroom_cpus,
-      spot: own.fleet.spot,
-      maxMachines: own.fleet.max_machines,
+      idleS: settings.fleet.idle_s,
+      headroomCpus: settings.fleet.headroom_cpus,
+      spot: settings.fleet.spot,
+      maxMachines: settings.fleet.max_machines,
     },
-    suspicion: readSuspicion(own.suspicion),
+    suspicion: readSuspicion(settings.suspicion),
   };
 }
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -63,7 +63,7 @@
 
 type Message<Kind extends PeerMessage['kind']> = Extract<PeerMessage, { kind: Kind }>;
 
-function writePoke(writer: protobuf.Writer, message: Message<'poke'>): void {
+function writeStoreChanged(writer: protobuf.Writer, message: Message<'poke'>): void {
   writer.uint32(delimited(POKE)).fork();
   writer.uint32(delimited(1)).string(message.node);
   writer.uint32(varint(2)).uint64(message.revision);
@@ -110,7 +110,7 @@
   writer.fork();
   switch (message.kind) {
     case 'poke':
-      writePoke(writer, message);
+      writeStoreChanged(writer, message);
       break;
     case 'relay':
       writeRelay(writer, message);
@@ -159,10 +159,10 @@
   const integer = (field: number): number => Number(fields[field] ?? 0);
   switch (kind) {
     case POKE: {
-      const poke = { kind: 'poke' as const, node: text(1), revision: integer(2) };
+      const notification = { kind: 'poke' as const, node: text(1), revision: integer(2) };
       return fields[3] === undefined
-        ? poke
-        : { ...poke, cancelled: { job: text(3), tasks: integer(4) } };
+        ? notification
+        : { ...notification, cancelled: { job: text(3), tasks: integer(4) } };
     }
     case RELAY: {
       const operation = RELAY_OPERATIONS[integer(2)];
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -74,7 +74,7 @@
   suspicion: SuspicionSettings | null;
 }
 
-function readStartWithin(objectives: PlatformParams['objectives']): Record<string, number> {
+function readStartWithinS(objectives: PlatformParams['objectives']): Record<string, number> {
   const startWithinS: Record<string, number> = {};
   for (const objective of objectives) {
     if (objective.kind === 'wait' && objective.class && objective.within_s !== undefined) {
@@ -129,30 +129,30 @@
 
 /** Reads the platform's file and all operators' files; throws `SettingsError` for the first error. */
 export function readSettings(platformFile: string, operatorFiles: readonly string[]): Settings {
-  const raw = readPlatformFile(platformFile);
-  const { params } = raw;
-  const own = readOperatorSettings(operatorFiles, raw.members.length + 1);
+  const platform = readPlatformFile(platformFile);
+  const { params } = platform;
+  const operatorSettings = readOperatorSettings(operatorFiles, platform.members.length + 1);
   return {
-    node: raw.node_name,
-    zone: raw.site,
-    listen: raw.front,
-    peerListen: raw.cluster_listen,
-    peers: raw.members.map((member) => ({
+    node: platform.node_name,
+    zone: platform.site,
+    listen: platform.front,
+    peerListen: platform.cluster_listen,
+    peers: platform.members.map((member) => ({
       node: member.node_name,
       zone: member.site,
       address: member.peer_addr,
     })),
-    cloud: raw.services.cloud,
-    keyValueStore: raw.services.state,
+    cloud: platform.services.cloud,
+    keyValueStore: platform.services.state,
     zones: params.zones,
     skewMs: params.skew_ms,
     teams: readTeams(params.teams),
-    startWithinS: readStartWithin(params.objectives),
+    startWithinS: readStartWithinS(params.objectives),
     ...readWorkers(params.workers),
     ...readStoreLimits(params.state),
     cloudRps: params.cloud.rps,
     listLagS: params.cloud.list_lag_s,
     sockets: params.resources.fd_limit,
-    ...own,
+    ...operatorSettings,
   };
 }
--- a/src/protocol/validation.ts
+++ b/src/protocol/validation.ts
@@ -3,7 +3,7 @@
 import * as v from 'valibot';
 
 /** A parsed value, or a one-line error message for the sender of the input. */
-export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
+export type Parsed<Value> = { ok: true; value: Value } | { ok: false; error: string };
 
 /** A finite number that is not negative. */
 export const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -31,7 +31,7 @@
 export class HttpWorkerApi implements WorkerApi {
   private readonly clients = new Map<string, HttpClient>();
   /** Addresses of workers with a call in flight; each has at most one. */
-  private readonly calling = new Set<string>();
+  private readonly busyAddresses = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
@@ -41,7 +41,7 @@
   ) {}
 
   get full(): boolean {
-    return this.calling.size >= this.maxCalls;
+    return this.busyAddresses.size >= this.maxCalls;
   }
 
   private client(address: string): HttpClient {
@@ -50,11 +50,11 @@
     else client = new HttpClient(address, this.clock, 1);
     // The map is in order of use, so its first client without a call is the least recently used one.
     this.clients.set(address, client);
-    for (const [oldest, unused] of this.clients) {
+    for (const [candidate, idleClient] of this.clients) {
       if (this.clients.size <= this.maxClients) break;
-      if (this.calling.has(oldest)) continue;
-      this.clients.delete(oldest);
-      unused.close();
+      if (this.busyAddresses.has(candidate)) continue;
+      this.clients.delete(candidate);
+      idleClient.close();
     }
     return client;
   }
@@ -65,11 +65,11 @@
     agentEpoch: number,
     commands: Command[],
   ): Promise<DirectResult> {
-    this.calling.add(address);
+    this.busyAddresses.add(address);
     const body = encodeDirectCommands(fencingToken, agentEpoch, commands);
     const answer = await this.client(address)
       .call('POST', '/commands', body, this.timeoutMs)
-      .finally(() => this.calling.delete(address));
+      .finally(() => this.busyAddresses.delete(address));
     const parsed = parseHeartbeat((answer.body ?? {}) as Record<string, unknown>);
     if ((answer.status !== 200 && answer.status !== 409) || !parsed.ok) {
       throw new OutcomeUnknownError(
