--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -1,4 +1,7 @@
-/** Task ranges, heartbeats and peer messages, as they are written and read. */
+/**
+ * Guards against errors in encoding and decoding task ranges, heartbeats, commands and peer messages,
+ * by which a record or message would hold other values than intended, or a valid one be rejected.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
@@ -6,7 +9,7 @@
 import { countRanges, readRanges, writeRanges } from '../../src/storage/ranges.js';
 import { FrameReader } from '../../src/transport/peer-link.js';
 
-test('task ranges are written and read', () => {
+test('task ranges are encoded in ascending order and decoded to the same ids', () => {
   const cases: [number[], string][] = [
     [[], ''],
     [[3], '3'],
@@ -24,7 +27,7 @@
   }
 });
 
-test('heartbeats and their answers', () => {
+test('heartbeats are decoded or rejected, and commands are encoded with the names of the wire', () => {
   const heartbeat = {
     moth: 'm-000231',
     endpoint: '10.1.0.232:9000',
@@ -46,13 +49,13 @@
     { task: { job: 'j-000412', index: 3 }, attempt: 2, state: 'running', cause: null },
     { task: { job: 'j-000398', index: 0 }, attempt: 1, state: 'exited', cause: 'noRoom' },
   ]);
-  for (const bad of [
+  for (const invalid of [
     { moth: '' },
     { flight: 'x' },
     { larvae: [{ larva: 'x' }] },
     { mandate: -1 },
   ]) {
-    assert.ok(!parseHeartbeat({ ...heartbeat, ...bad }).ok, JSON.stringify(bad));
+    assert.ok(!parseHeartbeat({ ...heartbeat, ...invalid }).ok, JSON.stringify(invalid));
   }
   assert.deepEqual(
     encodeHeartbeatAnswer(41, [
@@ -71,7 +74,7 @@
   );
 });
 
-test('peer messages survive any fragmentation of the stream', () => {
+test('peer messages are decoded completely however the stream is split, and long frames are rejected', () => {
   const messages: PeerMessage[] = [
     { kind: 'poke', node: 'n1', revision: 2 ** 40 },
     { kind: 'relay', id: 7, operation: 'cancel', jobId: 'j-000001', body: 'ä'.repeat(300) },
@@ -81,12 +84,12 @@
   const stream = Buffer.concat(messages.map((message) => encodePeer(message)));
   for (const size of [1, 7, 64, 10_000]) {
     const reader = new FrameReader(1000);
-    const heard: unknown[] = [];
+    const decoded: unknown[] = [];
     for (let at = 0; at < stream.length; at += size) {
       for (const frame of reader.push(stream.subarray(at, at + size)))
-        heard.push(decodePeer(frame));
+        decoded.push(decodePeer(frame));
     }
-    assert.deepEqual(heard, messages);
+    assert.deepEqual(decoded, messages);
   }
   assert.throws(() => new FrameReader(100).push(Buffer.from([0xff, 0xff, 0xff, 0x7f])));
 });
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -1,7 +1,9 @@
 /**
- * Stored and wire forms stay as they are: each example in `test/fixtures/forms-12c6284.json` was written
- * by commit 12c6284, is written to the same bytes now, and is read and written back to them.
- * The file itself never changes; a later version may add a file of its own.
+ * Guards against changes of stored records and wire messages that controllers of another version
+ * could not read, for example after a rename. `test/fixtures/forms-12c6284.json` holds examples that
+ * commit 12c6284 encoded. This version must encode the same values to the same bytes, and decode the
+ * examples and encode them to the same bytes again. The file never changes; a later version may add
+ * another one.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -31,23 +33,24 @@
 const bytesOf = (form: string | undefined): Uint8Array => Buffer.from(form ?? '', 'hex');
 const hexOf = (bytes: Uint8Array): string => Buffer.from(bytes).toString('hex');
 
-/** A record's key and value. */
+/** The key and the value, as text, of an example of a record. */
 function recordOf(name: string): { key: string; text: string } {
   const form = FORMS[name] ?? '';
   const space = form.indexOf(' ');
   return { key: form.slice(0, space), text: form.slice(space + 1) };
 }
 
-test('no form is lost, and none is new without an example', () => {
+test('this version encodes exactly the forms of which the file has an example', () => {
   assert.deepEqual(Object.keys(written).sort(), Object.keys(FORMS).sort());
 });
 
 for (const [name, form] of Object.entries(FORMS)) {
-  test(`written as 12c6284 wrote it: ${name}`, () => assert.equal(written[name], form));
+  test(`encoded to the same bytes as by commit 12c6284: ${name}`, () =>
+    assert.equal(written[name], form));
 }
 
 for (const name of Object.keys(FORMS).filter((one) => one.startsWith('peer: '))) {
-  test(`read and written back: ${name}`, () => {
+  test(`decoded and encoded again to the same bytes: ${name}`, () => {
     const [frame] = new FrameReader(10_000).push(Buffer.from(bytesOf(FORMS[name])));
     const message = decodePeer(frame ?? new Uint8Array());
     assert.ok(message);
@@ -56,7 +59,7 @@
 }
 
 for (const name of Object.keys(FORMS).filter((one) => one.startsWith('detector: '))) {
-  test(`read and written back: ${name}`, () => {
+  test(`decoded and encoded again to the same bytes: ${name}`, () => {
     const message = decodeDetector(bytesOf(FORMS[name]));
     assert.ok(message);
     assert.equal(hexOf(encodeDetector(message)), FORMS[name]);
@@ -64,7 +67,7 @@
 }
 
 for (const name of ['', ' with placed tasks', ' of a gang'].map((one) => `record: chunk${one}`)) {
-  test(`read and written back: ${name}`, () => {
+  test(`decoded and encoded again to the same bytes: ${name}`, () => {
     const { key, text } = recordOf(name);
     const identity = readAssignmentKey(key);
     assert.ok(identity);
@@ -80,7 +83,7 @@
   });
 }
 
-test('read and written back: record: catalog', async () => {
+test('decoded and encoded again to the same bytes: record: catalog', async () => {
   const { key, text } = recordOf('record: catalog');
   assert.equal(key, CATALOG);
   const types = readCatalog(await replicaOf({ [key]: JSON.parse(text) as unknown }));
@@ -94,7 +97,7 @@
   ['record: arm', 'small', 8192, 0],
   ['record: arm in pieces', 'large', 400, 3],
 ] as const) {
-  test(`read and written back: ${name}`, () => {
+  test(`decoded and encoded again to the same bytes: ${name}`, () => {
     const records = JSON.parse(FORMS[name] ?? '[]') as ArmRecord[];
     const [main] = records;
     assert.ok(main);
@@ -104,7 +107,7 @@
   });
 }
 
-test("a submission is read to the job's stored form", () => {
+test("a submission is decoded to the job's stored form", () => {
   const body = {
     ref: 'j-000412',
     lane: 'train',
@@ -138,7 +141,7 @@
   );
 });
 
-test("a worker's report is read in full", () => {
+test("all fields, states and causes of a worker's heartbeat are decoded", () => {
   const parsed = parseHeartbeat({
     moth: 'm-000231',
     endpoint: '10.1.0.232:9000',
@@ -183,7 +186,7 @@
   ]);
 });
 
-test('a cluster takes over all records that 12c6284 left, and ends their jobs', async () => {
+test('a cluster started with the records of commit 12c6284 answers for their jobs and cancels them', async () => {
   const stored = JSON.parse(FORMS['all records'] ?? '[]') as [string, unknown][];
   const records: Records = Object.fromEntries(stored);
   const world = new World(11, undefined, { suspicion: null });
@@ -200,6 +203,8 @@
     assert.equal(stageOf(await awaitReply(world, world.cancel(id))), 'withdrawn');
   }
   await world.run(30);
-  const left = [...world.store.entries.keys()].filter((key) => /live\/(job|chunk)\//.test(key));
-  assert.deepEqual(left, []);
+  const remaining = [...world.store.entries.keys()].filter((key) =>
+    /live\/(job|chunk)\//.test(key),
+  );
+  assert.deepEqual(remaining, []);
 });
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against gang submissions that are accepted although they are malformed or can never run, so
+ * that they would wait forever, and against controllers that start with invalid settings of gang times
+ * or announced store limits.
+ */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -37,8 +42,8 @@
 };
 const NULLABLE = ['breeds', 'grove', 'duskS'];
 
-/** Submits as a user does and gives the whole answer, headers included. */
-async function post(world: World, body: object, at = 'n0'): Promise<HttpReply> {
+/** Submits a job as a user does and returns the whole response, with `Retry-After`. */
+async function submit(world: World, body: object, at = 'n0'): Promise<HttpReply> {
   const node = world.nodes.get(at)?.node;
   assert.ok(node);
   let reply: HttpReply | null = null;
@@ -56,17 +61,17 @@
   name: string;
   change: Record<string, unknown>;
   status: number;
-  /** How the told reason begins. */
-  reason: RegExp;
+  /** Matches the beginning of the error message. */
+  error: RegExp;
 }
 
 const malformed = (name: string, change: Record<string, unknown>, field: string): Row => ({
   name,
   change,
   status: 400,
-  reason: new RegExp(`^${field}: `),
+  error: new RegExp(`^${field}: `),
 });
-const never = (name: string, change: Record<string, unknown>, field: string): Row => ({
+const unsatisfiable = (name: string, change: Record<string, unknown>, field: string): Row => ({
   ...malformed(name, change, field),
   status: 422,
 });
@@ -79,83 +84,83 @@
     malformed(`null as ${field}`, { [field]: null }, field),
   ),
   malformed('no task', { larvae: 0 }, 'larvae'),
-  malformed('fewer than no task', { larvae: -4 }, 'larvae'),
-  malformed('half a task', { larvae: 2.5 }, 'larvae'),
+  malformed('a negative number of tasks', { larvae: -4 }, 'larvae'),
+  malformed('a fractional number of tasks', { larvae: 2.5 }, 'larvae'),
   malformed('tasks as text', { larvae: '4' }, 'larvae'),
   malformed('too many tasks', { larvae: 100_001 }, 'larvae'),
   malformed('no CPU', { cores: 0 }, 'cores'),
   malformed('a negative time to save', { spinS: -1 }, 'spinS'),
   malformed('a checkpoint interval as text', { moltS: '5' }, 'moltS'),
-  malformed('a shape that is none', { shape: 'gang' }, 'shape'),
-  never('a team that there is not', { crew: 'nobody' }, 'crew'),
-  never('one task more than the limit of its team', { larvae: 9 }, 'cores'),
-  never('GPUs beyond the limit of its team', { gpus: 1 }, 'cores'),
-  never('a task larger than any machine', { cores: 5, larvae: 1 }, 'larvae'),
-  never('more memory than any machine', { memGb: 17 }, 'larvae'),
-  never('only a type that there is not', { breeds: ['g99'] }, 'larvae'),
-  never('no type allowed', { breeds: [] }, 'larvae'),
-  never('a zone without machines', { grove: 'z' }, 'larvae'),
-  never('apart in the only allowed zone', { apart: true, grove: 'a' }, 'apart'),
-  never('apart in one place', { apart: true, samePlace: true }, 'apart'),
+  malformed('an unknown shape', { shape: 'gang' }, 'shape'),
+  unsatisfiable('an unknown team', { crew: 'nobody' }, 'crew'),
+  unsatisfiable("one task more than the team's quota", { larvae: 9 }, 'cores'),
+  unsatisfiable("more GPUs than the team's quota", { gpus: 1 }, 'cores'),
+  unsatisfiable('a task larger than any machine', { cores: 5, larvae: 1 }, 'larvae'),
+  unsatisfiable('more memory than any machine', { memGb: 17 }, 'larvae'),
+  unsatisfiable('only an unknown machine type', { breeds: ['g99'] }, 'larvae'),
+  unsatisfiable('no allowed machine type', { breeds: [] }, 'larvae'),
+  unsatisfiable('a zone without machines', { grove: 'z' }, 'larvae'),
+  unsatisfiable('apart with one allowed zone', { apart: true, grove: 'a' }, 'apart'),
+  unsatisfiable('apart and samePlace', { apart: true, samePlace: true }, 'apart'),
 ];
 
-test('gang input: what is malformed gets 400, what can never run 422, with the field', async () => {
+test('gang submission: malformed gets 400, never runnable gets 422, each naming the field', async () => {
   const world = new World(1);
   await world.run(7);
-  for (const { name, change, status, reason } of ROWS) {
-    const reply = await post(world, { ...SUBMISSION, ...change });
-    const told = (reply.body as { error?: string }).error ?? '';
-    assert.equal(reply.status, status, `${name}: ${told}`);
-    assert.match(told, reason, name);
-    assert.equal(reply.retryAfterS, undefined, `${name}: not to be tried again`);
+  for (const { name, change, status, error } of ROWS) {
+    const reply = await submit(world, { ...SUBMISSION, ...change });
+    const message = (reply.body as { error?: string }).error ?? '';
+    assert.equal(reply.status, status, `${name}: ${message}`);
+    assert.match(message, error, name);
+    assert.equal(reply.retryAfterS, undefined, `${name}: no Retry-After`);
   }
-  const left = [...world.store.entries.keys()].filter((key) => key.includes(GANG));
-  assert.deepEqual(left, [], 'nothing of it was kept');
+  const stored = [...world.store.entries.keys()].filter((key) => key.includes(GANG));
+  assert.deepEqual(stored, [], 'nothing of the job is stored');
 });
 
-test('gang input: what just fits is accepted', async () => {
+test('gang submission: jobs at the limits are accepted', async () => {
   const world = new World(1);
   await world.run(7);
-  const fitting: [string, Record<string, unknown>][] = [
-    ['all that its team may use', { larvae: 8 }],
-    ['one task alone, apart', { larvae: 1, apart: true, grove: 'a' }],
+  const acceptable: [string, Record<string, unknown>][] = [
+    ["the team's whole quota", { larvae: 8 }],
+    ['a single task, apart', { larvae: 1, apart: true, grove: 'a' }],
     ['apart over two zones', { larvae: 2, apart: true }],
-    ['what may be null left out', { breeds: undefined, grove: undefined, duskS: undefined }],
-    ['fields that nobody knows', { more: { of: 'it' } }],
+    ['all nullable fields left out', { breeds: undefined, grove: undefined, duskS: undefined }],
+    ['an unknown field', { more: { of: 'it' } }],
   ];
-  for (const [at, [name, change]] of fitting.entries()) {
+  for (const [at, [name, change]] of acceptable.entries()) {
     const ref = `j-10000${at}`;
-    const reply = await post(world, { ...SUBMISSION, ...change, ref });
+    const reply = await submit(world, { ...SUBMISSION, ...change, ref });
     assert.equal(reply.status, 201, `${name}: ${JSON.stringify(reply.body)}`);
   }
 });
 
-test('gang input: what can not be decided yet gets 503 and when to come again', async () => {
+test('gang submission: while the machine types are unknown, undecidable jobs get 503 and Retry-After', async () => {
   const world = new World(1);
   world.cloudHasCatalog = false;
   await world.run(7);
   const undecided: [string, Record<string, unknown>][] = [
-    ['a good one', {}],
-    ['a type that may come', { breeds: ['g99'] }],
-    ['a task that a machine may fit', { cores: 5, larvae: 1 }],
-    ['apart in one place', { apart: true, samePlace: true }],
+    ['a valid job', {}],
+    ['a machine type that the catalogue may contain', { breeds: ['g99'] }],
+    ['a task that may fit a machine type', { cores: 5, larvae: 1 }],
+    ['apart and samePlace', { apart: true, samePlace: true }],
   ];
   for (const [node] of world.members) {
     for (const [name, change] of undecided) {
-      const reply = await post(world, { ...SUBMISSION, ...change }, node);
+      const reply = await submit(world, { ...SUBMISSION, ...change }, node);
       assert.equal(reply.status, 503, `${name} at ${node}`);
       assert.ok((reply.retryAfterS ?? 0) >= 1, `${name} at ${node}`);
     }
-    // What no catalogue could change is decided.
-    assert.equal((await post(world, { ...SUBMISSION, larvae: 0 }, node)).status, 400);
-    assert.equal((await post(world, { ...SUBMISSION, larvae: 9 }, node)).status, 422);
+    // These are refused whatever the machine types are.
+    assert.equal((await submit(world, { ...SUBMISSION, larvae: 0 }, node)).status, 400);
+    assert.equal((await submit(world, { ...SUBMISSION, larvae: 9 }, node)).status, 422);
   }
   world.cloudHasCatalog = true;
   await world.run(70);
-  assert.equal((await post(world, SUBMISSION)).status, 201);
+  assert.equal((await submit(world, SUBMISSION)).status, 201);
 });
 
-test('gang input: the user is sent when to come again', async () => {
+test('HTTP server: a response that is to be retried has the header Retry-After', async () => {
   const handle = (): HttpReply => ({ status: 503, body: { error: 'not yet' }, retryAfterS: 2 });
   const limits = { bodyBytes: 65_536, connections: 10, crowded: 10, full: 10, keepAliveMs: 1000 };
   const routes = [{ method: 'POST' as const, path: '/v2/runs', handle }];
@@ -172,7 +177,7 @@
 
 // --- Settings ----------------------------------------------------------------------------------
 
-/** The lines of the file after which those of a section may follow. */
+/** The last line of a section in the file, after which further lines of the section can be inserted. */
 const SECTION_ENDS = { workers: 'cancel_s = 54.0\n', state: 'txn_ops = 32\n' };
 const MAIN = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
@@ -187,17 +192,17 @@
   return file;
 }
 
-const UNUSABLE = ['0', '-1.0', '"8"', 'true', 'nan', 'inf', '[8.0]'];
-const BAD: { place: 'workers' | 'state'; lines: string; field: string }[] = [
+const INVALID_VALUES = ['0', '-1.0', '"8"', 'true', 'nan', 'inf', '[8.0]'];
+const INVALID_SETTINGS: { place: 'workers' | 'state'; lines: string; field: string }[] = [
   ...['gang_wait_s', 'gang_peer_s'].flatMap((name) =>
-    UNUSABLE.map((value) => ({
+    INVALID_VALUES.map((value) => ({
       place: 'workers' as const,
       lines: `${name} = ${value}`,
       field: `params.workers.${name}`,
     })),
   ),
   ...['rps', 'write_rps', 'value_kb', 'txn_ops'].flatMap((name) =>
-    UNUSABLE.map((value) => ({
+    INVALID_VALUES.map((value) => ({
       place: 'state' as const,
       lines: `[params.state.next]\n${name} = ${value}`,
       field: `params.state.next.${name}`,
@@ -211,8 +216,8 @@
   },
 ];
 
-test('gang input: settings that can not be used are told by file and field', () => {
-  for (const { place, lines, field } of BAD) {
+test('settings: invalid gang times and store limits are reported with file and field', () => {
+  for (const { place, lines, field } of INVALID_SETTINGS) {
     const file = settingsWith(place, lines);
     assert.throws(
       () => readSettings(file, []),
@@ -226,10 +231,12 @@
   }
 });
 
-test('gang input: the start ends with one line and no success', () => {
-  const some = BAD.filter(({ lines }) => /gang_\w+ = (0|"8")$|next = 5|value_kb = -1/.test(lines));
-  assert.equal(some.length, 6);
-  for (const { place, lines, field } of some) {
+test('settings: a start with invalid settings prints one line and exits with code 2', () => {
+  const examples = INVALID_SETTINGS.filter(({ lines }) =>
+    /gang_\w+ = (0|"8")$|next = 5|value_kb = -1/.test(lines),
+  );
+  assert.equal(examples.length, 6);
+  for (const { place, lines, field } of examples) {
     const file = settingsWith(place, lines);
     const run = spawnSync(process.execPath, [MAIN, '--config', file], {
       encoding: 'utf8',
@@ -237,13 +244,13 @@
     });
     assert.equal(run.status, 2, `${lines}: ${run.stderr}`);
     assert.equal(run.stdout, '', lines);
-    const told = run.stderr.split('\n');
-    assert.equal(told.length, 2, `one line for ${lines}: ${run.stderr}`);
-    assert.ok(told[0]?.startsWith(`mothbank: ${file}: ${field}: `), told[0]);
+    const messageLines = run.stderr.split('\n');
+    assert.equal(messageLines.length, 2, `one line for ${lines}: ${run.stderr}`);
+    assert.ok(messageLines[0]?.startsWith(`mothbank: ${file}: ${field}: `), messageLines[0]);
   }
 });
 
-test('gang input: settings that say nothing of gangs or coming limits are good', () => {
+test('settings: a file without gang times and announced store limits is valid', () => {
   const file = settingsWith('workers', '');
   const settings = readSettings(file, []);
   const { storeRps, storeWriteRps, valueBytes, transactionOps } = settings;
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -1,4 +1,7 @@
-/** Settings and version. */
+/**
+ * Guards against invalid settings that are not refused at the start, so that they would show only
+ * later as a fault of the running cluster. Checks the program's version as well.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -9,14 +12,14 @@
 import { readSettings } from '../../src/protocol/settings.js';
 import { SETTINGS_FILE as SETTINGS } from '../world/settings-file.js';
 
-/** Further members, numbered from 2. */
+/** The text of further members with numbers from 2 to `last`. */
 const members = (last: number): string =>
   Array.from(
     { length: last - 1 },
     (_, at) => `[[members]]\nnode_name = "moth-${at + 2}"\nsite = "a"\npeer_addr = "127.0.0.1:1"\n`,
   ).join('');
 
-/** What can't stand in the section, and the key that the message must name. */
+/** Invalid lines of the section `suspicion`, each with the key that the message must name. */
 const FAULTY_SUSPICION: [string, string][] = [
   ['probe_intervall_s = 1.0', 'probe_intervall_s'],
   ['probe_interval_s = 0', 'probe_interval_s'],
@@ -34,7 +37,7 @@
   ['enabled = "yes"', 'enabled'],
 ];
 
-test('settings: operators give several files, of which each section stands in one', () => {
+test("settings: several operators' files are merged; a section in two of them is refused", () => {
   const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
   const write = (name: string, text: string): string => {
     const file = join(folder, name);
@@ -54,25 +57,25 @@
     () => readSettings(platform, [suspicion, fleet, off]),
     /off\.toml: suspicion: section is also in another operators' file/,
   );
-  const others = (text: string): string => write('many.toml', `${text}${members(62)}`);
-  assert.equal(readSettings(others(SETTINGS), []).peers.length, 62);
+  const withMembers = (text: string): string => write('many.toml', `${text}${members(62)}`);
+  assert.equal(readSettings(withMembers(SETTINGS), []).peers.length, 62);
 });
 
-test('settings: good ones are read, bad ones told in one line with file and field', () => {
+test('settings: valid ones are read, invalid ones are reported in one line with file and field', () => {
   const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
   const file = join(folder, 'settings.toml');
-  const own = join(folder, 'operators.toml');
+  const operatorsFile = join(folder, 'operators.toml');
   const read = (text: string, operators: string | null = null) => {
     writeFileSync(file, text);
-    if (operators !== null) writeFileSync(own, operators);
-    return readSettings(file, operators === null ? [] : [own]);
+    if (operators !== null) writeFileSync(operatorsFile, operators);
+    return readSettings(file, operators === null ? [] : [operatorsFile]);
   };
   const settings = read(SETTINGS, '[placement]\nalpha = 0.5\n');
   assert.equal(settings.leaseS, 24);
   assert.equal(settings.placement.alpha, 0.5);
   assert.equal(settings.peers.length, 1);
   assert.deepEqual([settings.gangWaitS, settings.gangPeerS], [GANG_WAIT_S, GANG_PEER_S]);
-  // Announced limits count from the start where they are stricter, and only there.
+  // An announced limit applies from the start if it is stricter than the present one.
   const next = (fields: string): string =>
     SETTINGS.replace('[params.cloud]', `[params.state.next]\n${fields}\n[params.cloud]`);
   const gangs = (fields: string): string =>
@@ -126,7 +129,7 @@
   assert.throws(() => readSettings(join(folder, 'none.toml'), []), /none\.toml: can't be read/);
 });
 
-test('the version is the one that package.json has', () => {
+test('the version equals the one in package.json', () => {
   const { version } = JSON.parse(readFileSync('package.json', 'utf8')) as { version: string };
   assert.equal(VERSION, version);
 });
--- a/test/transport/http-server.test.ts
+++ b/test/transport/http-server.test.ts
@@ -1,4 +1,7 @@
-/** The HTTP server on real sockets: whatever comes is answered, and starting loads little. */
+/**
+ * Guards against requests that get no response or the wrong one, connections that are closed without
+ * need, and a slow start because Node's fetch client is loaded. The server runs on real sockets.
+ */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import net, { type AddressInfo } from 'node:net';
@@ -31,7 +34,7 @@
   name: string;
   request: string;
   status: number;
-  /** What the answer's body holds. */
+  /** Text that the response contains. */
   body: string;
   header?: string;
 }
@@ -39,13 +42,18 @@
 const ROWS: Row[] = [
   { name: 'a route', request: get('/jobs/j-1'), status: 200, body: '{"id":"j-1"}' },
   {
-    name: 'a query is no part of the id',
+    name: 'an id followed by a query',
     request: get('/jobs/j-1?a=b'),
     status: 200,
     body: 'j-1"',
   },
   { name: 'an encoded id', request: get('/jobs/j%2D1'), status: 200, body: '"j-1"' },
-  { name: 'an id that is badly encoded', request: get('/jobs/j%zz'), status: 200, body: 'j%zz' },
+  {
+    name: 'an id with invalid percent-encoding',
+    request: get('/jobs/j%zz'),
+    status: 200,
+    body: 'j%zz',
+  },
   { name: 'an unknown path', request: get('/none'), status: 404, body: 'no such path' },
   { name: 'a deeper path', request: get('/jobs/j-1/x'), status: 404, body: 'no such path' },
   { name: 'another method', request: get('/jobs', 'GET'), status: 405, body: 'not allowed' },
@@ -56,27 +64,38 @@
     body: 'not al',
   },
   { name: 'a body', request: post('hello'), status: 201, body: '{"text":"hello"}' },
-  { name: 'a body in pieces', request: chunked('hello'), status: 201, body: '{"text":"hello"}' },
+  { name: 'a chunked body', request: chunked('hello'), status: 201, body: '{"text":"hello"}' },
   { name: 'no body', request: post(''), status: 201, body: '{"text":""}' },
-  { name: 'a long body', request: post('x'.repeat(LIMIT + 1)), status: 201, body: '{"text":null}' },
   {
-    name: 'a long body in pieces',
+    name: 'a body above the limit',
+    request: post('x'.repeat(LIMIT + 1)),
+    status: 201,
+    body: '{"text":null}',
+  },
+  {
+    name: 'a chunked body above the limit',
     request: chunked('x'.repeat(LIMIT + 1)),
     status: 201,
     body: '{"text":null}',
   },
-  { name: 'a wait', request: get('/busy'), status: 429, body: '{}', header: 'retry-after: 7' },
   {
-    name: 'text of two bytes a letter',
+    name: 'a response with Retry-After',
+    request: get('/busy'),
+    status: 429,
+    body: '{}',
+    header: 'retry-after: 7',
+  },
+  {
+    name: 'a text with letters of two bytes',
     request: get('/text'),
     status: 200,
     body: 'ä',
     header: 'content-length: 2',
   },
-  { name: 'a fault', request: get('/fault'), status: 503, body: 'internal error' },
+  { name: 'a handler that fails', request: get('/fault'), status: 503, body: 'internal error' },
 ];
 
-async function listening(t: { after(close: () => void): void }): Promise<{
+async function startServer(t: { after(close: () => void): void }): Promise<{
   port: number;
   errors: unknown[];
 }> {
@@ -88,7 +107,7 @@
   return { port: (server.address() as AddressInfo).port, errors };
 }
 
-/** The answers that come on one connection until `count` are there. */
+/** Sends requests on one connection and returns the text of the first `count` responses. */
 function exchange(port: number, requests: string, count: number): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = net.connect(port, '127.0.0.1', () => socket.write(requests));
@@ -104,8 +123,8 @@
 }
 
 for (const { name, request, status, body, header } of ROWS) {
-  test(`the server answers ${name}, and the connection stays`, async (t) => {
-    const { port } = await listening(t);
+  test(`HTTP server: ${name}: the response is sent and the connection stays open`, async (t) => {
+    const { port } = await startServer(t);
     const answers = await exchange(port, request + get('/jobs/again'), 2);
     assert.ok(answers.startsWith(`HTTP/1.1 ${status} `), answers);
     assert.ok(answers.includes(body), answers);
@@ -114,8 +133,8 @@
   });
 }
 
-test('a client that goes away in its body is no fault, and others are served', async (t) => {
-  const { port, errors } = await listening(t);
+test('HTTP server: a client that disconnects within its body causes no error, and others are served', async (t) => {
+  const { port, errors } = await startServer(t);
   await new Promise<void>((resolve) => {
     const socket = net.connect(port, '127.0.0.1', () => {
       socket.write(post('hel', 'Content-Length: 5'), () => socket.destroy());
@@ -127,7 +146,7 @@
   assert.deepEqual(errors, []);
 });
 
-// Node's fetch client took half of a small controller's start-up time, and no one used it.
+// Node's fetch client took half of a small controller's start-up time and is not used.
 test('starting a controller does not load the fetch client', () => {
   const main = join(dirname(fileURLToPath(import.meta.url)), '..', '..', 'src', 'main.js');
   const script = `process.argv = [process.argv[0], 'mothbank', '--version'];
@@ -137,5 +156,5 @@
   assert.match(stdout, /^\d+\.\d+\.\d+\n$/);
   const loaded = stderr.split('\n').filter((name) => /undici|http2/.test(name));
   assert.deepEqual(loaded, []);
-  assert.ok(stderr.includes('http'), 'the list was read');
+  assert.ok(stderr.includes('http'), 'the list of loaded modules was printed');
 });
