--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -36,7 +36,7 @@
 export interface Route {
   method: 'GET' | 'POST';
   path: string;
-  /** Connections stay open up to the hard limit `full`, those of other routes up to `crowded`. */
+  /** Connections stay open up to the hard limit; those of other routes only up to the soft limit. */
   keepsConnection?: boolean;
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -7,9 +7,9 @@
 
 /** Bits of a length prefix at which it is rejected: 5 bytes of a varint, each with 7 bits. */
 const PREFIX_BITS_LIMIT = 35;
-/** Idle timeout of an outgoing connection, as a multiple of `retryMs`. */
+/** Idle timeout of an outgoing connection, as a multiple of the pause before it is reopened. */
 const OUTGOING_IDLE_RETRY_INTERVALS = 5;
-/** Idle timeout of an incoming connection, as a multiple of `retryMs`; the peer then reconnects. */
+/** Idle timeout of an incoming connection, as a multiple of the same pause; the peer then reconnects. */
 const INCOMING_IDLE_RETRY_INTERVALS = 30;
 
 /** A decoded length prefix. */
@@ -60,7 +60,7 @@
 /** Options of outgoing and incoming connections. */
 export interface PeerLinkOptions {
   clock: Clock;
-  /** Milliseconds between the end of an outgoing connection and the next attempt to connect. */
+  /** Milliseconds from the end of an outgoing connection until it is reopened. */
   retryMs: number;
   /** Bytes; a connection with a longer frame, or with more bytes waiting to be sent, is closed. */
   maxFrameBytes: number;
