--- a/src/constants/protocol.ts
+++ b/src/constants/protocol.ts
@@ -6,7 +6,9 @@
 /** Tasks; the protocol's limit for one job. */
 export const MAX_TASKS = 100_000;
 
-/** Fraction; the maximum drift between two steady clocks: twice the protocol's bound for one clock. */
+/**
+ * Fraction; the maximum drift between two steady clocks: twice the protocol's bound for one clock.
+ */
 export const CLOCK_DRIFT = 0.001;
 
 /** Machines; the protocol's limit for one rental request. */
@@ -18,7 +20,7 @@
 /** Machines; the protocol's limit for one page of the list of rented machines. */
 export const LIST_PAGE = 500;
 
-/** Guards; the key-value store allows this many in a transaction for each write of `txn_ops`. */
+/** Guards that a transaction may have for each write that the setting `txn_ops` allows. */
 export const GUARDS_PER_OP = 4;
 
 /**
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -1,17 +1,19 @@
-/** The client of the cloud's API: machine types, rentals, returns and the list of rented machines. */
+/** The client of the cloud's API for machine types, rentals, returns and the list of rentals. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import type { HttpClient } from '../transport/http-client.js';
 import type { ListedMachine, MachineType } from './model.js';
 
 /**
- * The outcome of a rental request. `rented`: these machines were rented. `noCapacity`: the cloud has
- * no capacity for it. `later`: the cloud is busy or limits requests; to be retried later.
+ * The outcome of a rental request. `rented`: these machines were rented. `noCapacity`: the cloud
+ * has no capacity for it. `later`: the cloud is busy or limits requests; to be retried later.
  */
 export type RentResult =
   { kind: 'rented'; machines: string[] } | { kind: 'noCapacity' } | { kind: 'later' };
 
-/** A rental request. `request` is its idempotency key: a repeat with the same key rents nothing more. */
+/**
+ * A rental request. A repeat with the same idempotency key, `request`, rents no further machines.
+ */
 export interface Rental {
   request: string;
   type: string;
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -81,7 +81,9 @@
     return this.numbers.get(field) ?? 0;
   }
 
-  /** Reads the value of one field; a value of a wire type that this version does not use is skipped. */
+  /**
+   * Reads the value of one field; values of wire types that this version does not use are skipped.
+   */
   read(reader: protobuf.Reader, tag: number): void {
     const field = tag >>> WIRE_TYPE_BITS;
     if (tag === varint(field)) this.numbers.set(field, Number(reader.uint64()));
--- a/src/protocol/environment.ts
+++ b/src/protocol/environment.ts
@@ -12,7 +12,9 @@
   readonly keyValueStore: KeyValueStore;
   readonly cloud: CloudApi;
   readonly workers: WorkerApi;
-  /** Sends a message to a peer; false: it was not sent, for example without a connection to the peer. */
+  /**
+   * Sends a message to a peer; false: it was not sent, for example because there is no connection.
+   */
   sendToPeer(node: string, message: PeerMessage): boolean;
   /** Names of the peers to which a connection is open. */
   connectedPeers(): string[];
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -50,14 +50,18 @@
   };
 }
 
-/** Returns a number that the response must contain; without it the outcome of the request is unknown. */
+/**
+ * Returns a number that the response must contain. Throws without it: the outcome is unknown then.
+ */
 function requireNumber(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
   throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a number`);
 }
 
-/** Returns a list that the response must contain; without it the outcome of the request is unknown. */
+/**
+ * Returns a list that the response must contain. Throws without it: the outcome is unknown then.
+ */
 function requireList<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -9,13 +9,17 @@
   revision: number;
 }
 
-/** A condition of a compare-and-swap: the key still has this revision; 0: the key does not exist. */
+/**
+ * A condition of a compare-and-swap: the key still has this revision; 0: the key does not exist.
+ */
 export interface Guard {
   key: string;
   revision: number;
 }
 
-/** One write of a compare-and-swap. A key written under a lease is removed when the lease expires. */
+/**
+ * One write of a compare-and-swap. A key written under a lease is removed when the lease expires.
+ */
 export type Change =
   { key: string; value: unknown; lease?: number } | { key: string; remove: true };
 
@@ -61,7 +65,9 @@
 export interface KeyValueStore {
   /** Reads a key; null: it does not exist. */
   get(key: string): Promise<{ value: unknown; revision: number } | null>;
-  /** Reads a page of the keys with a prefix, from the one after the key `after`; null: from the first. */
+  /**
+   * Reads a page of the keys with a prefix that come after the key `after`; null: the first page.
+   */
   list(prefix: string, after: string | null): Promise<EntryPage>;
   /** Applies all changes in one transaction if all guards hold, otherwise none. */
   compareAndSwap(guards: Guard[], changes: Change[]): Promise<CompareAndSwapResult>;
@@ -70,8 +76,8 @@
   /** Renews a lease; false: it has expired. */
   extend(lease: number): Promise<boolean>;
   /**
-   * Returns the changes of keys with a prefix after the revision `since`, and waits up to `waitMs` for
-   * one if there are none. Null: the store no longer has them, because they were compacted.
+   * Returns the changes of keys with a prefix after the revision `since`; if there are none, waits
+   * up to `waitMs` for one. Null: the store no longer has them, because they were compacted.
    */
   watch(prefix: string, since: number, waitMs: number): Promise<WatchResult | null>;
 }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,4 +1,6 @@
-/** The types of jobs, tasks, machines and workers. The codecs translate them to the wire's names. */
+/**
+ * The types of jobs, tasks, machines and workers. The codecs translate them to the wire's names.
+ */
 
 /** The priorities in ascending order. */
 const PRIORITIES = ['low', 'normal', 'high', 'production'] as const;
@@ -68,8 +70,8 @@
 export type TaskState = 'fetching' | 'gathering' | 'running' | 'saving' | 'exited';
 
 /**
- * The cause of a task's exit. `noRoom`: the machine lacked free capacity. `peerLost`: another task of
- * its gang ended. `timedOut`: its gang was not complete in time.
+ * The cause of a task's exit. `noRoom`: the machine lacked free capacity. `peerLost`: another task
+ * of its gang ended. `timedOut`: its gang was not complete in time.
  */
 export type ExitCause =
   'done' | 'stopped' | 'error' | 'noRoom' | 'busy' | 'unknown' | 'peerLost' | 'timedOut';
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the operators' settings from any number of files. docs/operations.md explains each setting. */
+/** Reads the operators' settings from any number of files; docs/operations.md explains them. */
 
 import * as v from 'valibot';
 import { MEMBER_LEASE_TTL_MS } from '../constants/election.js';
@@ -70,7 +70,9 @@
   readonly suspicionLeastMs: number;
   /** Longest duration of a suspicion, which applies without any confirmation. */
   readonly suspicionMostMs: number;
-  /** Independent witnesses that must confirm a failure; null: derived from the number of members. */
+  /**
+   * Independent witnesses that must confirm a failure; null: derived from the number of members.
+   */
   readonly quorum: number | null;
   /** Longest wait of a failover for confirmation; then an expired registration alone is enough. */
   readonly confirmWithinMs: number;
@@ -130,7 +132,7 @@
 
 type Sections = Record<string, unknown>;
 
-/** Merges the sections of all files. Each file is validated alone, so that an error names its file. */
+/** Merges the sections of all files. Validates each file alone, so that an error names its file. */
 function mergeFiles(files: readonly string[], memberCount: number): Sections {
   const sections: Sections = {};
   for (const file of files) {
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -19,7 +19,10 @@
 export type PeerMessage =
   /** The store has changes up to this revision; `cancelled`: a job that was cancelled by them. */
   | { kind: 'poke'; node: string; revision: number; cancelled?: CancelledJob }
-  /** A request of a worker or user that the sender can't serve itself. `id`: chosen by the sender. */
+  /**
+   * A request of a worker or user that the sender can't serve itself. `id`: chosen by the sender to
+   * match the response. `jobId`: the job that the request is about, or ''.
+   */
   | { kind: 'relay'; id: number; operation: RelayOperation; jobId: string; body: string }
   /**
    * The response to the relayed request with this id. `isProven`: if the response is a refusal, it
@@ -145,8 +148,8 @@
 }
 
 /**
- * Decodes a frame without its length prefix; null: it is empty, or its kind of message or of relayed
- * request is unknown to this version. Throws if the frame is malformed.
+ * Decodes a frame without its length prefix; null: it is empty, or its kind of message or of
+ * relayed request is unknown to this version. Throws if the frame is malformed.
  */
 export function decodePeer(frame: Uint8Array): PeerMessage | null {
   const reader = Reader.create(frame);
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -12,7 +12,9 @@
 export { SettingsError } from './settings-file.js';
 export type { SuspicionSettings } from './operator-settings.js';
 
-/** A team with its fair share of the cluster (`cpus`, `gpus`) and its quota (`cpusMax`, `gpusMax`). */
+/**
+ * A team with its fair share (`cpus`, `gpus`) and its quota (`cpusMax`, `gpusMax`) of the cluster.
+ */
 export interface Team {
   name: string;
   cpus: number;
@@ -37,7 +39,7 @@
   /** Address of the key-value store. */
   keyValueStore: string;
   zones: string[];
-  /** Maximum difference between the times of day of two controllers. */
+  /** Maximum error of the time of day in ms. */
   skewMs: number;
   teams: Team[];
   /** Seconds within which tasks should start, by class of jobs. */
@@ -55,8 +57,8 @@
    */
   gangPeerS: number;
   /**
-   * The limits of the key-value store (requests and writes per second, bytes of a value, writes of a
-   * transaction). Each is the stricter one of the present and the announced limit.
+   * The limits of the key-value store (requests and writes per second, bytes of a value, writes of
+   * a transaction). Each is the stricter one of the present and the announced limit.
    */
   storeRps: number;
   storeWriteRps: number;
@@ -127,7 +129,9 @@
   };
 }
 
-/** Reads the platform's file and all operators' files; throws `SettingsError` for the first error. */
+/**
+ * Reads the platform's file and the operators' files; throws `SettingsError` for the first error.
+ */
 export function readSettings(platformFile: string, operatorFiles: readonly string[]): Settings {
   const platform = readPlatformFile(platformFile);
   const { params } = platform;
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -34,7 +34,7 @@
   duskS: v.nullish(amount, null),
 });
 
-/** The wire's names of job kinds, priorities and states. */
+/** Names of job kinds, priorities and states on the wire. */
 const WIRE_KINDS: Record<'sweep' | 'standing' | 'group', JobSpec['kind']> = {
   sweep: 'array',
   standing: 'service',
@@ -58,7 +58,10 @@
   return JOB_ID.test(id);
 }
 
-/** The valid job id of a submission or null. A job that exists is answered without further checks. */
+/**
+ * Returns the job id of a submission, or null if it is invalid. The rest of the body is not
+ * checked, so that a submission of a known job can be answered before it is validated.
+ */
 export function submissionId(body: Record<string, unknown>): string | null {
   return typeof body['ref'] === 'string' && JOB_ID.test(body['ref']) ? body['ref'] : null;
 }
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -27,7 +27,9 @@
   ): Promise<DirectResult>;
 }
 
-/** The client of workers over HTTP, on at most `maxClients` keep-alive connections. */
+/**
+ * The client of workers over HTTP. Keeps connections open for later calls, at most `maxClients`.
+ */
 export class HttpWorkerApi implements WorkerApi {
   private readonly clients = new Map<string, HttpClient>();
   /** Addresses of workers with a call in flight; each has at most one. */
@@ -48,7 +50,7 @@
     let client = this.clients.get(address);
     if (client) this.clients.delete(address);
     else client = new HttpClient(address, this.clock, 1);
-    // The map is in order of use, so its first client without a call is the least recently used one.
+    // The map is in order of use: its first client without a call is the least recently used one.
     this.clients.set(address, client);
     for (const [candidate, idleClient] of this.clients) {
       if (this.clients.size <= this.maxClients) break;
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -37,7 +37,7 @@
   ),
 });
 
-/** The wire's names of task states, causes and commands. */
+/** Names of task states, exit causes and commands on the wire. */
 const WIRE_TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   gathering: 'gathering',
@@ -96,12 +96,12 @@
   }));
 }
 
-/** Encodes the response to a heartbeat, with the shard's fencing token and commands for the worker. */
+/** Encodes the response to a heartbeat, with a fencing token and the commands for the worker. */
 export function encodeHeartbeatAnswer(fencingToken: number, commands: Command[]): unknown {
   return { mandate: fencingToken, calls: encodeCommands(commands) };
 }
 
-/** Encodes commands sent directly to a worker, which executes them only in the given worker epoch. */
+/** Encodes direct commands to a worker, which executes them only in the given worker epoch. */
 export function encodeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -6,7 +6,7 @@
   port: number;
 }
 
-/** Splits `HOST:PORT` at its last colon. The form is not checked: validation of the settings did so. */
+/** Splits `HOST:PORT` at its last colon. The form of addresses in settings is checked before. */
 export function parseAddress(address: string): SocketAddress {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -1,4 +1,4 @@
-/** Exponential backoff for the retries of one caller (randomised) and of many keys (deterministic). */
+/** Exponential backoff: randomised for the retries of one caller, deterministic for many keys. */
 
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -32,7 +32,7 @@
     return pauseMs;
   }
 
-  /** Records a successful attempt: the next pause starts from the first again. */
+  /** Resets the pause to the first one, after a successful attempt. */
   reset(): void {
     this.pauseMs = this.firstMs;
   }
@@ -46,7 +46,7 @@
   until: number;
 }
 
-/** Pauses of many keys, each on its own: every failure of a key doubles its pause, up to the longest. */
+/** A pause for each of many keys. Every failure of a key doubles its pause, up to the longest. */
 export class KeyedBackoff {
   private readonly pauses = new Map<string, KeyPause>();
 
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -2,9 +2,9 @@
 
 /** Steady time, time of day and timers; tests pass a simulated clock. */
 export interface Clock {
-  /** Steady (monotonic) time in ms from an arbitrary start; its drift is bounded by the protocol. */
+  /** Steady (monotonic) time in ms from an arbitrary start; the protocol bounds its drift. */
   now(): number;
-  /** Time of day in ms since 1970; clocks of different controllers differ by the setting `skew_ms`. */
+  /** Time of day in ms since 1970; the setting `skew_ms` bounds its error. */
   wall(): number;
   /** Calls `callback` once after a delay in ms; the returned function cancels the timer. */
   after(delayMs: number, callback: () => void): () => void;
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -25,7 +25,9 @@
     return this.running;
   }
 
-  /** Runs `work` and returns its result; undefined: it was skipped, because another call still runs. */
+  /**
+   * Runs `work` and returns its result; undefined: it was skipped, since another call still runs.
+   */
   async run<Result>(work: () => Promise<Result>): Promise<Result | undefined> {
     if (this.running) return undefined;
     this.running = true;
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -6,14 +6,16 @@
  */
 export type Outcome = 'notExecuted' | 'unknown';
 
-/** The base of all errors that the program throws. */
+/** Base class of all errors that the program throws. */
 export abstract class MothbankError extends Error {
   /** Identifies the kind of error independently of its text. */
   abstract readonly code: string;
   abstract readonly outcome: Outcome;
 }
 
-/** Thrown when a request got no valid response: it may have been executed, or still be executed later. */
+/**
+ * Thrown when a request got no valid response, so that it may have been or may still be executed.
+ */
 export class OutcomeUnknownError extends MothbankError {
   readonly code = 'OUTCOME_UNKNOWN';
   readonly outcome = 'unknown';
@@ -24,7 +26,7 @@
   }
 }
 
-/** Thrown when a frame's length prefix is malformed or above the limit; the connection is then closed. */
+/** Thrown when the length prefix of a frame is malformed or above the limit. */
 export class FrameTooLongError extends MothbankError {
   readonly code = 'FRAME_TOO_LONG';
   readonly outcome = 'notExecuted';
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -12,7 +12,9 @@
   body: unknown;
 }
 
-/** Parses a body as JSON; returns null if it is empty or not JSON, so that only the status counts. */
+/**
+ * Parses a body as JSON; returns null if it is empty or not JSON, so that only the status counts.
+ */
 function parseBody(chunks: Buffer[]): unknown {
   if (chunks.length === 0) return null;
   try {
@@ -42,7 +44,9 @@
   });
 }
 
-/** Sends JSON requests over HTTP/1.1 to one address, on at most `maxSockets` keep-alive connections. */
+/**
+ * Sends JSON requests to one address, on at most `maxSockets` keep-alive connections of HTTP/1.1.
+ */
 export class HttpClient {
   private readonly agent: http.Agent;
   private readonly host: string;
@@ -59,7 +63,9 @@
     this.agent = new http.Agent({ keepAlive: true, maxSockets });
   }
 
-  /** Sends one request; rejects with `OutcomeUnknownError` if no complete response arrives in time. */
+  /**
+   * Sends one request; rejects with `OutcomeUnknownError` if no complete response arrives in time.
+   */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -36,7 +36,9 @@
 export interface Route {
   method: 'GET' | 'POST';
   path: string;
-  /** Connections stay open up to the hard limit; those of other routes only up to the soft limit. */
+  /**
+   * Connections stay open up to the hard limit; those of other routes only up to the soft limit.
+   */
   keepsConnection?: boolean;
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
@@ -45,7 +47,7 @@
 export interface ServerLimits {
   /** Bytes; a handler gets null instead of a longer body. */
   bodyBytes: number;
-  /** Connections that are accepted; further ones are closed at once. */
+  /** Maximum number of connections; further ones are closed at once. */
   connections: number;
   /**
    * Soft limit: with more connections than this, a connection is closed after its response, unless
@@ -86,7 +88,9 @@
   }
 }
 
-/** Reads the body as text; null if it is longer than the limit. Rejects if the connection breaks. */
+/**
+ * Reads the body as text; null if it is longer than the limit. Rejects if the connection breaks.
+ */
 function readText(incoming: IncomingMessage, limit: number): Promise<string | null> {
   if (Number(incoming.headers['content-length'] ?? '0') > limit) {
     incoming.resume();
@@ -138,7 +142,9 @@
     socket.once('close', () => this.openConnections--);
   }
 
-  /** Responds to one request, also if its handler fails, unless the client closed the connection. */
+  /**
+   * Responds to one request, also if its handler fails, unless the client closed the connection.
+   */
   async handle(incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
     try {
       const route = this.findRoute(incoming);
@@ -160,7 +166,9 @@
     return this.openConnections <= (route.keepsConnection ? full : crowded);
   }
 
-  /** The route of a request with the `:id` of its path, or a 404 or 405 response if none matches. */
+  /**
+   * The route of a request with the `:id` of its path, or a 404 or 405 response if none matches.
+   */
   private findRoute(incoming: IncomingMessage): HttpReply | { found: Route; id: string } {
     const { method = '', url = '/' } = incoming;
     const [match] = this.router.match(method, pathOf(url))[0];
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -9,7 +9,9 @@
 const PREFIX_BITS_LIMIT = 35;
 /** Idle timeout of an outgoing connection, as a multiple of the pause before it is reopened. */
 const OUTGOING_IDLE_RETRY_INTERVALS = 5;
-/** Idle timeout of an incoming connection, as a multiple of the same pause; the peer then reconnects. */
+/**
+ * Idle timeout of an incoming connection, as a multiple of that pause; the peer then reconnects.
+ */
 const INCOMING_IDLE_RETRY_INTERVALS = 30;
 
 /** A decoded length prefix. */
@@ -20,7 +22,9 @@
   bytes: number;
 }
 
-/** Decodes the prefix at the start of `bytes`; null if it is incomplete. Throws if it is invalid. */
+/**
+ * Decodes the prefix at the start of `bytes`; null if it is incomplete. Throws if it is invalid.
+ */
 function readLength(bytes: Buffer, maxBytes: number): LengthPrefix | null {
   let length = 0;
   let shift = 0;
@@ -36,7 +40,9 @@
   return null;
 }
 
-/** Splits a byte stream into frames, each prefixed with its length as a varint, as protobuf does. */
+/**
+ * Splits a byte stream into frames, each prefixed with its length as a varint, as protobuf does.
+ */
 export class FrameReader {
   private buffered: Buffer = Buffer.alloc(0);
 
@@ -120,7 +126,9 @@
     });
   }
 
-  /** Sends a frame; false: not sent, because there is no connection or too much waits to be sent. */
+  /**
+   * Sends a frame; false: not sent, because there is no connection or too much waits to be sent.
+   */
   send(frame: Uint8Array): boolean {
     if (!this.isOpen || !this.socket) return false;
     if (this.socket.writableLength > this.options.maxFrameBytes) {
