--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against errors in encoding and decoding task ranges, heartbeats, commands and peer messages,
- * by which a record or message would hold other values than intended, or a valid one be rejected.
+ * Guards against errors in encoding and decoding task ranges, heartbeats, commands and peer
+ * messages, by which a record or message would hold other values than intended, or a valid one be
+ * rejected.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -27,7 +28,7 @@
   }
 });
 
-test('heartbeats are decoded or rejected, and commands are encoded with the names of the wire', () => {
+test('heartbeats are decoded or rejected, and commands are encoded for the wire', () => {
   const heartbeat = {
     moth: 'm-000231',
     endpoint: '10.1.0.232:9000',
@@ -74,7 +75,7 @@
   );
 });
 
-test('peer messages are decoded completely however the stream is split, and long frames are rejected', () => {
+test('peer messages are decoded however the stream is split; long frames are rejected', () => {
   const messages: PeerMessage[] = [
     { kind: 'poke', node: 'n1', revision: 2 ** 40 },
     { kind: 'relay', id: 7, operation: 'cancel', jobId: 'j-000001', body: 'ä'.repeat(300) },
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against changes of stored records and wire messages that controllers of another version
- * could not read, for example after a rename. `test/fixtures/forms-12c6284.json` holds examples that
- * commit 12c6284 encoded. This version must encode the same values to the same bytes, and decode the
- * examples and encode them to the same bytes again. The file never changes; a later version may add
- * another one.
+ * could not read, for example after a rename. `test/fixtures/forms-12c6284.json` holds examples
+ * that commit 12c6284 encoded. This version must encode the same values to the same bytes, and
+ * decode the examples and encode them to the same bytes again. The file never changes; a later
+ * version may add another one.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -186,7 +186,7 @@
   ]);
 });
 
-test('a cluster started with the records of commit 12c6284 answers for their jobs and cancels them', async () => {
+test('a cluster started with the records of commit 12c6284 serves and cancels their jobs', async () => {
   const stored = JSON.parse(FORMS['all records'] ?? '[]') as [string, unknown][];
   const records: Records = Object.fromEntries(stored);
   const world = new World(11, undefined, { suspicion: null });
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -1,7 +1,7 @@
 /**
- * Guards against gang submissions that are accepted although they are malformed or can never run, so
- * that they would wait forever, and against controllers that start with invalid settings of gang times
- * or announced store limits.
+ * Guards against gang submissions that are accepted although they are malformed or can never run,
+ * so that they would wait forever, and against controllers that start with invalid settings of gang
+ * times or announced store limits.
  */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
@@ -104,7 +104,7 @@
   unsatisfiable('apart and samePlace', { apart: true, samePlace: true }, 'apart'),
 ];
 
-test('gang submission: malformed gets 400, never runnable gets 422, each naming the field', async () => {
+test('gang submission: malformed gets 400, never runnable 422, with the field', async () => {
   const world = new World(1);
   await world.run(7);
   for (const { name, change, status, error } of ROWS) {
@@ -135,7 +135,7 @@
   }
 });
 
-test('gang submission: while the machine types are unknown, undecidable jobs get 503 and Retry-After', async () => {
+test('gang submission: before the machine types are known, 503 and Retry-After', async () => {
   const world = new World(1);
   world.cloudHasCatalog = false;
   await world.run(7);
@@ -177,7 +177,9 @@
 
 // --- Settings ----------------------------------------------------------------------------------
 
-/** The last line of a section in the file, after which further lines of the section can be inserted. */
+/**
+ * The last line of a section in the file, after which further lines of the section can be inserted.
+ */
 const SECTION_ENDS = { workers: 'cancel_s = 54.0\n', state: 'txn_ops = 32\n' };
 const MAIN = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -61,7 +61,7 @@
   assert.equal(readSettings(withMembers(SETTINGS), []).peers.length, 62);
 });
 
-test('settings: valid ones are read, invalid ones are reported in one line with file and field', () => {
+test('settings: valid ones are read, invalid ones reported in one line with file and field', () => {
   const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
   const file = join(folder, 'settings.toml');
   const operatorsFile = join(folder, 'operators.toml');
--- a/test/transport/http-server.test.ts
+++ b/test/transport/http-server.test.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against requests that get no response or the wrong one, connections that are closed without
- * need, and a slow start because Node's fetch client is loaded. The server runs on real sockets.
+ * Guards against requests that get no response or the wrong one, connections that are closed
+ * without need, and a slow start because Node's fetch client is loaded. The server runs on real
+ * sockets.
  */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
@@ -133,7 +134,7 @@
   });
 }
 
-test('HTTP server: a client that disconnects within its body causes no error, and others are served', async (t) => {
+test('HTTP server: a disconnect within a body causes no error, and others are served', async (t) => {
   const { port, errors } = await startServer(t);
   await new Promise<void>((resolve) => {
     const socket = net.connect(port, '127.0.0.1', () => {
