--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -92,9 +92,9 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** Increases when the worker's lease expires; a worker that restarts may begin at 1 again. */
+  /** Increases when the worker's lease expires; a restarted worker may count from 1 again. */
   agentEpoch: number;
-  /** Increases with each heartbeat; a worker that restarts may begin at 1 again. */
+  /** Increases with each heartbeat; a restarted worker may count from 1 again. */
   sequence: number;
   /** The highest fencing token that the worker has received. */
   fencingToken: number;
