--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -50,18 +50,14 @@
   };
 }
 
-/**
- * Returns a number that the response must contain. Throws without it: the outcome is unknown then.
- */
+/** Returns a number of the response; throws if it is missing, since the outcome is unknown then. */
 function requireNumber(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
   throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a number`);
 }
 
-/**
- * Returns a list that the response must contain. Throws without it: the outcome is unknown then.
- */
+/** Returns a list of the response; throws if it is missing, since the outcome is unknown then. */
 function requireList<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
--- a/src/protocol/validation.ts
+++ b/src/protocol/validation.ts
@@ -10,7 +10,7 @@
 /** A finite number above zero. */
 export const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 
-/** Parses a body that must be a JSON object; a `text` of null stands for one above the limit. */
+/** Parses a body that must be a JSON object. `text`: null if the body was above the limit. */
 export function parseJson(text: string | null): Parsed<Record<string, unknown>> {
   if (text === null) return { ok: false, error: 'body: longer than 64 KiB' };
   let value: unknown;
--- a/src/transport/concurrency.ts
+++ b/src/transport/concurrency.ts
@@ -16,7 +16,7 @@
   await Promise.all(Array.from({ length: concurrency }, processRemaining));
 }
 
-/** Runs one operation at a time: a call that comes while another one runs is skipped. */
+/** Runs one operation at a time; a call while another operation runs is skipped. */
 export class SingleFlight {
   private running = false;
 
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -135,7 +135,7 @@
   }
 });
 
-test('gang submission: before the machine types are known, 503 and Retry-After', async () => {
+test('gang submission: undecidable jobs get 503 until the machine types are known', async () => {
   const world = new World(1);
   world.cloudHasCatalog = false;
   await world.run(7);
