--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -1,4 +1,4 @@
-/** The client of the key-value store over HTTP. */
+/** The client of the key-value store's HTTP API. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import type { HttpClient } from '../transport/http-client.js';
@@ -20,11 +20,11 @@
   method: 'GET' | 'POST';
   path: string;
   body?: unknown;
-  /** Statuses that are results; others are errors. */
-  expected: number[];
+  /** Statuses that are results; any other status is an error. */
+  expectedStatuses: number[];
 }
 
-/** A put or removal as the watch reports it. */
+/** A change in the answer to a watch: `put` or `remove` holds the key. */
 interface WireChange {
   put?: string;
   remove?: string;
@@ -32,7 +32,7 @@
   mark: number;
 }
 
-/** Keys of one page of a listing. */
+/** Keys in one page of a listing. */
 const LIST_PAGE_KEYS = 1000;
 
 function encodeChange(change: Change): unknown {
@@ -50,21 +50,21 @@
   };
 }
 
-/** A number that a response must have: without it nothing may be concluded from the response. */
+/** Returns a number of the response; throws if it is missing, since the outcome is unknown then. */
 function requireNumber(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
-  throw new OutcomeUnknownError(`key-value store's answer lacks ${field}`);
+  throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a number`);
 }
 
-/** The same for a list. */
+/** Returns a list of the response; throws if it is missing, since the outcome is unknown then. */
 function requireList<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
-  throw new OutcomeUnknownError(`key-value store's answer lacks ${field}`);
+  throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a list`);
 }
 
-/** The key-value store over HTTP; the wire's names stay in this module. */
+/** The key-value store over HTTP. The names that its API uses occur only in this module. */
 export class HttpKeyValueStore implements KeyValueStore {
   constructor(
     private readonly http: HttpClient,
@@ -77,15 +77,17 @@
     client = this.http,
     timeoutMs = this.timeoutMs,
   ): Promise<{ status: number; body: Body }> {
-    const { method, path, expected } = request;
+    const { method, path, expectedStatuses } = request;
     const answer = await client.call(method, path, request.body, timeoutMs);
     if (answer.status === 429 || answer.status === 503) throw new StoreRejectedError(answer.status);
-    if (!expected.includes(answer.status)) {
+    if (!expectedStatuses.includes(answer.status)) {
       if (answer.status === 400) {
         const reason = (answer.body as Body | null)?.['error'];
         throw new StoreRejectedError(400, typeof reason === 'string' ? reason : null);
       }
-      throw new OutcomeUnknownError(`${method} ${path}: odd status ${answer.status}`);
+      throw new OutcomeUnknownError(
+        `key-value store's answer to ${method} ${path}: unexpected status ${answer.status}`,
+      );
     }
     const parsed = (answer.body as Body | null) ?? {};
     return { status: answer.status, body: parsed };
@@ -93,14 +95,14 @@
 
   async get(key: string): Promise<{ value: unknown; revision: number } | null> {
     const path = `/kv/${encodeURI(key)}`;
-    const { status, body } = await this.call({ method: 'GET', path, expected: [200, 404] });
+    const { status, body } = await this.call({ method: 'GET', path, expectedStatuses: [200, 404] });
     return status === 404 ? null : { value: body['v'], revision: requireNumber(body, 'mark') };
   }
 
   async list(prefix: string, after: string | null): Promise<EntryPage> {
     const since = after === null ? '' : `&since=${encodeURIComponent(after)}`;
     const path = `/kv?prefix=${encodeURIComponent(prefix)}${since}&page=${LIST_PAGE_KEYS}`;
-    const { body } = await this.call({ method: 'GET', path, expected: [200] });
+    const { body } = await this.call({ method: 'GET', path, expectedStatuses: [200] });
     const items = requireList<{ path: string; v: unknown; mark: number }>(body, 'items');
     return {
       entries: items.map((item) => ({ key: item.path, value: item.v, revision: item.mark })),
@@ -117,7 +119,7 @@
         guards: guards.map((guard) => ({ path: guard.key, mark: guard.revision })),
         apply: changes.map(encodeChange),
       },
-      expected: [200, 409],
+      expectedStatuses: [200, 409],
     });
     if (status === 409) return { ok: false, failed: (body['failed'] ?? []) as string[] };
     return { ok: true, revision: requireNumber(body, 'epoch') };
@@ -128,7 +130,7 @@
       method: 'POST',
       path: '/grants',
       body: { ttlMs },
-      expected: [200],
+      expectedStatuses: [200],
     });
     return requireNumber(body, 'perch');
   }
@@ -137,7 +139,7 @@
     const { status } = await this.call({
       method: 'POST',
       path: `/grants/${lease}/extend`,
-      expected: [200, 404],
+      expectedStatuses: [200, 404],
     });
     return status === 200;
   }
@@ -145,7 +147,7 @@
   async watch(prefix: string, since: number, waitMs: number): Promise<WatchResult | null> {
     const path = `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`;
     const { status, body } = await this.call(
-      { method: 'GET', path, expected: [200, 410] },
+      { method: 'GET', path, expectedStatuses: [200, 410] },
       this.watchHttp,
       this.timeoutMs + waitMs,
     );
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -1,4 +1,4 @@
-/** The client of workers: commands sent directly, without waiting for the next heartbeat. */
+/** The client of workers' API, which sends commands without waiting for the next heartbeat. */
 
 import { OutcomeUnknownError } from '../transport/errors.js';
 import { HttpClient } from '../transport/http-client.js';
@@ -6,18 +6,19 @@
 import type { Command, Heartbeat } from './model.js';
 import { encodeDirectCommands, parseHeartbeat } from './worker-codec.js';
 
-/** The outcome of commands sent directly to a worker. */
+/** The result of commands sent directly to a worker. */
 export interface DirectResult {
+  /** False: the worker refused the commands because of their fencing token or worker epoch. */
   executed: boolean;
-  /** The worker's heartbeat after it. */
+  /** The heartbeat in the worker's answer. */
   heartbeat: Heartbeat;
 }
 
 /** Sends commands directly to workers; tests pass a stand-in. */
 export interface WorkerApi {
-  /** No further call should be made now: the rest is sent once responses have come. */
+  /** True: the limit of concurrent calls is reached; further calls must wait for responses. */
   readonly full: boolean;
-  /** Throws where no valid response came: the commands may still be executed. */
+  /** Sends commands. Throws if no valid response came; the commands may still be executed then. */
   command(
     address: string,
     fencingToken: number,
@@ -26,11 +27,13 @@
   ): Promise<DirectResult>;
 }
 
-/** Workers over HTTP, on a bounded number of kept connections. */
+/**
+ * The client of workers over HTTP. Keeps connections open for later calls, at most `maxClients`.
+ */
 export class HttpWorkerApi implements WorkerApi {
   private readonly clients = new Map<string, HttpClient>();
-  /** Addresses with a call in flight, one each. */
-  private readonly calling = new Set<string>();
+  /** Addresses of workers with a call in flight; each has at most one. */
+  private readonly busyAddresses = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
@@ -40,20 +43,20 @@
   ) {}
 
   get full(): boolean {
-    return this.calling.size >= this.maxCalls;
+    return this.busyAddresses.size >= this.maxCalls;
   }
 
   private client(address: string): HttpClient {
     let client = this.clients.get(address);
     if (client) this.clients.delete(address);
     else client = new HttpClient(address, this.clock, 1);
-    // In the order of use: the least recently used client is evicted.
+    // The map is in order of use: its first client without a call is the least recently used one.
     this.clients.set(address, client);
-    for (const [oldest, unused] of this.clients) {
+    for (const [candidate, idleClient] of this.clients) {
       if (this.clients.size <= this.maxClients) break;
-      if (this.calling.has(oldest)) continue;
-      this.clients.delete(oldest);
-      unused.close();
+      if (this.busyAddresses.has(candidate)) continue;
+      this.clients.delete(candidate);
+      idleClient.close();
     }
     return client;
   }
@@ -64,19 +67,21 @@
     workerEpoch: number,
     commands: Command[],
   ): Promise<DirectResult> {
-    this.calling.add(address);
+    this.busyAddresses.add(address);
     const body = encodeDirectCommands(fencingToken, workerEpoch, commands);
     const answer = await this.client(address)
       .call('POST', '/commands', body, this.timeoutMs)
-      .finally(() => this.calling.delete(address));
+      .finally(() => this.busyAddresses.delete(address));
     const parsed = parseHeartbeat((answer.body ?? {}) as Record<string, unknown>);
     if ((answer.status !== 200 && answer.status !== 409) || !parsed.ok) {
-      throw new OutcomeUnknownError(`commands: odd answer ${answer.status}`);
+      throw new OutcomeUnknownError(
+        `worker's answer to POST /commands: expected a heartbeat with 200 or 409, got status ${answer.status}`,
+      );
     }
     return { executed: answer.status === 200, heartbeat: parsed.value };
   }
 
-  /** Ends all connections. */
+  /** Closes all connections; calls in flight fail. */
   close(): void {
     for (const client of this.clients.values()) client.close();
   }
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -1,4 +1,7 @@
-/** Settings and version. */
+/**
+ * Guards against invalid settings that are not refused at the start, so that they would show only
+ * later as a fault of the running cluster. Checks the program's version as well.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -9,14 +12,14 @@
 import { readSettings } from '../../src/protocol/settings.js';
 import { SETTINGS_FILE as SETTINGS } from '../world/settings-file.js';
 
-/** Further members, numbered from 2. */
+/** The text of further members with numbers from 2 to `last`. */
 const members = (last: number): string =>
   Array.from(
     { length: last - 1 },
     (_, at) => `[[members]]\nnode_name = "moth-${at + 2}"\nsite = "a"\npeer_addr = "127.0.0.1:1"\n`,
   ).join('');
 
-/** What can't stand in the section, and the key that the message must name. */
+/** Invalid lines of the section `suspicion`, each with the key that the message must name. */
 const FAULTY_SUSPICION: [string, string][] = [
   ['probe_intervall_s = 1.0', 'probe_intervall_s'],
   ['probe_interval_s = 0', 'probe_interval_s'],
@@ -34,7 +37,7 @@
   ['enabled = "yes"', 'enabled'],
 ];
 
-test('settings: operators give several files, of which each section stands in one', () => {
+test("settings: several operators' files are merged; a section in two of them is refused", () => {
   const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
   const write = (name: string, text: string): string => {
     const file = join(folder, name);
@@ -52,20 +55,20 @@
   assert.notEqual(readSettings(platform, ['deploy/suspicion.toml']).suspicion, null);
   assert.throws(
     () => readSettings(platform, [suspicion, fleet, off]),
-    /off\.toml: suspicion: stands in another file too/,
+    /off\.toml: suspicion: section is also in another operators' file/,
   );
-  const others = (text: string): string => write('many.toml', `${text}${members(62)}`);
-  assert.equal(readSettings(others(SETTINGS), []).peers.length, 62);
+  const withMembers = (text: string): string => write('many.toml', `${text}${members(62)}`);
+  assert.equal(readSettings(withMembers(SETTINGS), []).peers.length, 62);
 });
 
-test('settings: good ones are read, bad ones told in one line with file and field', () => {
+test('settings: valid ones are read, invalid ones reported in one line with file and field', () => {
   const folder = mkdtempSync(join(tmpdir(), 'mothbank-'));
   const file = join(folder, 'settings.toml');
-  const own = join(folder, 'operators.toml');
+  const operatorsFile = join(folder, 'operators.toml');
   const read = (text: string, operators: string | null = null) => {
     writeFileSync(file, text);
-    if (operators !== null) writeFileSync(own, operators);
-    return readSettings(file, operators === null ? [] : [own]);
+    if (operators !== null) writeFileSync(operatorsFile, operators);
+    return readSettings(file, operators === null ? [] : [operatorsFile]);
   };
   const settings = read(SETTINGS, '[placement]\nalpha = 0.5\n');
   assert.equal(settings.leaseS, 24);
@@ -75,7 +78,7 @@
     [settings.gangWaitS, settings.gangPeerS],
     [DEFAULT_GANG_WAIT_S, DEFAULT_GANG_PEER_S],
   );
-  // Announced limits count from the start where they are stricter, and only there.
+  // An announced limit applies from the start if it is stricter than the present one.
   const next = (fields: string): string =>
     SETTINGS.replace('[params.cloud]', `[params.state.next]\n${fields}\n[params.cloud]`);
   const gangs = (fields: string): string =>
@@ -98,10 +101,10 @@
     [gangs('gang_wait_s = 0'), null, /settings\.toml: params\.workers\.gang_wait_s/],
     [gangs('gang_peer_s = "soon"'), null, /settings\.toml: params\.workers\.gang_peer_s/],
 
-    ['x = [', null, /settings\.toml: no TOML/],
+    ['x = [', null, /settings\.toml: not valid TOML/],
     [SETTINGS.replace('site = "a"', ''), null, /settings\.toml: site/],
     [SETTINGS.replace('rps = 150.0', 'rps = "many"'), null, /params\.state\.rps/],
-    [SETTINGS.replace('127.0.0.1:8080', 'nowhere'), null, /front: must be ADDRESS:PORT/],
+    [SETTINGS.replace('127.0.0.1:8080', 'nowhere'), null, /front: must have the form HOST:PORT/],
     [SETTINGS.replace('cancel_s = 54.0', 'cancel_s = 24.0'), null, /params\.workers\.cancel_s/],
     [SETTINGS.replace('"moth-1"', '"moth-0"'), null, /members\.node_name/],
     [SETTINGS, '[fleet]\nidle_s = -1\n', /operators\.toml: fleet\.idle_s/],
@@ -110,7 +113,11 @@
       `[suspicion]\n${text}\n`,
       new RegExp(`operators\\.toml: suspicion\\.${key}: `),
     ]),
-    [`${SETTINGS}${members(63)}`, null, /settings\.toml: members: more than 63 controllers/],
+    [
+      `${SETTINGS}${members(63)}`,
+      null,
+      /settings\.toml: members: at most 63 controllers are allowed, this one included/,
+    ],
   ];
   for (const [text, operators, message] of cases) {
     assert.throws(
@@ -125,7 +132,7 @@
   assert.throws(() => readSettings(join(folder, 'none.toml'), []), /none\.toml: can't be read/);
 });
 
-test('the version is the one that package.json has', () => {
+test('the version equals the one in package.json', () => {
   const { version } = JSON.parse(readFileSync('package.json', 'utf8')) as { version: string };
   assert.equal(VERSION, version);
 });
