--- a/src/constants/protocol.ts
+++ b/src/constants/protocol.ts
@@ -9,16 +9,16 @@
 /**
  * Fraction; the maximum drift between two steady clocks: twice the protocol's bound for one clock.
  */
-export const CLOCK_DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT_FRACTION = 0.001;
 
 /** Machines; the protocol's limit for one rental request. */
-export const RENT_MAX = 50;
+export const MAX_MACHINES_PER_RENTAL = 50;
 
 /** Machines; the protocol's limit for one return request. */
-export const RETURN_MAX = 100;
+export const MAX_MACHINES_PER_RETURN = 100;
 
 /** Machines; the protocol's limit for one page of the list of rented machines. */
-export const LIST_PAGE = 500;
+export const MACHINE_LIST_PAGE_SIZE = 500;
 
 /** Guards that a transaction may have for each write that the setting `txn_ops` allows. */
 export const GUARDS_PER_OP = 4;
@@ -27,7 +27,7 @@
  * Bytes of keys and values in one transaction. The key-value store allows 64 KiB; the rest is for
  * field names and punctuation.
  */
-export const TRANSACTION_BYTES = 56 * 1024;
+export const MAX_TRANSACTION_BYTES = 56 * 1024;
 
 /**
  * KiB; the smallest accepted limit for the size of values. With a lower one, a job or an assignment
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -5,7 +5,7 @@
   COMMIT_TIMEOUT_MS,
   MAX_QUEUED_SUBMISSIONS,
 } from '../../constants/api.js';
-import { TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { MAX_TRANSACTION_BYTES } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Change, Guard } from '../../protocol/key-value-store.js';
 import { bytesOf, type CommitResult, type Committer } from '../../storage/committer.js';
@@ -108,7 +108,7 @@
       const next = this.queue[0];
       if (!next || ids.has(next.spec.id)) break;
       bytes += this.recordBytes(next.spec) + SUBMISSION_OVERHEAD_BYTES;
-      if (group.length > 0 && bytes > TRANSACTION_BYTES) break;
+      if (group.length > 0 && bytes > MAX_TRANSACTION_BYTES) break;
       this.queue.shift();
       if (next.isResolved) continue;
       ids.add(next.spec.id);
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -67,7 +67,7 @@
       await this.machineList.refresh();
       this.backoff.reset();
     } catch (error) {
-      const pauseMs = this.backoff.next();
+      const pauseMs = this.backoff.nextPauseMs();
       this.pausedUntil = clock.now() + pauseMs;
       log.info({ error: String(error), pauseMs }, 'autoscaler pass failed');
     }
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -7,7 +7,7 @@
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CloudApi } from '../../protocol/cloud-api.js';
 import type { MachineType } from '../../protocol/model.js';
-import { Budget } from '../../transport/budget.js';
+import { TokenBucket } from '../../transport/token-bucket.js';
 import type { Clock } from '../../transport/clock.js';
 import type { GuardedWriter } from '../election/guarded-writer.js';
 import type { Member } from '../election/rendezvous-hashing.js';
@@ -57,11 +57,11 @@
 
 /** The autoscaler's part of the cloud's request limit, as a token bucket. */
 export class CloudRequestBudget {
-  private readonly budget: Budget;
+  private readonly budget: TokenBucket;
 
   constructor(clock: Clock, cloudRps: number) {
     const rate = cloudRps * CLOUD_REQUEST_FRACTION;
-    this.budget = new Budget(clock, rate, Math.max(1, rate));
+    this.budget = new TokenBucket(clock, rate, Math.max(1, rate));
   }
 
   /** Takes one request from the budget; returns false if none is available now. */
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -1,7 +1,7 @@
 /** Keeps the stored catalog of machine types up to date with the cloud's catalog. */
 
 import { CATALOG_REFRESH_INTERVAL_MS } from '../../constants/autoscaling.js';
-import { TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { MAX_TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { writeCatalog } from '../../storage/catalog.js';
 import { CATALOG } from '../../storage/keys.js';
 import type { Change } from '../../protocol/key-value-store.js';
@@ -41,7 +41,7 @@
     const { transactionOps, valueBytes } = this.context;
     const changesPerTransaction = Math.min(
       transactionOps,
-      Math.max(1, Math.floor(TRANSACTION_BYTES / valueBytes)),
+      Math.max(1, Math.floor(MAX_TRANSACTION_BYTES / valueBytes)),
     );
     const transactions: Change[][] = [];
     for (let start = 0; start < changes.length; start += changesPerTransaction) {
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,7 +1,7 @@
 /** Scale-in: returns machines that are drained, failed or silent, or whose boot timed out. */
 
 import { BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MIN_MARGIN_MS } from '../../constants/autoscaling.js';
-import { RETURN_MAX } from '../../constants/protocol.js';
+import { MAX_MACHINES_PER_RETURN } from '../../constants/protocol.js';
 import { MACHINES } from '../../storage/keys.js';
 import type { MachineRecord } from '../../storage/records.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
@@ -35,7 +35,7 @@
   async run(snapshot: FleetSnapshot): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
     this.heartbeatTimeouts.update(snapshot.machines);
-    const returned = this.returnableMachines(snapshot).slice(0, RETURN_MAX);
+    const returned = this.returnableMachines(snapshot).slice(0, MAX_MACHINES_PER_RETURN);
     if (returned.length === 0 || !cloudRequests.trySpend()) return;
     const names = returned.map(({ name }) => name);
     if (!(await cloud.returnMachines(names))) return;
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -1,7 +1,7 @@
 /** Plans how many machines of each offer to rent, for given tasks and for the headroom. */
 
 import { PREEMPTIBLE_CPU_FRACTION } from '../../constants/autoscaling.js';
-import { RENT_MAX } from '../../constants/protocol.js';
+import { MAX_MACHINES_PER_RENTAL } from '../../constants/protocol.js';
 import type { JobSpec } from '../../protocol/model.js';
 import { isEligible, type MachineCapacity } from '../capacity/machine-capacity.js';
 import { countFittingTasks, type Resources } from '../capacity/resources.js';
@@ -75,7 +75,7 @@
       const offer = cheapestOffer(offers, spec, remainingCount);
       if (!offer) break;
       const rental = this.rentalOf(offer);
-      if (rental.count >= RENT_MAX) break;
+      if (rental.count >= MAX_MACHINES_PER_RENTAL) break;
       rental.count++;
       this.machineCount++;
       const { cpus, gpus, memoryGb } = offer.type;
@@ -97,7 +97,10 @@
       .sort((a, b) => a.price / a.type.cpus - b.price / b.type.cpus);
     if (!offer) return;
     const rental = this.rentalOf(offer);
-    rental.count = Math.min(RENT_MAX, rental.count + Math.ceil(missing / offer.type.cpus));
+    rental.count = Math.min(
+      MAX_MACHINES_PER_RENTAL,
+      rental.count + Math.ceil(missing / offer.type.cpus),
+    );
   }
 
   /** CPUs of on-demand machines that are free or preemptible, planned machines included. */
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -1,6 +1,6 @@
 /** Scale-out: rents machines for work that the fleet can't finish in time, and for headroom. */
 
-import { RENT_MAX } from '../../constants/protocol.js';
+import { MAX_MACHINES_PER_RENTAL } from '../../constants/protocol.js';
 import type { RentResult } from '../../protocol/cloud-api.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 import { missingGangCapacity } from '../capacity/gang-capacity.js';
@@ -30,7 +30,7 @@
       if (!cloudRequests.trySpend()) return;
       const request = `r-${term}-${++this.requestCount}`;
       const { type, zone, spot } = rental.offer;
-      const count = Math.min(rental.count, RENT_MAX);
+      const count = Math.min(rental.count, MAX_MACHINES_PER_RENTAL);
       const result = await cloud.rent({ request, type: type.name, zone, spot, count });
       this.handleResult(rental, result);
       if (result.kind !== 'rented') continue;
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -169,7 +169,11 @@
       const { createMetricsReader } = await import('./metrics.js');
       this.readMetrics = createMetricsReader(this);
     }
-    return { status: 200, body: await this.readMetrics(), type: 'text/plain; version=0.0.4' };
+    return {
+      status: 200,
+      body: await this.readMetrics(),
+      contentType: 'text/plain; version=0.0.4',
+    };
   }
 
   /** Serves a user's request; `jobId` is '' in a submission. */
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -11,7 +11,7 @@
 import { StoreReplica } from '../../storage/store-replica.js';
 import type { Settings } from '../../protocol/settings.js';
 import type { KeyValueStore } from '../../protocol/key-value-store.js';
-import { randomOf } from '../../transport/backoff.js';
+import { seededRandom } from '../../transport/backoff.js';
 import { hash, type Member } from '../election/rendezvous-hashing.js';
 import { graceMs } from '../election/lease-timing.js';
 import { RoleElection } from '../election/role-election.js';
@@ -100,7 +100,7 @@
     { rps, writeRps, transactionOps },
     settings.peers.length + 1,
   );
-  const random = randomOf(hash(incarnation));
+  const random = seededRandom(hash(incarnation));
   const common = { keyValueStore, limiter, clock, log, random };
   const replica = new StoreReplica({
     ...common,
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -17,11 +17,11 @@
   RESERVED_SOCKETS,
   STORE_SOCKETS,
 } from '../../constants/controller.js';
-import { LIST_PAGE, MAX_BODY_BYTES } from '../../constants/protocol.js';
+import { MACHINE_LIST_PAGE_SIZE, MAX_BODY_BYTES } from '../../constants/protocol.js';
 import { STORE_TIMEOUT_MS } from '../../constants/storage.js';
 import type { Log } from '../../storage/log.js';
 import { HttpCloudApi } from '../../protocol/cloud-api.js';
-import { decodePeer, encodePeer } from '../../protocol/peer-messages.js';
+import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-messages.js';
 import type { Settings } from '../../protocol/settings.js';
 import { HttpKeyValueStore } from '../../protocol/http-key-value-store.js';
 import { systemClock } from '../../transport/clock.js';
@@ -62,7 +62,7 @@
 
 function detectionRoutes(detection: DetectionService | null): Route[] {
   if (!detection) return [];
-  const handle = (): HttpReply => ({ status: 200, body: detection.export(), type: NDJSON });
+  const handle = (): HttpReply => ({ status: 200, body: detection.export(), contentType: NDJSON });
   return [{ method: 'GET', path: '/detections', handle }];
 }
 
@@ -97,10 +97,10 @@
 
 function serverLimits(connections: number): ServerLimits {
   return {
-    bodyBytes: MAX_BODY_BYTES,
-    connections,
-    crowded: Math.floor(connections * SOFT_CONNECTION_LIMIT_FRACTION),
-    full: Math.floor(connections * HARD_CONNECTION_LIMIT_FRACTION),
+    maxBodyBytes: MAX_BODY_BYTES,
+    maxConnections: connections,
+    softConnectionLimit: Math.floor(connections * SOFT_CONNECTION_LIMIT_FRACTION),
+    hardConnectionLimit: Math.floor(connections * HARD_CONNECTION_LIMIT_FRACTION),
     keepAliveMs: KEEP_ALIVE_MS,
   };
 }
@@ -108,11 +108,11 @@
 function createPeerOptions(core: ControllerCore): PeerLinkOptions {
   return {
     clock: systemClock,
-    retryMs: PEER_RECONNECT_MS,
+    reconnectMs: PEER_RECONNECT_MS,
     maxFrameBytes: MAX_PEER_FRAME_BYTES,
     onFrame: (frame, respond) => {
-      const message = decodePeer(frame);
-      if (message) core.receive(message, (reply) => respond(encodePeer(reply)));
+      const message = decodePeerMessage(frame);
+      if (message) core.receive(message, (reply) => respond(encodePeerMessage(reply)));
     },
   };
 }
@@ -124,9 +124,9 @@
   links: Map<string, PeerLink>,
 ): { environment: Environment; clients: { close(): void }[] } {
   const clock = systemClock;
-  const storeHttp = new HttpClient(settings.keyValueStore, clock, STORE_SOCKETS);
-  const watchHttp = new HttpClient(settings.keyValueStore, clock, 1);
-  const cloudHttp = new HttpClient(settings.cloud, clock, CLOUD_SOCKETS);
+  const storeHttp = new HttpClient(settings.storeAddress, clock, STORE_SOCKETS);
+  const watchHttp = new HttpClient(settings.storeAddress, clock, 1);
+  const cloudHttp = new HttpClient(settings.cloudAddress, clock, CLOUD_SOCKETS);
   const workers = new HttpWorkerApi(
     clock,
     DIRECT_CALL_TIMEOUT_MS,
@@ -136,10 +136,10 @@
   const environment: Environment = {
     clock,
     keyValueStore: new HttpKeyValueStore(storeHttp, watchHttp, STORE_TIMEOUT_MS),
-    cloud: new HttpCloudApi(cloudHttp, CLOUD_TIMEOUT_MS, LIST_PAGE),
+    cloud: new HttpCloudApi(cloudHttp, CLOUD_TIMEOUT_MS, MACHINE_LIST_PAGE_SIZE),
     workers,
-    connectedPeers: () => [...links].filter(([, link]) => link.connected).map(([name]) => name),
-    sendToPeer: (name, message) => links.get(name)?.send(encodePeer(message)) ?? false,
+    connectedPeers: () => [...links].filter(([, link]) => link.isConnected).map(([name]) => name),
+    sendToPeer: (name, message) => links.get(name)?.send(encodePeerMessage(message)) ?? false,
   };
   return { environment, clients: [storeHttp, watchHttp, cloudHttp, workers] };
 }
@@ -162,20 +162,20 @@
 
   /** Starts a controller; resolves once it accepts connections of users, workers and peers. */
   static async start(settings: Settings, log: Log): Promise<Controller> {
-    const { direct, connections } = divideSockets(settings.sockets);
+    const { direct, connections } = divideSockets(settings.maxSockets);
     const links = new Map<string, PeerLink>();
     const { environment, clients } = connectEnvironment(settings, direct, links);
     const incarnation = randomUUID();
     const createDetection = await loadDetection(settings);
     const core = new ControllerCore({ settings, environment, log, incarnation, createDetection });
     const httpServer = await listenHttp(
-      settings.listen,
+      settings.listenAddress,
       createRoutes(core),
       serverLimits(connections),
       (error) => log.error({ error: String(error) }, 'HTTP request handler failed'),
     );
     const peerOptions = createPeerOptions(core);
-    const peerServer = await listenPeers(settings.peerListen, peerOptions);
+    const peerServer = await listenPeers(settings.peerListenAddress, peerOptions);
     core.start();
     for (const peer of settings.peers) {
       links.set(peer.node, new PeerLink(peer.address, peerOptions));
--- a/src/coordination/election/lease-timing.ts
+++ b/src/coordination/election/lease-timing.ts
@@ -6,7 +6,7 @@
   LEASE_MARGIN_MS,
   FORMER_HOLDER_GONE_MS,
 } from '../../constants/election.js';
-import { CLOCK_DRIFT } from '../../constants/protocol.js';
+import { MAX_CLOCK_DRIFT_FRACTION } from '../../constants/protocol.js';
 import type { RoleRecord } from '../../storage/records.js';
 
 /** Time bounds from the settings that ensure that a role has a single holder. */
@@ -23,7 +23,7 @@
  * have missed a cancellation.
  */
 export function graceMs(timing: LeaseTiming): number {
-  const slackS = Math.max(0, timing.cancelS - timing.leaseS * (1 + CLOCK_DRIFT));
+  const slackS = Math.max(0, timing.cancelS - timing.leaseS * (1 + MAX_CLOCK_DRIFT_FRACTION));
   // If lease and `cancel_s` are close together, the full margin would consume the grace, and a
   // holder whose grace is shorter than one watch would never answer a heartbeat.
   return (slackS - Math.min(CANCEL_MARGIN_S, slackS * CANCEL_MARGIN_MAX_FRACTION)) * 1000;
@@ -33,7 +33,7 @@
  * Returns the maximum time in ms for which a worker runs tasks after its last answered heartbeat.
  */
 export function workerLeaseMs(timing: LeaseTiming): number {
-  return timing.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  return timing.leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_FRACTION) + LEASE_MARGIN_MS;
 }
 
 /**
--- a/src/coordination/failure-detection/failure-detection.ts
+++ b/src/coordination/failure-detection/failure-detection.ts
@@ -2,7 +2,7 @@
 
 import { FailureDetector, type DetectorCounts } from '@mothbank/failure-detector';
 import { PROBE_TIMES_PERIOD_MS, STORE_REACHABLE_MS } from '../../constants/failure-detection.js';
-import { decodeDetector, encodeDetector } from '../../protocol/detector-codec.js';
+import { decodeDetectorMessage, encodeDetectorMessage } from '../../protocol/detector-codec.js';
 import type { SuspicionSettings } from '../../protocol/settings.js';
 import type { PeerMessage } from '../../protocol/peer-messages.js';
 import type { DetectionService, DetectionServiceOptions } from './detection-service.js';
@@ -29,7 +29,7 @@
     private readonly suspicion: SuspicionSettings,
   ) {
     const { environment, log } = options;
-    this.records = new DetectionRecords(suspicion.history, log);
+    this.records = new DetectionRecords(suspicion.historySize, log);
     this.detector = this.createDetector();
     this.stepDownRequests = this.createStepDownRequests();
     this.policy = new ConfirmedFailover({
@@ -114,7 +114,7 @@
       random,
       transport: {
         send: (peer, message) => {
-          const payload = encodeDetector(message);
+          const payload = encodeDetectorMessage(message);
           const isSent = environment.sendToPeer(peer, { kind: 'detector', payload });
           if (isSent) this.bytesSent += payload.length;
           return isSent;
@@ -152,13 +152,13 @@
   }
 
   private receiveDetector(payload: Uint8Array, sendReply: SendReply): void {
-    const message = decodeDetector(payload);
+    const message = decodeDetectorMessage(payload);
     if (message === null) {
       this.detector.receiveMalformed();
       return;
     }
     this.detector.receive(message, (reply) => {
-      const encoded = encodeDetector(reply);
+      const encoded = encodeDetectorMessage(reply);
       this.bytesSent += encoded.length;
       sendReply({ kind: 'detector', payload: encoded });
     });
--- a/src/coordination/shard-state/machine-health.ts
+++ b/src/coordination/shard-state/machine-health.ts
@@ -2,7 +2,7 @@
  * Derives a machine's health and lease expiry from the times of its heartbeats and their answers.
  */
 import { LEASE_MARGIN_MS } from '../../constants/election.js';
-import { CLOCK_DRIFT } from '../../constants/protocol.js';
+import { MAX_CLOCK_DRIFT_FRACTION } from '../../constants/protocol.js';
 import { FAULTY_MACHINE_FAILED_JOBS, MAX_MISSED_HEARTBEATS } from '../../constants/shard.js';
 import type { MachineHealth } from '../../storage/records.js';
 import type { Machine } from './machine.js';
@@ -36,7 +36,7 @@
  */
 export function leaseExpiry(machine: Machine | undefined, times: LeaseTimes): number {
   if (!machine) return times.fenceAt;
-  const leaseMs = times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  const leaseMs = times.leaseS * 1000 * (1 + MAX_CLOCK_DRIFT_FRACTION) + LEASE_MARGIN_MS;
   const currentLeaseExpiry = machine.answeredAt + leaseMs;
   // A former holder's answer may have renewed the lease as well, until the machine shows a token
   // that this holder issued.
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -1,6 +1,6 @@
 /** Builds one transaction that writes assignments, within the limits of the key-value store. */
 import { ASSIGNMENT_TASK_BYTES } from '../../constants/leader.js';
-import { GUARDS_PER_OP, TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { GUARDS_PER_OP, MAX_TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { ASSIGNMENT_OVERHEAD_BYTES } from '../../constants/shard.js';
 import { VALUE_FILL_FRACTION } from '../../constants/storage.js';
 import { jobKey, machineKey } from '../../storage/keys.js';
@@ -38,7 +38,8 @@
     const { options, tasks } = this.context;
     this.estimatedBytes +=
       ASSIGNMENT_OVERHEAD_BYTES + assignment.placedCount * ASSIGNMENT_TASK_BYTES;
-    if (this.estimatedBytes > TRANSACTION_BYTES && this.changes.length > 0) return { kind: 'full' };
+    if (this.estimatedBytes > MAX_TRANSACTION_BYTES && this.changes.length > 0)
+      return { kind: 'full' };
     const uncommitted = isRemoved ? new Set<string>() : uncommittedMachines(assignment);
     // The record of each machine with new placements is guarded, so that no task is placed on a
     // machine that the leader drains or returns meanwhile. The store rejects a transaction with too
--- a/src/coordination/shard/bandit-snapshot.ts
+++ b/src/coordination/shard/bandit-snapshot.ts
@@ -1,5 +1,5 @@
 /** Stores the arms of a shard's bandit, so that the shard's next holder can continue with them. */
-import { TRANSACTION_BYTES } from '../../constants/protocol.js';
+import { MAX_TRANSACTION_BYTES } from '../../constants/protocol.js';
 import { VALUE_FILL_FRACTION } from '../../constants/storage.js';
 import type { Change } from '../../protocol/key-value-store.js';
 import { armKey } from '../../storage/keys.js';
@@ -55,7 +55,7 @@
   }
 
   private get changesPerTransaction(): number {
-    const fitting = Math.floor(TRANSACTION_BYTES / this.maxBytes);
+    const fitting = Math.floor(MAX_TRANSACTION_BYTES / this.maxBytes);
     return Math.max(1, Math.min(this.options.transactionOps, fitting));
   }
 
--- a/src/coordination/shard/direct-calls.ts
+++ b/src/coordination/shard/direct-calls.ts
@@ -22,7 +22,7 @@
     const { machinesToCommand, machines, options, workers } = this.context;
     if (!options.isHolder() || !options.isReplicaCurrent()) return;
     for (const name of [...machinesToCommand]) {
-      if (workers.full) return;
+      if (workers.isAtCallLimit) return;
       const machine = machines.all.get(name);
       if (machine?.unconfirmedCall) continue;
       machinesToCommand.delete(name);
--- a/src/protocol/detector-codec.ts
+++ b/src/protocol/detector-codec.ts
@@ -57,7 +57,7 @@
 }
 
 /** Encodes a message as bytes, without a length prefix. */
-export function encodeDetector(message: DetectorMessage): Uint8Array {
+export function encodeDetectorMessage(message: DetectorMessage): Uint8Array {
   const writer = Writer.create();
   writer.uint32(delimited(MESSAGE.cluster)).string(message.cluster);
   writer.uint32(delimited(MESSAGE.from)).string(message.from);
@@ -152,7 +152,7 @@
 }
 
 /** Decodes a message; null: it is too long, malformed, or of a kind unknown to this version. */
-export function decodeDetector(bytes: Uint8Array): DetectorMessage | null {
+export function decodeDetectorMessage(bytes: Uint8Array): DetectorMessage | null {
   if (bytes.length > MAX_DETECTOR_MESSAGE_BYTES) return null;
   try {
     return decodeMessage(bytes);
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -79,7 +79,7 @@
   /** Longest time for which the shard of a suspected holder gets no new work. */
   readonly holdNewWorkMs: number;
   /** Number of detection records kept in memory. */
-  readonly history: number;
+  readonly historySize: number;
 }
 
 /** All settings of the operators. */
@@ -126,7 +126,7 @@
     quorum: raw.quorum ?? null,
     confirmWithinMs: toMs(raw.confirm_within_s),
     holdNewWorkMs: toMs(raw.hold_new_work_s),
-    history: raw.history,
+    historySize: raw.history,
   };
 }
 
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -107,7 +107,7 @@
 }
 
 /** Encodes a message as a frame with a length prefix. */
-export function encodePeer(message: PeerMessage): Uint8Array {
+export function encodePeerMessage(message: PeerMessage): Uint8Array {
   if (message.kind === 'detector') return encodeDetectorFrame(message);
   const writer = Writer.create();
   writer.fork();
@@ -151,7 +151,7 @@
  * Decodes a frame without its length prefix; null: it is empty, or its kind of message or of
  * relayed request is unknown to this version. Throws if the frame is malformed.
  */
-export function decodePeer(frame: Uint8Array): PeerMessage | null {
+export function decodePeerMessage(frame: Uint8Array): PeerMessage | null {
   const reader = Reader.create(frame);
   if (reader.len === 0) return null;
   const kind = reader.uint32() >>> WIRE_TYPE_BITS;
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -29,15 +29,15 @@
   node: string;
   zone: string;
   /** Address of the HTTP server for users and workers. */
-  listen: string;
+  listenAddress: string;
   /** Address on which connections from other controllers are accepted. */
-  peerListen: string;
+  peerListenAddress: string;
   /** The other controllers. */
   peers: { node: string; zone: string; address: string }[];
   /** Address of the cloud. */
-  cloud: string;
+  cloudAddress: string;
   /** Address of the key-value store. */
-  keyValueStore: string;
+  storeAddress: string;
   zones: string[];
   /** Maximum error of the time of day in ms. */
   skewMs: number;
@@ -69,7 +69,7 @@
   /** Seconds by which the cloud's list of rented machines may be out of date. */
   listLagS: number;
   /** Maximum number of open sockets. */
-  sockets: number;
+  maxSockets: number;
   placement: PlacementSettings;
   fleet: FleetSettings;
   /** Failure detection between controllers; null: disabled. */
@@ -139,15 +139,15 @@
   return {
     node: platform.node_name,
     zone: platform.site,
-    listen: platform.front,
-    peerListen: platform.cluster_listen,
+    listenAddress: platform.front,
+    peerListenAddress: platform.cluster_listen,
     peers: platform.members.map((member) => ({
       node: member.node_name,
       zone: member.site,
       address: member.peer_addr,
     })),
-    cloud: platform.services.cloud,
-    keyValueStore: platform.services.state,
+    cloudAddress: platform.services.cloud,
+    storeAddress: platform.services.state,
     zones: params.zones,
     skewMs: params.skew_ms,
     teams: readTeams(params.teams),
@@ -156,7 +156,7 @@
     ...readStoreLimits(params.state),
     cloudRps: params.cloud.rps,
     listLagS: params.cloud.list_lag_s,
-    sockets: params.resources.fd_limit,
+    maxSockets: params.resources.fd_limit,
     ...operatorSettings,
   };
 }
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/worker-api.ts
@@ -7,7 +7,7 @@
 import { encodeDirectCommands, parseHeartbeat } from './worker-codec.js';
 
 /** The result of commands sent directly to a worker. */
-export interface DirectResult {
+export interface DirectCommandResult {
   /** False: the worker refused the commands because of their fencing token or worker epoch. */
   executed: boolean;
   /** The heartbeat in the worker's answer. */
@@ -17,14 +17,14 @@
 /** Sends commands directly to workers; tests pass a stand-in. */
 export interface WorkerApi {
   /** True: the limit of concurrent calls is reached; further calls must wait for responses. */
-  readonly full: boolean;
+  readonly isAtCallLimit: boolean;
   /** Sends commands. Throws if no valid response came; the commands may still be executed then. */
   command(
     address: string,
     fencingToken: number,
     workerEpoch: number,
     commands: Command[],
-  ): Promise<DirectResult>;
+  ): Promise<DirectCommandResult>;
 }
 
 /**
@@ -42,7 +42,7 @@
     private readonly maxCalls: number,
   ) {}
 
-  get full(): boolean {
+  get isAtCallLimit(): boolean {
     return this.busyAddresses.size >= this.maxCalls;
   }
 
@@ -66,7 +66,7 @@
     fencingToken: number,
     workerEpoch: number,
     commands: Command[],
-  ): Promise<DirectResult> {
+  ): Promise<DirectCommandResult> {
     this.busyAddresses.add(address);
     const body = encodeDirectCommands(fencingToken, workerEpoch, commands);
     const answer = await this.client(address)
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -8,7 +8,7 @@
   WRITES_SCARCE_FRACTION,
   WRITES_SHORT_FRACTION,
 } from '../constants/storage.js';
-import { Budget } from '../transport/budget.js';
+import { TokenBucket } from '../transport/token-bucket.js';
 import type { Clock } from '../transport/clock.js';
 
 /**
@@ -32,11 +32,11 @@
  * raises its rate while requests wait and the store refuses none, and lowers it after a refusal.
  */
 export class AdaptiveLimit {
-  readonly budget: Budget;
+  readonly budget: TokenBucket;
   /** Token bucket below 0 when recent use exceeds `WRITES_SCARCE_FRACTION` of the equal share. */
-  private readonly scarceBudget: Budget;
+  private readonly scarceBudget: TokenBucket;
   /** Token bucket below 0 when recent use exceeds `WRITES_SHORT_FRACTION` of the equal share. */
-  private readonly shortBudget: Budget;
+  private readonly shortBudget: TokenBucket;
   private rate: number;
   private readonly minRate: number;
   private rateChangedAt: number;
@@ -48,9 +48,9 @@
     this.rate = limit.perSecond / limit.members;
     this.minRate = this.rate * STORE_LIMIT_MIN_FRACTION;
     this.rateChangedAt = clock.now();
-    this.budget = new Budget(clock, this.rate, Math.max(this.rate, limit.burst));
-    this.scarceBudget = new Budget(clock, this.rate * WRITES_SCARCE_FRACTION, this.rate);
-    this.shortBudget = new Budget(clock, this.rate * WRITES_SHORT_FRACTION, this.rate);
+    this.budget = new TokenBucket(clock, this.rate, Math.max(this.rate, limit.burst));
+    this.scarceBudget = new TokenBucket(clock, this.rate * WRITES_SCARCE_FRACTION, this.rate);
+    this.shortBudget = new TokenBucket(clock, this.rate * WRITES_SHORT_FRACTION, this.rate);
   }
 
   get supply(): Supply {
@@ -60,8 +60,8 @@
 
   /** Adds requests or writes to the recent use from which `supply` is derived. */
   recordUse(cost: number): void {
-    this.scarceBudget.borrow(cost);
-    this.shortBudget.borrow(cost);
+    this.scarceBudget.overdraw(cost);
+    this.shortBudget.overdraw(cost);
   }
 
   /** Returns the time in ms until `cost` may be used, and raises the rate if that is above 0. */
@@ -91,7 +91,7 @@
   lowerRate(): void {
     this.rateChangedAt = this.clock.now();
     this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_REFUSAL_FACTOR));
-    this.budget.empty();
+    this.budget.removeAll();
   }
 
   private setRate(rate: number): void {
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -129,7 +129,7 @@
         this.log.debug({ error: String(error), purpose }, 'transaction attempt failed');
         if (mayHaveCommitted && invalidateLateCopy)
           return this.resolveUnknownOutcome(transaction, isStillWanted, invalidateLateCopy);
-        await sleep(this.clock, backoff.next());
+        await sleep(this.clock, backoff.nextPauseMs());
       }
     }
   }
@@ -196,7 +196,7 @@
           { error: String(error), purpose },
           'read after unanswered transaction failed, retrying',
         );
-        await sleep(this.clock, backoff.next());
+        await sleep(this.clock, backoff.nextPauseMs());
       }
     }
     return { kind: 'abandoned', mayCommitLater: false };
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -55,8 +55,8 @@
    */
   acquire(purpose: Purpose, writes: number): Promise<void> {
     if (purpose === 'watch' || purpose === 'role') {
-      this.requestLimit.budget.borrow(1);
-      if (writes > 0) this.writeLimit.budget.borrow(writes);
+      this.requestLimit.budget.overdraw(1);
+      if (writes > 0) this.writeLimit.budget.overdraw(writes);
       this.count(purpose, writes);
       return Promise.resolve();
     }
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -166,7 +166,7 @@
         if (error instanceof StoreRejectedError && error.status === 429)
           this.limiter.reportRefusal(0);
         this.log.debug({ error: String(error) }, 'watch failed, retrying');
-        await sleep(this.clock, this.backoff.next());
+        await sleep(this.clock, this.backoff.nextPauseMs());
       }
     }
   }
--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -5,7 +5,7 @@
 import type { Clock } from './clock.js';
 
 /** Returns a generator of random numbers from 0 to 1; the same seed gives the same sequence. */
-export function randomOf(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => uniformInt(generator, 0, 1_000_000) / 1_000_000;
 }
@@ -26,7 +26,7 @@
   }
 
   /** Milliseconds to wait before the next attempt. */
-  next(): number {
+  nextPauseMs(): number {
     const pauseMs = this.pauseMs * (1 - this.random() / 2);
     this.pauseMs = Math.min(this.pauseMs * 2, this.longestMs);
     return pauseMs;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -21,7 +21,7 @@
   body: unknown;
   retryAfterS?: number;
   /** Content type of a body that is not JSON. */
-  type?: string;
+  contentType?: string;
 }
 
 /** The parts of a request that a route's handler receives. */
@@ -46,19 +46,19 @@
 /** Limits that keep a server responsive under load. */
 export interface ServerLimits {
   /** Bytes; a handler gets null instead of a longer body. */
-  bodyBytes: number;
+  maxBodyBytes: number;
   /** Maximum number of connections; further ones are closed at once. */
-  connections: number;
+  maxConnections: number;
   /**
    * Soft limit: with more connections than this, a connection is closed after its response, unless
    * its route has `keepsConnection`.
    */
-  crowded: number;
+  softConnectionLimit: number;
   /**
    * Hard limit: with more connections than this, every connection is closed after its response, so
    * that clients without one can connect.
    */
-  full: number;
+  hardConnectionLimit: number;
   /** Milliseconds after which an idle connection is closed. */
   keepAliveMs: number;
 }
@@ -111,7 +111,7 @@
 function send(outgoing: ServerResponse, reply: HttpReply, keepAlive: boolean): void {
   const body = typeof reply.body === 'string' ? reply.body : JSON.stringify(reply.body);
   const headers: OutgoingHttpHeaders = {
-    'content-type': reply.type ?? 'application/json',
+    'content-type': reply.contentType ?? 'application/json',
     'content-length': Buffer.byteLength(body),
   };
   if (reply.retryAfterS !== undefined) headers['retry-after'] = String(reply.retryAfterS);
@@ -162,8 +162,10 @@
 
   /** Whether a connection stays open after the response to a request of this route. */
   private mayKeepConnection(route: Route): boolean {
-    const { crowded, full } = this.limits;
-    return this.openConnections <= (route.keepsConnection ? full : crowded);
+    const { softConnectionLimit, hardConnectionLimit } = this.limits;
+    return (
+      this.openConnections <= (route.keepsConnection ? hardConnectionLimit : softConnectionLimit)
+    );
   }
 
   /**
@@ -184,7 +186,7 @@
       incoming.resume();
       return route.handle({ id, text: '' });
     }
-    const text = await readText(incoming, this.limits.bodyBytes);
+    const text = await readText(incoming, this.limits.maxBodyBytes);
     return route.handle({ id, text });
   }
 
@@ -218,7 +220,7 @@
     const server = createServer(options, (incoming, outgoing) => {
       void dispatcher.handle(incoming, outgoing);
     });
-    server.maxConnections = limits.connections;
+    server.maxConnections = limits.maxConnections;
     server.on('connection', (socket: Socket) => dispatcher.onConnection(socket));
     server.on('clientError', (_error, socket) => socket.destroy());
     server.on('error', reject);
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -67,7 +67,7 @@
 export interface PeerLinkOptions {
   clock: Clock;
   /** Milliseconds from the end of an outgoing connection until it is reopened. */
-  retryMs: number;
+  reconnectMs: number;
   /** Bytes; a connection with a longer frame, or with more bytes waiting to be sent, is closed. */
   maxFrameBytes: number;
   /** Handles a received frame; `answer` sends a frame back on the same connection. */
@@ -105,7 +105,7 @@
   }
 
   /** Whether a frame can be sent now. */
-  get connected(): boolean {
+  get isConnected(): boolean {
     return this.isOpen;
   }
 
@@ -114,7 +114,9 @@
     const socket = net.connect(parseAddress(this.address));
     this.socket = socket;
     // A connection that hangs in a network partition is closed, so that a new one can be opened.
-    socket.setTimeout(this.options.retryMs * OUTGOING_IDLE_RETRY_INTERVALS, () => socket.destroy());
+    socket.setTimeout(this.options.reconnectMs * OUTGOING_IDLE_RETRY_INTERVALS, () =>
+      socket.destroy(),
+    );
     socket.on('connect', () => {
       this.isOpen = true;
     });
@@ -122,7 +124,7 @@
     socket.on('error', () => undefined);
     socket.on('close', () => {
       this.isOpen = false;
-      this.options.clock.after(this.options.retryMs, () => this.connect());
+      this.options.clock.after(this.options.reconnectMs, () => this.connect());
     });
   }
 
@@ -152,7 +154,9 @@
   return new Promise((resolve, reject) => {
     const server = net.createServer((socket) => {
       socket.on('error', () => undefined);
-      socket.setTimeout(options.retryMs * INCOMING_IDLE_RETRY_INTERVALS, () => socket.destroy());
+      socket.setTimeout(options.reconnectMs * INCOMING_IDLE_RETRY_INTERVALS, () =>
+        socket.destroy(),
+      );
       readFrames(socket, options);
     });
     server.on('error', reject);
--- a/src/transport/budget.ts
+++ b/src/transport/token-bucket.ts
@@ -6,7 +6,7 @@
  * A token bucket that keeps this process within its part of a rate limit. `perSecond` tokens are
  * added each second, up to `burst`.
  */
-export class Budget {
+export class TokenBucket {
   private tokens: number;
   private refilledAt: number;
 
@@ -44,7 +44,7 @@
    * Takes tokens for a request that is sent without waiting. The bucket may be overdrawn, down to
    * `-burst`; later requests wait until it is refilled.
    */
-  borrow(cost: number): void {
+  overdraw(cost: number): void {
     this.refill();
     this.tokens = Math.max(-this.burst, this.tokens - cost);
   }
@@ -65,7 +65,7 @@
   }
 
   /** Removes all tokens, after the service refused a request because of its rate limit. */
-  empty(): void {
+  removeAll(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
   }
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -153,7 +153,13 @@
         handle: () => ({ status: 200, body: {} }),
       },
     ],
-    { bodyBytes: 1000, connections: 10, crowded: 1, full: 2, keepAliveMs: 20_000 },
+    {
+      maxBodyBytes: 1000,
+      maxConnections: 10,
+      softConnectionLimit: 1,
+      hardConnectionLimit: 2,
+      keepAliveMs: 20_000,
+    },
     () => undefined,
   );
   const { port } = server.address() as AddressInfo;
@@ -190,13 +196,13 @@
   await new Promise<void>((resolve) => machine.listen(0, '127.0.0.1', resolve));
   const { port } = machine.address() as AddressInfo;
   const workers = new HttpWorkerApi(systemClock, 50, 2, 2);
-  assert.equal(workers.full, false);
+  assert.equal(workers.isAtCallLimit, false);
   const calls = [1, 2].map((at) =>
     assert.rejects(workers.command(`127.0.0.${at}:${port}`, 1, 1, [])),
   );
-  assert.equal(workers.full, true);
+  assert.equal(workers.isAtCallLimit, true);
   await Promise.all(calls);
-  assert.equal(workers.full, false);
+  assert.equal(workers.isAtCallLimit, false);
   workers.close();
   for (const socket of open) socket.destroy();
   machine.close();
--- a/test/measure-detector.ts
+++ b/test/measure-detector.ts
@@ -2,7 +2,7 @@
  * Measures the failure detector in simulated time; prints one JSON object a line. Not a test: run it with
  * `node target/test/measure-detector.js` after a build. Processor time is of this process, all members together.
  */
-import { encodeDetector } from '../src/protocol/detector-codec.js';
+import { encodeDetectorMessage } from '../src/protocol/detector-codec.js';
 import { DetectorNetwork } from './world/detector-network.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
@@ -24,7 +24,7 @@
   await network.run(QUIET_S);
   const { user, system } = process.cpuUsage(before);
   const sent = network.sent.slice(from);
-  const bytes = sent.reduce((sum, { message }) => sum + encodeDetector(message).length, 0);
+  const bytes = sent.reduce((sum, { message }) => sum + encodeDetectorMessage(message).length, 0);
   const perMember = (total: number): number => total / count / QUIET_S;
   print({
     members: count,
--- a/test/packages/failure-detector-rules.test.ts
+++ b/test/packages/failure-detector-rules.test.ts
@@ -12,7 +12,7 @@
   type VerdictInput,
 } from '@mothbank/failure-detector';
 import { MAX_DETECTOR_MESSAGE_BYTES } from '../../src/constants/protocol.js';
-import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
+import { decodeDetectorMessage, encodeDetectorMessage } from '../../src/protocol/detector-codec.js';
 import { DetectorNetwork, TIMING } from '../world/detector-network.js';
 
 test('quorum: a majority of the others, three at the most, from 1 to 63 members', () => {
@@ -152,19 +152,19 @@
   for (const body of bodies) {
     const updates = [suspect({}), suspect({ state: 'alive', storeAnswers: false })];
     const message = { cluster: 'c', from: 'm0', instance: 'i', incarnation: 5, updates, body };
-    const bytes = encodeDetector(message);
-    assert.deepEqual(decodeDetector(bytes), message);
+    const bytes = encodeDetectorMessage(message);
+    assert.deepEqual(decodeDetectorMessage(bytes), message);
     for (let length = 1; length < bytes.length; length++) {
       // Cut off at any place it is either refused or lacks what came last; it never throws.
-      decodeDetector(bytes.subarray(0, length));
+      decodeDetectorMessage(bytes.subarray(0, length));
     }
     assert.equal(
-      decodeDetector(Buffer.concat([bytes, Buffer.alloc(MAX_DETECTOR_MESSAGE_BYTES)])),
+      decodeDetectorMessage(Buffer.concat([bytes, Buffer.alloc(MAX_DETECTOR_MESSAGE_BYTES)])),
       null,
     );
   }
   for (const noise of ['ff', 'ffffffff', '0affffffff0f', '5a05ffffffffff']) {
-    assert.equal(decodeDetector(Buffer.from(noise, 'hex')), null, noise);
+    assert.equal(decodeDetectorMessage(Buffer.from(noise, 'hex')), null, noise);
   }
 });
 
--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -5,7 +5,11 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
+import {
+  decodePeerMessage,
+  encodePeerMessage,
+  type PeerMessage,
+} from '../../src/protocol/peer-messages.js';
 import { encodeHeartbeatAnswer, parseHeartbeat } from '../../src/protocol/worker-codec.js';
 import { countRanges, readRanges, writeRanges } from '../../src/storage/ranges.js';
 import { FrameReader } from '../../src/transport/peer-link.js';
@@ -82,13 +86,13 @@
     { kind: 'relayed', id: 7, status: 200, body: '{}', isProven: false },
     { kind: 'relayed', id: 8, status: 404, body: '{}', isProven: true },
   ];
-  const stream = Buffer.concat(messages.map((message) => encodePeer(message)));
+  const stream = Buffer.concat(messages.map((message) => encodePeerMessage(message)));
   for (const size of [1, 7, 64, 10_000]) {
     const reader = new FrameReader(1000);
     const decoded: unknown[] = [];
     for (let at = 0; at < stream.length; at += size) {
       for (const frame of reader.push(stream.subarray(at, at + size)))
-        decoded.push(decodePeer(frame));
+        decoded.push(decodePeerMessage(frame));
     }
     assert.deepEqual(decoded, messages);
   }
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -11,8 +11,8 @@
 import { Bandit, type ArmRecord } from '../../src/coordination/scheduling/bandit.js';
 import { createAssignment, readTasks } from '../../src/coordination/shard-state/assignment.js';
 import { splitAssignment } from '../../src/coordination/shard-state/assignment-pieces.js';
-import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
-import { decodePeer, encodePeer } from '../../src/protocol/peer-messages.js';
+import { decodeDetectorMessage, encodeDetectorMessage } from '../../src/protocol/detector-codec.js';
+import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peer-messages.js';
 import { parseSubmission } from '../../src/protocol/user-codec.js';
 import { parseHeartbeat } from '../../src/protocol/worker-codec.js';
 import { readCatalog, writeCatalog } from '../../src/storage/catalog.js';
@@ -52,17 +52,17 @@
 for (const name of Object.keys(FORMS).filter((one) => one.startsWith('peer: '))) {
   test(`decoded and encoded again to the same bytes: ${name}`, () => {
     const [frame] = new FrameReader(10_000).push(Buffer.from(bytesOf(FORMS[name])));
-    const message = decodePeer(frame ?? new Uint8Array());
+    const message = decodePeerMessage(frame ?? new Uint8Array());
     assert.ok(message);
-    assert.equal(hexOf(encodePeer(message)), FORMS[name]);
+    assert.equal(hexOf(encodePeerMessage(message)), FORMS[name]);
   });
 }
 
 for (const name of Object.keys(FORMS).filter((one) => one.startsWith('detector: '))) {
   test(`decoded and encoded again to the same bytes: ${name}`, () => {
-    const message = decodeDetector(bytesOf(FORMS[name]));
+    const message = decodeDetectorMessage(bytesOf(FORMS[name]));
     assert.ok(message);
-    assert.equal(hexOf(encodeDetector(message)), FORMS[name]);
+    assert.equal(hexOf(encodeDetectorMessage(message)), FORMS[name]);
   });
 }
 
--- a/test/protocol/gang-submissions.test.ts
+++ b/test/protocol/gang-submissions.test.ts
@@ -162,7 +162,13 @@
 
 test('HTTP server: a response that is to be retried has the header Retry-After', async () => {
   const handle = (): HttpReply => ({ status: 503, body: { error: 'not yet' }, retryAfterS: 2 });
-  const limits = { bodyBytes: 65_536, connections: 10, crowded: 10, full: 10, keepAliveMs: 1000 };
+  const limits = {
+    maxBodyBytes: 65_536,
+    maxConnections: 10,
+    softConnectionLimit: 10,
+    hardConnectionLimit: 10,
+    keepAliveMs: 1000,
+  };
   const routes = [{ method: 'POST' as const, path: '/v2/runs', handle }];
   const server = await listenHttp('127.0.0.1:0', routes, limits, () => undefined);
   try {
--- a/test/transport/http-server.test.ts
+++ b/test/transport/http-server.test.ts
@@ -16,7 +16,11 @@
   { method: 'GET', path: '/jobs/:id', handle: ({ id }) => ({ status: 200, body: { id } }) },
   { method: 'POST', path: '/jobs', handle: ({ text }) => ({ status: 201, body: { text } }) },
   { method: 'GET', path: '/busy', handle: () => ({ status: 429, body: {}, retryAfterS: 7 }) },
-  { method: 'GET', path: '/text', handle: () => ({ status: 200, body: 'ä', type: 'text/plain' }) },
+  {
+    method: 'GET',
+    path: '/text',
+    handle: () => ({ status: 200, body: 'ä', contentType: 'text/plain' }),
+  },
   {
     method: 'GET',
     path: '/fault',
@@ -101,7 +105,13 @@
   errors: unknown[];
 }> {
   const errors: unknown[] = [];
-  const limits = { bodyBytes: LIMIT, connections: 10, crowded: 10, full: 10, keepAliveMs: 20_000 };
+  const limits = {
+    maxBodyBytes: LIMIT,
+    maxConnections: 10,
+    softConnectionLimit: 10,
+    hardConnectionLimit: 10,
+    keepAliveMs: 20_000,
+  };
   const server = await listenHttp('127.0.0.1:0', ROUTES, limits, (error) => errors.push(error));
   t.after(() => server.closeAllConnections());
   t.after(() => server.close());
--- a/test/upgrade/peer-messages.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import protobuf from 'protobufjs';
-import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
+import {
+  decodePeerMessage,
+  encodePeerMessage,
+  type PeerMessage,
+} from '../../src/protocol/peer-messages.js';
 
 /*
  * The frames between controllers as older versions read and write them. Both versions have no schema file:
@@ -81,7 +85,7 @@
   const reader = protobuf.Reader.create(frame);
   const length = reader.uint32();
   assert.equal(reader.pos + length, frame.length);
-  return decodePeer(frame.subarray(reader.pos));
+  return decodePeerMessage(frame.subarray(reader.pos));
 }
 
 /** The number of the kind, then number and wire type of each of its fields. */
@@ -181,7 +185,7 @@
 test('peer messages: older versions read ours by the same numbers, and we read theirs', () => {
   for (const row of ROWS) {
     const { name, message, numbers, production, withGangs, fromProduction, fromWithGangs } = row;
-    const frame = encodePeer(message);
+    const frame = encodePeerMessage(message);
     assert.deepEqual(numbersOf(frame), numbers, `${name}: numbers`);
     assert.deepEqual(readBy(PRODUCTION, frame), production, `${name}: read by 89f79d3`);
     const whole = withGangs ?? production;
@@ -208,7 +212,7 @@
     ],
   ];
   for (const [message, numbers] of rows) {
-    const frame = encodePeer(message);
+    const frame = encodePeerMessage(message);
     assert.deepEqual(numbersOf(frame), numbers);
     assert.deepEqual(heard(frame), message);
     for (const schema of [PRODUCTION, WITH_GANGS]) assert.deepEqual(readBy(schema, frame), {});
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -3,7 +3,7 @@
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
 import type { KeyValueStore } from '../../src/protocol/key-value-store.js';
-import type { DirectResult } from '../../src/protocol/worker-api.js';
+import type { DirectCommandResult } from '../../src/protocol/worker-api.js';
 import { encodeDirectCommands, parseHeartbeat } from '../../src/protocol/worker-codec.js';
 import type { Clock } from '../../src/transport/clock.js';
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
@@ -38,7 +38,7 @@
     keyValueStore: keyValueStoreOf(world.store.api(name), guarded),
     cloud: world.cloud.api(),
     workers: {
-      full: false,
+      isAtCallLimit: false,
       command: (address, fencingToken, workerEpoch, commands) =>
         guarded(callDirect(world, name, { address, fencingToken, workerEpoch, commands })),
     },
@@ -96,7 +96,7 @@
   world: World,
   node: string,
   { address, fencingToken, workerEpoch, commands }: DirectCall,
-): Promise<DirectResult> {
+): Promise<DirectCommandResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
     const cut = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
--- a/test/world/settings.ts
+++ b/test/world/settings.ts
@@ -45,13 +45,13 @@
   return {
     node,
     zone,
-    listen: '127.0.0.1:0',
-    peerListen: '127.0.0.1:0',
+    listenAddress: '127.0.0.1:0',
+    peerListenAddress: '127.0.0.1:0',
     peers: all
       .filter(([name]) => name !== node)
       .map(([name, site]) => ({ node: name, zone: site, address: '127.0.0.1:1' })),
-    cloud: '',
-    keyValueStore: '',
+    cloudAddress: '',
+    storeAddress: '',
     zones: ['a', 'b'],
     skewMs: 100,
     teams: TEAMS,
@@ -67,7 +67,7 @@
     transactionOps: 8,
     cloudRps: 5,
     listLagS: 4,
-    sockets: 1000,
+    maxSockets: 1000,
     placement: { alpha: 2, penalty: 2, snapshotS: 30 },
     fleet: FLEET,
     suspicion: null,
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -144,7 +144,7 @@
       replica,
       committer: new Committer(store),
       workers: {
-        full: false,
+        isAtCallLimit: false,
         command: (_address, fencingToken, _agentEpoch, commands) =>
           new Promise((resolve, reject) => {
             sent.push({
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -3,8 +3,8 @@
  * The names of the examples and the order of their values don't depend on names in the program.
  */
 import { HttpCloudApi } from '../../src/protocol/cloud-api.js';
-import { encodeDetector } from '../../src/protocol/detector-codec.js';
-import { encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
+import { encodeDetectorMessage } from '../../src/protocol/detector-codec.js';
+import { encodePeerMessage, type PeerMessage } from '../../src/protocol/peer-messages.js';
 import { HttpKeyValueStore } from '../../src/protocol/http-key-value-store.js';
 import { encodeJobState, encodeJobView } from '../../src/protocol/user-codec.js';
 import {
@@ -78,12 +78,12 @@
 function peerForms(): Forms {
   const forms: Forms = {};
   for (const [name, message] of Object.entries(PEER_MESSAGES)) {
-    forms[`peer: ${name}`] = hexOf(encodePeer(message));
+    forms[`peer: ${name}`] = hexOf(encodePeerMessage(message));
   }
   for (const body of DETECTOR_BODIES) {
-    const payload = encodeDetector({ ...DETECTOR_MESSAGE, body });
+    const payload = encodeDetectorMessage({ ...DETECTOR_MESSAGE, body });
     forms[`detector: ${body.kind}`] = hexOf(payload);
-    forms[`peer: detector ${body.kind}`] = hexOf(encodePeer({ kind: 'detector', payload }));
+    forms[`peer: detector ${body.kind}`] = hexOf(encodePeerMessage({ kind: 'detector', payload }));
   }
   return forms;
 }
