--- a/packages/detection-report/src/history-files.ts
+++ b/packages/detection-report/src/history-files.ts
@@ -26,7 +26,7 @@
 }
 
 /** Records that several files share, as a log and an export of one controller do, count once. */
-function distinct(records: readonly DetectionRecord[]): DetectionRecord[] {
+function distinctInTimeOrder(records: readonly DetectionRecord[]): DetectionRecord[] {
   const byText = new Map(records.map((record) => [JSON.stringify(record), record]));
   return [...byText.values()].sort((a, b) => a.at - b.at);
 }
@@ -46,7 +46,7 @@
       faults.push({ file, reason: (error as Error).message });
     }
   }
-  return { records: distinct(records), faults };
+  return { records: distinctInTimeOrder(records), faults };
 }
 
 /** Records as one compressed export. */
--- a/packages/detection-report/src/plots.ts
+++ b/packages/detection-report/src/plots.ts
@@ -1,7 +1,13 @@
 /** The report's plots, rendered to SVG without a browser. */
 
 import * as Plot from '@observablehq/plot';
-import { AXES_HEIGHT, LABEL_WIDTH, LANE_HEIGHT, PLOT_WIDTH, QUANTILES } from './constants.js';
+import {
+  AXES_HEIGHT_PX,
+  LABEL_WIDTH_PX,
+  LANE_HEIGHT_PX,
+  PLOT_WIDTH_PX,
+  QUANTILES,
+} from './constants.js';
 import type { ProbeQuantiles } from './probe-quantiles.js';
 import type { DecisionRecord, DetectionRecord, TransitionRecord } from './records.js';
 
@@ -25,13 +31,14 @@
 
 function spansOf(transitions: readonly TransitionRecord[], endsAt: number): StateSpan[] {
   const byLane = new Map<string, TransitionRecord[]>();
-  for (const one of transitions) byLane.set(laneOf(one), [...(byLane.get(laneOf(one)) ?? []), one]);
-  return [...byLane].flatMap(([lane, own]) =>
-    own.map((one, index) => ({
+  for (const transition of transitions)
+    byLane.set(laneOf(transition), [...(byLane.get(laneOf(transition)) ?? []), transition]);
+  return [...byLane].flatMap(([lane, laneTransitions]) =>
+    laneTransitions.map((transition, index) => ({
       lane,
-      from: new Date(one.at),
-      until: new Date(own[index + 1]?.at ?? endsAt),
-      state: one.to,
+      from: new Date(transition.at),
+      until: new Date(laneTransitions[index + 1]?.at ?? endsAt),
+      state: transition.to,
     })),
   );
 }
@@ -40,16 +47,16 @@
   const plot = Plot.plot({
     ...options,
     document,
-    width: PLOT_WIDTH,
-    height: lanes * LANE_HEIGHT + AXES_HEIGHT,
-    marginLeft: LABEL_WIDTH,
+    width: PLOT_WIDTH_PX,
+    height: lanes * LANE_HEIGHT_PX + AXES_HEIGHT_PX,
+    marginLeft: LABEL_WIDTH_PX,
   });
   return plot.outerHTML;
 }
 
 /** A lane for each observer and member: the member's state over time. */
 export function statePlot(document: Document, records: readonly DetectionRecord[]): string {
-  const transitions = records.filter((one) => one.type === 'transition');
+  const transitions = records.filter((record) => record.type === 'transition');
   const endsAt = Math.max(...records.map(({ at }) => at));
   const spans = spansOf(transitions, endsAt);
   const bars: Mark = Plot.barX(spans, {
@@ -70,11 +77,12 @@
 /** What was decided about each role over time. */
 export function decisionPlot(document: Document, decisions: readonly DecisionRecord[]): string {
   const dots: Mark = Plot.dot(decisions, {
-    x: (one: DecisionRecord) => new Date(one.at),
+    x: (decision: DecisionRecord) => new Date(decision.at),
     y: 'role',
     fill: 'action',
     r: 5,
-    title: (one: DecisionRecord) => `${one.observer}: ${one.action}, ${one.why}`,
+    title: (decision: DecisionRecord) =>
+      `${decision.observer}: ${decision.action}, ${decision.why}`,
   });
   return plotLanes(document, new Set(decisions.map(({ role }) => role)).size, {
     x: { type: 'utc', label: 'time of day', grid: true },
--- a/packages/detection-report/src/records.ts
+++ b/packages/detection-report/src/records.ts
@@ -2,7 +2,7 @@
 
 import * as v from 'valibot';
 
-const evidence = v.looseObject({
+const evidenceSchema = v.looseObject({
   kind: v.string(),
   at: v.number(),
   isReached: v.optional(v.boolean()),
@@ -11,7 +11,7 @@
   instance: v.optional(v.string()),
 });
 
-const transition = v.object({
+const transitionSchema = v.object({
   type: v.literal('transition'),
   at: v.number(),
   observer: v.string(),
@@ -22,10 +22,10 @@
   to: v.string(),
   reason: v.string(),
   silentMs: v.nullable(v.number()),
-  evidence: v.array(evidence),
+  evidence: v.array(evidenceSchema),
 });
 
-const decision = v.object({
+const decisionSchema = v.object({
   type: v.literal('decision'),
   at: v.number(),
   observer: v.string(),
@@ -39,7 +39,7 @@
   waitedMs: v.number(),
 });
 
-const probeTimes = v.object({
+const probeTimesSchema = v.object({
   type: v.literal('probeTimes'),
   at: v.number(),
   observer: v.string(),
@@ -48,10 +48,12 @@
   roundTripsMs: v.array(v.number()),
 });
 
-const line = v.object({ detection: v.variant('type', [transition, decision, probeTimes]) });
+const lineSchema = v.object({
+  detection: v.variant('type', [transitionSchema, decisionSchema, probeTimesSchema]),
+});
 
 /** One record; `at`: time of day in ms. */
-export type DetectionRecord = v.InferOutput<typeof line>['detection'];
+export type DetectionRecord = v.InferOutput<typeof lineSchema>['detection'];
 /** A change of a member's state as one controller saw it. */
 export type TransitionRecord = Extract<DetectionRecord, { type: 'transition' }>;
 /** What a controller decided about a role. */
@@ -65,7 +67,7 @@
 }
 
 /** Null: no JSON object, as from another program that writes to the same log. */
-function parseLine(text: string): object | null {
+function parseJson(text: string): object | null {
   try {
     return JSON.parse(text) as object;
   } catch {
@@ -77,11 +79,11 @@
 export function parseLines(text: string): ParsedLines {
   const records: DetectionRecord[] = [];
   const unreadable: number[] = [];
-  for (const [index, one] of text.split('\n').entries()) {
-    if (!one.startsWith('{')) continue;
-    const parsed = parseLine(one);
+  for (const [index, line] of text.split('\n').entries()) {
+    if (!line.startsWith('{')) continue;
+    const parsed = parseJson(line);
     if (parsed !== null && !Object.hasOwn(parsed, 'detection')) continue;
-    const result = v.safeParse(line, parsed);
+    const result = v.safeParse(lineSchema, parsed);
     if (result.success) records.push(result.output.detection);
     else unreadable.push(index + 1);
   }
--- a/packages/detection-report/src/report.ts
+++ b/packages/detection-report/src/report.ts
@@ -1,7 +1,7 @@
 /** One self-contained HTML page about the failure detection of several controllers. */
 
 import { parseHTML } from 'linkedom';
-import { QUANTILES, TABLE_ROWS } from './constants.js';
+import { QUANTILES, MAX_TABLE_ROWS } from './constants.js';
 import type { FileFault, Histories } from './history-files.js';
 import { decisionPlot, probePlot, statePlot } from './plots.js';
 import { probeQuantiles, type ProbeQuantiles } from './probe-quantiles.js';
@@ -15,9 +15,9 @@
 
 type Evidence = TransitionRecord['evidence'][number];
 
-const time = (at: number): string => new Date(at).toISOString().slice(11, 23);
+const formatTime = (at: number): string => new Date(at).toISOString().slice(11, 23);
 
-function describe(evidence: Evidence): string {
+function describeEvidence(evidence: Evidence): string {
   switch (evidence.kind) {
     case 'own probe':
       return evidence.isReached ? 'own probe answered' : 'own probe failed';
@@ -40,42 +40,42 @@
     );
     this.document = document;
     this.document.title = TITLE;
-    const charset = this.add(this.document.head, 'meta', null);
+    const charset = this.addElement(this.document.head, 'meta', null);
     charset.setAttribute('charset', 'utf-8');
-    this.add(this.document.head, 'style', STYLE);
-    this.add(this.document.body, 'h1', TITLE);
+    this.addElement(this.document.head, 'style', STYLE);
+    this.addElement(this.document.body, 'h1', TITLE);
   }
 
   get html(): string {
     return `<!doctype html>\n${this.document.documentElement.outerHTML}\n`;
   }
 
-  paragraph(text: string): void {
-    this.add(this.document.body, 'p', text);
+  addParagraph(text: string): void {
+    this.addElement(this.document.body, 'p', text);
   }
 
-  section(title: string): void {
-    this.add(this.document.body, 'h2', title);
+  addSection(title: string): void {
+    this.addElement(this.document.body, 'h2', title);
   }
 
-  figure(draw: (document: Document) => string): void {
-    const figure = this.add(this.document.body, 'figure', null);
+  addFigure(draw: (document: Document) => string): void {
+    const figure = this.addElement(this.document.body, 'figure', null);
     figure.innerHTML = draw(this.document);
   }
 
-  table(head: readonly string[], rows: readonly (readonly string[])[]): void {
-    const table = this.add(this.document.body, 'table', null);
+  addTable(head: readonly string[], rows: readonly (readonly string[])[]): void {
+    const table = this.addElement(this.document.body, 'table', null);
     const addRow = (cells: readonly string[], tag: string): void => {
-      const row = this.add(table, 'tr', null);
-      for (const cell of cells) this.add(row, tag, cell);
+      const row = this.addElement(table, 'tr', null);
+      for (const cell of cells) this.addElement(row, tag, cell);
     };
     addRow(head, 'th');
-    for (const row of rows.slice(-TABLE_ROWS)) addRow(row, 'td');
-    if (rows.length > TABLE_ROWS)
-      this.paragraph(`The latest ${TABLE_ROWS} of ${rows.length} rows.`);
+    for (const row of rows.slice(-MAX_TABLE_ROWS)) addRow(row, 'td');
+    if (rows.length > MAX_TABLE_ROWS)
+      this.addParagraph(`The latest ${MAX_TABLE_ROWS} of ${rows.length} rows.`);
   }
 
-  private add(parent: Element, tag: string, text: string | null): Element {
+  private addElement(parent: Element, tag: string, text: string | null): Element {
     const element = this.document.createElement(tag);
     if (text !== null) element.textContent = text;
     parent.appendChild(element);
@@ -84,29 +84,29 @@
 }
 
 function addTransitions(page: ReportPage, transitions: readonly TransitionRecord[]): void {
-  const rows = transitions.map((one) => [
-    time(one.at),
-    one.observer,
-    one.member,
-    `${one.from} > ${one.to}`,
-    one.reason,
-    one.silentMs === null ? '' : `${Math.round(one.silentMs)} ms`,
-    one.evidence.map(describe).join('; '),
+  const rows = transitions.map((transition) => [
+    formatTime(transition.at),
+    transition.observer,
+    transition.member,
+    `${transition.from} > ${transition.to}`,
+    transition.reason,
+    transition.silentMs === null ? '' : `${Math.round(transition.silentMs)} ms`,
+    transition.evidence.map(describeEvidence).join('; '),
   ]);
-  page.table(['time', 'observer', 'member', 'state', 'reason', 'silent for', 'evidence'], rows);
+  page.addTable(['time', 'observer', 'member', 'state', 'reason', 'silent for', 'evidence'], rows);
 }
 
 function addDecisions(page: ReportPage, decisions: readonly DecisionRecord[]): void {
-  const rows = decisions.map((one) => [
-    time(one.at),
-    one.observer,
-    `${one.role} of ${one.holder}, term ${one.term}`,
-    one.action,
-    one.why,
-    `${one.witnesses.join(', ')} (of ${one.quorum})`,
-    `${Math.round(one.waitedMs)} ms`,
+  const rows = decisions.map((decision) => [
+    formatTime(decision.at),
+    decision.observer,
+    `${decision.role} of ${decision.holder}, term ${decision.term}`,
+    decision.action,
+    decision.why,
+    `${decision.witnesses.join(', ')} (of ${decision.quorum})`,
+    `${Math.round(decision.waitedMs)} ms`,
   ]);
-  page.table(['time', 'by', 'role', 'action', 'why', 'witnesses', 'waited'], rows);
+  page.addTable(['time', 'by', 'role', 'action', 'why', 'witnesses', 'waited'], rows);
 }
 
 function addProbes(page: ReportPage, quantiles: readonly ProbeQuantiles[]): void {
@@ -115,13 +115,16 @@
     String(count),
     ...values.map((value) => value.toFixed(2)),
   ]);
-  page.table(['observer > member', 'probes', ...QUANTILES.map((one) => `p${one * 100}, ms`)], rows);
+  page.addTable(
+    ['observer > member', 'probes', ...QUANTILES.map((quantile) => `p${quantile * 100}, ms`)],
+    rows,
+  );
 }
 
 function addFaults(page: ReportPage, faults: readonly FileFault[]): void {
   if (faults.length === 0) return;
-  page.section('Files that could not be read whole');
-  page.table(
+  page.addSection('Files that could not be read whole');
+  page.addTable(
     ['file', 'reason'],
     faults.map(({ file, reason }) => [file, reason]),
   );
@@ -130,21 +133,21 @@
 /** The report of these histories. */
 export function reportOf({ faults, records }: Histories): string {
   const page = new ReportPage();
-  const transitions = records.filter((one) => one.type === 'transition');
-  const decisions = records.filter((one) => one.type === 'decision');
+  const transitions = records.filter((record) => record.type === 'transition');
+  const decisions = records.filter((record) => record.type === 'decision');
   const quantiles = probeQuantiles(records);
-  page.paragraph(
+  page.addParagraph(
     `${transitions.length} transitions, ${decisions.length} decisions. Times are each node's time of day, UTC.`,
   );
   addFaults(page, faults);
-  page.section('States of members, as each observer saw them');
-  if (transitions.length > 0) page.figure((document) => statePlot(document, records));
+  page.addSection('States of members, as each observer saw them');
+  if (transitions.length > 0) page.addFigure((document) => statePlot(document, records));
   addTransitions(page, transitions);
-  page.section('Decisions about roles');
-  if (decisions.length > 0) page.figure((document) => decisionPlot(document, decisions));
+  page.addSection('Decisions about roles');
+  if (decisions.length > 0) page.addFigure((document) => decisionPlot(document, decisions));
   addDecisions(page, decisions);
-  page.section('Probe times');
-  if (quantiles.length > 0) page.figure((document) => probePlot(document, quantiles));
+  page.addSection('Probe times');
+  if (quantiles.length > 0) page.addFigure((document) => probePlot(document, quantiles));
   addProbes(page, quantiles);
   return page.html;
 }
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -1,12 +1,12 @@
 /** The failure detector of one member: SWIM's probes and rumours, with Lifeguard's additions. */
 
-import { HELPER_SHARE, MEMBERS_MAX, TICKS_PER_INTERVAL } from './constants.js';
-import { HelpedProbes } from './helped-probes.js';
-import { noCounts, type DetectorCounts } from './history.js';
+import { HELPER_TIMEOUT_FRACTION, MEMBERS_MAX, TICKS_PER_INTERVAL } from './constants.js';
+import { DelegatedProbes } from './helped-probes.js';
+import { zeroCounts, type DetectorCounts } from './history.js';
 import { LocalHealth } from './local-health.js';
 import { MemberTable } from './member-table.js';
 import {
-  objectionTo,
+  dropReasonOf,
   type DetectorBody,
   type DetectorMessage,
   type DropReason,
@@ -14,7 +14,7 @@
 import { ProbeSchedule } from './probe-schedule.js';
 import { Probes } from './probes.js';
 import type { ProbeAnswer } from './remote-member.js';
-import { Rumours } from './rumours.js';
+import { Gossip } from './rumours.js';
 import type { FailureDetectorOptions, MemberState } from './types.js';
 import { quorumOf, type Verdict } from './verdict.js';
 
@@ -30,14 +30,14 @@
 /** Monitors the other members. It reports a process as ended only if a later one proves it. */
 export class FailureDetector {
   /** Events since the start. */
-  readonly counts: DetectorCounts = noCounts();
-  private readonly health = new LocalHealth();
-  private readonly names: ReadonlySet<string>;
-  private readonly table: MemberTable;
-  private readonly schedule: ProbeSchedule;
+  readonly counts: DetectorCounts = zeroCounts();
+  private readonly localHealth = new LocalHealth();
+  private readonly memberNames: ReadonlySet<string>;
+  private readonly memberTable: MemberTable;
+  private readonly probeSchedule: ProbeSchedule;
   private readonly probes: Probes;
-  private readonly helped: HelpedProbes;
-  private readonly rumours: Rumours;
+  private readonly delegatedProbes: DelegatedProbes;
+  private readonly gossip: Gossip;
   private cancelTick: (() => void) | null = null;
   private tickDueAt = 0;
   private nextProbeAt: number;
@@ -49,21 +49,21 @@
     const quorum = options.quorum ?? quorumOf(members.length);
     const send = (member: string, body: DetectorBody): boolean => this.send(member, body);
     const now = (): number => clock.now();
-    this.names = new Set(members);
-    this.table = new MemberTable({ ...options, others, quorum, counts: this.counts });
-    this.schedule = new ProbeSchedule(others, random);
-    this.rumours = this.createRumours();
-    const answerWithinMs = timing.probeTimeoutMs * HELPER_SHARE;
-    this.helped = new HelpedProbes({ now, answerWithinMs, send });
+    this.memberNames = new Set(members);
+    this.memberTable = new MemberTable({ ...options, others, quorum, counts: this.counts });
+    this.probeSchedule = new ProbeSchedule(others, random);
+    this.gossip = this.createGossip();
+    const answerWithinMs = timing.probeTimeoutMs * HELPER_TIMEOUT_FRACTION;
+    this.delegatedProbes = new DelegatedProbes({ now, answerWithinMs, send });
     this.probes = new Probes({
       now,
       timeoutMs: timing.probeTimeoutMs,
-      health: this.health,
-      schedule: this.schedule,
+      health: this.localHealth,
+      schedule: this.probeSchedule,
       send,
       results: {
-        reached: (member, answer, roundTripMs) => this.reached(member, answer, roundTripMs),
-        unreached: (member, sentAt) => this.unreached(member, sentAt),
+        onReached: (member, answer, roundTripMs) => this.onReached(member, answer, roundTripMs),
+        onUnreached: (member, sentAt) => this.onUnreached(member, sentAt),
       },
     });
     // Members that start together must not probe in lockstep.
@@ -83,28 +83,28 @@
 
   /** The state of a member in the view of this one. */
   stateOf(member: string): MemberState {
-    return this.table.get(member)?.state ?? 'unknown';
+    return this.memberTable.get(member)?.state ?? 'unknown';
   }
 
   /** Steady time in ms since which a member is suspected; null: it is not. */
   suspectedSince(member: string): number | null {
-    return this.table.get(member)?.suspicion?.startedAt ?? null;
+    return this.memberTable.get(member)?.suspicion?.startedAt ?? null;
   }
 
   /** The verdict on an instance by the evidence; proofs of life count from `since` on. */
   verdict(member: string, instance: string, since: number): Verdict | null {
-    const known = this.table.get(member);
-    return known ? this.table.verdict(known, instance, since) : null;
+    const known = this.memberTable.get(member);
+    return known ? this.memberTable.verdict(known, instance, since) : null;
   }
 
   /** Probes a member now, out of its turn. */
   probe(member: string): void {
-    if (this.table.get(member)) this.probes.begin(member);
+    if (this.memberTable.get(member)) this.probes.begin(member);
   }
 
   /** Local health score: how far this member trusts itself; 0: fully. */
   get localHealthScore(): number {
-    return this.health.score;
+    return this.localHealth.score;
   }
 
   /** Probes that were sent and that failed. */
@@ -114,7 +114,7 @@
 
   /** Round-trip times since the last call, which clears them. */
   takeProbeTimes(): ProbeTimes[] {
-    return [...this.table.all()].map((member) => ({
+    return [...this.memberTable.all()].map((member) => ({
       member: member.name,
       roundTripsMs: member.takeProbeTimes(),
     }));
@@ -122,20 +122,20 @@
 
   /** A message that could not be read came. */
   receiveMalformed(): void {
-    this.drop('malformed');
+    this.countDropped('malformed');
   }
 
   /** Handles a message; what can't be used is counted and passed over. */
   receive(message: DetectorMessage, reply: Reply): void {
     const { cluster, self } = this.options;
-    const objection = objectionTo(message, cluster, this.names);
+    const objection = dropReasonOf(message, cluster, this.memberNames);
     if (objection) {
-      this.drop(objection);
+      this.countDropped(objection);
       return;
     }
     if (message.from === self) return;
     this.counts.messagesReceived++;
-    for (const update of message.updates) this.rumours.apply(update);
+    for (const update of message.updates) this.gossip.apply(update);
     this.handleBody(message, reply);
   }
 
@@ -144,28 +144,28 @@
     switch (body.kind) {
       case 'ping':
         this.counts.messagesSent++;
-        reply(this.messageTo(from, { kind: 'ack', sequence }));
+        reply(this.createMessage(from, { kind: 'ack', sequence }));
         return;
       case 'ack':
-        if (this.helped.answered(sequence, from, instance, incarnation)) return;
-        this.probes.answered(sequence, from, instance, incarnation);
+        if (this.delegatedProbes.receiveAck(sequence, from, instance, incarnation)) return;
+        this.probes.receiveAck(sequence, from, instance, incarnation);
         return;
       case 'indirectPing':
         if (body.target === this.options.self) return;
-        this.helped.begin(from, sequence, body.target);
+        this.delegatedProbes.begin(from, sequence, body.target);
         return;
       case 'indirectAck':
-        this.probes.answeredByHelper(from, body);
+        this.probes.receiveIndirectAck(from, body);
     }
   }
 
-  private createRumours(): Rumours {
-    return new Rumours({
+  private createGossip(): Gossip {
+    return new Gossip({
       detector: this.options,
-      names: this.names,
-      table: this.table,
-      health: this.health,
-      onDropped: (reason) => this.drop(reason),
+      names: this.memberNames,
+      table: this.memberTable,
+      health: this.localHealth,
+      onDropped: (reason) => this.countDropped(reason),
       // Each member probes for itself: one slow witness cannot make a member fail.
       onReported: (member) => this.probes.begin(member),
     });
@@ -183,50 +183,50 @@
     const now = clock.now();
     const latenessMs = now - this.tickDueAt;
     // What came while this process was paused is unread yet: its silence was this member's own.
-    if (this.health.lagged(latenessMs)) this.probes.extend(latenessMs);
-    this.probes.advance();
-    this.helped.advance();
-    this.table.advance();
+    if (this.localHealth.onTick(latenessMs)) this.probes.extendDeadlines(latenessMs);
+    this.probes.processDeadlines();
+    this.delegatedProbes.refuseTimedOut();
+    this.memberTable.failTimedOutSuspicions();
     if (now >= this.nextProbeAt) {
       this.nextProbeAt = now + timing.probeIntervalMs;
-      const member = this.schedule.next();
+      const member = this.probeSchedule.next();
       if (member !== null) this.probes.begin(member);
     }
     this.scheduleTick();
   }
 
-  private reached(name: string, answer: ProbeAnswer, roundTripMs: number | null): void {
-    const member = this.table.get(name);
+  private onReached(name: string, answer: ProbeAnswer, roundTripMs: number | null): void {
+    const member = this.memberTable.get(name);
     if (!member) return;
-    if (!this.table.reached(member, answer)) {
-      this.drop('other instance');
+    if (!this.memberTable.recordReached(member, answer)) {
+      this.countDropped('other instance');
       return;
     }
     if (roundTripMs !== null) member.addProbeTime(roundTripMs);
-    this.rumours.answered(name, answer.instance, answer.incarnation);
+    this.gossip.onProbeAnswered(name, answer.instance, answer.incarnation);
   }
 
-  private unreached(name: string, sentAt: number): void {
-    const member = this.table.get(name);
+  private onUnreached(name: string, sentAt: number): void {
+    const member = this.memberTable.get(name);
     if (!member) return;
-    this.table.unreached(member, sentAt);
-    this.rumours.reportUnreached(member);
+    this.memberTable.recordUnreached(member, sentAt);
+    this.gossip.reportUnreached(member);
   }
 
-  private drop(reason: DropReason): void {
+  private countDropped(reason: DropReason): void {
     this.counts.dropped[reason]++;
   }
 
   private send(member: string, body: DetectorBody): boolean {
-    const isSent = this.options.transport.send(member, this.messageTo(member, body));
+    const isSent = this.options.transport.send(member, this.createMessage(member, body));
     if (isSent) this.counts.messagesSent++;
     return isSent;
   }
 
-  private messageTo(receiver: string, body: DetectorBody): DetectorMessage {
+  private createMessage(receiver: string, body: DetectorBody): DetectorMessage {
     const { cluster, instance, self } = this.options;
-    const updates = this.rumours.next(receiver);
-    const { incarnation } = this.rumours;
+    const updates = this.gossip.takeUpdatesFor(receiver);
+    const { incarnation } = this.gossip;
     return { cluster, from: self, instance, incarnation, updates, body };
   }
 }
--- a/packages/failure-detector/src/helped-probes.ts
+++ b/packages/failure-detector/src/helped-probes.ts
@@ -1,12 +1,12 @@
 /** Probes that this member makes on behalf of others. */
 
-import { HELPED_PROBES } from './constants.js';
+import { MAX_DELEGATED_PROBES } from './constants.js';
 import type { DetectorBody } from './messages.js';
 
 /** Sequence numbers from here on are those of probes for others. */
-const HELPED_SEQUENCES = 2 ** 40;
+const DELEGATED_SEQUENCE_BASE = 2 ** 40;
 
-interface HelpedProbe {
+interface DelegatedProbe {
   readonly requester: string;
   /** The requester's sequence number. */
   readonly sequence: number;
@@ -15,7 +15,7 @@
 }
 
 /** Dependencies of probes for others. */
-export interface HelpedProbesOptions {
+export interface DelegatedProbesOptions {
   readonly now: () => number;
   /** ms after which the requester is notified that the target could not be reached. */
   readonly answerWithinMs: number;
@@ -23,12 +23,12 @@
 }
 
 /** Pings targets for others and passes the answers on, in time or as a refusal. */
-export class HelpedProbes {
-  private readonly pending = new Map<number, HelpedProbe>();
+export class DelegatedProbes {
+  private readonly pending = new Map<number, DelegatedProbe>();
   /** Numbers from `HELPED_SEQUENCES` on: they differ from those of this member's own probes. */
   private sequence = 0;
 
-  constructor(private readonly options: HelpedProbesOptions) {}
+  constructor(private readonly options: DelegatedProbesOptions) {}
 
   /** Number of probes under way. */
   get size(): number {
@@ -37,15 +37,20 @@
 
   /** Begins a probe for another member; beyond the bound the request is passed over. */
   begin(requester: string, sequence: number, target: string): void {
-    if (this.pending.size >= HELPED_PROBES) return;
+    if (this.pending.size >= MAX_DELEGATED_PROBES) return;
     const { answerWithinMs, now, send } = this.options;
-    const own = this.nextSequence();
-    this.pending.set(own, { requester, sequence, target, answerBy: now() + answerWithinMs });
-    if (!send(target, { kind: 'ping', sequence: own })) this.refuse(own);
+    const ownSequence = this.nextSequence();
+    this.pending.set(ownSequence, {
+      requester,
+      sequence,
+      target,
+      answerBy: now() + answerWithinMs,
+    });
+    if (!send(target, { kind: 'ping', sequence: ownSequence })) this.refuse(ownSequence);
   }
 
   /** Passes a target's answer on; false: the answer is to none of these probes. */
-  answered(sequence: number, from: string, instance: string, incarnation: number): boolean {
+  receiveAck(sequence: number, from: string, instance: string, incarnation: number): boolean {
     const probe = this.pending.get(sequence);
     if (probe?.target !== from) return false;
     this.pending.delete(sequence);
@@ -54,7 +59,7 @@
   }
 
   /** Tells requesters of targets that did not answer in time. */
-  advance(): void {
+  refuseTimedOut(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
       if (now >= probe.answerBy) this.refuse(sequence);
@@ -63,7 +68,7 @@
 
   private nextSequence(): number {
     this.sequence++;
-    return HELPED_SEQUENCES + this.sequence;
+    return DELEGATED_SEQUENCE_BASE + this.sequence;
   }
 
   private refuse(sequence: number): void {
@@ -73,7 +78,7 @@
   }
 
   private reply(
-    { requester, sequence, target }: HelpedProbe,
+    { requester, sequence, target }: DelegatedProbe,
     answer: { isReached: boolean; instance: string; incarnation: number },
   ): void {
     this.options.send(requester, { kind: 'indirectAck', sequence, target, ...answer });
--- a/packages/failure-detector/src/history.ts
+++ b/packages/failure-detector/src/history.ts
@@ -18,7 +18,7 @@
 }
 
 /** Counts at the start. */
-export function noCounts(): DetectorCounts {
+export function zeroCounts(): DetectorCounts {
   return {
     suspicions: 0,
     refutations: 0,
@@ -40,18 +40,18 @@
 
 /** Keeps the latest entries and drops the oldest. */
 export class BoundedHistory<Entry> {
-  private readonly kept: Entry[] = [];
+  private readonly entries: Entry[] = [];
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxEntries: number) {}
 
   /** Adds an entry. */
   add(entry: Entry): void {
-    this.kept.push(entry);
-    if (this.kept.length > this.most) this.kept.shift();
+    this.entries.push(entry);
+    if (this.entries.length > this.maxEntries) this.entries.shift();
   }
 
   /** The entries that are kept, oldest first. */
   all(): readonly Entry[] {
-    return this.kept;
+    return this.entries;
   }
 }
--- a/packages/failure-detector/src/member-table.ts
+++ b/packages/failure-detector/src/member-table.ts
@@ -1,6 +1,6 @@
 /** The states of the other members: what probes and reports do to them. */
 
-import { EVIDENCE_INTERVALS } from './constants.js';
+import { REPORT_VALIDITY_INTERVALS } from './constants.js';
 import type { DetectorCounts } from './history.js';
 import { RemoteMember, type ProbeAnswer } from './remote-member.js';
 import { Suspicion } from './suspicion.js';
@@ -51,43 +51,43 @@
   }
 
   /** A probe was answered; false: the answer is from before the present instance. */
-  reached(member: RemoteMember, answer: ProbeAnswer): boolean {
+  recordReached(member: RemoteMember, answer: ProbeAnswer): boolean {
     if (member.isOutdated(answer)) return false;
-    const isNewer = answer.instance !== member.instance;
-    if (isNewer) {
+    const isOtherInstance = answer.instance !== member.instance;
+    if (isOtherInstance) {
       const isFirst = member.instance === null;
       member.replaceInstance(answer.instance, answer.incarnation);
       member.reachedAt = answer.sentAt;
-      this.move(member, 'alive', isFirst ? 'answered' : 'new instance');
+      this.changeState(member, 'alive', isFirst ? 'answered' : 'new instance');
       return true;
     }
     member.reachedAt = Math.max(member.reachedAt ?? -Infinity, answer.sentAt);
-    this.refuted(member, answer.incarnation);
+    this.applyIncarnation(member, answer.incarnation);
     return true;
   }
 
   /** The member is at this incarnation: suspicions of older ones are void. */
-  refuted(member: RemoteMember, incarnation: number): void {
+  applyIncarnation(member: RemoteMember, incarnation: number): void {
     if (incarnation <= member.incarnation) return;
     member.incarnation = incarnation;
-    member.reports.refuted(incarnation);
+    member.reports.removeRefuted(incarnation);
     if (member.state !== 'suspect' && member.state !== 'failed') return;
     const { counts } = this.options;
     if (member.state === 'suspect') counts.refutations++;
     else counts.falseFailures++;
     member.suspicion = null;
-    this.move(member, 'alive', 'refuted');
+    this.changeState(member, 'alive', 'refuted');
   }
 
   /** This member's own probe failed. */
-  unreached(member: RemoteMember, sentAt: number): void {
+  recordUnreached(member: RemoteMember, sentAt: number): void {
     member.unreachedAt = Math.max(member.unreachedAt ?? -Infinity, sentAt);
     if (member.state === 'unknown') return;
     this.suspect(member, this.options.self, 'probe failed');
   }
 
   /** Another member's probe failed. Returns whether this is new: a suspicion or a confirmation. */
-  reported(member: RemoteMember, report: WitnessReport): boolean {
+  recordReport(member: RemoteMember, report: WitnessReport): boolean {
     const { witness, incarnation, storeAnswers } = report;
     const at = this.options.clock.now();
     member.reports.add({ kind: 'witness', witness, at, storeAnswers }, incarnation);
@@ -95,7 +95,7 @@
   }
 
   /** Suspicions that were not refuted in time become failures. */
-  advance(): void {
+  failTimedOutSuspicions(): void {
     const now = this.options.clock.now();
     for (const member of this.members.values()) {
       if (member.state !== 'suspect' || !member.suspicion) continue;
@@ -107,7 +107,7 @@
   verdict(member: RemoteMember, instance: string, since: number): Verdict {
     const { quorum, self, storeAnswers } = this.options;
     const isReplaced = member.hasEnded(instance, since);
-    const isPresent = member.instance === instance;
+    const isCurrent = member.instance === instance;
     const newerInstance = isReplaced
       ? { instance: member.instance ?? '', at: member.reachedAt ?? since }
       : null;
@@ -116,20 +116,22 @@
       quorum,
       isSupported: member.state !== 'unknown',
       newerInstance,
-      reachedAt: isPresent ? member.reachedAt : null,
+      reachedAt: isCurrent ? member.reachedAt : null,
       unreachedAt: member.unreachedAt,
-      reports: isPresent ? this.heartbeatsOf(member) : [],
+      reports: isCurrent ? this.validReportsOf(member) : [],
       since,
       storeAnswers: storeAnswers(),
     });
   }
 
   /** Reports that are young enough, of witnesses that have not failed themselves. */
-  private heartbeatsOf(member: RemoteMember): ReturnType<RemoteMember['reports']['since']> {
+  private validReportsOf(
+    member: RemoteMember,
+  ): ReturnType<RemoteMember['reports']['receivedSince']> {
     const { clock, timing } = this.options;
-    const since = clock.now() - EVIDENCE_INTERVALS * timing.probeIntervalMs;
+    const since = clock.now() - REPORT_VALIDITY_INTERVALS * timing.probeIntervalMs;
     return member.reports
-      .since(since)
+      .receivedSince(since)
       .filter(({ witness }) => this.get(witness)?.state !== 'failed');
   }
 
@@ -138,7 +140,7 @@
     if (member.suspicion === null) {
       member.suspicion = this.newSuspicion(member);
       this.options.counts.suspicions++;
-      this.move(member, 'suspect', reason);
+      this.changeState(member, 'suspect', reason);
     }
     return member.suspicion.confirm(witness);
   }
@@ -156,10 +158,10 @@
     const { clock, counts } = this.options;
     counts.failures++;
     counts.detectionMs += clock.now() - (member.reachedAt ?? clock.now());
-    this.move(member, 'failed', 'suspicion timed out');
+    this.changeState(member, 'failed', 'suspicion timed out');
   }
 
-  private move(member: RemoteMember, to: MemberState, reason: TransitionReason): void {
+  private changeState(member: RemoteMember, to: MemberState, reason: TransitionReason): void {
     const { clock, observer, self } = this.options;
     const from = member.state;
     member.state = to;
--- a/packages/failure-detector/src/messages.ts
+++ b/packages/failure-detector/src/messages.ts
@@ -1,6 +1,6 @@
 /** The messages between detectors, and which of them are passed over. */
 
-import { NAME_LENGTH, UPDATES_PER_MESSAGE } from './constants.js';
+import { MAX_NAME_LENGTH, MAX_UPDATES_PER_MESSAGE } from './constants.js';
 
 /** A rumour about a member: that it lives, or that a witness could not reach it. */
 export interface MemberUpdate {
@@ -49,29 +49,29 @@
   | 'old incarnation'
   | 'no witness';
 
-const isName = (text: string): boolean => text.length > 0 && text.length <= NAME_LENGTH;
-const isCount = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
+const isValidName = (text: string): boolean => text.length > 0 && text.length <= MAX_NAME_LENGTH;
+const isValidCount = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
 
-function isUpdate(update: MemberUpdate): boolean {
+function isValidUpdate(update: MemberUpdate): boolean {
   const names = [update.member, update.instance, update.witness];
-  return names.every(isName) && isCount(update.incarnation);
+  return names.every(isValidName) && isValidCount(update.incarnation);
 }
 
 /** Why a message can't be used; null: it can. */
-export function objectionTo(
+export function dropReasonOf(
   message: DetectorMessage,
   cluster: string,
   members: ReadonlySet<string>,
 ): DropReason | null {
   const { body, updates } = message;
-  const isSound =
-    isName(message.from) &&
-    isName(message.instance) &&
-    isCount(message.incarnation) &&
-    isCount(body.sequence) &&
-    updates.length <= UPDATES_PER_MESSAGE &&
-    updates.every(isUpdate);
-  if (!isSound) return 'malformed';
+  const isWellFormed =
+    isValidName(message.from) &&
+    isValidName(message.instance) &&
+    isValidCount(message.incarnation) &&
+    isValidCount(body.sequence) &&
+    updates.length <= MAX_UPDATES_PER_MESSAGE &&
+    updates.every(isValidUpdate);
+  if (!isWellFormed) return 'malformed';
   if (message.cluster !== cluster) return 'foreign cluster';
   if (!members.has(message.from)) return 'unknown member';
   if ('target' in body && !members.has(body.target)) return 'unknown member';
--- a/packages/failure-detector/src/probe-schedule.ts
+++ b/packages/failure-detector/src/probe-schedule.ts
@@ -2,7 +2,7 @@
 
 /** Bounds the time until any member is probed again, as SWIM's shuffled round-robin does. */
 export class ProbeSchedule {
-  private round: string[] = [];
+  private remainingInRound: string[] = [];
 
   constructor(
     private readonly members: readonly string[],
@@ -11,8 +11,8 @@
 
   /** The member to be probed next; null: there is no other member. */
   next(): string | null {
-    if (this.round.length === 0) this.round = this.shuffled(this.members);
-    return this.round.pop() ?? null;
+    if (this.remainingInRound.length === 0) this.remainingInRound = this.shuffled(this.members);
+    return this.remainingInRound.pop() ?? null;
   }
 
   /** Up to `count` members other than `target`, chosen at random. */
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -1,6 +1,6 @@
 /** The probes of this member that are under way: direct first, then through other members. */
 
-import { INDIRECT_PROBES, LATE_PROBES } from './constants.js';
+import { INDIRECT_PROBE_HELPERS, MAX_TIMED_OUT_PROBES } from './constants.js';
 import type { LocalHealth } from './local-health.js';
 import type { ProbeSchedule } from './probe-schedule.js';
 import type { DetectorBody } from './messages.js';
@@ -8,9 +8,9 @@
 
 /** Outcomes of a probe. */
 interface ProbeResults {
-  reached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
+  onReached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
   /** `sentAt`: steady time in ms of the direct probe. */
-  unreached(member: string, sentAt: number): void;
+  onUnreached(member: string, sentAt: number): void;
 }
 
 /** Dependencies of sending probes. */
@@ -27,17 +27,17 @@
   readonly member: string;
   readonly sentAt: number;
   /** Steady time in ms at which others are asked; null: they were. */
-  helpFrom: number | null;
+  askHelpersAt: number | null;
   failsAt: number;
   /** Helpers that were asked and have not answered. */
-  readonly helpers: Set<string>;
+  readonly unansweredHelpers: Set<string>;
 }
 
 /** Probes by their sequence numbers, one for each member at the most. */
 export class Probes {
   private readonly pending = new Map<number, Probe>();
   /** Failed probes, whose answers may come late: member and sending time by sequence number. */
-  private readonly late = new Map<number, { member: string; sentAt: number }>();
+  private readonly timedOut = new Map<number, { member: string; sentAt: number }>();
   private sequence = 0;
   /** Probes that were begun, and those that failed. */
   readonly counts = { sent: 0, failed: 0 };
@@ -50,77 +50,79 @@
     const { health, now, send, timeoutMs } = this.options;
     const sequence = ++this.sequence;
     const sentAt = now();
-    const directMs = health.scaled(timeoutMs);
+    const directTimeoutMs = health.scaledTimeoutMs(timeoutMs);
     const isSent = send(member, { kind: 'ping', sequence });
     this.counts.sent++;
     this.pending.set(sequence, {
       member,
       sentAt,
       // Without a connection others are asked at once.
-      helpFrom: isSent ? sentAt + directMs : sentAt,
-      failsAt: sentAt + 2 * directMs,
-      helpers: new Set(),
+      askHelpersAt: isSent ? sentAt + directTimeoutMs : sentAt,
+      failsAt: sentAt + 2 * directTimeoutMs,
+      unansweredHelpers: new Set(),
     });
   }
 
   /** A direct answer, in time or late. */
-  answered(sequence: number, from: string, instance: string, incarnation: number): void {
-    const probe = this.pending.get(sequence) ?? this.late.get(sequence);
+  receiveAck(sequence: number, from: string, instance: string, incarnation: number): void {
+    const probe = this.pending.get(sequence) ?? this.timedOut.get(sequence);
     if (probe?.member !== from) return;
     const roundTripMs = this.options.now() - probe.sentAt;
     this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, roundTripMs);
   }
 
   /** A helper reached the member, or could not. */
-  answeredByHelper(helper: string, body: Extract<DetectorBody, { kind: 'indirectAck' }>): void {
+  receiveIndirectAck(helper: string, body: Extract<DetectorBody, { kind: 'indirectAck' }>): void {
     const { incarnation, instance, isReached, sequence, target } = body;
     const probe = this.pending.get(sequence);
-    if (probe?.member !== target || !probe.helpers.delete(helper)) return;
+    if (probe?.member !== target || !probe.unansweredHelpers.delete(helper)) return;
     if (isReached) this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, null);
   }
 
   /** Asks helpers, and gives probes up, once their deadlines have passed. */
-  advance(): void {
+  processDeadlines(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
-      if (probe.helpFrom !== null && now >= probe.helpFrom) this.askHelpers(sequence, probe);
+      if (probe.askHelpersAt !== null && now >= probe.askHelpersAt)
+        this.askHelpers(sequence, probe);
       if (now >= probe.failsAt) this.fail(sequence, probe);
     }
   }
 
   /** This process was paused for so long: deadlines move, so that answers still unread can be read. */
-  extend(byMs: number): void {
+  extendDeadlines(byMs: number): void {
     for (const probe of this.pending.values()) {
       probe.failsAt += byMs;
-      if (probe.helpFrom !== null) probe.helpFrom += byMs;
+      if (probe.askHelpersAt !== null) probe.askHelpersAt += byMs;
     }
   }
 
   private askHelpers(sequence: number, probe: Probe): void {
     const { schedule, send } = this.options;
-    probe.helpFrom = null;
-    for (const helper of schedule.helpersFor(probe.member, INDIRECT_PROBES)) {
+    probe.askHelpersAt = null;
+    for (const helper of schedule.helpersFor(probe.member, INDIRECT_PROBE_HELPERS)) {
       const isSent = send(helper, { kind: 'indirectPing', sequence, target: probe.member });
-      if (isSent) probe.helpers.add(helper);
+      if (isSent) probe.unansweredHelpers.add(helper);
     }
   }
 
   private succeed(sequence: number, answer: ProbeAnswer, roundTripMs: number | null): void {
-    const member = (this.pending.get(sequence) ?? this.late.get(sequence))?.member ?? '';
+    const member = (this.pending.get(sequence) ?? this.timedOut.get(sequence))?.member ?? '';
     const isInTime = this.pending.delete(sequence);
-    this.late.delete(sequence);
-    if (isInTime) this.options.health.probeAnswered();
-    this.options.results.reached(member, answer, roundTripMs);
+    this.timedOut.delete(sequence);
+    if (isInTime) this.options.health.onProbeAnswered();
+    this.options.results.onReached(member, answer, roundTripMs);
   }
 
   private fail(sequence: number, probe: Probe): void {
     const { health, results } = this.options;
     this.pending.delete(sequence);
-    this.late.set(sequence, { member: probe.member, sentAt: probe.sentAt });
-    const [oldest] = this.late.keys();
-    if (this.late.size > LATE_PROBES && oldest !== undefined) this.late.delete(oldest);
+    this.timedOut.set(sequence, { member: probe.member, sentAt: probe.sentAt });
+    const [oldest] = this.timedOut.keys();
+    if (this.timedOut.size > MAX_TIMED_OUT_PROBES && oldest !== undefined)
+      this.timedOut.delete(oldest);
     this.counts.failed++;
-    health.probeFailed(probe.helpers.size);
-    results.unreached(probe.member, probe.sentAt);
+    health.onProbeFailed(probe.unansweredHelpers.size);
+    results.onUnreached(probe.member, probe.sentAt);
   }
 }
--- a/packages/failure-detector/src/remote-member.ts
+++ b/packages/failure-detector/src/remote-member.ts
@@ -1,6 +1,6 @@
 /** What this member knows of one other member. */
 
-import { ENDED_INSTANCES, PROBE_TIMES } from './constants.js';
+import { MAX_ENDED_INSTANCES, MAX_PROBE_TIMES } from './constants.js';
 import type { Suspicion } from './suspicion.js';
 import type { MemberState } from './types.js';
 import { WitnessReports } from './witness-reports.js';
@@ -24,24 +24,24 @@
   reachedAt: number | null = null;
   unreachedAt: number | null = null;
   /** Steady time of this member's last report about it to others. */
-  heartbeatAt = -Infinity;
+  lastReportedAt = -Infinity;
   readonly reports = new WitnessReports();
-  private readonly ended: string[] = [];
+  private readonly endedInstances: string[] = [];
   private probeTimes: number[] = [];
 
   constructor(readonly name: string) {}
 
   /** Whether an answer is from before the present instance. */
   isOutdated(answer: ProbeAnswer): boolean {
-    if (this.ended.includes(answer.instance)) return true;
+    if (this.endedInstances.includes(answer.instance)) return true;
     const isOther = this.instance !== null && answer.instance !== this.instance;
     return isOther && answer.sentAt < (this.reachedAt ?? -Infinity);
   }
 
   /** Another process now answers as this member: what was known of the one before is void. */
   replaceInstance(instance: string, incarnation: number): void {
-    if (this.instance !== null) this.ended.push(this.instance);
-    if (this.ended.length > ENDED_INSTANCES) this.ended.shift();
+    if (this.instance !== null) this.endedInstances.push(this.instance);
+    if (this.endedInstances.length > MAX_ENDED_INSTANCES) this.endedInstances.shift();
     this.instance = instance;
     this.incarnation = incarnation;
     this.suspicion = null;
@@ -51,7 +51,7 @@
 
   /** Whether a process is proven to have ended, because a later one answered as this member. */
   hasEnded(instance: string, since: number): boolean {
-    if (this.ended.includes(instance)) return true;
+    if (this.endedInstances.includes(instance)) return true;
     const isOther = this.instance !== null && this.instance !== instance;
     return isOther && (this.reachedAt ?? -Infinity) >= since;
   }
@@ -59,7 +59,7 @@
   /** Keeps a round-trip time in ms; the latest are kept. */
   addProbeTime(roundTripMs: number): void {
     this.probeTimes.push(roundTripMs);
-    if (this.probeTimes.length > PROBE_TIMES) this.probeTimes.shift();
+    if (this.probeTimes.length > MAX_PROBE_TIMES) this.probeTimes.shift();
   }
 
   /** The round-trip times that were not collected yet, in ms. */
--- a/packages/failure-detector/src/suspicion.ts
+++ b/packages/failure-detector/src/suspicion.ts
@@ -30,7 +30,7 @@
     const { expectedConfirmations, leastMs, mostMs } = this.timing;
     if (expectedConfirmations <= 0) return this.startedAt + leastMs;
     const confirmations = Math.max(0, this.witnesses.size - 1);
-    const share = Math.log(confirmations + 1) / Math.log(expectedConfirmations + 1);
-    return this.startedAt + Math.max(leastMs, mostMs - (mostMs - leastMs) * share);
+    const fraction = Math.log(confirmations + 1) / Math.log(expectedConfirmations + 1);
+    return this.startedAt + Math.max(leastMs, mostMs - (mostMs - leastMs) * fraction);
   }
 }
--- a/packages/failure-detector/src/verdict.ts
+++ b/packages/failure-detector/src/verdict.ts
@@ -1,6 +1,6 @@
 /** The verdict that the evidence on one instance of a member supports. */
 
-import { QUORUM_MOST } from './constants.js';
+import { MAX_QUORUM } from './constants.js';
 
 /** One view of a member's instance. `at`: steady time of the observer in ms. */
 export type Evidence =
@@ -36,7 +36,7 @@
  */
 export function quorumOf(memberCount: number): number {
   const others = memberCount - 1;
-  return Math.min(QUORUM_MOST, Math.floor(others / 2) + 1, others);
+  return Math.min(MAX_QUORUM, Math.floor(others / 2) + 1, others);
 }
 
 /** What is known of an instance. */
--- a/packages/failure-detector/src/witness-reports.ts
+++ b/packages/failure-detector/src/witness-reports.ts
@@ -16,7 +16,7 @@
   }
 
   /** Forgets reports about incarnations that the member has refuted. */
-  refuted(incarnation: number): void {
+  removeRefuted(incarnation: number): void {
     for (const [witness, report] of this.reports) {
       if (report.incarnation < incarnation) this.reports.delete(witness);
     }
@@ -28,7 +28,7 @@
   }
 
   /** Reports since a steady time in ms; older ones are forgotten. */
-  since(time: number): WitnessEvidence[] {
+  receivedSince(time: number): WitnessEvidence[] {
     for (const [witness, report] of this.reports) {
       if (report.at < time) this.reports.delete(witness);
     }
