--- a/packages/detection-report/src/history-files.ts
+++ b/packages/detection-report/src/history-files.ts
@@ -1,16 +1,16 @@
-/** Files of records: logs as they are, or compressed exports. */
+/** Reading of records from logs and exports, plain or compressed, and writing of exports. */
 
 import { readFileSync } from 'node:fs';
 import { gunzipSync, gzipSync } from 'node:zlib';
 import { parseLines, type DetectionRecord } from './records.js';
 
-/** What is wrong with a file. */
+/** The reason for which a file could not be read completely. */
 export interface FileFault {
   readonly file: string;
   readonly reason: string;
 }
 
-/** The records of all files in the order of time, and the files that could not be read whole. */
+/** The records of all files by time, and the files that could not be read completely. */
 export interface Histories {
   readonly records: readonly DetectionRecord[];
   readonly faults: readonly FileFault[];
@@ -25,13 +25,16 @@
   return (isCompressed ? gunzipSync(bytes) : bytes).toString();
 }
 
-/** Records that several files share, as a log and an export of one controller do, count once. */
+/**
+ * Returns the records by time, and each only once: a log and an export of the same controller contain
+ * the same records.
+ */
 function distinctInTimeOrder(records: readonly DetectionRecord[]): DetectionRecord[] {
   const byText = new Map(records.map((record) => [JSON.stringify(record), record]));
   return [...byText.values()].sort((a, b) => a.at - b.at);
 }
 
-/** Reads all files; one that can't be read is named, and the others are read. */
+/** Reads all files. Those that can't be read completely are listed in `faults`. */
 export function readHistories(files: readonly string[]): Histories {
   const records: DetectionRecord[] = [];
   const faults: FileFault[] = [];
@@ -40,7 +43,10 @@
       const parsed = parseLines(readText(file));
       records.push(...parsed.records);
       if (parsed.unreadable.length > 0) {
-        faults.push({ file, reason: `lines that can't be read: ${parsed.unreadable.join(', ')}` });
+        faults.push({
+          file,
+          reason: `lines that could not be read: ${parsed.unreadable.join(', ')}`,
+        });
       }
     } catch (error) {
       faults.push({ file, reason: (error as Error).message });
@@ -49,7 +55,7 @@
   return { records: distinctInTimeOrder(records), faults };
 }
 
-/** Records as one compressed export. */
+/** Returns the records as one compressed export. */
 export function compress(records: readonly DetectionRecord[]): Buffer {
   return gzipSync(records.map((record) => `${JSON.stringify({ detection: record })}\n`).join(''));
 }
--- a/packages/detection-report/src/index.ts
+++ b/packages/detection-report/src/index.ts
@@ -1,4 +1,4 @@
-/** Reports of failure detection: the package's entry. */
+/** The package's exports: reports on failure detection. */
 
 export { compress, readHistories, type FileFault, type Histories } from './history-files.js';
 export { parseLines, type DetectionRecord } from './records.js';
--- a/packages/detection-report/src/plots.ts
+++ b/packages/detection-report/src/plots.ts
@@ -1,4 +1,4 @@
-/** The report's plots, rendered to SVG without a browser. */
+/** The report's plots, rendered as SVG without a browser. */
 
 import * as Plot from '@observablehq/plot';
 import {
@@ -11,13 +11,13 @@
 import type { ProbeQuantiles } from './probe-quantiles.js';
 import type { DecisionRecord, DetectionRecord, TransitionRecord } from './records.js';
 
-/** States and their colours, distinguishable also without seeing red or green. */
+/** The states and their colours, which colour-blind readers can tell apart. */
 const STATE_COLOURS = {
   domain: ['unknown', 'alive', 'suspect', 'failed'],
   range: ['#d0d0d0', '#4c9f70', '#e9b44c', '#b3365b'],
 };
 
-/** A time for which a member was in a state for an observer. */
+/** A period in which an observer saw a member in one state. */
 interface StateSpan {
   readonly lane: string;
   readonly from: Date;
@@ -54,7 +54,7 @@
   return plot.outerHTML;
 }
 
-/** A lane for each observer and member: the member's state over time. */
+/** Plots the state of each member over time, with a lane for each observer and member. */
 export function statePlot(document: Document, records: readonly DetectionRecord[]): string {
   const transitions = records.filter((record) => record.type === 'transition');
   const endsAt = Math.max(...records.map(({ at }) => at));
@@ -74,7 +74,7 @@
   });
 }
 
-/** What was decided about each role over time. */
+/** Plots the decisions about each role over time. */
 export function decisionPlot(document: Document, decisions: readonly DecisionRecord[]): string {
   const dots: Mark = Plot.dot(decisions, {
     x: (decision: DecisionRecord) => new Date(decision.at),
@@ -97,7 +97,7 @@
   });
 }
 
-/** Quantiles of probe times by observer and member. */
+/** Plots the quantiles of probe times by observer and member. */
 export function probePlot(document: Document, quantiles: readonly ProbeQuantiles[]): string {
   const points = quantiles.flatMap(({ lane, values }) =>
     values.map((ms, index) => ({ lane, ms, quantile: String(QUANTILES[index]) })),
--- a/packages/detection-report/src/probe-quantiles.ts
+++ b/packages/detection-report/src/probe-quantiles.ts
@@ -1,14 +1,16 @@
-/** Quantiles of probe times, from sketches that can be merged over controllers. */
+/** Quantiles of probe times, from sketches that are merged for all observers of a member. */
 
 import { DDSketch } from '@datadog/sketches-js';
 import { MIN_PROBE_TIME_MS, QUANTILES, SKETCH_RELATIVE_ACCURACY } from './constants.js';
 import type { DetectionRecord } from './records.js';
 
-/** Quantiles of the probes of one member: by one observer, or by all. */
+/** Quantiles of the probe times of one member, as one observer or all observers measured them. */
 export interface ProbeQuantiles {
+  /** `OBSERVER > MEMBER`, or `all > MEMBER`. */
   readonly lane: string;
+  /** Number of probes. */
   readonly count: number;
-  /** ms, in the order of `QUANTILES`. */
+  /** Probe times in ms, in the order of `QUANTILES`. */
   readonly values: readonly number[];
 }
 
@@ -27,7 +29,7 @@
   return { lane, count: sketch.count, values };
 }
 
-/** For each member the probes of each observer, then those of all observers together. */
+/** Returns the quantiles for each pair of observer and member, and for each member over all observers. */
 export function probeQuantiles(records: readonly DetectionRecord[]): ProbeQuantiles[] {
   const pairSketches = new Map<string, DDSketch>();
   const memberSketches = new Map<string, DDSketch>();
--- a/packages/detection-report/src/records.ts
+++ b/packages/detection-report/src/records.ts
@@ -52,21 +52,21 @@
   detection: v.variant('type', [transitionSchema, decisionSchema, probeTimesSchema]),
 });
 
-/** One record; `at`: time of day in ms. */
+/** One record; `at`: wall-clock time in ms since 1970. */
 export type DetectionRecord = v.InferOutput<typeof lineSchema>['detection'];
-/** A change of a member's state as one controller saw it. */
+/** A change of a member's state that one controller observed. */
 export type TransitionRecord = Extract<DetectionRecord, { type: 'transition' }>;
-/** What a controller decided about a role. */
+/** A controller's decision about a role whose holder's lease has expired. */
 export type DecisionRecord = Extract<DetectionRecord, { type: 'decision' }>;
 
-/** What lines of a file hold, and the numbers of those that can't be read. */
+/** The records of a file, and the numbers of the lines that could not be read. */
 export interface ParsedLines {
   readonly records: readonly DetectionRecord[];
-  /** Line numbers, from 1. */
+  /** Line numbers, counted from 1. */
   readonly unreadable: readonly number[];
 }
 
-/** Null: no JSON object, as from another program that writes to the same log. */
+/** Parses one line; null: it is not JSON, for example because it is cut off. */
 function parseJson(text: string): object | null {
   try {
     return JSON.parse(text) as object;
@@ -75,7 +75,7 @@
   }
 }
 
-/** Reads the records among the lines of a log or an export; lines about other things are passed over. */
+/** Reads the records from a log or an export. Lines without a record are skipped. */
 export function parseLines(text: string): ParsedLines {
   const records: DetectionRecord[] = [];
   const unreadable: number[] = [];
--- a/packages/detection-report/src/report.ts
+++ b/packages/detection-report/src/report.ts
@@ -1,4 +1,4 @@
-/** One self-contained HTML page about the failure detection of several controllers. */
+/** The report on failure detection in several controllers, as one self-contained HTML page. */
 
 import { parseHTML } from 'linkedom';
 import { QUANTILES, MAX_TABLE_ROWS } from './constants.js';
@@ -22,7 +22,7 @@
     case 'own probe':
       return evidence.isReached ? 'own probe answered' : 'own probe failed';
     case 'witness':
-      return `${evidence.witness} can't reach it${evidence.storeAnswers ? '' : ' (without store)'}`;
+      return `${evidence.witness} could not reach the member${evidence.storeAnswers ? '' : ' (while the store did not answer the witness)'}`;
     case 'newer instance':
       return `newer instance ${evidence.instance}`;
     default:
@@ -30,7 +30,7 @@
   }
 }
 
-/** Builds the page; all texts from records go in as text, never as markup. */
+/** Builds the page. Texts from records are inserted as text, never as markup. */
 class ReportPage {
   private readonly document: Document;
 
@@ -103,10 +103,10 @@
     `${decision.role} of ${decision.holder}, term ${decision.term}`,
     decision.action,
     decision.why,
-    `${decision.witnesses.join(', ')} (of ${decision.quorum})`,
+    `${decision.witnesses.join(', ')} (quorum: ${decision.quorum})`,
     `${Math.round(decision.waitedMs)} ms`,
   ]);
-  page.addTable(['time', 'by', 'role', 'action', 'why', 'witnesses', 'waited'], rows);
+  page.addTable(['time', 'observer', 'role', 'action', 'reason', 'witnesses', 'waited'], rows);
 }
 
 function addProbes(page: ReportPage, quantiles: readonly ProbeQuantiles[]): void {
@@ -123,24 +123,24 @@
 
 function addFaults(page: ReportPage, faults: readonly FileFault[]): void {
   if (faults.length === 0) return;
-  page.addSection('Files that could not be read whole');
+  page.addSection('Files that could not be read completely');
   page.addTable(
     ['file', 'reason'],
     faults.map(({ file, reason }) => [file, reason]),
   );
 }
 
-/** The report of these histories. */
+/** Returns the report on the given histories as HTML. */
 export function reportOf({ faults, records }: Histories): string {
   const page = new ReportPage();
   const transitions = records.filter((record) => record.type === 'transition');
   const decisions = records.filter((record) => record.type === 'decision');
   const quantiles = probeQuantiles(records);
   page.addParagraph(
-    `${transitions.length} transitions, ${decisions.length} decisions. Times are each node's time of day, UTC.`,
+    `${transitions.length} transitions, ${decisions.length} decisions. Times are in UTC, by the clock of each observer.`,
   );
   addFaults(page, faults);
-  page.addSection('States of members, as each observer saw them');
+  page.addSection('States of members by observer');
   if (transitions.length > 0) page.addFigure((document) => statePlot(document, records));
   addTransitions(page, transitions);
   page.addSection('Decisions about roles');
--- a/packages/failure-detector/src/constants.ts
+++ b/packages/failure-detector/src/constants.ts
@@ -1,36 +1,51 @@
-/** Every constant of the package, with unit and reason. What differs by deployment is `DetectorTiming`. */
+/** Constants of the failure detector. Settings that differ by deployment are in `DetectorTiming`. */
 
-/** Members; evidence is kept by member and witness, so the table grows with the square of this. */
+/**
+ * Maximum number of members. Evidence is kept for each pair of member and witness, so that the memory
+ * for it grows with the square of this number.
+ */
 export const MEMBERS_MAX = 63;
-/** Ticks in a probe interval: deadlines are met to a quarter of an interval, for few wake-ups. */
+/**
+ * Timer ticks in a probe interval. With four, a deadline is processed at most a quarter of an interval
+ * late, and the process wakes up rarely.
+ */
 export const TICKS_PER_INTERVAL = 4;
-/** Members that are asked for an indirect probe, as in SWIM: one lost message decides nothing. */
+/** Members that are asked to probe a target, as in SWIM, so that one lost message fails no probe. */
 export const INDIRECT_PROBE_HELPERS = 3;
-/** At most so many independent witnesses confirm a failure, as in Lifeguard: more only take time. */
+/**
+ * Maximum number of independent witnesses that are required to confirm a failure, as in Lifeguard. A
+ * larger quorum would only delay the detection.
+ */
 export const MAX_QUORUM = 3;
-/** Score of the local health at its worst; time-outs are this many times longer, plus one. */
+/** Worst local health score. Probe time-outs are multiplied by the score plus one. */
 export const MAX_LOCAL_HEALTH_SCORE = 8;
-/** ms; a tick that is later than this counts against the local health: timers fire late by a few. */
+/** Lateness of a tick, in ms, that raises the local health score. Timers often fire a few ms late. */
 export const LATE_TICK_MS = 300;
-/** Updates in one message: with 64 bytes each, far below a packet's size. */
+/** Maximum number of updates in a message: with 64 bytes each, they take far less than a packet. */
 export const MAX_UPDATES_PER_MESSAGE = 8;
-/** Times log2 of the member count that an update is sent, as in SWIM: reaches all with high odds. */
+/**
+ * An update is sent `RETRANSMIT_FACTOR * log2(members + 1)` times, as in SWIM, so that it reaches all
+ * members with high probability.
+ */
 export const RETRANSMIT_FACTOR = 3;
-/** Bound on queued updates; the oldest are dropped. */
+/** Maximum number of queued updates; the oldest are dropped. */
 export const MAX_QUEUED_UPDATES = 256;
-/** Share of the probe time-out after which a helper answers that it could not reach the target. */
+/**
+ * Fraction of the probe time-out after which a helper answers that the target was not reached. It is
+ * below 1, so that the answer arrives before the requester's probe times out.
+ */
 export const HELPER_TIMEOUT_FRACTION = 0.8;
-/** Probes on behalf of others under way at once; more are not answered. */
+/** Maximum number of concurrent probes for other members; further requests are ignored. */
 export const MAX_DELEGATED_PROBES = 64;
-/** Failed probes whose late answers still count as proof of life. */
+/** Maximum number of timed-out probes that are kept: a late answer to one still counts. */
 export const MAX_TIMED_OUT_PROBES = 64;
-/** Instances of a member that are remembered as ended. */
+/** Maximum number of ended instances that are kept of each member. */
 export const MAX_ENDED_INSTANCES = 4;
-/** Probe intervals after which a witness's report no longer counts. */
+/** Probe intervals after which the report of a witness expires. */
 export const REPORT_VALIDITY_INTERVALS = 10;
-/** Probe intervals between two reports of the same suspicion by the same witness. */
+/** Minimum number of probe intervals between two reports of one witness on the same member. */
 export const REPORT_REPEAT_INTERVALS = 3;
-/** Round-trip times kept by member until they are read. */
+/** Maximum number of round-trip times that are kept of each member until they are read. */
 export const MAX_PROBE_TIMES = 64;
-/** Characters of a name or an instance in a message. */
+/** Maximum length, in characters, of a member's name and of an instance in a message. */
 export const MAX_NAME_LENGTH = 200;
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -1,4 +1,4 @@
-/** The failure detector of one member: SWIM's probes and rumours, with Lifeguard's additions. */
+/** The failure detector of one member: SWIM's probes and gossip with Lifeguard's extensions. */
 
 import { HELPER_TIMEOUT_FRACTION, MEMBERS_MAX, TICKS_PER_INTERVAL } from './constants.js';
 import { DelegatedProbes } from './helped-probes.js';
@@ -18,18 +18,21 @@
 import type { FailureDetectorOptions, MemberState } from './types.js';
 import { quorumOf, type Verdict } from './verdict.js';
 
-/** Round-trip times of one member's direct probes, in ms. */
+/** Round-trip times, in ms, of the direct probes of one member. */
 export interface ProbeTimes {
   readonly member: string;
   readonly roundTripsMs: readonly number[];
 }
 
-/** Answers with which a message is sent back over the connection that it came on. */
+/** Sends an answer over the connection on which the message was received. */
 export type Reply = (message: DetectorMessage) => void;
 
-/** Monitors the other members. It reports a process as ended only if a later one proves it. */
+/**
+ * Monitors the other members. A process counts as ended, rather than failed, only after a later process
+ * of the same member has answered.
+ */
 export class FailureDetector {
-  /** Events since the start. */
+  /** Numbers of events since this detector was created. */
   readonly counts: DetectorCounts = zeroCounts();
   private readonly localHealth = new LocalHealth();
   private readonly memberNames: ReadonlySet<string>;
@@ -44,7 +47,8 @@
 
   constructor(private readonly options: FailureDetectorOptions) {
     const { clock, members, random, self, timing } = options;
-    if (members.length > MEMBERS_MAX) throw new RangeError(`more than ${MEMBERS_MAX} members`);
+    if (members.length > MEMBERS_MAX)
+      throw new RangeError(`members: expected ${MEMBERS_MAX} names at the most`);
     const others = members.filter((member) => member !== self);
     const quorum = options.quorum ?? quorumOf(members.length);
     const send = (member: string, body: DetectorBody): boolean => this.send(member, body);
@@ -66,11 +70,11 @@
         onUnreached: (member, sentAt) => this.onUnreached(member, sentAt),
       },
     });
-    // Members that start together must not probe in lockstep.
+    // A random delay, so that members that start together do not all probe at the same times.
     this.nextProbeAt = clock.now() + random() * timing.probeIntervalMs;
   }
 
-  /** Begins to probe. */
+  /** Starts probing. */
   start(): void {
     this.scheduleTick();
   }
@@ -81,38 +85,41 @@
     this.cancelTick = null;
   }
 
-  /** The state of a member in the view of this one. */
+  /** Returns the state of a member as this member sees it. */
   stateOf(member: string): MemberState {
     return this.memberTable.get(member)?.state ?? 'unknown';
   }
 
-  /** Steady time in ms since which a member is suspected; null: it is not. */
+  /** Returns the monotonic time in ms since which a member is suspected; null: it is not suspected. */
   suspectedSince(member: string): number | null {
     return this.memberTable.get(member)?.suspicion?.startedAt ?? null;
   }
 
-  /** The verdict on an instance by the evidence; proofs of life count from `since` on. */
+  /**
+   * Returns the verdict on an instance; null: no such other member. An answered probe makes the instance
+   * reachable only if it was sent at `since`, a monotonic time in ms, or later.
+   */
   verdict(member: string, instance: string, since: number): Verdict | null {
-    const known = this.memberTable.get(member);
-    return known ? this.memberTable.verdict(known, instance, since) : null;
+    const remoteMember = this.memberTable.get(member);
+    return remoteMember ? this.memberTable.verdict(remoteMember, instance, since) : null;
   }
 
-  /** Probes a member now, out of its turn. */
+  /** Probes a member at once, in addition to the regular probes. */
   probe(member: string): void {
     if (this.memberTable.get(member)) this.probes.begin(member);
   }
 
-  /** Local health score: how far this member trusts itself; 0: fully. */
+  /** Local health score; 0: this member's own observations are reliable. */
   get localHealthScore(): number {
     return this.localHealth.score;
   }
 
-  /** Probes that were sent and that failed. */
+  /** Numbers of probes that were sent and that failed. */
   get probeCounts(): { readonly sent: number; readonly failed: number } {
     return this.probes.counts;
   }
 
-  /** Round-trip times since the last call, which clears them. */
+  /** Returns the round-trip times by member, and clears them. */
   takeProbeTimes(): ProbeTimes[] {
     return [...this.memberTable.all()].map((member) => ({
       member: member.name,
@@ -120,17 +127,17 @@
     }));
   }
 
-  /** A message that could not be read came. */
+  /** Counts a received message that could not be decoded. */
   receiveMalformed(): void {
     this.countDropped('malformed');
   }
 
-  /** Handles a message; what can't be used is counted and passed over. */
+  /** Handles a message. Invalid messages and updates are counted and dropped. */
   receive(message: DetectorMessage, reply: Reply): void {
     const { cluster, self } = this.options;
-    const objection = dropReasonOf(message, cluster, this.memberNames);
-    if (objection) {
-      this.countDropped(objection);
+    const dropReason = dropReasonOf(message, cluster, this.memberNames);
+    if (dropReason) {
+      this.countDropped(dropReason);
       return;
     }
     if (message.from === self) return;
@@ -166,7 +173,7 @@
       table: this.memberTable,
       health: this.localHealth,
       onDropped: (reason) => this.countDropped(reason),
-      // Each member probes for itself: one slow witness cannot make a member fail.
+      // Every member probes the suspected one itself, so that one slow witness can't make it fail.
       onReported: (member) => this.probes.begin(member),
     });
   }
@@ -182,7 +189,8 @@
     const { clock, timing } = this.options;
     const now = clock.now();
     const latenessMs = now - this.tickDueAt;
-    // What came while this process was paused is unread yet: its silence was this member's own.
+    // Answers that arrived while this process was paused are not read yet, so that its probes must not
+    // time out now.
     if (this.localHealth.onTick(latenessMs)) this.probes.extendDeadlines(latenessMs);
     this.probes.processDeadlines();
     this.delegatedProbes.refuseTimedOut();
--- a/packages/failure-detector/src/dissemination.ts
+++ b/packages/failure-detector/src/dissemination.ts
@@ -1,4 +1,4 @@
-/** Updates piggybacked on messages until each was sent often enough to have reached all members. */
+/** The queue of updates that are piggybacked on messages, each a limited number of times. */
 
 import { RETRANSMIT_FACTOR, MAX_UPDATES_PER_MESSAGE, MAX_QUEUED_UPDATES } from './constants.js';
 import type { MemberUpdate } from './messages.js';
@@ -8,7 +8,7 @@
   sendCount: number;
 }
 
-/** The updates queued for sending; a newer one about the same member replaces an older one. */
+/** Queue of updates; a newer update replaces an older one of the same member and witness. */
 export class Dissemination {
   private readonly queue = new Map<string, QueuedUpdate>();
   private readonly maxSends: number;
@@ -22,7 +22,7 @@
     return this.queue.size;
   }
 
-  /** Sends an update with the next messages. */
+  /** Queues an update for the next messages. */
   add(update: MemberUpdate): void {
     const key = `${update.member} ${update.witness}`;
     this.queue.delete(key);
@@ -31,7 +31,7 @@
     if (this.queue.size > MAX_QUEUED_UPDATES && oldest !== undefined) this.queue.delete(oldest);
   }
 
-  /** Drops updates about a member at older incarnations, or about another instance. */
+  /** Removes the updates about older incarnations or other instances of a member. */
   removeSuperseded(member: string, instance: string, incarnation: number): void {
     for (const [key, { update }] of this.queue) {
       if (update.member !== member) continue;
@@ -39,7 +39,10 @@
     }
   }
 
-  /** The updates of the next message: about its receiver first, then those that were sent least. */
+  /**
+   * Returns the updates of the next message: those about its receiver first, then those that were sent
+   * the fewest times. An update that has been sent often enough is removed.
+   */
   takeUpdatesFor(receiver: string): MemberUpdate[] {
     const receiverFirst = (entry: QueuedUpdate): number => Number(entry.update.member !== receiver);
     const chosen = [...this.queue.entries()]
--- a/packages/failure-detector/src/helped-probes.ts
+++ b/packages/failure-detector/src/helped-probes.ts
@@ -1,41 +1,45 @@
-/** Probes that this member makes on behalf of others. */
+/** Probes that this member sends on behalf of other members. */
 
 import { MAX_DELEGATED_PROBES } from './constants.js';
 import type { DetectorBody } from './messages.js';
 
-/** Sequence numbers from here on are those of probes for others. */
+/** Sequence numbers above this one belong to probes for others, lower ones to own probes. */
 const DELEGATED_SEQUENCE_BASE = 2 ** 40;
 
 interface DelegatedProbe {
   readonly requester: string;
-  /** The requester's sequence number. */
+  /** Sequence number that the requester has given its own probe. */
   readonly sequence: number;
   readonly target: string;
+  /** Monotonic time in ms at which the requester is sent a negative answer. */
   readonly answerBy: number;
 }
 
-/** Dependencies of probes for others. */
+/** Dependencies of `DelegatedProbes`. */
 export interface DelegatedProbesOptions {
   readonly now: () => number;
-  /** ms after which the requester is notified that the target could not be reached. */
+  /** ms without an answer after which the requester is notified that the target was not reached. */
   readonly answerWithinMs: number;
   readonly send: (member: string, body: DetectorBody) => boolean;
 }
 
-/** Pings targets for others and passes the answers on, in time or as a refusal. */
+/**
+ * Pings targets for other members and forwards the answers. Without an answer in time, the requester is
+ * sent a negative one.
+ */
 export class DelegatedProbes {
   private readonly pending = new Map<number, DelegatedProbe>();
-  /** Numbers from `HELPED_SEQUENCES` on: they differ from those of this member's own probes. */
+  /** Number of probes that were begun; added to `DELEGATED_SEQUENCE_BASE` for a sequence number. */
   private sequence = 0;
 
   constructor(private readonly options: DelegatedProbesOptions) {}
 
-  /** Number of probes under way. */
+  /** Number of probes that wait for an answer. */
   get size(): number {
     return this.pending.size;
   }
 
-  /** Begins a probe for another member; beyond the bound the request is passed over. */
+  /** Probes a target for another member, unless `MAX_DELEGATED_PROBES` are under way. */
   begin(requester: string, sequence: number, target: string): void {
     if (this.pending.size >= MAX_DELEGATED_PROBES) return;
     const { answerWithinMs, now, send } = this.options;
@@ -49,7 +53,7 @@
     if (!send(target, { kind: 'ping', sequence: ownSequence })) this.refuse(ownSequence);
   }
 
-  /** Passes a target's answer on; false: the answer is to none of these probes. */
+  /** Forwards a target's answer to the requester; false: it answers none of these probes. */
   receiveAck(sequence: number, from: string, instance: string, incarnation: number): boolean {
     const probe = this.pending.get(sequence);
     if (probe?.target !== from) return false;
@@ -58,7 +62,7 @@
     return true;
   }
 
-  /** Tells requesters of targets that did not answer in time. */
+  /** Sends a negative answer to the requesters whose targets did not answer in time. */
   refuseTimedOut(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
--- a/packages/failure-detector/src/history.ts
+++ b/packages/failure-detector/src/history.ts
@@ -1,23 +1,23 @@
-/** The latest events, bounded, and counts of all events since the start. */
+/** A history of bounded length, and the counts of the detector's events. */
 
 import type { DropReason } from './messages.js';
 
-/** Counts since the start of this process. */
+/** Numbers of events since the detector was created. */
 export interface DetectorCounts {
   suspicions: number;
-  /** Suspected members that answered before they counted as failed. */
+  /** Suspicions that the suspected member refuted before they timed out. */
   refutations: number;
   failures: number;
-  /** Failures of instances that answered again. */
+  /** Failures that the member refuted afterwards. */
   falseFailures: number;
-  /** Sum over failures of the ms from the last proof of life to the verdict. */
+  /** Sum over all failures of the ms between the last answered probe and the detection. */
   detectionMs: number;
   messagesSent: number;
   messagesReceived: number;
   dropped: Record<DropReason, number>;
 }
 
-/** Counts at the start. */
+/** Returns counts that are all zero. */
 export function zeroCounts(): DetectorCounts {
   return {
     suspicions: 0,
@@ -38,19 +38,19 @@
   };
 }
 
-/** Keeps the latest entries and drops the oldest. */
+/** A list that drops its oldest entry when it would exceed its maximum length. */
 export class BoundedHistory<Entry> {
   private readonly entries: Entry[] = [];
 
   constructor(private readonly maxEntries: number) {}
 
-  /** Adds an entry. */
+  /** Appends an entry. */
   add(entry: Entry): void {
     this.entries.push(entry);
     if (this.entries.length > this.maxEntries) this.entries.shift();
   }
 
-  /** The entries that are kept, oldest first. */
+  /** Returns the entries, oldest first. */
   all(): readonly Entry[] {
     return this.entries;
   }
--- a/packages/failure-detector/src/index.ts
+++ b/packages/failure-detector/src/index.ts
@@ -1,4 +1,4 @@
-/** Failure detection between the members of a small cluster: the package's entry. */
+/** The package's exports: failure detection between the members of a small cluster. */
 
 export { MEMBERS_MAX } from './constants.js';
 export { FailureDetector, type ProbeTimes, type Reply } from './detector.js';
--- a/packages/failure-detector/src/local-health.ts
+++ b/packages/failure-detector/src/local-health.ts
@@ -1,37 +1,40 @@
-/** How far this member can trust its own observations (Lifeguard's local health multiplier). */
+/** The reliability of this member's own observations (Lifeguard's local health multiplier). */
 
 import { LATE_TICK_MS, MAX_LOCAL_HEALTH_SCORE } from './constants.js';
 
-/** A score from 0 (healthy) upwards: a slow observer waits longer before it suspects others. */
+/** A score from 0 (healthy) upwards. The higher it is, the longer this member's probe time-outs. */
 export class LocalHealth {
   private currentScore = 0;
 
-  /** 0: healthy. */
+  /** The current score; 0: healthy. */
   get score(): number {
     return this.currentScore;
   }
 
-  /** A time-out in ms, as long as this member's health asks for. */
+  /** Returns a time-out in ms, multiplied by the score plus one. */
   scaledTimeoutMs(timeoutMs: number): number {
     return timeoutMs * (this.currentScore + 1);
   }
 
-  /** A probe was answered. */
+  /** Lowers the score, because a probe was answered in time. */
   onProbeAnswered(): void {
     this.add(-1);
   }
 
-  /** A probe failed; each helper that did not even report that is a sign that this member is at fault. */
-  onProbeFailed(silentHelpers: number): void {
-    this.add(silentHelpers);
+  /**
+   * Raises the score after a failed probe by the number of helpers that sent no answer at all: their
+   * silence suggests that the fault lies with this member.
+   */
+  onProbeFailed(unansweredHelpers: number): void {
+    this.add(unansweredHelpers);
   }
 
-  /** Others suspected this member. */
+  /** Raises the score, because another member suspects this one. */
   onSuspected(): void {
     this.add(1);
   }
 
-  /** A tick was late by so many ms; returns whether that is more than timers usually are. */
+  /** Raises the score if a tick was late by `LATE_TICK_MS` or more, and returns whether it was. */
   onTick(latenessMs: number): boolean {
     if (latenessMs < LATE_TICK_MS) return false;
     this.add(Math.ceil(latenessMs / (LATE_TICK_MS * 4)));
--- a/packages/failure-detector/src/member-table.ts
+++ b/packages/failure-detector/src/member-table.ts
@@ -1,4 +1,4 @@
-/** The states of the other members: what probes and reports do to them. */
+/** The states of the other members, and their changes by probes and reports. */
 
 import { REPORT_VALIDITY_INTERVALS } from './constants.js';
 import type { DetectorCounts } from './history.js';
@@ -13,7 +13,7 @@
 } from './types.js';
 import { verdictOf, type Verdict } from './verdict.js';
 
-/** Dependencies of the table. */
+/** Dependencies of the member table. */
 export interface MemberTableOptions {
   readonly self: string;
   readonly others: readonly string[];
@@ -32,7 +32,7 @@
   readonly storeAnswers: boolean;
 }
 
-/** All other members; a name that is not in it is no member. */
+/** The states of all members but this one. */
 export class MemberTable {
   private readonly members: ReadonlyMap<string, RemoteMember>;
 
@@ -40,17 +40,17 @@
     this.members = new Map(options.others.map((name) => [name, new RemoteMember(name)]));
   }
 
-  /** A member by its name. */
+  /** Returns a member by its name; null: no other member has this name. */
   get(name: string): RemoteMember | null {
     return this.members.get(name) ?? null;
   }
 
-  /** All members. */
+  /** Returns all other members. */
   all(): IterableIterator<RemoteMember> {
     return this.members.values();
   }
 
-  /** A probe was answered; false: the answer is from before the present instance. */
+  /** Records an answered probe; false: the answer came from an instance before the current one. */
   recordReached(member: RemoteMember, answer: ProbeAnswer): boolean {
     if (member.isOutdated(answer)) return false;
     const isOtherInstance = answer.instance !== member.instance;
@@ -66,7 +66,7 @@
     return true;
   }
 
-  /** The member is at this incarnation: suspicions of older ones are void. */
+  /** Records a member's incarnation. A newer one refutes suspicions and failures of older ones. */
   applyIncarnation(member: RemoteMember, incarnation: number): void {
     if (incarnation <= member.incarnation) return;
     member.incarnation = incarnation;
@@ -79,14 +79,17 @@
     this.changeState(member, 'alive', 'refuted');
   }
 
-  /** This member's own probe failed. */
+  /** Records that this member's own probe failed, and suspects the probed member. */
   recordUnreached(member: RemoteMember, sentAt: number): void {
     member.unreachedAt = Math.max(member.unreachedAt ?? -Infinity, sentAt);
     if (member.state === 'unknown') return;
     this.suspect(member, this.options.self, 'probe failed');
   }
 
-  /** Another member's probe failed. Returns whether this is new: a suspicion or a confirmation. */
+  /**
+   * Records that another member's probe failed. Returns whether the witness is new, so that the report
+   * starts or confirms a suspicion.
+   */
   recordReport(member: RemoteMember, report: WitnessReport): boolean {
     const { witness, incarnation, storeAnswers } = report;
     const at = this.options.clock.now();
@@ -94,7 +97,7 @@
     return this.suspect(member, witness, 'reported by a witness');
   }
 
-  /** Suspicions that were not refuted in time become failures. */
+  /** Marks the members as failed whose suspicion has timed out. */
   failTimedOutSuspicions(): void {
     const now = this.options.clock.now();
     for (const member of this.members.values()) {
@@ -103,7 +106,10 @@
     }
   }
 
-  /** What is known of an instance; proofs of life count from `since` on, a steady time in ms. */
+  /**
+   * Returns the verdict on an instance of a member. An answered probe makes the instance reachable only
+   * if it was sent at `since`, a monotonic time in ms, or later.
+   */
   verdict(member: RemoteMember, instance: string, since: number): Verdict {
     const { quorum, self, storeAnswers } = this.options;
     const isReplaced = member.hasEnded(instance, since);
@@ -124,14 +130,14 @@
     });
   }
 
-  /** Reports that are young enough, of witnesses that have not failed themselves. */
+  /** Returns the reports that have not expired, without those of witnesses that have failed. */
   private validReportsOf(
     member: RemoteMember,
   ): ReturnType<RemoteMember['reports']['receivedSince']> {
     const { clock, timing } = this.options;
-    const since = clock.now() - REPORT_VALIDITY_INTERVALS * timing.probeIntervalMs;
+    const validFrom = clock.now() - REPORT_VALIDITY_INTERVALS * timing.probeIntervalMs;
     return member.reports
-      .receivedSince(since)
+      .receivedSince(validFrom)
       .filter(({ witness }) => this.get(witness)?.state !== 'failed');
   }
 
--- a/packages/failure-detector/src/messages.ts
+++ b/packages/failure-detector/src/messages.ts
@@ -1,26 +1,26 @@
-/** The messages between detectors, and which of them are passed over. */
+/** The messages between detectors, and the check of received ones. */
 
 import { MAX_NAME_LENGTH, MAX_UPDATES_PER_MESSAGE } from './constants.js';
 
-/** A rumour about a member: that it lives, or that a witness could not reach it. */
+/** An update about a member: it is alive, or a witness could not reach it. */
 export interface MemberUpdate {
   readonly member: string;
   readonly instance: string;
   readonly incarnation: number;
   readonly state: 'alive' | 'suspect';
-  /** Whose probe failed; of `alive` the member itself. */
+  /** The member whose probe failed; in an update with `alive`, the member that it is about. */
   readonly witness: string;
-  /** Whether the shared store answered the witness. */
+  /** Whether the key-value store answers the witness. */
   readonly storeAnswers: boolean;
 }
 
-/** Kinds of messages. */
+/** The content of a message, by its kind. */
 export type DetectorBody =
   | { readonly kind: 'ping'; readonly sequence: number }
   | { readonly kind: 'ack'; readonly sequence: number }
   /** Asks the receiver to probe `target`. */
   | { readonly kind: 'indirectPing'; readonly sequence: number; readonly target: string }
-  /** `instance` and `incarnation`: of the target, where it was reached. */
+  /** Answers an `indirectPing`. `instance` and `incarnation` are the target's, if it was reached. */
   | {
       readonly kind: 'indirectAck';
       readonly sequence: number;
@@ -30,7 +30,7 @@
       readonly incarnation: number;
     };
 
-/** A message with the fields of its sender that every message has. */
+/** A message; `from`, `instance` and `incarnation` are those of its sender. */
 export interface DetectorMessage {
   readonly cluster: string;
   readonly from: string;
@@ -40,7 +40,7 @@
   readonly body: DetectorBody;
 }
 
-/** Why a message or an update was passed over. */
+/** Reason for which a message or an update was dropped. */
 export type DropReason =
   | 'malformed'
   | 'foreign cluster'
@@ -57,7 +57,7 @@
   return names.every(isValidName) && isValidCount(update.incarnation);
 }
 
-/** Why a message can't be used; null: it can. */
+/** Returns the reason to drop a message; null: it is valid. */
 export function dropReasonOf(
   message: DetectorMessage,
   cluster: string,
--- a/packages/failure-detector/src/probe-schedule.ts
+++ b/packages/failure-detector/src/probe-schedule.ts
@@ -1,6 +1,9 @@
-/** The order in which members are probed: all once in each round, shuffled anew for the next. */
+/** The order in which members are probed, and the choice of helpers for indirect probes. */
 
-/** Bounds the time until any member is probed again, as SWIM's shuffled round-robin does. */
+/**
+ * SWIM's shuffled round-robin: every member is probed once in a round, and each round has a new random
+ * order. This bounds the time between two probes of the same member.
+ */
 export class ProbeSchedule {
   private remainingInRound: string[] = [];
 
@@ -9,13 +12,13 @@
     private readonly random: () => number,
   ) {}
 
-  /** The member to be probed next; null: there is no other member. */
+  /** Returns the member to probe next; null: there is no other member. */
   next(): string | null {
     if (this.remainingInRound.length === 0) this.remainingInRound = this.shuffled(this.members);
     return this.remainingInRound.pop() ?? null;
   }
 
-  /** Up to `count` members other than `target`, chosen at random. */
+  /** Returns up to `count` random members other than `target`. */
   helpersFor(target: string, count: number): string[] {
     return this.shuffled(this.members.filter((member) => member !== target)).slice(0, count);
   }
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -1,4 +1,4 @@
-/** The probes of this member that are under way: direct first, then through other members. */
+/** This member's probes: first directly, then through other members. */
 
 import { INDIRECT_PROBE_HELPERS, MAX_TIMED_OUT_PROBES } from './constants.js';
 import type { LocalHealth } from './local-health.js';
@@ -6,14 +6,14 @@
 import type { DetectorBody } from './messages.js';
 import type { ProbeAnswer } from './remote-member.js';
 
-/** Outcomes of a probe. */
+/** Callbacks for the outcome of a probe. */
 interface ProbeResults {
   onReached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
-  /** `sentAt`: steady time in ms of the direct probe. */
+  /** `sentAt`: monotonic time in ms at which the direct probe was sent. */
   onUnreached(member: string, sentAt: number): void;
 }
 
-/** Dependencies of sending probes. */
+/** Dependencies of `Probes`. */
 export interface ProbesOptions {
   readonly now: () => number;
   readonly timeoutMs: number;
@@ -25,26 +25,28 @@
 
 interface Probe {
   readonly member: string;
+  /** Monotonic time in ms. */
   readonly sentAt: number;
-  /** Steady time in ms at which others are asked; null: they were. */
+  /** Monotonic time in ms at which helpers are asked; null: they have been asked. */
   askHelpersAt: number | null;
+  /** Monotonic time in ms at which the probe times out. */
   failsAt: number;
-  /** Helpers that were asked and have not answered. */
+  /** Helpers that were asked and have not answered yet. */
   readonly unansweredHelpers: Set<string>;
 }
 
-/** Probes by their sequence numbers, one for each member at the most. */
+/** This member's pending probes by sequence number, at most one for each member. */
 export class Probes {
   private readonly pending = new Map<number, Probe>();
-  /** Failed probes, whose answers may come late: member and sending time by sequence number. */
+  /** Timed-out probes by sequence number, kept because a late answer still counts. */
   private readonly timedOut = new Map<number, { member: string; sentAt: number }>();
   private sequence = 0;
-  /** Probes that were begun, and those that failed. */
+  /** Numbers of probes that were sent and that failed. */
   readonly counts = { sent: 0, failed: 0 };
 
   constructor(private readonly options: ProbesOptions) {}
 
-  /** Begins a probe, unless one of this member is under way. */
+  /** Probes a member, unless a probe of this member is pending. */
   begin(member: string): void {
     if ([...this.pending.values()].some((probe) => probe.member === member)) return;
     const { health, now, send, timeoutMs } = this.options;
@@ -56,14 +58,14 @@
     this.pending.set(sequence, {
       member,
       sentAt,
-      // Without a connection others are asked at once.
+      // Helpers are asked at the next tick if there is no connection to the member.
       askHelpersAt: isSent ? sentAt + directTimeoutMs : sentAt,
       failsAt: sentAt + 2 * directTimeoutMs,
       unansweredHelpers: new Set(),
     });
   }
 
-  /** A direct answer, in time or late. */
+  /** Handles a direct answer, in time or late. */
   receiveAck(sequence: number, from: string, instance: string, incarnation: number): void {
     const probe = this.pending.get(sequence) ?? this.timedOut.get(sequence);
     if (probe?.member !== from) return;
@@ -71,7 +73,7 @@
     this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, roundTripMs);
   }
 
-  /** A helper reached the member, or could not. */
+  /** Handles a helper's answer: the member was reached, or it was not. */
   receiveIndirectAck(helper: string, body: Extract<DetectorBody, { kind: 'indirectAck' }>): void {
     const { incarnation, instance, isReached, sequence, target } = body;
     const probe = this.pending.get(sequence);
@@ -79,7 +81,7 @@
     if (isReached) this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, null);
   }
 
-  /** Asks helpers, and gives probes up, once their deadlines have passed. */
+  /** Asks helpers and fails probes whose deadlines have passed. */
   processDeadlines(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
@@ -89,7 +91,7 @@
     }
   }
 
-  /** This process was paused for so long: deadlines move, so that answers still unread can be read. */
+  /** Extends all deadlines by the time for which this process was paused. */
   extendDeadlines(byMs: number): void {
     for (const probe of this.pending.values()) {
       probe.failsAt += byMs;
--- a/packages/failure-detector/src/remote-member.ts
+++ b/packages/failure-detector/src/remote-member.ts
@@ -1,4 +1,4 @@
-/** What this member knows of one other member. */
+/** The state of one other member, and the evidence on it. */
 
 import { MAX_ENDED_INSTANCES, MAX_PROBE_TIMES } from './constants.js';
 import type { Suspicion } from './suspicion.js';
@@ -9,21 +9,22 @@
 export interface ProbeAnswer {
   readonly instance: string;
   readonly incarnation: number;
-  /** Steady time in ms at which the probe was sent: the member lived after it. */
+  /** Monotonic time in ms at which the probe was sent. The member was alive after it. */
   readonly sentAt: number;
 }
 
-/** One other member: its instance, its state and the evidence on it. */
+/** Another member as this one sees it: its current instance, its state and the evidence on it. */
 export class RemoteMember {
   state: MemberState = 'unknown';
-  /** The instance that answered the latest probe; null: none ever did. */
+  /** The current instance, which answered last; null: the member has never answered. */
   instance: string | null = null;
   incarnation = 0;
   suspicion: Suspicion | null = null;
-  /** Sending time of the latest probe that was answered, and of the latest that was not. */
+  /** Monotonic time in ms at which the latest answered probe was sent; null: there is none. */
   reachedAt: number | null = null;
+  /** Monotonic time in ms at which the latest failed probe was sent; null: there is none. */
   unreachedAt: number | null = null;
-  /** Steady time of this member's last report about it to others. */
+  /** Monotonic time in ms of the last report to others that this member was not reached. */
   lastReportedAt = -Infinity;
   readonly reports = new WitnessReports();
   private readonly endedInstances: string[] = [];
@@ -31,14 +32,14 @@
 
   constructor(readonly name: string) {}
 
-  /** Whether an answer is from before the present instance. */
+  /** Returns whether an answer came from an instance before the current one. */
   isOutdated(answer: ProbeAnswer): boolean {
     if (this.endedInstances.includes(answer.instance)) return true;
     const isOther = this.instance !== null && answer.instance !== this.instance;
     return isOther && answer.sentAt < (this.reachedAt ?? -Infinity);
   }
 
-  /** Another process now answers as this member: what was known of the one before is void. */
+  /** Replaces the current instance, and clears the evidence on the previous one. */
   replaceInstance(instance: string, incarnation: number): void {
     if (this.instance !== null) this.endedInstances.push(this.instance);
     if (this.endedInstances.length > MAX_ENDED_INSTANCES) this.endedInstances.shift();
@@ -49,20 +50,23 @@
     this.reports.clear();
   }
 
-  /** Whether a process is proven to have ended, because a later one answered as this member. */
+  /**
+   * Returns whether an instance has certainly ended, because another one of this member answered after
+   * it, or answered a probe that was sent at `since` or later.
+   */
   hasEnded(instance: string, since: number): boolean {
     if (this.endedInstances.includes(instance)) return true;
     const isOther = this.instance !== null && this.instance !== instance;
     return isOther && (this.reachedAt ?? -Infinity) >= since;
   }
 
-  /** Keeps a round-trip time in ms; the latest are kept. */
+  /** Adds a round-trip time in ms; the oldest is dropped beyond `MAX_PROBE_TIMES`. */
   addProbeTime(roundTripMs: number): void {
     this.probeTimes.push(roundTripMs);
     if (this.probeTimes.length > MAX_PROBE_TIMES) this.probeTimes.shift();
   }
 
-  /** The round-trip times that were not collected yet, in ms. */
+  /** Returns the round-trip times in ms since the last call, and clears them. */
   takeProbeTimes(): number[] {
     const times = this.probeTimes;
     this.probeTimes = [];
--- a/packages/failure-detector/src/rumours.ts
+++ b/packages/failure-detector/src/rumours.ts
@@ -1,4 +1,4 @@
-/** Gossip about members: what is received, and what is piggybacked on this member's messages. */
+/** Gossip: the handling of received updates, and the choice of updates for outgoing messages. */
 
 import { REPORT_REPEAT_INTERVALS, MAX_UPDATES_PER_MESSAGE } from './constants.js';
 import { Dissemination } from './dissemination.js';
@@ -8,23 +8,23 @@
 import type { RemoteMember } from './remote-member.js';
 import type { FailureDetectorOptions } from './types.js';
 
-/** Dependencies of the handling of rumours. */
+/** Dependencies of `Gossip`. */
 export interface GossipOptions {
   readonly detector: FailureDetectorOptions;
   readonly names: ReadonlySet<string>;
   readonly table: MemberTable;
   readonly health: LocalHealth;
   readonly onDropped: (reason: DropReason) => void;
-  /** A member was reported by a witness for the first time: this member probes it itself. */
+  /** Called when the report of a witness starts or confirms a suspicion of the member. */
   readonly onReported: (member: string) => void;
 }
 
-/** Applies rumours to the table and chooses those to pass on. */
+/** Applies received updates to the member table, and queues those that others have to receive. */
 export class Gossip {
   private readonly dissemination: Dissemination;
   private readonly self: string;
   private readonly instance: string;
-  /** This member's incarnation: grows with each refutation. */
+  /** This member's incarnation, which increases with each refutation. */
   private ownIncarnation = 0;
 
   constructor(private readonly options: GossipOptions) {
@@ -39,25 +39,25 @@
     return this.ownIncarnation;
   }
 
-  /** Applies a rumour; what can't be used is counted and passed over. */
+  /** Applies an update; invalid ones are reported to `onDropped`. */
   apply(update: MemberUpdate): void {
     if (update.member === this.self) {
       this.refute(update);
       return;
     }
     const member = this.options.table.get(update.member);
-    const objection = member ? this.dropReasonOf(update, member) : 'unknown member';
-    if (!member || objection) this.options.onDropped(objection ?? 'unknown member');
+    const dropReason = member ? this.dropReasonOf(update, member) : 'unknown member';
+    if (!member || dropReason) this.options.onDropped(dropReason ?? 'unknown member');
     else if (update.state === 'alive') this.applyAlive(update, member);
     else this.applySuspicion(update, member);
   }
 
-  /** A probe was answered: older rumours are not passed on any more. */
+  /** Removes queued updates that are older than a member's answer to a probe. */
   onProbeAnswered(member: string, instance: string, incarnation: number): void {
     this.dissemination.removeSuperseded(member, instance, incarnation);
   }
 
-  /** Tells others that this member could not reach another, again after a while. */
+  /** Queues a report that this member could not reach another one, unless one was queued lately. */
   reportUnreached(member: RemoteMember): void {
     const { clock, timing } = this.options.detector;
     const { incarnation, instance } = member;
@@ -68,7 +68,10 @@
     this.dissemination.add(this.createReport(member.name, instance, incarnation));
   }
 
-  /** The rumours of the next message; a suspected receiver always hears of it, so that it can refute. */
+  /**
+   * Returns the updates of the next message. A suspected receiver is always sent its suspicion, so that
+   * it can refute it.
+   */
   takeUpdatesFor(receiver: string): MemberUpdate[] {
     const updates = this.dissemination.takeUpdatesFor(receiver);
     const member = this.options.table.get(receiver);
@@ -85,7 +88,8 @@
   }
 
   private dropReasonOf(update: MemberUpdate, member: RemoteMember): DropReason | null {
-    // An instance is only learned from its own answers: a rumour about another may be older or newer.
+    // A new instance is accepted only by its own answer to a probe, because an update about another
+    // instance does not show whether that instance is older or newer.
     if (update.instance !== member.instance) return 'other instance';
     if (update.incarnation < member.incarnation) return 'old incarnation';
     const { witness } = update;
@@ -108,7 +112,7 @@
     this.options.onReported(member.name);
   }
 
-  /** This member is suspected: it refutes that, under a higher incarnation. */
+  /** Refutes a suspicion of this member by an update with a higher incarnation. */
   private refute(update: MemberUpdate): void {
     if (update.state !== 'suspect' || update.instance !== this.instance) return;
     if (update.incarnation < this.ownIncarnation) return;
--- a/packages/failure-detector/src/suspicion.ts
+++ b/packages/failure-detector/src/suspicion.ts
@@ -1,31 +1,32 @@
-/** A suspicion's time-out, which shortens with each independent confirmation (Lifeguard). */
+/** Suspicions, whose time-out shortens with each independent confirmation (Lifeguard). */
 
-/** How long a suspicion lasts. */
+/** Bounds of a suspicion's time-out. */
 export interface SuspicionTiming {
   readonly leastMs: number;
   readonly mostMs: number;
-  /** Confirmations beside the first witness after which it lasts no longer than `leastMs`. */
+  /** Number of confirmations, the first witness not counted, that shorten the time-out to `leastMs`. */
   readonly expectedConfirmations: number;
 }
 
-/** A member that was suspected at an incarnation, and by whom. */
+/** The suspicion of a member at one incarnation, with its witnesses. */
 export class Suspicion {
   private readonly witnesses = new Set<string>();
 
   constructor(
     readonly incarnation: number,
+    /** Monotonic time in ms. */
     readonly startedAt: number,
     private readonly timing: SuspicionTiming,
   ) {}
 
-  /** Adds a witness; false: it is known already, and confirms nothing more. */
+  /** Adds a witness; false: the witness was added before, and does not count again. */
   confirm(witness: string): boolean {
     if (this.witnesses.has(witness)) return false;
     this.witnesses.add(witness);
     return true;
   }
 
-  /** Steady time in ms at which the member counts as failed, unless it refutes. */
+  /** Monotonic time in ms at which the suspicion times out, unless the member refutes it. */
   get endsAt(): number {
     const { expectedConfirmations, leastMs, mostMs } = this.timing;
     if (expectedConfirmations <= 0) return this.startedAt + leastMs;
--- a/packages/failure-detector/src/types.ts
+++ b/packages/failure-detector/src/types.ts
@@ -1,27 +1,28 @@
-/** The detector's environment and its events. */
+/** The detector's options, its environment and its events. */
 
 import type { DetectorMessage } from './messages.js';
 import type { Evidence } from './verdict.js';
 
-/** Steady time in ms; simulated in tests. */
+/** Clock and timers; tests simulate them. */
 export interface DetectorClock {
+  /** Monotonic time in ms. */
   now(): number;
-  /** Time of day in ms, for records only. */
+  /** Wall-clock time in ms since 1970, for records only. */
   wall(): number;
-  /** Calls back once after a delay in ms; the result cancels it. */
+  /** Calls `callback` once after a delay in ms; the returned function cancels the timer. */
   after(delayMs: number, callback: () => void): () => void;
 }
 
-/** Sends messages to members; they may be lost, late or repeated. */
+/** Sends messages to members. Messages may be lost, delayed or repeated. */
 export interface DetectorTransport {
-  /** False: there is no connection to the member. */
+  /** Sends a message; false: there is no connection to the member. */
   send(member: string, message: DetectorMessage): boolean;
 }
 
-/** The state of a member in the view of this one. `unknown`: it has never answered a probe. */
+/** The state of a member as another one sees it. `unknown`: it has never answered a probe. */
 export type MemberState = 'unknown' | 'alive' | 'suspect' | 'failed';
 
-/** Why a member's state changed. */
+/** The reason for a change of a member's state. */
 export type TransitionReason =
   | 'answered'
   | 'new instance'
@@ -30,9 +31,9 @@
   | 'refuted'
   | 'suspicion timed out';
 
-/** A change of a member's state, with what it rests on. */
+/** A change of a member's state, with the evidence for it. */
 export interface Transition {
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since 1970. */
   readonly at: number;
   readonly observer: string;
   readonly member: string;
@@ -42,43 +43,51 @@
   readonly to: MemberState;
   readonly reason: TransitionReason;
   readonly evidence: readonly Evidence[];
-  /** ms since the last proof of life before this change; null: there was none. */
+  /** ms since the latest answered probe was sent; null: no probe was ever answered. */
   readonly silentMs: number | null;
 }
 
-/** Is notified of changes. */
+/** Receives the changes of members' states. */
 export interface DetectorObserver {
   changed(transition: Transition): void;
 }
 
-/** Times in ms, from the operators' settings. */
+/** Intervals and time-outs in ms, from the operators' settings. */
 export interface DetectorTiming {
-  /** One member is probed in each interval. */
+  /** Time between two probes; each probes one member. */
   readonly probeIntervalMs: number;
-  /** A direct probe without an answer is followed by indirect ones after this. */
+  /** Time without a direct answer after which helpers are asked for indirect probes. */
   readonly probeTimeoutMs: number;
-  /** A suspicion with all confirmations lasts this long, and one without any `suspicionMostMs`. */
+  /** Time-out of a suspicion with all expected confirmations. */
   readonly suspicionLeastMs: number;
+  /** Time-out of a suspicion without confirmations. */
   readonly suspicionMostMs: number;
 }
 
-/** What a detector is created from. */
+/** Identity, settings and environment of a detector. */
 export interface FailureDetectorOptions {
+  /** Name of the member that this detector runs on. */
   readonly self: string;
-  /** Tells this process from the ones that ran as this member before. */
+  /** Unique name of this process; earlier processes of the same member had others. */
   readonly instance: string;
-  /** All members of the cluster, this one included. */
+  /** Names of all members of the cluster, this one included. */
   readonly members: readonly string[];
-  /** Messages of other clusters are dropped. */
+  /** Name of the cluster; messages with another one are dropped. */
   readonly cluster: string;
   readonly timing: DetectorTiming;
-  /** Independent witnesses, this member included, that confirm a failure; null: by `quorumOf`. */
+  /**
+   * Number of independent witnesses, this member included, that confirm a failure; null: `quorumOf` the
+   * member count.
+   */
   readonly quorum: number | null;
   readonly clock: DetectorClock;
-  /** Uniform in [0, 1). */
+  /** Returns a uniformly distributed random number in [0, 1). */
   readonly random: () => number;
   readonly transport: DetectorTransport;
   readonly observer: DetectorObserver;
-  /** Whether the shared store answers this member: a member without it is no witness. */
+  /**
+   * Returns whether the key-value store answers this member. A member that it does not answer may itself
+   * be cut off, and does not count as a witness.
+   */
   readonly storeAnswers: () => boolean;
 }
--- a/packages/failure-detector/src/verdict.ts
+++ b/packages/failure-detector/src/verdict.ts
@@ -1,28 +1,32 @@
-/** The verdict that the evidence on one instance of a member supports. */
+/** The verdict on one instance of a member, which follows from the evidence. */
 
 import { MAX_QUORUM } from './constants.js';
 
-/** One view of a member's instance. `at`: steady time of the observer in ms. */
+/** One observation of a member's instance. `at`: monotonic time in ms of the deciding member. */
 export type Evidence =
-  /** This member's own probe, direct or through others. */
+  /** The deciding member's own probe, direct or through helpers. */
   | { readonly kind: 'own probe'; readonly isReached: boolean; readonly at: number }
-  /** Another member could not reach it. */
+  /** The report of another member that could not reach the instance. */
   | {
       readonly kind: 'witness';
       readonly witness: string;
       readonly at: number;
       readonly storeAnswers: boolean;
     }
-  /** Another process answers as this member: the one before it has ended. */
+  /** A later process of the same member answers, so that the earlier one has ended. */
   | { readonly kind: 'newer instance'; readonly instance: string; readonly at: number };
 
 /**
- * `failed`: confirmed by a quorum of independent witnesses. `replaced`: ended, by proof.
- * `reachable`: it answered. `unconfirmed`: neither. `unsupported`: it never answered a probe.
+ * The state of an instance by its evidence.
+ * `failed`: a quorum of independent witnesses could not reach it.
+ * `replaced`: a later process of the member answered, so that this one has ended.
+ * `reachable`: it answered a probe that was sent at `VerdictInput.since` or later.
+ * `unconfirmed`: the evidence is not sufficient for any of the others.
+ * `unsupported`: the member has never answered a probe.
  */
 export type VerdictKind = 'failed' | 'replaced' | 'reachable' | 'unconfirmed' | 'unsupported';
 
-/** A verdict with what it rests on. */
+/** A verdict with the evidence for it. */
 export interface Verdict {
   readonly kind: VerdictKind;
   readonly quorum: number;
@@ -31,29 +35,32 @@
 }
 
 /**
- * Independent witnesses, the deciding member included, that confirm the failure of one of so many
- * members: a majority of the others, three at the most. With two members it is the other one alone.
+ * Returns the number of independent witnesses, the deciding member included, that confirm a failure: a
+ * majority of the members other than the failed one, at most three. In a cluster of two members the
+ * other member alone is sufficient.
  */
 export function quorumOf(memberCount: number): number {
   const others = memberCount - 1;
   return Math.min(MAX_QUORUM, Math.floor(others / 2) + 1, others);
 }
 
-/** What is known of an instance. */
+/** The evidence on an instance, and the settings for the verdict on it. */
 export interface VerdictInput {
+  /** Name of the deciding member. */
   readonly self: string;
   readonly quorum: number;
-  /** The member answered some probe since this process began. */
+  /** Whether the member has answered any probe since the deciding process started. */
   readonly isSupported: boolean;
   readonly newerInstance: { readonly instance: string; readonly at: number } | null;
-  /** Sending times of the latest own probes that were and were not answered; null: none. */
+  /** Monotonic time in ms at which the latest answered own probe was sent; null: there is none. */
   readonly reachedAt: number | null;
+  /** Monotonic time in ms at which the latest failed own probe was sent; null: there is none. */
   readonly unreachedAt: number | null;
-  /** Reports that still count. */
+  /** Reports of witnesses that have not expired. */
   readonly reports: readonly Extract<Evidence, { kind: 'witness' }>[];
-  /** A proof of life counts as present only if it is of a probe that was sent after this. */
+  /** Monotonic time in ms; an answered probe shows a reachable instance only if it was sent since. */
   readonly since: number;
-  /** Whether the shared store answers this member. */
+  /** Whether the key-value store answers the deciding member. */
   readonly storeAnswers: boolean;
 }
 
@@ -67,8 +74,9 @@
 }
 
 /**
- * Those who can't reach the instance: this member by its latest probe, and others by their reports. A
- * member that the store does not answer may be the one that is cut off, and is no witness.
+ * Returns the members that can't reach the instance: the deciding one if its latest probe failed, and
+ * the others by their reports. A member that the key-value store does not answer may itself be cut off,
+ * and is not counted.
  */
 function witnessesOf(input: VerdictInput): string[] {
   const { reachedAt, reports, self, storeAnswers, unreachedAt } = input;
@@ -83,12 +91,12 @@
   if (newerInstance) return 'replaced';
   if (!input.isSupported) return 'unsupported';
   if (reachedAt !== null && reachedAt >= since) return 'reachable';
-  // Reports alone are not enough: they may be late, while this member can probe for itself.
+  // The deciding member must be a witness itself, because reports of others may be out of date.
   const isConfirmed = witnesses.includes(self) && witnesses.length >= quorum;
   return isConfirmed ? 'failed' : 'unconfirmed';
 }
 
-/** The verdict on an instance. */
+/** Returns the verdict on an instance. */
 export function verdictOf(input: VerdictInput): Verdict {
   const witnesses = witnessesOf(input);
   const kind = kindOf(input, witnesses);
--- a/packages/failure-detector/src/witness-reports.ts
+++ b/packages/failure-detector/src/witness-reports.ts
@@ -1,33 +1,33 @@
-/** Reports of other members that they could not reach one instance of a member. */
+/** The reports of witnesses that could not reach one instance of a member. */
 
 import type { Evidence } from './verdict.js';
 
 type WitnessEvidence = Extract<Evidence, { kind: 'witness' }>;
 
-/** The latest report of each witness about one instance; there is one entry a witness at the most. */
+/** The latest report of each witness on one instance. */
 export class WitnessReports {
   private readonly reports = new Map<string, WitnessEvidence & { readonly incarnation: number }>();
 
-  /** Notes a report; a repeated one only counts as newer where its incarnation is. */
+  /** Adds a report; it replaces the witness's earlier one unless that has a higher incarnation. */
   add(report: WitnessEvidence, incarnation: number): void {
-    const known = this.reports.get(report.witness);
-    if (known && known.incarnation > incarnation) return;
+    const previous = this.reports.get(report.witness);
+    if (previous && previous.incarnation > incarnation) return;
     this.reports.set(report.witness, { ...report, incarnation });
   }
 
-  /** Forgets reports about incarnations that the member has refuted. */
+  /** Removes the reports on incarnations below the given one, which the member has refuted. */
   removeRefuted(incarnation: number): void {
     for (const [witness, report] of this.reports) {
       if (report.incarnation < incarnation) this.reports.delete(witness);
     }
   }
 
-  /** Forgets all reports: they were about another instance. */
+  /** Removes all reports, because the member has a new instance. */
   clear(): void {
     this.reports.clear();
   }
 
-  /** Reports since a steady time in ms; older ones are forgotten. */
+  /** Returns the reports since a monotonic time in ms, and removes older ones. */
   receivedSince(time: number): WitnessEvidence[] {
     for (const [witness, report] of this.reports) {
       if (report.at < time) this.reports.delete(witness);
--- a/test/packages/detection-report.test.ts
+++ b/test/packages/detection-report.test.ts
@@ -68,7 +68,7 @@
     assert.equal(status, 1, name);
     assert.match(stderr, message, name);
     assert.match(stdout, /^[1-9]\d* records/, name);
-    assert.ok(readFileSync(path('f.html'), 'utf8').includes('could not be read whole'), name);
+    assert.ok(readFileSync(path('f.html'), 'utf8').includes('could not be read completely'), name);
   }
   const usage = run();
   assert.equal(usage.status, 2);
