--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -62,10 +62,10 @@
     this.probes = new Probes({
       now,
       timeoutMs: timing.probeTimeoutMs,
-      health: this.localHealth,
-      schedule: this.probeSchedule,
+      localHealth: this.localHealth,
+      probeSchedule: this.probeSchedule,
       send,
-      results: {
+      callbacks: {
         onReached: (member, answer, roundTripMs) => this.onReached(member, answer, roundTripMs),
         onUnreached: (member, sentAt) => this.onUnreached(member, sentAt),
       },
@@ -168,10 +168,10 @@
 
   private createGossip(): Gossip {
     return new Gossip({
-      detector: this.options,
-      names: this.memberNames,
-      table: this.memberTable,
-      health: this.localHealth,
+      detectorOptions: this.options,
+      memberNames: this.memberNames,
+      memberTable: this.memberTable,
+      localHealth: this.localHealth,
       onDropped: (reason) => this.countDropped(reason),
       // Every member probes the suspected one itself, so that one slow witness can't make it fail.
       onReported: (member) => this.probes.begin(member),
@@ -197,7 +197,7 @@
     this.memberTable.failTimedOutSuspicions();
     if (now >= this.nextProbeAt) {
       this.nextProbeAt = now + timing.probeIntervalMs;
-      const member = this.probeSchedule.next();
+      const member = this.probeSchedule.nextMember();
       if (member !== null) this.probes.begin(member);
     }
     this.scheduleTick();
--- a/packages/failure-detector/src/dissemination.ts
+++ b/packages/failure-detector/src/dissemination.ts
@@ -45,13 +45,13 @@
    */
   takeUpdatesFor(receiver: string): MemberUpdate[] {
     const receiverFirst = (entry: QueuedUpdate): number => Number(entry.update.member !== receiver);
-    const chosen = [...this.queue.entries()]
+    const selected = [...this.queue.entries()]
       .sort(([, a], [, b]) => receiverFirst(a) - receiverFirst(b) || a.sendCount - b.sendCount)
       .slice(0, MAX_UPDATES_PER_MESSAGE);
-    for (const [key, entry] of chosen) {
+    for (const [key, entry] of selected) {
       entry.sendCount++;
       if (entry.sendCount >= this.maxSends) this.queue.delete(key);
     }
-    return chosen.map(([, { update }]) => update);
+    return selected.map(([, { update }]) => update);
   }
 }
--- a/packages/failure-detector/src/probe-schedule.ts
+++ b/packages/failure-detector/src/probe-schedule.ts
@@ -13,7 +13,7 @@
   ) {}
 
   /** Returns the member to probe next; null: there is no other member. */
-  next(): string | null {
+  nextMember(): string | null {
     if (this.remainingInRound.length === 0) this.remainingInRound = this.shuffled(this.members);
     return this.remainingInRound.pop() ?? null;
   }
@@ -25,11 +25,11 @@
 
   private shuffled(members: readonly string[]): string[] {
     const order = [...members];
-    for (let last = order.length - 1; last > 0; last--) {
-      const other = Math.floor(this.random() * (last + 1));
-      const moved = order[last] ?? '';
-      order[last] = order[other] ?? '';
-      order[other] = moved;
+    for (let index = order.length - 1; index > 0; index--) {
+      const otherIndex = Math.floor(this.random() * (index + 1));
+      const moved = order[index] ?? '';
+      order[index] = order[otherIndex] ?? '';
+      order[otherIndex] = moved;
     }
     return order;
   }
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -7,7 +7,7 @@
 import type { ProbeAnswer } from './remote-member.js';
 
 /** Callbacks for the outcome of a probe. */
-interface ProbeResults {
+interface ProbeCallbacks {
   onReached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
   /** `sentAt`: monotonic time in ms at which the direct probe was sent. */
   onUnreached(member: string, sentAt: number): void;
@@ -17,10 +17,10 @@
 export interface ProbesOptions {
   readonly now: () => number;
   readonly timeoutMs: number;
-  readonly health: LocalHealth;
-  readonly schedule: ProbeSchedule;
+  readonly localHealth: LocalHealth;
+  readonly probeSchedule: ProbeSchedule;
   readonly send: (member: string, body: DetectorBody) => boolean;
-  readonly results: ProbeResults;
+  readonly callbacks: ProbeCallbacks;
 }
 
 interface Probe {
@@ -49,10 +49,10 @@
   /** Probes a member, unless a probe of this member is pending. */
   begin(member: string): void {
     if ([...this.pending.values()].some((probe) => probe.member === member)) return;
-    const { health, now, send, timeoutMs } = this.options;
+    const { localHealth, now, send, timeoutMs } = this.options;
     const sequence = ++this.sequence;
     const sentAt = now();
-    const directTimeoutMs = health.scaledTimeoutMs(timeoutMs);
+    const directTimeoutMs = localHealth.scaledTimeoutMs(timeoutMs);
     const isSent = send(member, { kind: 'ping', sequence });
     this.counts.sent++;
     this.pending.set(sequence, {
@@ -100,9 +100,9 @@
   }
 
   private askHelpers(sequence: number, probe: Probe): void {
-    const { schedule, send } = this.options;
+    const { probeSchedule, send } = this.options;
     probe.askHelpersAt = null;
-    for (const helper of schedule.helpersFor(probe.member, INDIRECT_PROBE_HELPERS)) {
+    for (const helper of probeSchedule.helpersFor(probe.member, INDIRECT_PROBE_HELPERS)) {
       const isSent = send(helper, { kind: 'indirectPing', sequence, target: probe.member });
       if (isSent) probe.unansweredHelpers.add(helper);
     }
@@ -112,19 +112,19 @@
     const member = (this.pending.get(sequence) ?? this.timedOut.get(sequence))?.member ?? '';
     const isInTime = this.pending.delete(sequence);
     this.timedOut.delete(sequence);
-    if (isInTime) this.options.health.onProbeAnswered();
-    this.options.results.onReached(member, answer, roundTripMs);
+    if (isInTime) this.options.localHealth.onProbeAnswered();
+    this.options.callbacks.onReached(member, answer, roundTripMs);
   }
 
   private fail(sequence: number, probe: Probe): void {
-    const { health, results } = this.options;
+    const { localHealth, callbacks } = this.options;
     this.pending.delete(sequence);
     this.timedOut.set(sequence, { member: probe.member, sentAt: probe.sentAt });
     const [oldest] = this.timedOut.keys();
     if (this.timedOut.size > MAX_TIMED_OUT_PROBES && oldest !== undefined)
       this.timedOut.delete(oldest);
     this.counts.failed++;
-    health.onProbeFailed(probe.unansweredHelpers.size);
-    results.onUnreached(probe.member, probe.sentAt);
+    localHealth.onProbeFailed(probe.unansweredHelpers.size);
+    callbacks.onUnreached(probe.member, probe.sentAt);
   }
 }
--- a/packages/failure-detector/src/rumours.ts
+++ b/packages/failure-detector/src/rumours.ts
@@ -10,10 +10,10 @@
 
 /** Dependencies of `Gossip`. */
 export interface GossipOptions {
-  readonly detector: FailureDetectorOptions;
-  readonly names: ReadonlySet<string>;
-  readonly table: MemberTable;
-  readonly health: LocalHealth;
+  readonly detectorOptions: FailureDetectorOptions;
+  readonly memberNames: ReadonlySet<string>;
+  readonly memberTable: MemberTable;
+  readonly localHealth: LocalHealth;
   readonly onDropped: (reason: DropReason) => void;
   /** Called when the report of a witness starts or confirms a suspicion of the member. */
   readonly onReported: (member: string) => void;
@@ -28,7 +28,7 @@
   private ownIncarnation = 0;
 
   constructor(private readonly options: GossipOptions) {
-    const { instance, members, self } = options.detector;
+    const { instance, members, self } = options.detectorOptions;
     this.dissemination = new Dissemination(members.length);
     this.self = self;
     this.instance = instance;
@@ -45,7 +45,7 @@
       this.refute(update);
       return;
     }
-    const member = this.options.table.get(update.member);
+    const member = this.options.memberTable.get(update.member);
     const dropReason = member ? this.dropReasonOf(update, member) : 'unknown member';
     if (!member || dropReason) this.options.onDropped(dropReason ?? 'unknown member');
     else if (update.state === 'alive') this.applyAlive(update, member);
@@ -59,7 +59,7 @@
 
   /** Queues a report that this member could not reach another one, unless one was queued lately. */
   reportUnreached(member: RemoteMember): void {
-    const { clock, timing } = this.options.detector;
+    const { clock, timing } = this.options.detectorOptions;
     const { incarnation, instance } = member;
     if (instance === null) return;
     if (clock.now() - member.lastReportedAt < REPORT_REPEAT_INTERVALS * timing.probeIntervalMs)
@@ -74,7 +74,7 @@
    */
   takeUpdatesFor(receiver: string): MemberUpdate[] {
     const updates = this.dissemination.takeUpdatesFor(receiver);
-    const member = this.options.table.get(receiver);
+    const member = this.options.memberTable.get(receiver);
     if (!member?.suspicion || member.instance === null) return updates;
     if (updates.some((update) => update.member === receiver)) return updates;
     const { incarnation } = member.suspicion;
@@ -83,7 +83,7 @@
   }
 
   private createReport(member: string, instance: string, incarnation: number): MemberUpdate {
-    const storeAnswers = this.options.detector.storeAnswers();
+    const storeAnswers = this.options.detectorOptions.storeAnswers();
     return { member, instance, incarnation, state: 'suspect', witness: this.self, storeAnswers };
   }
 
@@ -93,21 +93,21 @@
     if (update.instance !== member.instance) return 'other instance';
     if (update.incarnation < member.incarnation) return 'old incarnation';
     const { witness } = update;
-    const isWitness = this.options.names.has(witness) && witness !== member.name;
+    const isWitness = this.options.memberNames.has(witness) && witness !== member.name;
     if (update.state === 'suspect' && !isWitness) return 'no witness';
     return null;
   }
 
   private applyAlive(update: MemberUpdate, member: RemoteMember): void {
     if (update.incarnation <= member.incarnation) return;
-    this.options.table.applyIncarnation(member, update.incarnation);
+    this.options.memberTable.applyIncarnation(member, update.incarnation);
     this.dissemination.removeSuperseded(member.name, update.instance, update.incarnation);
     this.dissemination.add(update);
   }
 
   private applySuspicion(update: MemberUpdate, member: RemoteMember): void {
     if (update.witness === this.self) return;
-    if (!this.options.table.recordReport(member, update)) return;
+    if (!this.options.memberTable.recordReport(member, update)) return;
     this.dissemination.add(update);
     this.options.onReported(member.name);
   }
@@ -117,14 +117,14 @@
     if (update.state !== 'suspect' || update.instance !== this.instance) return;
     if (update.incarnation < this.ownIncarnation) return;
     this.ownIncarnation = update.incarnation + 1;
-    this.options.health.onSuspected();
+    this.options.localHealth.onSuspected();
     this.dissemination.add({
       member: this.self,
       instance: this.instance,
       incarnation: this.ownIncarnation,
       state: 'alive',
       witness: this.self,
-      storeAnswers: this.options.detector.storeAnswers(),
+      storeAnswers: this.options.detectorOptions.storeAnswers(),
     });
   }
 }
--- a/packages/failure-detector/src/verdict.ts
+++ b/packages/failure-detector/src/verdict.ts
@@ -82,8 +82,8 @@
   const { reachedAt, reports, self, storeAnswers, unreachedAt } = input;
   const others = reports.filter((report) => report.storeAnswers).map(({ witness }) => witness);
   const isUnreached = unreachedAt !== null && unreachedAt > (reachedAt ?? -Infinity);
-  const own = isUnreached && storeAnswers ? [self] : [];
-  return [...new Set([...own, ...others])];
+  const ownWitness = isUnreached && storeAnswers ? [self] : [];
+  return [...new Set([...ownWitness, ...others])];
 }
 
 function kindOf(input: VerdictInput, witnesses: readonly string[]): VerdictKind {
