--- a/packages/detection-report/src/plots.ts
+++ b/packages/detection-report/src/plots.ts
@@ -11,7 +11,7 @@
 import type { ProbeQuantiles } from './probe-quantiles.js';
 import type { DecisionRecord, DetectionRecord, TransitionRecord } from './records.js';
 
-/** The states and their colours, which colour-blind readers can tell apart. */
+/** The states and their colours, which readers with red-green colour blindness can tell apart. */
 const STATE_COLOURS = {
   domain: ['unknown', 'alive', 'suspect', 'failed'],
   range: ['#d0d0d0', '#4c9f70', '#e9b44c', '#b3365b'],
@@ -67,7 +67,7 @@
     title: (span: StateSpan) => `${span.lane}: ${span.state}`,
   });
   return plotLanes(document, new Set(spans.map(({ lane }) => lane)).size, {
-    x: { type: 'utc', label: 'time of day', grid: true },
+    x: { type: 'utc', label: 'time, UTC', grid: true },
     y: { label: null },
     color: { ...STATE_COLOURS, type: 'ordinal', legend: true },
     marks: [bars],
@@ -85,7 +85,7 @@
       `${decision.observer}: ${decision.action}, ${decision.why}`,
   });
   return plotLanes(document, new Set(decisions.map(({ role }) => role)).size, {
-    x: { type: 'utc', label: 'time of day', grid: true },
+    x: { type: 'utc', label: 'time, UTC', grid: true },
     y: { label: null, type: 'band' },
     color: {
       domain: ['take', 'wait', 'ask to stand down'],
--- a/packages/failure-detector/src/constants.ts
+++ b/packages/failure-detector/src/constants.ts
@@ -10,7 +10,10 @@
  * late, and the process wakes up rarely.
  */
 export const TICKS_PER_INTERVAL = 4;
-/** Members that are asked to probe a target, as in SWIM, so that one lost message fails no probe. */
+/**
+ * Number of members that are asked to probe a target that did not answer, as in SWIM. With several of
+ * them, one lost message does not make the probe fail.
+ */
 export const INDIRECT_PROBE_HELPERS = 3;
 /**
  * Maximum number of independent witnesses that are required to confirm a failure, as in Lifeguard. A
@@ -39,7 +42,7 @@
 export const MAX_DELEGATED_PROBES = 64;
 /** Maximum number of timed-out probes that are kept: a late answer to one still counts. */
 export const MAX_TIMED_OUT_PROBES = 64;
-/** Maximum number of ended instances that are kept of each member. */
+/** Maximum number of ended instances that are kept of each member, to drop their late answers. */
 export const MAX_ENDED_INSTANCES = 4;
 /** Probe intervals after which the report of a witness expires. */
 export const REPORT_VALIDITY_INTERVALS = 10;
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -104,7 +104,7 @@
     return remoteMember ? this.memberTable.verdict(remoteMember, instance, since) : null;
   }
 
-  /** Probes a member at once, in addition to the regular probes. */
+  /** Probes a member at once, unless a probe of it is pending already. */
   probe(member: string): void {
     if (this.memberTable.get(member)) this.probes.begin(member);
   }
@@ -173,7 +173,8 @@
       memberTable: this.memberTable,
       localHealth: this.localHealth,
       onDropped: (reason) => this.countDropped(reason),
-      // Every member probes the suspected one itself, so that one slow witness can't make it fail.
+      // Every member probes the suspected one itself, so that one slow witness is not enough
+      // for a failure.
       onReported: (member) => this.probes.begin(member),
     });
   }
--- a/packages/failure-detector/src/member-table.ts
+++ b/packages/failure-detector/src/member-table.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Records that another member's probe failed. Returns whether the witness is new, so that the report
-   * starts or confirms a suspicion.
+   * Records that another member's probe failed. Returns whether the report starts a suspicion, or is the
+   * first one by which this witness confirms it.
    */
   recordReport(member: RemoteMember, report: WitnessReport): boolean {
     const { witness, incarnation, storeAnswers } = report;
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -8,6 +8,7 @@
 
 /** Callbacks for the outcome of a probe. */
 interface ProbeCallbacks {
+  /** `roundTripMs`: null if the answer came through a helper. */
   onReached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
   /** `sentAt`: monotonic time in ms at which the direct probe was sent. */
   onUnreached(member: string, sentAt: number): void;
--- a/packages/failure-detector/src/rumours.ts
+++ b/packages/failure-detector/src/rumours.ts
@@ -57,7 +57,10 @@
     this.dissemination.removeSuperseded(member, instance, incarnation);
   }
 
-  /** Queues a report that this member could not reach another one, unless one was queued lately. */
+  /**
+   * Queues a report that this member could not reach another one, unless its last report on that member
+   * is less than `REPORT_REPEAT_INTERVALS` probe intervals old.
+   */
   reportUnreached(member: RemoteMember): void {
     const { clock, timing } = this.options.detectorOptions;
     const { incarnation, instance } = member;
--- a/packages/failure-detector/src/types.ts
+++ b/packages/failure-detector/src/types.ts
@@ -66,7 +66,7 @@
 
 /** Identity, settings and environment of a detector. */
 export interface FailureDetectorOptions {
-  /** Name of the member that this detector runs on. */
+  /** Name of this member. */
   readonly self: string;
   /** Unique name of this process; earlier processes of the same member had others. */
   readonly instance: string;
--- a/packages/failure-detector/src/verdict.ts
+++ b/packages/failure-detector/src/verdict.ts
@@ -58,7 +58,7 @@
   readonly unreachedAt: number | null;
   /** Reports of witnesses that have not expired. */
   readonly reports: readonly Extract<Evidence, { kind: 'witness' }>[];
-  /** Monotonic time in ms; an answered probe shows a reachable instance only if it was sent since. */
+  /** Monotonic time in ms: a probe that was sent earlier does not prove that the instance lives. */
   readonly since: number;
   /** Whether the key-value store answers the deciding member. */
   readonly storeAnswers: boolean;
--- a/packages/failure-detector/src/witness-reports.ts
+++ b/packages/failure-detector/src/witness-reports.ts
@@ -27,7 +27,7 @@
     this.reports.clear();
   }
 
-  /** Returns the reports since a monotonic time in ms, and removes older ones. */
+  /** Returns the reports received since a monotonic time in ms, and removes older ones. */
   receivedSince(time: number): WitnessEvidence[] {
     for (const [witness, report] of this.reports) {
       if (report.at < time) this.reports.delete(witness);
