--- a/test/packages/detection-report.test.ts
+++ b/test/packages/detection-report.test.ts
@@ -1,4 +1,7 @@
-/** `mothbank detections`: what it reads, what it names as unreadable, and the report. */
+/**
+ * `mothbank detections`, which reads logs and exports and writes a report. Guards against records that
+ * are lost, counted twice or inserted as markup, and against unreadable files that are not reported.
+ */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
@@ -20,7 +23,7 @@
 const run = (...args: string[]): { status: number | null; stderr: string; stdout: string } =>
   spawnSync(process.execPath, [CLI, 'detections', ...args], { encoding: 'utf8', cwd: folder });
 
-/** The histories of three controllers, of which one was frozen beyond its lease. */
+/** The histories of three controllers, one of which was paused until its lease had expired. */
 async function histories(): Promise<string[]> {
   const { world } = await worldWithFailureDetection(1);
   world.pause(world.leader, 12);
@@ -28,7 +31,7 @@
   return [...world.nodes.values()].map(({ node }) => node.detection?.export() ?? '');
 }
 
-test('detections: one self-contained report of the histories of several controllers', async () => {
+test('detections: logs and exports of several controllers give one self-contained report', async () => {
   const [first = '', second = '', third = ''] = await histories();
   const log = `${'{"level":30,"msg":"started"}\n'}not JSON\n${first}`;
   const files = [write('n0.log', log), write('n1.gz', gzipSync(second)), write('n2', third)];
@@ -41,13 +44,13 @@
   for (const text of ['n0 &gt; n1', 'failure confirmed by a quorum', 'refuted', 'p99, ms']) {
     assert.ok(html.includes(text), text);
   }
-  // The export holds all of it, and nothing counts twice.
+  // The export contains all records, and a record that is in two files is counted once.
   const exported = readHistories([path('all.gz')]);
   assert.deepEqual(readHistories([...files, path('all.gz')]), exported);
   assert.deepEqual(exported, readHistories(files));
 });
 
-test('detections: faulty files are named, and the others are read', async () => {
+test('detections: a file that is faulty is reported, and the other files are read', async () => {
   const [good = ''] = await histories();
   const [line = ''] = good.split('\n');
   const whole = gzipSync(good);
@@ -75,7 +78,7 @@
   assert.match(usage.stderr, /missing required argument 'files'/);
 });
 
-test('detections: texts of records are shown as text', () => {
+test('detections: markup in the texts of records is shown as text', () => {
   const at = 1_700_000_000_000;
   const record = {
     ...{ type: 'transition', at, observer: '<script>', member: 'n1', instance: 'i' },
@@ -93,10 +96,10 @@
   assert.doesNotMatch(readFileSync(path('odd.html'), 'utf8'), /<script>|<b>/);
 });
 
-test('detections: quantiles of probe times are within the accuracy of their sketches', () => {
-  const records = ['n0', 'n1'].map((observer, half) => ({
-    ...{ type: 'probeTimes' as const, at: half, observer, member: 'n2', localHealth: 0 },
-    roundTripsMs: Array.from({ length: 500 }, (_, index) => index * 2 + half + 1),
+test('detections: quantiles over all observers are within twice the relative accuracy of the sketches', () => {
+  const records = ['n0', 'n1'].map((observer, observerIndex) => ({
+    ...{ type: 'probeTimes' as const, at: observerIndex, observer, member: 'n2', localHealth: 0 },
+    roundTripsMs: Array.from({ length: 500 }, (_, index) => index * 2 + observerIndex + 1),
   }));
   const all = probeQuantiles(records).find(({ lane }) => lane === 'all > n2');
   assert.equal(all?.count, 1000);
--- a/test/packages/failure-detector-rules.test.ts
+++ b/test/packages/failure-detector-rules.test.ts
@@ -1,4 +1,7 @@
-/** The failure detector's rules by themselves: quorum, verdicts, time-outs, and what is passed over. */
+/**
+ * The failure detector's quorum, verdicts, time-outs and message checks. Guards against a controller that
+ * counts as failed without enough independent evidence, and against invalid messages that have an effect.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -15,7 +18,7 @@
 import { decodeDetector, encodeDetector } from '../../src/protocol/detector-codec.js';
 import { DetectorNetwork, TIMING } from '../world/detector-network.js';
 
-test('quorum: a majority of the others, three at the most, from 1 to 63 members', () => {
+test('quorum: with 1 to 63 members, it is a majority of the others and at most three', () => {
   const expected = new Map([
     [1, 0],
     [2, 1],
@@ -29,7 +32,7 @@
   for (let members = 1; members <= 63; members++) assert.ok(quorumOf(members) <= members - 1);
 });
 
-test('a suspicion shortens with independent confirmations, and a witness counts once', () => {
+test('suspicion: its time-out shortens with each new witness, and a repeated witness does not count', () => {
   const timing = { leastMs: 1000, mostMs: 5000, expectedConfirmations: 2 };
   const suspicion = new Suspicion(0, 100, timing);
   const ends: number[] = [];
@@ -38,7 +41,7 @@
     isNew.push(suspicion.confirm(witness));
     ends.push(Math.round(suspicion.endsAt - 100));
   }
-  // What is not new is not passed on either: rumours would go round for ever.
+  // Only a report that is new is sent on; otherwise members would send each other reports without end.
   assert.deepEqual(isNew, [true, false, true, false, true, true]);
   assert.deepEqual(ends, [5000, 5000, 2476, 2476, 1000, 1000]);
 });
@@ -61,19 +64,27 @@
   storeAnswers,
 });
 
-test('verdicts follow from the evidence', () => {
+test('verdict: each combination of evidence gives the expected kind', () => {
   const rows: [string, Partial<VerdictInput>, string][] = [
-    ['own probe and one witness', {}, 'failed'],
-    ['no witness', { reports: [] }, 'unconfirmed'],
-    ['a witness twice', { quorum: 3, reports: [report('x'), report('x')] }, 'unconfirmed'],
-    ['witnesses, but no own probe', { unreachedAt: null, quorum: 1 }, 'unconfirmed'],
-    ['an own probe that was answered since', { reachedAt: 200, unreachedAt: 190 }, 'reachable'],
-    ['answered before the registration ended', { unreachedAt: null, reports: [] }, 'unconfirmed'],
-    ['a witness without the store', { reports: [report('x', false)] }, 'unconfirmed'],
-    ['an observer without the store', { storeAnswers: false }, 'unconfirmed'],
-    ['two members: the other one alone', { quorum: 1, reports: [] }, 'failed'],
-    ['never answered a probe', { isSupported: false }, 'unsupported'],
-    ['a later process', { newerInstance: { instance: 'n', at: 220 }, reports: [] }, 'replaced'],
+    ['an own probe and one witness', {}, 'failed'],
+    ['an own probe, but no witness', { reports: [] }, 'unconfirmed'],
+    ['the same witness twice', { quorum: 3, reports: [report('x'), report('x')] }, 'unconfirmed'],
+    ['a witness, but no own probe', { unreachedAt: null, quorum: 1 }, 'unconfirmed'],
+    ['an own probe that was answered later', { reachedAt: 200, unreachedAt: 190 }, 'reachable'],
+    [
+      'answered only before the registration expired',
+      { unreachedAt: null, reports: [] },
+      'unconfirmed',
+    ],
+    ['a witness that the store does not answer', { reports: [report('x', false)] }, 'unconfirmed'],
+    ['an observer that the store does not answer', { storeAnswers: false }, 'unconfirmed'],
+    ['an own probe alone, with two members', { quorum: 1, reports: [] }, 'failed'],
+    ['a member that never answered a probe', { isSupported: false }, 'unsupported'],
+    [
+      'a later process of the member answers',
+      { newerInstance: { instance: 'n', at: 220 }, reports: [] },
+      'replaced',
+    ],
   ];
   for (const [name, input, kind] of rows) {
     const verdict = verdictOf({ ...BASE, ...input });
@@ -92,7 +103,7 @@
   ...fields,
 });
 
-test('what can not be used is counted and passed over', async () => {
+test('messages: invalid messages and updates are counted by reason and have no effect', async () => {
   const message = (fields: Partial<DetectorMessage>): DetectorMessage => ({
     cluster: 'c',
     from: 'm2',
@@ -102,24 +113,24 @@
     body: { kind: 'ack', sequence: 1 },
     ...fields,
   });
-  const rumour = (fields: Partial<MemberUpdate>) => message({ updates: [suspect(fields)] });
+  const withUpdate = (fields: Partial<MemberUpdate>) => message({ updates: [suspect(fields)] });
   const rows: [DropReason, DetectorMessage][] = [
     ['foreign cluster', message({ cluster: 'other' })],
     ['unknown member', message({ from: 'stranger' })],
     ['unknown member', message({ body: { kind: 'indirectPing', sequence: 1, target: 'x' } })],
-    ['unknown member', rumour({ member: 'stranger' })],
-    ['other instance', rumour({ instance: 'm1-1' })],
-    ['old incarnation', rumour({ incarnation: 0 })],
-    ['no witness', rumour({ incarnation: 9, witness: 'stranger' })],
-    ['no witness', rumour({ incarnation: 9, witness: 'm1' })],
+    ['unknown member', withUpdate({ member: 'stranger' })],
+    ['other instance', withUpdate({ instance: 'm1-1' })],
+    ['old incarnation', withUpdate({ incarnation: 0 })],
+    ['no witness', withUpdate({ incarnation: 9, witness: 'stranger' })],
+    ['no witness', withUpdate({ incarnation: 9, witness: 'm1' })],
     ['malformed', message({ from: '' })],
     ['malformed', message({ incarnation: -1 })],
     ['malformed', message({ updates: Array.from({ length: 9 }, () => suspect({})) })],
-    ['malformed', rumour({ witness: 'w'.repeat(300) })],
+    ['malformed', withUpdate({ witness: 'w'.repeat(300) })],
   ];
   const network = new DetectorNetwork(['m0', 'm1', 'm2'], 1);
   await network.run(8);
-  // m1 refutes once, so that rumours about its first incarnation are old.
+  // m1 refutes a suspicion once, so that updates about its first incarnation are outdated.
   network.pause('m1', 3);
   await network.run(20);
   const detector = network.detectors.get('m0');
@@ -135,7 +146,7 @@
   assert.equal(network.state('m0', 'm1'), 'alive');
 });
 
-test('messages are read as they were written; broken and oversized ones are not', () => {
+test('codec: messages are decoded as they were encoded, and invalid or oversized bytes are rejected', () => {
   const bodies: DetectorMessage['body'][] = [
     { kind: 'ping', sequence: 2 ** 40 + 3 },
     { kind: 'ack', sequence: 0 },
@@ -155,7 +166,7 @@
     const bytes = encodeDetector(message);
     assert.deepEqual(decodeDetector(bytes), message);
     for (let length = 1; length < bytes.length; length++) {
-      // Cut off at any place it is either refused or lacks what came last; it never throws.
+      // Truncated bytes are either rejected or decoded without the last fields, but never throw.
       decodeDetector(bytes.subarray(0, length));
     }
     assert.equal(
@@ -163,22 +174,22 @@
       null,
     );
   }
-  for (const noise of ['ff', 'ffffffff', '0affffffff0f', '5a05ffffffffff']) {
-    assert.equal(decodeDetector(Buffer.from(noise, 'hex')), null, noise);
+  for (const hex of ['ff', 'ffffffff', '0affffffff0f', '5a05ffffffffff']) {
+    assert.equal(decodeDetector(Buffer.from(hex, 'hex')), null, hex);
   }
 });
 
-test('a verdict needs the own probe; with the members of each size a crash is confirmed', async () => {
+test('verdict: after a crash, every other member reports a failure with its own probe as evidence', async () => {
   for (const count of [2, 3, 5, 9, 31]) {
     const names = Array.from({ length: count }, (_, number) => `m${number}`);
     const network = new DetectorNetwork(names, 7);
-    // Each member is probed by all once in a round.
+    // In this time, each member probes all others at least once.
     await network.run(count + 8);
     const killedAt = network.clock.now();
     network.kill('m1');
-    // A registration ends six seconds after its last renewal.
+    // A registration expires 6 s after its last renewal.
     await network.run(6);
-    // Whoever hears of the suspicion looks for itself, long before its own round comes to the member.
+    // A member that receives the suspicion probes m1 at once, long before its own schedule does.
     await network.run(3);
     for (const [observer, detector] of network.detectors) {
       const verdict = detector.verdict('m1', 'm1-2', killedAt + 6000);
@@ -189,7 +200,7 @@
   assert.ok(TIMING.suspicionMostMs <= 6000);
 });
 
-test('an answer that comes after its probe was given up still proves life', async () => {
+test('verdict: an answer that arrives after its probe has timed out makes the instance reachable', async () => {
   const network = new DetectorNetwork(['m0', 'm1', 'm2'], 5);
   await network.run(10);
   network.delayMs = ({ from, message }) =>
--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -1,4 +1,8 @@
-/** The failure detector in simulated time: who is suspected, who is found failed, and who refutes. */
+/**
+ * The failure detector in simulated time, with faults of members and of the network. Guards against a
+ * live member that is detected as failed because of a short pause, delayed or lost messages, against a
+ * crashed member that is not detected, and against message rates that grow with the member count.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MemberState } from '@mothbank/failure-detector';
@@ -7,40 +11,42 @@
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const named = (count: number): string[] =>
   Array.from({ length: count }, (_, number) => `m${number}`);
+/** Simulated time, in seconds, after which all members have seen each other alive. */
 const SETTLE_S = 12;
 
-interface Row {
+interface FaultCase {
   name: string;
   members?: number;
   fault: (network: DetectorNetwork) => Promise<void>;
-  /** States that each member may take for any other, from the fault on. */
+  /** By member: states that observers may change it to after the fault; by default only `alive`. */
   allowed: Record<string, MemberState[]>;
-  /** States that some observer must have seen, and how all look in the end. */
+  /** By member: states that at least one observer must have seen. */
   seen?: Record<string, MemberState[]>;
+  /** By member: its state for all observers at the end. */
   atEnd?: Record<string, MemberState>;
 }
 
-/** Slow answers of some members, each way. */
+/** Delays of 150 to 400 ms for messages from and to some members. */
 const slowed =
   (names: string[], network: DetectorNetwork) =>
   ({ from, to }: Delivery): number =>
     names.includes(from) || names.includes(to) ? 150 + 250 * network.random01() : 2;
 
-const isOneWay =
+const lostOneWay =
   (from: string, to: string) =>
   (delivery: Delivery): number | null =>
     delivery.from === from && delivery.to === to ? null : 2;
 
-const between =
+const lostBetween =
   (left: string[], right: string[]) =>
   ({ from, to }: Delivery): number | null =>
     (left.includes(from) && right.includes(to)) || (right.includes(from) && left.includes(to))
       ? null
       : 2;
 
-const ROWS: Row[] = [
+const FAULT_CASES: FaultCase[] = [
   ...[1, 3].map((seconds) => ({
-    name: `a member whose event loop is held ${seconds} s`,
+    name: `a member whose event loop is blocked for ${seconds} s is suspected at most`,
     fault: async (network: DetectorNetwork) => {
       network.pause('m1', seconds);
       await network.run(20);
@@ -49,7 +55,7 @@
     atEnd: { m1: 'alive' as const },
   })),
   {
-    name: 'a member held 5 s is suspected at most, and refutes',
+    name: 'a member whose event loop is blocked for 5 s is suspected and refutes it',
     fault: async (network) => {
       network.pause('m1', 5);
       await network.run(20);
@@ -59,7 +65,7 @@
     atEnd: { m1: 'alive' },
   },
   {
-    name: 'a member held 10 s, and back',
+    name: 'a member whose event loop is blocked for 10 s is detected as failed, and is alive afterwards',
     fault: async (network) => {
       network.pause('m1', 10);
       await network.run(25);
@@ -69,7 +75,7 @@
     atEnd: { m1: 'alive' },
   },
   {
-    name: 'a member that is several times slower for minutes',
+    name: 'a member whose messages are delayed for three minutes is suspected at most',
     fault: async (network) => {
       network.delayMs = slowed(['m2'], network);
       await network.run(180);
@@ -77,7 +83,7 @@
     allowed: { m2: ['suspect', 'alive'] },
   },
   {
-    name: 'two of three members are slow',
+    name: 'two of three members whose messages are delayed are suspected at most',
     fault: async (network) => {
       network.delayMs = slowed(['m1', 'm2'], network);
       await network.run(120);
@@ -85,10 +91,10 @@
     allowed: { m1: ['suspect', 'alive'], m2: ['suspect', 'alive'] },
   },
   {
-    name: 'an observer that is held again and again brings nobody down',
+    name: 'an observer that is paused repeatedly suspects no other member',
     members: 5,
     fault: async (network) => {
-      for (let turn = 0; turn < 20; turn++) {
+      for (let round = 0; round < 20; round++) {
         network.pause('m0', 2.5);
         await network.run(3);
       }
@@ -96,19 +102,19 @@
     allowed: { m0: ['suspect', 'failed', 'alive'] },
   },
   {
-    name: 'what one member sends another is lost: others reach it',
+    name: 'a member that one other member cannot reach is not suspected',
     fault: async (network) => {
-      network.delayMs = isOneWay('m0', 'm1');
+      network.delayMs = lostOneWay('m0', 'm1');
       await network.run(60);
     },
     allowed: {},
   },
   {
-    name: 'a link that flaps',
+    name: 'with a connection that fails and recovers repeatedly, no member is suspected',
     members: 4,
     fault: async (network) => {
-      for (let turn = 0; turn < 30; turn++) {
-        network.delayMs = turn % 2 === 0 ? between(['m0'], ['m1']) : () => 2;
+      for (let round = 0; round < 30; round++) {
+        network.delayMs = round % 2 === 0 ? lostBetween(['m0'], ['m1']) : () => 2;
         await network.run(1.5);
       }
       network.delayMs = () => 2;
@@ -117,10 +123,10 @@
     allowed: {},
   },
   {
-    name: 'a split in which each half suspects the other, healed',
+    name: 'the halves of a network partition detect each other as failed, and as alive after it has healed',
     members: 4,
     fault: async (network) => {
-      network.delayMs = between(['m0', 'm1'], ['m2', 'm3']);
+      network.delayMs = lostBetween(['m0', 'm1'], ['m2', 'm3']);
       await network.run(20);
       network.delayMs = () => 2;
       await network.run(20);
@@ -132,7 +138,7 @@
     atEnd: { m0: 'alive', m1: 'alive', m2: 'alive', m3: 'alive' },
   },
   {
-    name: 'a whole round of confirmations comes once more, a minute late',
+    name: 'confirmations that are delivered again a minute later change nothing',
     members: 4,
     fault: async (network) => {
       network.pause('m1', 4);
@@ -151,18 +157,18 @@
     atEnd: { m1: 'alive' },
   },
   {
-    name: 'back within an instant as a new process',
+    name: 'a member that restarts at once is a new instance and is not suspected',
     fault: async (network) => {
       network.start('m1');
       await network.run(10);
-      const reasons = network.transitions.filter(({ member }) => member === 'm1');
-      assert.ok(reasons.some(({ reason }) => reason === 'new instance'));
+      const transitions = network.transitions.filter(({ member }) => member === 'm1');
+      assert.ok(transitions.some(({ reason }) => reason === 'new instance'));
     },
     allowed: { m1: ['alive'] },
     atEnd: { m1: 'alive' },
   },
   {
-    name: 'answers of the process before come late',
+    name: 'late answers of the previous process do not replace the new instance',
     fault: async (network) => {
       network.delayMs = ({ from, message }) =>
         from === 'm1' && message.body.kind === 'ack' ? 6000 : 2;
@@ -170,14 +176,14 @@
       network.start('m1');
       network.delayMs = () => 2;
       await network.run(15);
-      const news = network.transitions.filter(({ reason }) => reason === 'new instance');
-      assert.deepEqual(news.map(({ observer }) => observer).sort(), ['m0', 'm2']);
+      const replacements = network.transitions.filter(({ reason }) => reason === 'new instance');
+      assert.deepEqual(replacements.map(({ observer }) => observer).sort(), ['m0', 'm2']);
     },
     allowed: { m1: ['suspect', 'alive'] },
     atEnd: { m1: 'alive' },
   },
   {
-    name: 'all restarted together',
+    name: 'when all members restart together, none is suspected',
     members: 5,
     fault: async (network) => {
       for (const name of network.names) network.start(name);
@@ -186,7 +192,7 @@
     allowed: {},
   },
   {
-    name: 'the wall clock jumps',
+    name: 'when the wall clock jumps by an hour, no member is suspected',
     fault: async (network) => {
       network.wallOffsetMs = 3_600_000;
       await network.run(10);
@@ -196,7 +202,7 @@
     allowed: {},
   },
   {
-    name: 'a member that is gone',
+    name: 'a member that crashed is detected as failed by all others',
     members: 5,
     fault: async (network) => {
       network.kill('m3');
@@ -208,21 +214,24 @@
   },
 ];
 
-for (const { name, members = 3, fault: trouble, allowed, seen = {}, atEnd = {} } of ROWS) {
+for (const { name, members = 3, fault, allowed, seen = {}, atEnd = {} } of FAULT_CASES) {
   test(`failure detector: ${name}`, async () => {
     for (const seed of SEEDS) {
       const network = new DetectorNetwork(named(members), seed);
       await network.run(SETTLE_S);
       const from = network.transitions.length;
-      await trouble(network);
+      await fault(network);
       const since = network.transitions.slice(from);
       for (const { member, observer, to } of since) {
         const states = allowed[member] ?? ['alive'];
         assert.ok(states.includes(to), `seed ${seed}: ${member} ${to} for ${observer}`);
       }
       for (const [member, states] of Object.entries(seen)) {
-        const got = new Set(since.filter((one) => one.member === member).map(({ to }) => to));
-        for (const state of states) assert.ok(got.has(state), `seed ${seed}: never ${state}`);
+        const seenStates = new Set(
+          since.filter((one) => one.member === member).map(({ to }) => to),
+        );
+        for (const state of states)
+          assert.ok(seenStates.has(state), `seed ${seed}: never ${state}`);
       }
       for (const [member, state] of Object.entries(atEnd)) {
         for (const observer of network.detectors.keys()) {
@@ -233,19 +242,22 @@
   });
 }
 
-test('failure detector: at most so many messages a second, however many members there are', async () => {
+test('failure detector: with any number of members, each one sends few messages a second', async () => {
   for (const count of [3, 9, 31, 63]) {
     const network = new DetectorNetwork(named(count), 1);
     await network.run(SETTLE_S);
     const before = network.sent.length;
     await network.run(20);
     const perMember = (network.sent.length - before) / count / 20;
-    // A ping and an answer to one, each second.
+    // Each member sends one ping and one answer a second.
     assert.ok(perMember <= 2.1, `${count} members: ${perMember} messages a second each`);
     network.kill('m1');
     const from = network.sent.length;
     await network.run(10);
-    const most = (network.sent.length - from) / count / 10;
-    assert.ok(most <= 12, `${count} members, one gone: ${most} messages a second each`);
+    const perMemberAfterCrash = (network.sent.length - from) / count / 10;
+    assert.ok(
+      perMemberAfterCrash <= 12,
+      `${count} members, one crashed: ${perMemberAfterCrash} messages a second each`,
+    );
   }
 });
