--- a/packages/failure-detector/src/constants.ts
+++ b/packages/failure-detector/src/constants.ts
@@ -34,8 +34,8 @@
 /** Maximum number of queued updates; the oldest are dropped. */
 export const MAX_QUEUED_UPDATES = 256;
 /**
- * Fraction of the probe time-out after which a helper answers that the target was not reached. It is
- * below 1, so that the answer arrives before the requester's probe times out.
+ * Fraction of the probe time-out after which a helper answers that the target was not reached. The rest
+ * of the time-out is left for that answer's transmission.
  */
 export const HELPER_TIMEOUT_FRACTION = 0.8;
 /** Maximum number of concurrent probes for other members; further requests are ignored. */
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -114,7 +114,7 @@
     return this.localHealth.score;
   }
 
-  /** Numbers of probes that were sent and that failed. */
+  /** Numbers of probes that were started, also without a connection, and that failed. */
   get probeCounts(): { readonly sent: number; readonly failed: number } {
     return this.probes.counts;
   }
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -42,7 +42,7 @@
   /** Timed-out probes by sequence number, kept because a late answer still counts. */
   private readonly timedOut = new Map<number, { member: string; sentAt: number }>();
   private sequence = 0;
-  /** Numbers of probes that were sent and that failed. */
+  /** Numbers of probes that were started, also without a connection, and that failed. */
   readonly counts = { sent: 0, failed: 0 };
 
   constructor(private readonly options: ProbesOptions) {}
