--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -11,7 +11,7 @@
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const named = (count: number): string[] =>
   Array.from({ length: count }, (_, number) => `m${number}`);
-/** Simulated time, in seconds, after which all members have seen each other alive. */
+/** Simulated time, in seconds, that passes before the fault or the measurement. */
 const SETTLE_S = 12;
 
 interface FaultCase {
