--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -1,12 +1,12 @@
-/** The failure detector of one member: SWIM's probes and rumours, with Lifeguard's additions. */
+/** The failure detector of one member: SWIM's probes and gossip with Lifeguard's extensions. */
 
-import { HELPER_SHARE, MEMBERS_MAX, TICKS_PER_INTERVAL } from './constants.js';
-import { HelpedProbes } from './helped-probes.js';
-import { noCounts, type DetectorCounts } from './history.js';
+import { HELPER_TIMEOUT_FRACTION, MEMBERS_MAX, TICKS_PER_INTERVAL } from './constants.js';
+import { DelegatedProbes } from './helped-probes.js';
+import { zeroCounts, type DetectorCounts } from './history.js';
 import { LocalHealth } from './local-health.js';
 import { MemberTable } from './member-table.js';
 import {
-  objectionTo,
+  dropReasonOf,
   type DetectorBody,
   type DetectorMessage,
   type DropReason,
@@ -14,63 +14,67 @@
 import { ProbeSchedule } from './probe-schedule.js';
 import { Probes } from './probes.js';
 import type { ProbeAnswer } from './remote-member.js';
-import { Rumours } from './rumours.js';
+import { Gossip } from './rumours.js';
 import type { FailureDetectorOptions, MemberState } from './types.js';
 import { quorumOf, type Verdict } from './verdict.js';
 
-/** Round-trip times of one member's direct probes, in ms. */
+/** Round-trip times, in ms, of the direct probes of one member. */
 export interface ProbeTimes {
   readonly member: string;
   readonly roundTripsMs: readonly number[];
 }
 
-/** Answers with which a message is sent back over the connection that it came on. */
+/** Sends an answer over the connection on which the message was received. */
 export type Reply = (message: DetectorMessage) => void;
 
-/** Monitors the other members. It reports a process as ended only if a later one proves it. */
+/**
+ * Monitors the other members. A process counts as ended, rather than failed, only after a later process
+ * of the same member has answered.
+ */
 export class FailureDetector {
-  /** Events since the start. */
-  readonly counts: DetectorCounts = noCounts();
-  private readonly health = new LocalHealth();
-  private readonly names: ReadonlySet<string>;
-  private readonly table: MemberTable;
-  private readonly schedule: ProbeSchedule;
+  /** Numbers of events since this detector was created. */
+  readonly counts: DetectorCounts = zeroCounts();
+  private readonly localHealth = new LocalHealth();
+  private readonly memberNames: ReadonlySet<string>;
+  private readonly memberTable: MemberTable;
+  private readonly probeSchedule: ProbeSchedule;
   private readonly probes: Probes;
-  private readonly helped: HelpedProbes;
-  private readonly rumours: Rumours;
+  private readonly delegatedProbes: DelegatedProbes;
+  private readonly gossip: Gossip;
   private cancelTick: (() => void) | null = null;
   private tickDueAt = 0;
   private nextProbeAt: number;
 
   constructor(private readonly options: FailureDetectorOptions) {
     const { clock, members, random, self, timing } = options;
-    if (members.length > MEMBERS_MAX) throw new RangeError(`more than ${MEMBERS_MAX} members`);
+    if (members.length > MEMBERS_MAX)
+      throw new RangeError(`members: expected ${MEMBERS_MAX} names at the most`);
     const others = members.filter((member) => member !== self);
     const quorum = options.quorum ?? quorumOf(members.length);
     const send = (member: string, body: DetectorBody): boolean => this.send(member, body);
     const now = (): number => clock.now();
-    this.names = new Set(members);
-    this.table = new MemberTable({ ...options, others, quorum, counts: this.counts });
-    this.schedule = new ProbeSchedule(others, random);
-    this.rumours = this.createRumours();
-    const answerWithinMs = timing.probeTimeoutMs * HELPER_SHARE;
-    this.helped = new HelpedProbes({ now, answerWithinMs, send });
+    this.memberNames = new Set(members);
+    this.memberTable = new MemberTable({ ...options, others, quorum, counts: this.counts });
+    this.probeSchedule = new ProbeSchedule(others, random);
+    this.gossip = this.createGossip();
+    const answerWithinMs = timing.probeTimeoutMs * HELPER_TIMEOUT_FRACTION;
+    this.delegatedProbes = new DelegatedProbes({ now, answerWithinMs, send });
     this.probes = new Probes({
       now,
       timeoutMs: timing.probeTimeoutMs,
-      health: this.health,
-      schedule: this.schedule,
+      localHealth: this.localHealth,
+      probeSchedule: this.probeSchedule,
       send,
-      results: {
-        reached: (member, answer, roundTripMs) => this.reached(member, answer, roundTripMs),
-        unreached: (member, sentAt) => this.unreached(member, sentAt),
+      callbacks: {
+        onReached: (member, answer, roundTripMs) => this.onReached(member, answer, roundTripMs),
+        onUnreached: (member, sentAt) => this.onUnreached(member, sentAt),
       },
     });
-    // Members that start together must not probe in lockstep.
+    // A random delay, so that members that start together do not all probe at the same times.
     this.nextProbeAt = clock.now() + random() * timing.probeIntervalMs;
   }
 
-  /** Begins to probe. */
+  /** Starts probing. */
   start(): void {
     this.scheduleTick();
   }
@@ -81,61 +85,64 @@
     this.cancelTick = null;
   }
 
-  /** The state of a member in the view of this one. */
+  /** Returns the state of a member as this member sees it. */
   stateOf(member: string): MemberState {
-    return this.table.get(member)?.state ?? 'unknown';
+    return this.memberTable.get(member)?.state ?? 'unknown';
   }
 
-  /** Steady time in ms since which a member is suspected; null: it is not. */
+  /** Returns the monotonic time in ms since which a member is suspected; null: it is not suspected. */
   suspectedSince(member: string): number | null {
-    return this.table.get(member)?.suspicion?.startedAt ?? null;
+    return this.memberTable.get(member)?.suspicion?.startedAt ?? null;
   }
 
-  /** The verdict on an instance by the evidence; proofs of life count from `since` on. */
+  /**
+   * Returns the verdict on an instance; null: no such other member. An answered probe makes the instance
+   * reachable only if it was sent at `since`, a monotonic time in ms, or later.
+   */
   verdict(member: string, instance: string, since: number): Verdict | null {
-    const known = this.table.get(member);
-    return known ? this.table.verdict(known, instance, since) : null;
+    const remoteMember = this.memberTable.get(member);
+    return remoteMember ? this.memberTable.verdict(remoteMember, instance, since) : null;
   }
 
-  /** Probes a member now, out of its turn. */
+  /** Probes a member at once, unless a probe of it is pending already. */
   probe(member: string): void {
-    if (this.table.get(member)) this.probes.begin(member);
+    if (this.memberTable.get(member)) this.probes.begin(member);
   }
 
-  /** Local health score: how far this member trusts itself; 0: fully. */
+  /** Local health score; 0: this member's own observations are reliable. */
   get localHealthScore(): number {
-    return this.health.score;
+    return this.localHealth.score;
   }
 
-  /** Probes that were sent and that failed. */
+  /** Numbers of probes that were started, also without a connection, and that failed. */
   get probeCounts(): { readonly sent: number; readonly failed: number } {
     return this.probes.counts;
   }
 
-  /** Round-trip times since the last call, which clears them. */
+  /** Returns the round-trip times by member, and clears them. */
   takeProbeTimes(): ProbeTimes[] {
-    return [...this.table.all()].map((member) => ({
+    return [...this.memberTable.all()].map((member) => ({
       member: member.name,
       roundTripsMs: member.takeProbeTimes(),
     }));
   }
 
-  /** A message that could not be read came. */
+  /** Counts a received message that could not be decoded. */
   receiveMalformed(): void {
-    this.drop('malformed');
+    this.countDropped('malformed');
   }
 
-  /** Handles a message; what can't be used is counted and passed over. */
+  /** Handles a message. Invalid messages and updates are counted and dropped. */
   receive(message: DetectorMessage, reply: Reply): void {
     const { cluster, self } = this.options;
-    const objection = objectionTo(message, cluster, this.names);
-    if (objection) {
-      this.drop(objection);
+    const dropReason = dropReasonOf(message, cluster, this.memberNames);
+    if (dropReason) {
+      this.countDropped(dropReason);
       return;
     }
     if (message.from === self) return;
     this.counts.messagesReceived++;
-    for (const update of message.updates) this.rumours.apply(update);
+    for (const update of message.updates) this.gossip.apply(update);
     this.handleBody(message, reply);
   }
 
@@ -144,29 +151,30 @@
     switch (body.kind) {
       case 'ping':
         this.counts.messagesSent++;
-        reply(this.messageTo(from, { kind: 'ack', sequence }));
+        reply(this.createMessage(from, { kind: 'ack', sequence }));
         return;
       case 'ack':
-        if (this.helped.answered(sequence, from, instance, incarnation)) return;
-        this.probes.answered(sequence, from, instance, incarnation);
+        if (this.delegatedProbes.receiveAck(sequence, from, instance, incarnation)) return;
+        this.probes.receiveAck(sequence, from, instance, incarnation);
         return;
       case 'indirectPing':
         if (body.target === this.options.self) return;
-        this.helped.begin(from, sequence, body.target);
+        this.delegatedProbes.begin(from, sequence, body.target);
         return;
       case 'indirectAck':
-        this.probes.answeredByHelper(from, body);
+        this.probes.receiveIndirectAck(from, body);
     }
   }
 
-  private createRumours(): Rumours {
-    return new Rumours({
-      detector: this.options,
-      names: this.names,
-      table: this.table,
-      health: this.health,
-      onDropped: (reason) => this.drop(reason),
-      // Each member probes for itself: one slow witness cannot make a member fail.
+  private createGossip(): Gossip {
+    return new Gossip({
+      detectorOptions: this.options,
+      memberNames: this.memberNames,
+      memberTable: this.memberTable,
+      localHealth: this.localHealth,
+      onDropped: (reason) => this.countDropped(reason),
+      // Every member probes the suspected one itself, so that one slow witness is not enough
+      // for a failure.
       onReported: (member) => this.probes.begin(member),
     });
   }
@@ -182,51 +190,52 @@
     const { clock, timing } = this.options;
     const now = clock.now();
     const latenessMs = now - this.tickDueAt;
-    // What came while this process was paused is unread yet: its silence was this member's own.
-    if (this.health.lagged(latenessMs)) this.probes.extend(latenessMs);
-    this.probes.advance();
-    this.helped.advance();
-    this.table.advance();
+    // Answers that arrived while this process was paused are not read yet, so that its probes must not
+    // time out now.
+    if (this.localHealth.onTick(latenessMs)) this.probes.extendDeadlines(latenessMs);
+    this.probes.processDeadlines();
+    this.delegatedProbes.refuseTimedOut();
+    this.memberTable.failTimedOutSuspicions();
     if (now >= this.nextProbeAt) {
       this.nextProbeAt = now + timing.probeIntervalMs;
-      const member = this.schedule.next();
+      const member = this.probeSchedule.nextMember();
       if (member !== null) this.probes.begin(member);
     }
     this.scheduleTick();
   }
 
-  private reached(name: string, answer: ProbeAnswer, roundTripMs: number | null): void {
-    const member = this.table.get(name);
+  private onReached(name: string, answer: ProbeAnswer, roundTripMs: number | null): void {
+    const member = this.memberTable.get(name);
     if (!member) return;
-    if (!this.table.reached(member, answer)) {
-      this.drop('other instance');
+    if (!this.memberTable.recordReached(member, answer)) {
+      this.countDropped('other instance');
       return;
     }
     if (roundTripMs !== null) member.addProbeTime(roundTripMs);
-    this.rumours.answered(name, answer.instance, answer.incarnation);
+    this.gossip.onProbeAnswered(name, answer.instance, answer.incarnation);
   }
 
-  private unreached(name: string, sentAt: number): void {
-    const member = this.table.get(name);
+  private onUnreached(name: string, sentAt: number): void {
+    const member = this.memberTable.get(name);
     if (!member) return;
-    this.table.unreached(member, sentAt);
-    this.rumours.reportUnreached(member);
+    this.memberTable.recordUnreached(member, sentAt);
+    this.gossip.reportUnreached(member);
   }
 
-  private drop(reason: DropReason): void {
+  private countDropped(reason: DropReason): void {
     this.counts.dropped[reason]++;
   }
 
   private send(member: string, body: DetectorBody): boolean {
-    const isSent = this.options.transport.send(member, this.messageTo(member, body));
+    const isSent = this.options.transport.send(member, this.createMessage(member, body));
     if (isSent) this.counts.messagesSent++;
     return isSent;
   }
 
-  private messageTo(receiver: string, body: DetectorBody): DetectorMessage {
+  private createMessage(receiver: string, body: DetectorBody): DetectorMessage {
     const { cluster, instance, self } = this.options;
-    const updates = this.rumours.next(receiver);
-    const { incarnation } = this.rumours;
+    const updates = this.gossip.takeUpdatesFor(receiver);
+    const { incarnation } = this.gossip;
     return { cluster, from: self, instance, incarnation, updates, body };
   }
 }
--- a/packages/failure-detector/src/probe-schedule.ts
+++ b/packages/failure-detector/src/probe-schedule.ts
@@ -1,32 +1,35 @@
-/** The order in which members are probed: all once in each round, shuffled anew for the next. */
+/** The order in which members are probed, and the choice of helpers for indirect probes. */
 
-/** Bounds the time until any member is probed again, as SWIM's shuffled round-robin does. */
+/**
+ * SWIM's shuffled round-robin: every member is probed once in a round, and each round has a new random
+ * order. This bounds the time between two probes of the same member.
+ */
 export class ProbeSchedule {
-  private round: string[] = [];
+  private remainingInRound: string[] = [];
 
   constructor(
     private readonly members: readonly string[],
     private readonly random: () => number,
   ) {}
 
-  /** The member to be probed next; null: there is no other member. */
-  next(): string | null {
-    if (this.round.length === 0) this.round = this.shuffled(this.members);
-    return this.round.pop() ?? null;
+  /** Returns the member to probe next; null: there is no other member. */
+  nextMember(): string | null {
+    if (this.remainingInRound.length === 0) this.remainingInRound = this.shuffled(this.members);
+    return this.remainingInRound.pop() ?? null;
   }
 
-  /** Up to `count` members other than `target`, chosen at random. */
+  /** Returns up to `count` random members other than `target`. */
   helpersFor(target: string, count: number): string[] {
     return this.shuffled(this.members.filter((member) => member !== target)).slice(0, count);
   }
 
   private shuffled(members: readonly string[]): string[] {
     const order = [...members];
-    for (let last = order.length - 1; last > 0; last--) {
-      const other = Math.floor(this.random() * (last + 1));
-      const moved = order[last] ?? '';
-      order[last] = order[other] ?? '';
-      order[other] = moved;
+    for (let index = order.length - 1; index > 0; index--) {
+      const otherIndex = Math.floor(this.random() * (index + 1));
+      const moved = order[index] ?? '';
+      order[index] = order[otherIndex] ?? '';
+      order[otherIndex] = moved;
     }
     return order;
   }
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -1,126 +1,131 @@
-/** The probes of this member that are under way: direct first, then through other members. */
+/** This member's probes: first directly, then through other members. */
 
-import { INDIRECT_PROBES, LATE_PROBES } from './constants.js';
+import { INDIRECT_PROBE_HELPERS, MAX_TIMED_OUT_PROBES } from './constants.js';
 import type { LocalHealth } from './local-health.js';
 import type { ProbeSchedule } from './probe-schedule.js';
 import type { DetectorBody } from './messages.js';
 import type { ProbeAnswer } from './remote-member.js';
 
-/** Outcomes of a probe. */
-interface ProbeResults {
-  reached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
-  /** `sentAt`: steady time in ms of the direct probe. */
-  unreached(member: string, sentAt: number): void;
+/** Callbacks for the outcome of a probe. */
+interface ProbeCallbacks {
+  /** `roundTripMs`: null if the answer came through a helper. */
+  onReached(member: string, answer: ProbeAnswer, roundTripMs: number | null): void;
+  /** `sentAt`: monotonic time in ms at which the direct probe was sent. */
+  onUnreached(member: string, sentAt: number): void;
 }
 
-/** Dependencies of sending probes. */
+/** Dependencies of `Probes`. */
 export interface ProbesOptions {
   readonly now: () => number;
   readonly timeoutMs: number;
-  readonly health: LocalHealth;
-  readonly schedule: ProbeSchedule;
+  readonly localHealth: LocalHealth;
+  readonly probeSchedule: ProbeSchedule;
   readonly send: (member: string, body: DetectorBody) => boolean;
-  readonly results: ProbeResults;
+  readonly callbacks: ProbeCallbacks;
 }
 
 interface Probe {
   readonly member: string;
+  /** Monotonic time in ms. */
   readonly sentAt: number;
-  /** Steady time in ms at which others are asked; null: they were. */
-  helpFrom: number | null;
+  /** Monotonic time in ms at which helpers are asked; null: they have been asked. */
+  askHelpersAt: number | null;
+  /** Monotonic time in ms at which the probe times out. */
   failsAt: number;
-  /** Helpers that were asked and have not answered. */
-  readonly helpers: Set<string>;
+  /** Helpers that were asked and have not answered yet. */
+  readonly unansweredHelpers: Set<string>;
 }
 
-/** Probes by their sequence numbers, one for each member at the most. */
+/** This member's pending probes by sequence number, at most one for each member. */
 export class Probes {
   private readonly pending = new Map<number, Probe>();
-  /** Failed probes, whose answers may come late: member and sending time by sequence number. */
-  private readonly late = new Map<number, { member: string; sentAt: number }>();
+  /** Timed-out probes by sequence number, kept because a late answer still counts. */
+  private readonly timedOut = new Map<number, { member: string; sentAt: number }>();
   private sequence = 0;
-  /** Probes that were begun, and those that failed. */
+  /** Numbers of probes that were started, also without a connection, and that failed. */
   readonly counts = { sent: 0, failed: 0 };
 
   constructor(private readonly options: ProbesOptions) {}
 
-  /** Begins a probe, unless one of this member is under way. */
+  /** Probes a member, unless a probe of this member is pending. */
   begin(member: string): void {
     if ([...this.pending.values()].some((probe) => probe.member === member)) return;
-    const { health, now, send, timeoutMs } = this.options;
+    const { localHealth, now, send, timeoutMs } = this.options;
     const sequence = ++this.sequence;
     const sentAt = now();
-    const directMs = health.scaled(timeoutMs);
+    const directTimeoutMs = localHealth.scaledTimeoutMs(timeoutMs);
     const isSent = send(member, { kind: 'ping', sequence });
     this.counts.sent++;
     this.pending.set(sequence, {
       member,
       sentAt,
-      // Without a connection others are asked at once.
-      helpFrom: isSent ? sentAt + directMs : sentAt,
-      failsAt: sentAt + 2 * directMs,
-      helpers: new Set(),
+      // Helpers are asked at the next tick if there is no connection to the member.
+      askHelpersAt: isSent ? sentAt + directTimeoutMs : sentAt,
+      failsAt: sentAt + 2 * directTimeoutMs,
+      unansweredHelpers: new Set(),
     });
   }
 
-  /** A direct answer, in time or late. */
-  answered(sequence: number, from: string, instance: string, incarnation: number): void {
-    const probe = this.pending.get(sequence) ?? this.late.get(sequence);
+  /** Handles a direct answer, in time or late. */
+  receiveAck(sequence: number, from: string, instance: string, incarnation: number): void {
+    const probe = this.pending.get(sequence) ?? this.timedOut.get(sequence);
     if (probe?.member !== from) return;
     const roundTripMs = this.options.now() - probe.sentAt;
     this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, roundTripMs);
   }
 
-  /** A helper reached the member, or could not. */
-  answeredByHelper(helper: string, body: Extract<DetectorBody, { kind: 'indirectAck' }>): void {
+  /** Handles a helper's answer: the member was reached, or it was not. */
+  receiveIndirectAck(helper: string, body: Extract<DetectorBody, { kind: 'indirectAck' }>): void {
     const { incarnation, instance, isReached, sequence, target } = body;
     const probe = this.pending.get(sequence);
-    if (probe?.member !== target || !probe.helpers.delete(helper)) return;
+    if (probe?.member !== target || !probe.unansweredHelpers.delete(helper)) return;
     if (isReached) this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, null);
   }
 
-  /** Asks helpers, and gives probes up, once their deadlines have passed. */
-  advance(): void {
+  /** Asks helpers and fails probes whose deadlines have passed. */
+  processDeadlines(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
-      if (probe.helpFrom !== null && now >= probe.helpFrom) this.askHelpers(sequence, probe);
+      if (probe.askHelpersAt !== null && now >= probe.askHelpersAt)
+        this.askHelpers(sequence, probe);
       if (now >= probe.failsAt) this.fail(sequence, probe);
     }
   }
 
-  /** This process was paused for so long: deadlines move, so that answers still unread can be read. */
-  extend(byMs: number): void {
+  /** Extends all deadlines by the time for which this process was paused. */
+  extendDeadlines(byMs: number): void {
     for (const probe of this.pending.values()) {
       probe.failsAt += byMs;
-      if (probe.helpFrom !== null) probe.helpFrom += byMs;
+      if (probe.askHelpersAt !== null) probe.askHelpersAt += byMs;
     }
   }
 
   private askHelpers(sequence: number, probe: Probe): void {
-    const { schedule, send } = this.options;
-    probe.helpFrom = null;
-    for (const helper of schedule.helpersFor(probe.member, INDIRECT_PROBES)) {
+    const { probeSchedule, send } = this.options;
+    probe.askHelpersAt = null;
+    for (const helper of probeSchedule.helpersFor(probe.member, INDIRECT_PROBE_HELPERS)) {
       const isSent = send(helper, { kind: 'indirectPing', sequence, target: probe.member });
-      if (isSent) probe.helpers.add(helper);
+      if (isSent) probe.unansweredHelpers.add(helper);
     }
   }
 
   private succeed(sequence: number, answer: ProbeAnswer, roundTripMs: number | null): void {
-    const member = (this.pending.get(sequence) ?? this.late.get(sequence))?.member ?? '';
+    const member = (this.pending.get(sequence) ?? this.timedOut.get(sequence))?.member ?? '';
     const isInTime = this.pending.delete(sequence);
-    this.late.delete(sequence);
-    if (isInTime) this.options.health.probeAnswered();
-    this.options.results.reached(member, answer, roundTripMs);
+    this.timedOut.delete(sequence);
+    if (isInTime) this.options.localHealth.onProbeAnswered();
+    this.options.callbacks.onReached(member, answer, roundTripMs);
   }
 
   private fail(sequence: number, probe: Probe): void {
-    const { health, results } = this.options;
+    const { localHealth, callbacks } = this.options;
     this.pending.delete(sequence);
-    this.late.set(sequence, { member: probe.member, sentAt: probe.sentAt });
-    const [oldest] = this.late.keys();
-    if (this.late.size > LATE_PROBES && oldest !== undefined) this.late.delete(oldest);
+    this.timedOut.set(sequence, { member: probe.member, sentAt: probe.sentAt });
+    const [oldest] = this.timedOut.keys();
+    if (this.timedOut.size > MAX_TIMED_OUT_PROBES && oldest !== undefined)
+      this.timedOut.delete(oldest);
     this.counts.failed++;
-    health.probeFailed(probe.helpers.size);
-    results.unreached(probe.member, probe.sentAt);
+    localHealth.onProbeFailed(probe.unansweredHelpers.size);
+    callbacks.onUnreached(probe.member, probe.sentAt);
   }
 }
--- a/packages/failure-detector/src/rumours.ts
+++ b/packages/failure-detector/src/rumours.ts
@@ -1,6 +1,6 @@
-/** Gossip about members: what is received, and what is piggybacked on this member's messages. */
+/** Gossip: the handling of received updates, and the choice of updates for outgoing messages. */
 
-import { REPORT_INTERVALS, UPDATES_PER_MESSAGE } from './constants.js';
+import { REPORT_REPEAT_INTERVALS, MAX_UPDATES_PER_MESSAGE } from './constants.js';
 import { Dissemination } from './dissemination.js';
 import type { LocalHealth } from './local-health.js';
 import type { MemberTable } from './member-table.js';
@@ -8,27 +8,27 @@
 import type { RemoteMember } from './remote-member.js';
 import type { FailureDetectorOptions } from './types.js';
 
-/** Dependencies of the handling of rumours. */
-export interface RumoursOptions {
-  readonly detector: FailureDetectorOptions;
-  readonly names: ReadonlySet<string>;
-  readonly table: MemberTable;
-  readonly health: LocalHealth;
+/** Dependencies of `Gossip`. */
+export interface GossipOptions {
+  readonly detectorOptions: FailureDetectorOptions;
+  readonly memberNames: ReadonlySet<string>;
+  readonly memberTable: MemberTable;
+  readonly localHealth: LocalHealth;
   readonly onDropped: (reason: DropReason) => void;
-  /** A member was reported by a witness for the first time: this member probes it itself. */
+  /** Called when the report of a witness starts or confirms a suspicion of the member. */
   readonly onReported: (member: string) => void;
 }
 
-/** Applies rumours to the table and chooses those to pass on. */
-export class Rumours {
+/** Applies received updates to the member table, and queues those that others have to receive. */
+export class Gossip {
   private readonly dissemination: Dissemination;
   private readonly self: string;
   private readonly instance: string;
-  /** This member's incarnation: grows with each refutation. */
+  /** This member's incarnation, which increases with each refutation. */
   private ownIncarnation = 0;
 
-  constructor(private readonly options: RumoursOptions) {
-    const { instance, members, self } = options.detector;
+  constructor(private readonly options: GossipOptions) {
+    const { instance, members, self } = options.detectorOptions;
     this.dissemination = new Dissemination(members.length);
     this.self = self;
     this.instance = instance;
@@ -39,87 +39,95 @@
     return this.ownIncarnation;
   }
 
-  /** Applies a rumour; what can't be used is counted and passed over. */
+  /** Applies an update; invalid ones are reported to `onDropped`. */
   apply(update: MemberUpdate): void {
     if (update.member === this.self) {
       this.refute(update);
       return;
     }
-    const member = this.options.table.get(update.member);
-    const objection = member ? this.objectionTo(update, member) : 'unknown member';
-    if (!member || objection) this.options.onDropped(objection ?? 'unknown member');
+    const member = this.options.memberTable.get(update.member);
+    const dropReason = member ? this.dropReasonOf(update, member) : 'unknown member';
+    if (!member || dropReason) this.options.onDropped(dropReason ?? 'unknown member');
     else if (update.state === 'alive') this.applyAlive(update, member);
     else this.applySuspicion(update, member);
   }
 
-  /** A probe was answered: older rumours are not passed on any more. */
-  answered(member: string, instance: string, incarnation: number): void {
-    this.dissemination.supersede(member, instance, incarnation);
+  /** Removes queued updates that are older than a member's answer to a probe. */
+  onProbeAnswered(member: string, instance: string, incarnation: number): void {
+    this.dissemination.removeSuperseded(member, instance, incarnation);
   }
 
-  /** Tells others that this member could not reach another, again after a while. */
+  /**
+   * Queues a report that this member could not reach another one, unless its last report on that member
+   * is less than `REPORT_REPEAT_INTERVALS` probe intervals old.
+   */
   reportUnreached(member: RemoteMember): void {
-    const { clock, timing } = this.options.detector;
+    const { clock, timing } = this.options.detectorOptions;
     const { incarnation, instance } = member;
     if (instance === null) return;
-    if (clock.now() - member.heartbeatAt < REPORT_INTERVALS * timing.probeIntervalMs) return;
-    member.heartbeatAt = clock.now();
-    this.dissemination.add(this.ownReport(member.name, instance, incarnation));
+    if (clock.now() - member.lastReportedAt < REPORT_REPEAT_INTERVALS * timing.probeIntervalMs)
+      return;
+    member.lastReportedAt = clock.now();
+    this.dissemination.add(this.createReport(member.name, instance, incarnation));
   }
 
-  /** The rumours of the next message; a suspected receiver always hears of it, so that it can refute. */
-  next(receiver: string): MemberUpdate[] {
-    const updates = this.dissemination.next(receiver);
-    const member = this.options.table.get(receiver);
+  /**
+   * Returns the updates of the next message. A suspected receiver is always sent its suspicion, so that
+   * it can refute it.
+   */
+  takeUpdatesFor(receiver: string): MemberUpdate[] {
+    const updates = this.dissemination.takeUpdatesFor(receiver);
+    const member = this.options.memberTable.get(receiver);
     if (!member?.suspicion || member.instance === null) return updates;
     if (updates.some((update) => update.member === receiver)) return updates;
     const { incarnation } = member.suspicion;
-    const suspicion = this.ownReport(receiver, member.instance, incarnation);
-    return [suspicion, ...updates.slice(0, UPDATES_PER_MESSAGE - 1)];
+    const suspicion = this.createReport(receiver, member.instance, incarnation);
+    return [suspicion, ...updates.slice(0, MAX_UPDATES_PER_MESSAGE - 1)];
   }
 
-  private ownReport(member: string, instance: string, incarnation: number): MemberUpdate {
-    const storeAnswers = this.options.detector.storeAnswers();
+  private createReport(member: string, instance: string, incarnation: number): MemberUpdate {
+    const storeAnswers = this.options.detectorOptions.storeAnswers();
     return { member, instance, incarnation, state: 'suspect', witness: this.self, storeAnswers };
   }
 
-  private objectionTo(update: MemberUpdate, member: RemoteMember): DropReason | null {
-    // An instance is only learned from its own answers: a rumour about another may be older or newer.
+  private dropReasonOf(update: MemberUpdate, member: RemoteMember): DropReason | null {
+    // A new instance is accepted only by its own answer to a probe, because an update about another
+    // instance does not show whether that instance is older or newer.
     if (update.instance !== member.instance) return 'other instance';
     if (update.incarnation < member.incarnation) return 'old incarnation';
     const { witness } = update;
-    const isWitness = this.options.names.has(witness) && witness !== member.name;
+    const isWitness = this.options.memberNames.has(witness) && witness !== member.name;
     if (update.state === 'suspect' && !isWitness) return 'no witness';
     return null;
   }
 
   private applyAlive(update: MemberUpdate, member: RemoteMember): void {
     if (update.incarnation <= member.incarnation) return;
-    this.options.table.refuted(member, update.incarnation);
-    this.dissemination.supersede(member.name, update.instance, update.incarnation);
+    this.options.memberTable.applyIncarnation(member, update.incarnation);
+    this.dissemination.removeSuperseded(member.name, update.instance, update.incarnation);
     this.dissemination.add(update);
   }
 
   private applySuspicion(update: MemberUpdate, member: RemoteMember): void {
     if (update.witness === this.self) return;
-    if (!this.options.table.reported(member, update)) return;
+    if (!this.options.memberTable.recordReport(member, update)) return;
     this.dissemination.add(update);
     this.options.onReported(member.name);
   }
 
-  /** This member is suspected: it refutes that, under a higher incarnation. */
+  /** Refutes a suspicion of this member by an update with a higher incarnation. */
   private refute(update: MemberUpdate): void {
     if (update.state !== 'suspect' || update.instance !== this.instance) return;
     if (update.incarnation < this.ownIncarnation) return;
     this.ownIncarnation = update.incarnation + 1;
-    this.options.health.suspectedByOthers();
+    this.options.localHealth.onSuspected();
     this.dissemination.add({
       member: this.self,
       instance: this.instance,
       incarnation: this.ownIncarnation,
       state: 'alive',
       witness: this.self,
-      storeAnswers: this.options.detector.storeAnswers(),
+      storeAnswers: this.options.detectorOptions.storeAnswers(),
     });
   }
 }
