--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -1,7 +1,7 @@
 /** The failure detector of one member: SWIM's probes and gossip with Lifeguard's extensions. */
 
 import { HELPER_TIMEOUT_FRACTION, MEMBERS_MAX, TICKS_PER_INTERVAL } from './constants.js';
-import { DelegatedProbes } from './helped-probes.js';
+import { DelegatedProbes } from './delegated-probes.js';
 import { zeroCounts, type DetectorCounts } from './history.js';
 import { LocalHealth } from './local-health.js';
 import { MemberTable } from './member-table.js';
@@ -14,7 +14,7 @@
 import { ProbeSchedule } from './probe-schedule.js';
 import { Probes } from './probes.js';
 import type { ProbeAnswer } from './remote-member.js';
-import { Gossip } from './rumours.js';
+import { Gossip } from './gossip.js';
 import type { FailureDetectorOptions, MemberState } from './types.js';
 import { quorumOf, type Verdict } from './verdict.js';
 
