--- a/test/world/commanded-gang.ts
+++ b/test/world/commanded-gang.ts
@@ -1,15 +1,15 @@
-/** A gang whose tasks a test commands itself, without controllers. */
+/** A simulated gang whose tasks are started and stopped by the test itself, without controllers. */
 import assert from 'node:assert/strict';
 import type { SimJob } from './jobs.js';
 import type { SimWorker } from './worker.js';
 import { World } from './world.js';
 
-/** The job of the gang. */
+/** The job id of the gang. */
 export const JOB = 'j-000001';
 
 /**
- * A gang of three on three machines, commanded by the test: the controllers answer heartbeats and
- * no more.
+ * Creates a gang of three tasks and four machines, three in zone a and the last in zone b. Only the
+ * test sends commands: a stub in place of the controller answers each heartbeat without commands.
  */
 async function commandGang(job: Partial<SimJob>) {
   const world = new World(1, [['n0', 'a']]);
@@ -31,7 +31,7 @@
   const start = (...indices: number[]): void => {
     for (const index of indices) assert.equal(call(index, 'launch', index), 200);
   };
-  /** Starts all three tasks; they run together after a second, and go on for so long. */
+  /** Starts all three tasks, which run together after 1 s, and lets them run for `forS` seconds. */
   const startAndRun = async (forS: number): Promise<void> => {
     start(0, 1, 2);
     await world.run(1 + forS);
@@ -39,14 +39,14 @@
   const stopAll = (graceS: number): void => {
     for (const index of [0, 1, 2]) call(index, 'halt', index, 1, graceS);
   };
-  /** Forgets the exited tasks of the first attempt and starts them under the second. */
+  /** Removes the exited tasks of the first attempt from their machines and starts the second. */
   const startSecondAttempt = (...indices: number[]): void => {
     for (const index of indices) call(index, 'reap', index);
     for (const index of indices) call(index, 'launch', index, 2);
   };
   /**
-   * The state of its task in the heartbeats of machine `at`: "state", with cause and "stored" if
-   * there are any.
+   * Returns the first task that machine `at` reports: its state, followed by its cause and "stored"
+   * if it has them; "none" if the machine reports no task.
    */
   const seen = (at: number): string => {
     const reply = JSON.parse(worker(at).command(1, 1, []).body) as {
@@ -62,20 +62,20 @@
   return { world, worker, ...steps, seen, all, progress };
 }
 
-/** The gang, its world, and what a test commands and sees of it. */
+/** The gang, its world, and the functions by which a test commands and observes it. */
 type CommandedGang = Awaited<ReturnType<typeof commandGang>>;
 
-/** What is seen of three tasks in the same state. */
+/** Returns the expected reports of three machines whose tasks are in the same state. */
 export const allThree = (state: string): string[] => [state, state, state];
 
-/** A row: the job beside its defaults, and what happens to its gang. */
+/** A case: the fields of the job that differ from the defaults, and what is done to its gang. */
 export interface CommandedGangCase {
   name: string;
   job?: Partial<SimJob>;
   act: (gang: CommandedGang) => Promise<void>;
 }
 
-/** Plays a row; the rules must have held. */
+/** Plays a case. Violations of invariants that the case has not removed itself fail it. */
 export async function playCommandedGang({ job, act }: CommandedGangCase): Promise<void> {
   const gang = await commandGang(job ?? {});
   await act(gang);
--- a/test/world/fault-case.ts
+++ b/test/world/fault-case.ts
@@ -1,17 +1,21 @@
-/** Cases of one fault in the simulated cluster, and their final checks. */
+/** Plays one fault in the simulated cluster beside a fixed workload, and checks how all jobs end. */
 import assert from 'node:assert/strict';
 import type { Settings } from '../../src/protocol/settings.js';
 import { stageOf as stage } from './jobs.js';
 import { awaitReply } from './await-reply.js';
 import { World } from './world.js';
 
-/** A world with some machines, jobs of both teams and a fault; the rules must hold throughout. */
+/** One fault in a simulated cluster of three machines that runs five jobs of two teams. */
 export interface FaultCase {
   name: string;
+  /** Injects the fault and lets simulated time run for as long as it takes. */
   fault: (world: World) => Promise<void>;
 }
 
-/** Plays a case by this seed; the rules must hold, and all work must get done. */
+/**
+ * Plays a case with this seed. The invariants must hold throughout. Afterwards each controller must
+ * answer that the arrays are done and that the service cancelled after the fault is withdrawn.
+ */
 export async function playFaultCase(
   { fault }: FaultCase,
   seed: number,
--- a/test/world/fault-steps.ts
+++ b/test/world/fault-steps.ts
@@ -1,8 +1,8 @@
-/** Steps that the scripts of faults share. */
+/** Faults and restarts that several test scripts share. */
 import type { SimWorker } from './worker.js';
 import type { World } from './world.js';
 
-/** What a test may set on a worker to disturb its messages. */
+/** Fields of a simulated worker that disturb its messages. */
 type MessageFaults = Partial<
   Pick<
     SimWorker,
@@ -14,7 +14,7 @@
   >
 >;
 
-/** Sets faults of messages on all workers that are up; zero and empty values end them. */
+/** Sets message faults on all workers that are up. Values of zero, false or an empty list end them. */
 export function setOnAllWorkers(
   cluster: { workers: ReadonlyMap<string, SimWorker> },
   faults: MessageFaults,
--- a/test/world/fault-sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -1,28 +1,34 @@
-/** Users who poll all controllers right after each answer, under all kinds of faults. */
+/** Faults of all kinds, played while users poll all controllers right after each answer. */
 import assert from 'node:assert/strict';
 import { stageOf } from './jobs.js';
 import { awaitReply } from './await-reply.js';
 import { Users } from './users.js';
 import { World, type Members } from './world.js';
 
-/** A fault while users poll closely. */
+/** A fault that begins and ends while users submit, poll and cancel jobs. */
 export interface SweepFault {
   name: string;
-  /** Begins the fault, and ends it by the time that all are over. */
+  /** Schedules the begin of the fault, and its end at most `ENDS_S` later. */
   begin: (world: World) => void;
 }
 
-/** s at which each fault begins and ends, and the jobs have come. */
+/** s from the start of the users to a fault that has no start time of its own. */
 const BEGINS_S = 10;
+/** s from the start of the users until every fault has ended and all jobs have been submitted. */
 const ENDS_S = 55;
+/** Begins a fault after `BEGINS_S` and ends it after `ENDS_S`. */
 const during = (world: World, begin: () => void, end: () => void): void => {
   world.clock.after(BEGINS_S * 1000, begin);
   world.clock.after(ENDS_S * 1000, end);
 };
+/** Runs a step of a fault after so many seconds. */
 const at = (world: World, seconds: number, run: () => void): void =>
   void world.clock.after(seconds * 1000, run);
 
-/** Each is played by the tests of forgotten jobs. */
+/**
+ * All faults. The tests on accepted jobs play them, and so does test/trace.ts, which prints their
+ * names: a changed name makes its output differ between versions.
+ */
 export const FAULTS: SweepFault[] = [
   { name: 'none', begin: () => undefined },
   {
@@ -131,19 +137,21 @@
   },
 ];
 
-/** How large a world is, and how many jobs come. */
+/** The size of a simulated cluster, its limits and its load. */
 export interface SweepSize {
   members?: Members;
-  /** What the key-value store takes in a second. */
+  /** Limits of the key-value store: requests, and writes among them, per second. */
   rps: number;
   writeRps: number;
   machines: number;
   jobs: number;
+  /** ms between two submissions. */
   everyMs: number;
+  /** s from the end of all faults to the final checks. */
   recoveryS: number;
 }
 
-/** The largest fleet that operators run. */
+/** Five controllers and the largest fleet that operators run. */
 export const LARGE: SweepSize = {
   members: [
     ['n0', 'a'],
@@ -159,7 +167,7 @@
   everyMs: 500,
   recoveryS: 80,
 };
-/** A fleet of a few machines. */
+/** The default three controllers and a few machines. */
 export const SMALL: SweepSize = {
   rps: 80,
   writeRps: 25,
@@ -169,7 +177,10 @@
   recoveryS: 100,
 };
 
-/** Plays a fault by this seed: nothing may be forgotten, and every end stays. */
+/**
+ * Plays a fault with this seed. The invariants must hold, more than 90% of the jobs must be accepted,
+ * and each job whose end was sent to its user must still be reported with that end.
+ */
 export async function playSweep(
   { begin }: SweepFault,
   seed: number,
--- a/test/world/gang-recorder.ts
+++ b/test/world/gang-recorder.ts
@@ -1,22 +1,25 @@
+/** Records the stop commands and the ends of gang tasks in the simulated cluster. */
 import type { SimTask } from './jobs.js';
 import type { SimWorker } from './worker.js';
 import type { World } from './world.js';
 
+/** ms between two inspections of the tasks on all machines. */
 const INSPECT_EVERY_MS = 50;
 
-/** A stop command that reached a gang task which had not ended. */
+/** A stop command that reached a gang task before the task had ended. */
 export interface StopCommand {
   job: string;
   task: string;
   attempt: number;
   machine: string;
   graceS: number;
+  /** Simulated time in ms. */
   at: number;
-  /** The job's user had been told that it is cancelled. */
+  /** True if the job's cancellation had been confirmed to its user before. */
   isCancelled: boolean;
 }
 
-/** The end of a task on a machine. */
+/** The exit of a task on a machine. */
 export interface TaskEnd {
   job: string;
   task: string;
@@ -24,18 +27,19 @@
   machine: string;
   cause: string;
   isProgressSaved: boolean;
+  /** Simulated time in ms. */
   at: number;
 }
 
 const jobOf = (task: string): string => task.split('/')[0] ?? '';
 
-/** Records what happens to gang tasks on their machines, and checks what must hold at any time. */
+/** Records stop commands and ends of gang tasks, and jobs that have tasks of two attempts at once. */
 export class GangRecorder {
   readonly stopCommands: StopCommand[] = [];
   readonly ends: TaskEnd[] = [];
   /** Jobs with tasks of two attempts on machines at the same time. */
   readonly jobsWithTwoAttempts = new Set<string>();
-  /** Called before a stop command reaches its task. */
+  /** Called with each stop command before the command takes effect. */
   onStopCommand: (command: StopCommand) => void = () => undefined;
   private readonly recordedWorkers = new Set<SimWorker>();
 
@@ -48,15 +52,16 @@
     inspect();
   }
 
+  /** Wraps the method that stops gang tasks. */
   private recordStopCommands(): void {
     const { gangs } = this.world;
     const original = gangs.halt.bind(gangs);
-    gangs.halt = (worker, task, held, graceS) => {
+    gangs.halt = (worker, task, simTask, graceS) => {
       const job = jobOf(task);
       const command: StopCommand = {
         job,
         task,
-        attempt: held.attempt,
+        attempt: simTask.attempt,
         machine: worker.machine.name,
         graceS,
         at: this.world.clock.now(),
@@ -64,49 +69,51 @@
       };
       this.stopCommands.push(command);
       this.onStopCommand(command);
-      original(worker, task, held, graceS);
+      original(worker, task, simTask, graceS);
     };
   }
 
+  /** Looks for jobs with two attempts, and for workers whose ends are not recorded yet. */
   private inspect(): void {
     const attempts = new Map<string, number>();
     for (const worker of this.world.workers.values()) {
       if (!this.recordedWorkers.has(worker)) this.recordEnds(worker);
-      for (const [task, held] of worker.onMachine()) {
+      for (const [task, simTask] of worker.onMachine()) {
         const job = jobOf(task);
         if (!this.world.jobs.get(job)?.gang) continue;
         const other = attempts.get(job);
-        if (other !== undefined && other !== held.attempt) this.jobsWithTwoAttempts.add(job);
-        attempts.set(job, held.attempt);
+        if (other !== undefined && other !== simTask.attempt) this.jobsWithTwoAttempts.add(job);
+        attempts.set(job, simTask.attempt);
       }
     }
   }
 
+  /** Wraps the method by which the tasks of a worker exit. */
   private recordEnds(worker: SimWorker): void {
     this.recordedWorkers.add(worker);
     const original = worker.exit.bind(worker);
-    worker.exit = (held: SimTask, cause: string) => {
-      original(held, cause);
-      const [task] = [...worker.tasks].find(([, one]) => one === held) ?? [];
+    worker.exit = (simTask: SimTask, cause: string) => {
+      original(simTask, cause);
+      const [task] = [...worker.tasks].find(([, one]) => one === simTask) ?? [];
       if (task === undefined) return;
       this.ends.push({
         job: jobOf(task),
         task,
-        attempt: held.attempt,
+        attempt: simTask.attempt,
         machine: worker.machine.name,
         cause,
-        isProgressSaved: held.stored === true,
+        isProgressSaved: simTask.stored === true,
         at: this.world.clock.now(),
       });
     };
   }
 
-  /** Ends of the tasks of one attempt. */
+  /** Returns the ends of the tasks of one attempt. */
   endsOf(job: string, attempt: number): TaskEnd[] {
     return this.ends.filter((one) => one.job === job && one.attempt === attempt);
   }
 
-  /** Stop commands without the time to save, though the gang could save and is not cancelled. */
+  /** Returns stop commands whose grace is too short to save, for uncancelled jobs with checkpoints. */
   stopsWithoutTimeToSave(): StopCommand[] {
     return this.stopCommands.filter(({ job, graceS, isCancelled }) => {
       const spec = this.world.jobs.get(job);
@@ -114,7 +121,7 @@
     });
   }
 
-  /** Seconds between the first stop command of an attempt and the last task's first one. */
+  /** Returns the s between the first and the last task of an attempt to get a first stop command. */
   stopSpreadS(job: string, attempt: number): number {
     const first = new Map<string, number>();
     for (const command of this.stopCommands) {
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -1,4 +1,4 @@
-/** Rules of the operators' page on gangs, played in the simulated cluster: the rows' common steps. */
+/** Plays the rules of the operators' documentation on gangs in the simulated cluster. */
 import assert from 'node:assert/strict';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
@@ -11,11 +11,11 @@
 import type { World } from './world.js';
 import { cutOffMachine } from './fault-steps.js';
 
-/** s after which the tasks of a machine without heartbeats have ended. */
+/** s after its last acknowledged heartbeat at which a worker has ended all its tasks. */
 export const LEASE_S = 24;
-/** Four tasks on two machines, or more, of which each can save. */
+/** A gang with checkpoints whose four tasks need at least two machines. */
 export const LONG: Partial<SimJob> = { tasks: 4, cpus: 2, runS: 30, ...WITH_CHECKPOINTS };
-/** A gang of the other team, wide enough for the machines of two zones. */
+/** A gang of the other team that needs three machines, and with two in each zone both zones. */
 export const WIDE: Partial<SimJob> = {
   team: 'blue',
   tasks: 6,
@@ -23,15 +23,15 @@
   runS: 60,
   ...WITH_CHECKPOINTS,
 };
-/** A gang that preempts others. */
+/** A gang of urgent rank, which preempts others. */
 export const URGENT: Partial<SimJob> = { tasks: 4, cpus: 2, urgent: true, runS: 15 };
 
-/** A gang under one rule, what happens to it, and the jobs that must get done. */
+/** A case for one rule: the machines, what is done to a gang, and the jobs that must get done. */
 export interface GangRuleCase {
-  /** The rule of the operators' page. */
+  /** The rule, as the operators' documentation states it. */
   rule: string;
   name: string;
-  /** Zones of the machines that are there at the start; default: three in one. */
+  /** Zones of the machines at the start, one entry for each; default: three machines in one zone. */
   zones?: string[];
   maxMachines?: number;
   act: (scenario: Scenario) => Promise<void>;
@@ -39,7 +39,7 @@
   done?: string[];
 }
 
-/** What a row works with: the world, what is recorded of it, and steps through time. */
+/** The world of a case, the recorder of its gang tasks, and steps that let simulated time run. */
 class Scenario {
   readonly recorder: GangRecorder;
 
@@ -52,32 +52,32 @@
     return script.awaitReply(this.world, request);
   }
 
-  /** Submits a job, a gang unless told otherwise; the reply, whatever it is. */
+  /** Submits a job, by default a gang, and returns the reply even if it is a refusal. */
   submit(id: string, job: Partial<SimJob>, at = 'n0'): Promise<Reply> {
     return this.awaitReply(this.world.submit(id, { gang: true, ...job }, at));
   }
 
-  /** Submits a job, a gang unless told otherwise; it must be accepted. */
+  /** Submits a job, by default a gang; it must be accepted. */
   submitAccepted(id: string, job: Partial<SimJob>): Promise<void> {
     return script.submit(this.world, id, job);
   }
 
-  /** Runs on in small steps until something is so; what never comes fails the row. */
+  /** Runs in small steps until the condition holds; fails if it does not within `limitS` seconds. */
   runUntil(what: string, limitS: number, condition: () => boolean): Promise<void> {
     return script.runUntil(this.world, what, limitS, condition);
   }
 
-  /** The times at which a gang began. */
+  /** Returns the starts of a gang: each time that all its tasks ran together. */
   starts(id = GANG): World['gangStarts'] {
     return script.gangStartsOf(this.world, id);
   }
 
-  /** Runs on until a gang has begun so many times. */
+  /** Runs until a gang has started `times` times. */
   awaitGangStart(limitS: number, times = 1, id = GANG): Promise<void> {
     return script.awaitGangStart(this.world, id, limitS, times);
   }
 
-  /** Submits a gang and runs on until it has run for so many seconds; its attempt. */
+  /** Submits a gang, lets it run for `forS` seconds after its start and returns its attempt. */
   async submitAndRun(job: Partial<SimJob>, forS: number): Promise<number> {
     await this.submitAccepted(GANG, job);
     await this.awaitGangStart(20);
@@ -85,35 +85,35 @@
     return this.starts()[0]?.attempt ?? 0;
   }
 
-  /** The machines of all its tasks. */
+  /** Returns the workers of all machines that hold tasks of a job. */
   machinesOf(id = GANG): SimWorker[] {
     const named = (task: string): boolean => task.startsWith(`${id}/`);
     return [...this.world.workers.values()].filter((one) => [...one.tasks.keys()].some(named));
   }
 
-  /** The machine of one of its tasks. */
+  /** Returns the worker of a machine that holds a task of a job. */
   machineOf(id = GANG): SimWorker {
     return script.machineOf(this.world, id);
   }
 
-  /** Cuts a machine from all controllers. */
+  /** Cuts a machine off from all controllers. */
   cutOff(worker: SimWorker): void {
     cutOffMachine(this.world, worker.machine.name);
   }
 
-  /** The controllers that own shards with shares of a job. */
+  /** Returns the holders of all shards that hold gang subsets of a job. */
   ownersOf(id = GANG): Set<string> {
     const owners = new Set<string>();
     for (const key of this.world.store.entries.keys()) {
-      const share = readAssignmentKey(key);
-      if (share?.job !== id) continue;
-      const role = this.world.store.entries.get(roleKey(shardRole(share.shard)))?.value;
+      const assignment = readAssignmentKey(key);
+      if (assignment?.job !== id) continue;
+      const role = this.world.store.entries.get(roleKey(shardRole(assignment.shard)))?.value;
       owners.add((role as { owner: string }).owner);
     }
     return owners;
   }
 
-  /** The machine of each task of a job that has one, by what the key-value store holds. */
+  /** Returns the stored machine of each task of a job that is placed. */
   reservedMachines(id = GANG): string[] {
     return [...this.world.store.entries].flatMap(([key, cell]) =>
       readAssignmentKey(key)?.job === id
@@ -122,7 +122,7 @@
     );
   }
 
-  /** Attempts under which a job's tasks were ever handed out to shards. */
+  /** Returns the attempts of all assignments that were ever stored for a job. */
   attempts(id = GANG): Set<number | undefined> {
     const attempts = new Set<number | undefined>();
     for (const { key, value, removed } of this.world.store.log) {
@@ -132,12 +132,15 @@
     return attempts;
   }
 
-  /** Seconds of progress that a gang has saved. */
+  /** Returns the s of progress that a gang has saved. */
   savedS(id = GANG): number {
     return (this.world.gangs.savedProgressMs.get(id) ?? 0) / 1000;
   }
 
-  /** The attempt after the first goes on from what was saved: it runs only what was left. */
+  /**
+   * Fails unless the second attempt resumes from the saved progress: it must run for only as long as
+   * is left of `runS`, within 1 s.
+   */
   async assertResumedFrom(savedS: number, runS: number): Promise<void> {
     await this.runUntil('all is complete', 120, () => this.world.completed.has(`${GANG}/0`));
     const [first, second] = this.starts();
@@ -148,7 +151,10 @@
     assert.ok(Math.abs(ranS - (runS - savedS)) <= 1, `ran ${ranS} s, saved ${savedS} s`);
   }
 
-  /** All is over: the state at every controller, nothing left on machines nor in the store. */
+  /**
+   * Fails unless a job reaches the state within `limitS` seconds. 60 s later every controller must
+   * report that state, and nothing of the job may be left on machines or in the store.
+   */
   async assertEnded(id: string, state: string, limitS: number): Promise<void> {
     let stage = '';
     for (let passed = 0; passed < limitS && stage !== state; passed += 2) {
@@ -173,7 +179,10 @@
   }
 }
 
-/** Plays a row; afterwards its jobs must be done, and the rules have held. */
+/**
+ * Plays a case. Afterwards its jobs must be done, and throughout the invariants must have held, no job
+ * may have had two attempts at once, and each stop must have left time to save.
+ */
 export async function playRule({ zones, maxMachines, act, done }: GangRuleCase): Promise<void> {
   const world = await gangWorld(zones ?? ['a', 'a', 'a'], maxMachines);
   const scenario = new Scenario(world);
@@ -181,5 +190,5 @@
   for (const id of done ?? [GANG]) await scenario.assertEnded(id, 'done', 300);
   assert.deepEqual(world.violations, []);
   assert.deepEqual([...scenario.recorder.jobsWithTwoAttempts], [], 'two attempts at once');
-  assert.deepEqual(scenario.recorder.stopsWithoutTimeToSave(), [], 'halts without time to save');
+  assert.deepEqual(scenario.recorder.stopsWithoutTimeToSave(), [], 'stops without time to save');
 }
--- a/test/world/gang-steps.ts
+++ b/test/world/gang-steps.ts
@@ -1,4 +1,4 @@
-/** Gangs in the simulated cluster: the steps of their scripts, and the checks of their ends. */
+/** Steps of the gang tests in the simulated cluster, and checks of how the jobs end. */
 import assert from 'node:assert/strict';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
@@ -9,27 +9,28 @@
 import { World } from './world.js';
 import { restartController } from './fault-steps.js';
 
-/** The gang that a row is about, and a second job beside it. */
+/** The job id of the gang under test. */
 export const GANG = 'j-000001';
+/** The job id of a second job beside the gang. */
 export const OTHER = 'j-000002';
 
-/** What a gang needs to save its progress. */
+/** Fields of a job that has a checkpoint every 5 s and needs 3 s to save when it is stopped. */
 export const WITH_CHECKPOINTS = { checkpointS: 5, saveS: 3 };
 
-/** Turns after which a request counts as unanswered. */
+/** Steps of simulated time, of 50 ms each, for which a request is awaited. */
 const MAX_STEPS = 400;
 
-/** s for which a killed controller is down. */
+/** s for which a killed controller stays down. */
 export const RESTART_S = 4;
 
-/** A gang, what happens to it, and the jobs that must get done. */
+/** A case: the machines, what is done to a gang, and the jobs that must get done. */
 export interface GangCase {
   name: string;
-  /** Zones of the machines that are there at the start; default: two and one. */
+  /** Zones of the machines at the start, one entry for each; default: two in a and one in b. */
   zones?: string[];
   maxMachines?: number;
   act: (world: World) => Promise<void>;
-  /** Jobs that must get done, asked at every controller; default: the gang. */
+  /** Jobs that every controller must report as done; default: the gang. */
   done?: string[];
 }
 
@@ -37,7 +38,7 @@
 export const awaitReply = <T>(world: World, request: Promise<T>): Promise<T> =>
   requests.awaitReply(world, request, MAX_STEPS);
 
-/** Submits a job, a gang unless told otherwise; it must be accepted. */
+/** Submits a job, by default a gang; it must be accepted. */
 export async function submit(
   world: World,
   id: string,
@@ -48,12 +49,12 @@
   assert.equal(reply.status, 201, JSON.stringify(reply.body));
 }
 
-/** Cancels a job; that must be confirmed. */
+/** Cancels a job; the cancellation must be confirmed. */
 export async function cancel(world: World, id: string, at = 'n0'): Promise<void> {
   assert.equal(stage(await awaitReply(world, world.cancel(id, at))), 'withdrawn');
 }
 
-/** Runs on in small steps until something is so; what never comes fails the row. */
+/** Runs in steps of 0.05 s until the condition holds; fails if it does not within `limitS` seconds. */
 export async function runUntil(
   world: World,
   what: string,
@@ -66,7 +67,7 @@
   }
 }
 
-/** The tasks of a job, with their machines. */
+/** Yields the tasks of a job that machines hold, with their workers. */
 export function* tasksOf(
   world: World,
   id: string,
@@ -78,15 +79,15 @@
   }
 }
 
-/** Whether a task of the job is in this state. */
+/** Returns true if a machine holds a task of the job in this state. */
 export const hasTaskInState = (world: World, id: string, state: string): boolean =>
   [...tasksOf(world, id)].some(({ task }) => task.state === state);
 
-/** The times at which a gang began. */
+/** Returns the starts of a gang: each time that all its tasks ran together. */
 export const gangStartsOf = (world: World, id: string): World['gangStarts'] =>
   world.gangStarts.filter((one) => one.job === id);
 
-/** Runs on until a gang has begun so many times. */
+/** Runs until a gang has started `times` times. */
 export const awaitGangStart = (
   world: World,
   id: string,
@@ -95,35 +96,38 @@
 ): Promise<void> =>
   runUntil(world, `${id} begins`, limitS, () => gangStartsOf(world, id).length >= times);
 
-/** The machine of one of its tasks. */
+/** Returns the worker of a machine that holds a task of the job. */
 export function machineOf(world: World, id: string): SimWorker {
   const [first] = tasksOf(world, id);
   assert.ok(first, `no machine holds ${id}`);
   return first.worker;
 }
 
-/** The controller that holds a role. */
+/** Returns the controller that holds a role, by its stored record. */
 export function roleHolder(world: World, role: string): string {
   const record = world.store.entries.get(roleKey(role))?.value as
     { roleHolder: string } | undefined;
-  assert.ok(record, `nobody holds ${role}`);
+  assert.ok(record, `no record of role ${role} is stored`);
   return record.roleHolder;
 }
 
-/** The shards that hold something of a job. */
+/** Returns the shard of each assignment of a job. */
 export const shardsOf = (world: World, id: string): string[] =>
   [...world.store.entries.keys()]
     .map(readAssignmentKey)
     .flatMap((assignment) => (assignment?.job === id ? [assignment.shard] : []));
 
-/** Kills the controller that owns a shard with tasks of the job; it is back after `RESTART_S`. */
+/** Kills the holder of a shard that has tasks of the job, and starts it again after `RESTART_S`. */
 export async function restartShardOwner(world: World, id: string): Promise<void> {
   const [shard] = shardsOf(world, id);
   assert.ok(shard, `no shard holds ${id}`);
   await restartController(world, roleHolder(world, shardRole(shard)), RESTART_S);
 }
 
-/** All is over: the state at every controller, and nothing of it left on machines or in the store. */
+/**
+ * Fails unless the jobs reach the state within `limitS` seconds. 60 s later every controller must
+ * report that state, and nothing of the jobs may be left on machines or in the store.
+ */
 export async function assertAllEnded(
   world: World,
   ids: string[],
@@ -138,7 +142,8 @@
     }
   }
   assert.deepEqual([...waiting], [], `not ${state} within ${limitS} s`);
-  // Ends are written and forgotten in groups; machines that hung must send a heartbeat first.
+  // Ends are stored and ended tasks removed in batches, and a machine that hung must first send a
+  // heartbeat before its tasks are removed.
   await world.run(60);
   for (const id of ids) {
     for (const [node] of world.members) {
@@ -158,7 +163,7 @@
   }
 }
 
-/** A world with small machines in these zones, that reported already. */
+/** Returns a world with a small machine for each of these zones; all have sent a heartbeat. */
 export async function gangWorld(zones: string[], maxMachines?: number): Promise<World> {
   const fleet = { ...FLEET, ...(maxMachines === undefined ? {} : { maxMachines }) };
   const world = new World(1, undefined, { fleet });
@@ -167,7 +172,7 @@
   return world;
 }
 
-/** Plays a row; afterwards its jobs must be done, and the rules have held. */
+/** Plays a case. Afterwards its jobs must be done, and the invariants must have held. */
 export async function playGang({ zones, maxMachines, act, done }: GangCase): Promise<void> {
   const world = await gangWorld(zones ?? ['a', 'a', 'b'], maxMachines);
   await act(world);
--- a/test/world/gang.ts
+++ b/test/world/gang.ts
@@ -1,36 +1,45 @@
+/** Simulates how the tasks of a gang act together: common start, lost peers, saving and end. */
 import type { SimTask } from './jobs.js';
 import type { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
+/** s for which a task waits for the other tasks of its attempt before it exits. */
 export const GANG_WAIT_S = 35;
+/**
+ * s within which the tasks of a running gang exit after a peer was lost, or after only some of them
+ * were told to stop.
+ */
 export const GANG_PEER_S = 8;
+/** ms between two steps of the simulated gangs. */
 const TICK_MS = 250;
 
+/** A task of a gang that runs. */
 interface Member {
   worker: SimWorker;
   name: string;
   task: SimTask;
-  /** It notices a lost peer so long after: each one at its own moment, all within the limit. */
+  /** ms after which the task notices a lost peer; differs by task and is below `GANG_PEER_S`. */
   noticesLossAfterMs: number;
 }
 
-/** A gang whose tasks all run, or ran until one was lost or told to stop. */
+/** An attempt of a gang whose tasks have all started, until its last task has ended. */
 interface GangRun {
   job: string;
   attempt: number;
   members: Member[];
   progressMs: number;
+  /** Simulated time in ms since which a peer is lost or hangs; null: all peers respond. */
   peerLostAt: number | null;
-  /** A task has gone for good: what is left can only exit. */
+  /** True once a task has ended or has gone with its machine: the remaining tasks can only exit. */
   hasLostTask: boolean;
   stopRequestedAt: number | null;
 }
 
 const jobOf = (name: string): string => name.split('/')[0] ?? '';
 
-/** What the tasks of gangs do among themselves: gather, run, lose a peer, save and end together. */
+/** The gangs of a simulated cluster. Their tasks start, notice lost peers, save and end together. */
 export class SimGangs {
-  /** Progress of each job that outlives its attempt, in ms. */
+  /** ms of progress that each job has saved, from which its next attempt resumes. */
   readonly savedProgressMs = new Map<string, number>();
   private waiting: { worker: SimWorker; name: string; task: SimTask; since: number }[] = [];
   private runs: GangRun[] = [];
@@ -38,7 +47,7 @@
 
   constructor(private readonly world: SimulationHost) {}
 
-  /** A task has its image and waits for the others of its attempt. */
+  /** Makes a task that has its image wait for the others of its attempt. */
   gather(worker: SimWorker, name: string, task: SimTask): void {
     this.waiting.push({ worker, name, task, since: this.world.clock.now() });
     this.startIfComplete(jobOf(name), task.attempt);
@@ -48,7 +57,10 @@
     }
   }
 
-  /** A command to stop one task, whatever state it is in. */
+  /**
+   * Stops one task. A task of a running gang saves its progress first if the job has checkpoints and
+   * the grace suffices; any other task exits at once.
+   */
   halt(worker: SimWorker, name: string, task: SimTask, graceS: number): void {
     const job = this.world.jobs.get(jobOf(name));
     const run = this.runs.find((one) => one.members.some((member) => member.task === task));
@@ -70,13 +82,14 @@
     for (const { worker, task, since } of this.waiting) {
       if (worker.hungMs === 0 && now - since >= GANG_WAIT_S * 1000) worker.exit(task, 'alone');
     }
-    // What hung while the last peer came joins now.
+    // A machine that hung when the last task of its gang arrived can join now.
     for (const { name, task } of this.waiting) this.startIfComplete(jobOf(name), task.attempt);
     this.runs = this.runs.filter((run) => this.advance(run, now));
     this.isTicking = this.runs.length > 0 || this.waiting.length > 0;
     if (this.isTicking) this.world.clock.after(TICK_MS, () => this.tick());
   }
 
+  /** Starts an attempt if all its tasks wait on machines that do not hang. */
   private startIfComplete(id: string, attempt: number): void {
     const job = this.world.jobs.get(id);
     if (!job) return;
@@ -103,7 +116,7 @@
     this.world.gangStarted(id, attempt);
   }
 
-  /** False once the run is over for all its tasks. */
+  /** Advances a run by one step; returns false once all its tasks have ended. */
   private advance(run: GangRun, now: number): boolean {
     const job = this.world.jobs.get(run.job);
     const live = run.members.filter(
@@ -111,9 +124,9 @@
     );
     if (!job || live.length === 0) return false;
     if (live.length < run.members.length) run.hasLostTask = true;
-    const lost = run.hasLostTask || live.some(({ worker }) => worker.hungMs > 0);
-    run.peerLostAt = lost ? (run.peerLostAt ?? now - TICK_MS) : null;
-    if (!lost && run.stopRequestedAt === null) {
+    const isPeerLost = run.hasLostTask || live.some(({ worker }) => worker.hungMs > 0);
+    run.peerLostAt = isPeerLost ? (run.peerLostAt ?? now - TICK_MS) : null;
+    if (!isPeerLost && run.stopRequestedAt === null) {
       run.progressMs += TICK_MS;
       const checkpointMs = job.checkpointS * 1000;
       const checkpoint =
@@ -130,7 +143,10 @@
         return false;
       }
     }
-    if (!lost && live.every(({ task }) => task.savedAt !== undefined && task.savedAt <= now)) {
+    if (
+      !isPeerLost &&
+      live.every(({ task }) => task.savedAt !== undefined && task.savedAt <= now)
+    ) {
       this.savedProgressMs.set(run.job, run.progressMs);
       for (const { worker, task } of live) {
         task.stored = true;
@@ -138,13 +154,14 @@
       }
       return false;
     }
-    const late =
+    const isStopOverdue =
       run.stopRequestedAt !== null &&
       now - run.stopRequestedAt >= GANG_PEER_S * 1000 &&
       live.some(({ task }) => task.savedAt === undefined);
     for (const { worker, task, noticesLossAfterMs } of live) {
       if (worker.hungMs > 0) continue;
-      if (!late && (run.peerLostAt === null || now - run.peerLostAt < noticesLossAfterMs)) continue;
+      if (!isStopOverdue && (run.peerLostAt === null || now - run.peerLostAt < noticesLossAfterMs))
+        continue;
       worker.exit(task, task.savedAt === undefined ? 'mates_gone' : 'stopped');
       run.hasLostTask = true;
     }
--- a/test/world/older-checks.ts
+++ b/test/world/older-checks.ts
@@ -1,13 +1,15 @@
 /**
- * What both older versions need of the records that they read, taken from reading their code. Keys
- * and fields stand here as literals: they never change.
+ * Checks whether the two older versions can read a stored record. The requirements follow the code of
+ * those versions, and the comments name its files, classes and functions. Keys and fields are literals
+ * here because stored names never change.
  */
 
 /** A record as it is stored. */
 export type Fields = Record<string, unknown>;
 
-/** What is wrong of a record, whose key ends with these names. */
+/** Returns what is wrong with a record; `name` holds the parts of its key after the kind. */
 export type Check = (name: string[], value: Fields) => string[];
+/** The type of a stored field; with "?" the field may also be null. */
 type Type = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'string?' | 'number?' | 'list?';
 
 function hasType(type: Type, one: unknown): boolean {
@@ -18,17 +20,17 @@
   return typeof one === type;
 }
 
-/** Fields that are missing or of another type; further ones are read by nobody. */
+/** Returns the fields that are missing or of another type. No version reads any further fields. */
 export const wrongFields = (value: unknown, types: Record<string, Type>): string[] =>
   Object.entries(types)
     .filter(([field, type]) => !hasType(type, (value as Fields | null)?.[field]))
-    .map(([field, type]) => `${field} is no ${type}`);
+    .map(([field, type]) => `${field} must be a ${type}`);
 
-/** The objection, unless something is so. */
+/** Returns the objection unless the condition holds. */
 export const objectionUnless = (condition: boolean, objection: string): string[] =>
   condition ? [] : [objection];
 
-/** As both versions' bookkeeping/ranges.ts reads them; null: it would read something else. */
+/** Parses ranges as bookkeeping/ranges.ts of both versions does; null: it would misread the text. */
 export function rangesAsRead(text: string): number[] | null {
   if (!/^$|^\d+(-\d+)?(,\d+(-\d+)?)*$/.test(text)) return null;
   const ids: number[] = [];
@@ -41,7 +43,7 @@
 
 // --- Both versions -----------------------------------------------------------------------------
 
-/** protocol/terms.ts, JobSpec: every field is used without a check, null where it says so. */
+/** JobSpec in protocol/terms.ts: the versions use every field without checking its type. */
 const SPEC: Record<string, Type> = {
   id: 'string',
   class: 'string',
@@ -65,6 +67,7 @@
   deadlineS: 'number?',
 };
 
+/** A machine type of the catalogue. */
 const MACHINE_TYPE: Record<string, Type> = {
   name: 'string',
   cpus: 'number',
@@ -78,46 +81,52 @@
   zones: 'list',
 };
 
-/** View.apply keeps it by the key's last part, and Front, Leader and Part use its spec. */
+/** A job: View.apply stores it by the last part of its key; Front, Leader and Part use its spec. */
 export const job: Check = ([id], value) => {
   const spec = value.spec as Fields;
   return [
     ...wrongFields(value, { spec: 'object', at: 'number' }),
     ...wrongFields(spec, SPEC),
-    ...objectionUnless(spec.id === id, 'the spec has another id than the key'),
-    // rankOf: what it does not know would rank below all.
+    ...objectionUnless(spec.id === id, 'the id of the spec must be that in the key'),
+    // rankOf ranks an unknown priority below all others.
     ...objectionUnless(
       ['low', 'normal', 'high', 'production'].includes(String(spec.priority)),
-      'no such priority',
+      'priority must be one of the four known ones',
     ),
   ];
 };
 
-/** Front.describeFinal: any other state would be told to the user as it is. */
+/** An ended job: Front.describeFinal would send any other state unchanged to the user. */
 const final: Check = (name, value) => [
-  ...objectionUnless(name.length === 1, 'not one name'),
+  ...objectionUnless(name.length === 1, 'the key must have one name'),
   ...wrongFields(value, { state: 'string', tasks: 'number' }),
-  ...objectionUnless(['done', 'cancelled'].includes(String(value.state)), 'no such final state'),
+  ...objectionUnless(
+    ['done', 'cancelled'].includes(String(value.state)),
+    'state must be done or cancelled',
+  ),
 ];
 
-/** readChunkKey, summarize and Tasks.fill: tasks are those in `ids`, never both done and live. */
+/**
+ * An assignment, named chunk in these versions, as readChunkKey, summarize and Tasks.fill read it. Its
+ * tasks are those in `ids`; none of them is both done and live.
+ */
 export const chunk: Check = (name, value) => {
   const ids = rangesAsRead(String(value.ids));
   const done = rangesAsRead(String(value.done));
   const live = Object.entries((value.live ?? {}) as Record<string, unknown[]>);
   const own = new Set(ids);
   return [
-    // Another length and the chunk is passed over, with its tasks.
-    ...objectionUnless(name.length === 3, 'the key has not three names'),
-    // A chunk's number orders it, and counts as a decimal.
-    ...objectionUnless(Number.isFinite(Number(name[2])), 'its number is none'),
+    // A chunk whose key has another number of names is skipped together with its tasks.
+    ...objectionUnless(name.length === 3, 'the key must have three names'),
+    // Chunks are ordered by their number, which is parsed as a decimal.
+    ...objectionUnless(Number.isFinite(Number(name[2])), 'the third name must be a number'),
     ...wrongFields(value, { ids: 'string', done: 'string', live: 'object', team: 'string' }),
     ...wrongFields(value, { cpus: 'number', gpus: 'number', memoryGb: 'number', zone: 'string' }),
-    ...objectionUnless(ids !== null && own.size === ids.length, 'ids are no ranges'),
     ...objectionUnless(
-      done?.every((id) => own.has(id)) ?? false,
-      'done ones are no ranges of its own',
+      ids !== null && own.size === ids.length,
+      'ids must be ranges without duplicates',
     ),
+    ...objectionUnless(done?.every((id) => own.has(id)) ?? false, 'done must be ranges of the ids'),
     ...objectionUnless(
       live.every(
         ([id, one]) =>
@@ -127,22 +136,29 @@
           typeof one[0] === 'string' &&
           Number.isSafeInteger(one[1]),
       ),
-      'live ones are no placements of its own',
+      'live must hold placements of ids that are not done',
     ),
   ];
 };
 
-/** Machines.word: any other state would make the machine neither usable nor gone. */
+/** A machine: with any other state, Machines.word would treat it as neither usable nor gone. */
 const machine: Check = (name, value) => [
-  ...objectionUnless(name.length === 1, 'not one name'),
+  ...objectionUnless(name.length === 1, 'the key must have one name'),
   ...wrongFields(value, { type: 'string', zone: 'string', spot: 'boolean', at: 'number' }),
-  ...objectionUnless(['rented', 'drain', 'gone'].includes(String(value.state)), 'no such state'),
+  ...objectionUnless(
+    ['rented', 'drain', 'gone'].includes(String(value.state)),
+    'state must be rented, drain or gone',
+  ),
 ];
 
-/** Part.inherit (later Status.inherit) and Leader.machines. */
+/** The machine states of a shard, as read by Part.inherit (later Status.inherit) and Leader.machines. */
 const status: Check = (name, value) => [
-  // The older one counts its shards from 0, and writes each below that count anew.
-  ...objectionUnless(name.length === 2 && /^\d+$/.test(name[1] ?? ''), 'no shard of a part'),
+  // The older version splits these states of a part into records that it numbers from 0, and rewrites
+  // each record whose number is below their count.
+  ...objectionUnless(
+    name.length === 2 && /^\d+$/.test(name[1] ?? ''),
+    'the key must have a part and a number',
+  ),
   ...wrongFields(value, { machines: 'object' }),
   ...Object.entries((value.machines ?? {}) as Record<string, unknown[]>).flatMap(
     ([one, [type, zone, spot, health]]) =>
@@ -151,14 +167,14 @@
           typeof zone === 'string' &&
           (spot === 0 || spot === 1) &&
           ['ok', 'leaving', 'silent', 'faulty'].includes(String(health)),
-        `${one} is no machine`,
+        `${one} must hold type, zone, spot and health`,
       ),
   ),
 ];
 
-/** Roles.owned, claimRecord and fenceAt. */
+/** A role, as read by Roles.owned, claimRecord and fenceAt. */
 const role: Check = (name, value) => [
-  ...objectionUnless(name.length === 1, 'not one name'),
+  ...objectionUnless(name.length === 1, 'the key must have one name'),
   ...wrongFields(value, {
     owner: 'string',
     incarnation: 'string',
@@ -167,20 +183,21 @@
   }),
 ];
 
-/** Roles.isLive. */
+/** The registration of a controller, as read by Roles.isLive. */
 const node: Check = (name, value) => [
-  ...objectionUnless(name.length === 1, 'not one name'),
+  ...objectionUnless(name.length === 1, 'the key must have one name'),
   ...wrongFields(value, { incarnation: 'string' }),
 ];
 
-/** Bandit.restore of 89f79d3, which is asked of every key below a part's arms. */
+/** A bandit arm: Bandit.restore of 89f79d3 reads the record of every key below a part's arms. */
 export const arm: Check = ([, type = ''], value) => {
   const objections = wrongFields(value, { classes: 'list', types: 'list', a: 'list', b: 'list' });
   if (objections.length > 0) return objections;
   const types = value.types as string[];
-  // Other types than its own: passed over. No version has none.
+  // Bandit.restore skips a record for machine types other than the version's own. Every version has
+  // types, so a record without types is always skipped.
   if (types.length === 0) return [];
-  // Twenty classes, one for all others, and for each type its load and itself.
+  // Rows of the matrix: 20 classes, one for all other classes, and for each type its load and itself.
   const size = 21 + 2 * types.length;
   const a = value.a as [number, number, number][];
   const b = value.b as [number, number][];
@@ -188,30 +205,40 @@
     a.filter(([row, column, one]) => row === column && one > 0).map(([row]) => row),
   );
   return [
-    // It takes the key's last part for the type, whatever it is.
-    ...objectionUnless(types.includes(type), 'restored for a type that there is not'),
-    // It sets cells of a matrix of this size and inverts it at once: both throw.
+    // Bandit.restore uses the last part of the key as the type without checking it.
+    ...objectionUnless(types.includes(type), 'the last part of the key must be one of its types'),
+    // Bandit.restore sets the cells of a matrix of this size and then inverts the matrix. A cell outside
+    // of the matrix throws, and so does a matrix that cannot be inverted.
     ...objectionUnless(
       [...a.flatMap(([row, column]) => [row, column]), ...b.map(([row]) => row)].every(
         (at) => at < size,
       ),
-      'cells outside of the matrix',
+      'all cells must be inside the matrix',
+    ),
+    ...objectionUnless(diagonal.size === size, 'the matrix must be invertible'),
+    ...objectionUnless(
+      (value.classes as unknown[]).length <= 20,
+      'there must be at most 20 classes',
     ),
-    ...objectionUnless(diagonal.size === size, 'the matrix can not be inverted'),
-    ...objectionUnless((value.classes as unknown[]).length <= 20, 'too many classes'),
   ];
 };
 
-/** Part.types and Machines.type: this key only. What is below it has the same kind, read by none. */
+/**
+ * The catalogue: Part.types and Machines.type read this key only. Keys below it have the same kind, but
+ * 89f79d3 does not read their records.
+ */
 export const catalog: Check = (name, value) =>
   name.length > 0
     ? []
     : [
-        ...objectionUnless(Array.isArray(value) && value.length > 0, 'no list of types'),
+        ...objectionUnless(
+          Array.isArray(value) && value.length > 0,
+          'must be a list of at least one type',
+        ),
         ...(Array.isArray(value) ? value : []).flatMap((type) => wrongFields(type, MACHINE_TYPE)),
       ];
 
-/** The checks of both versions, by the kind in the key. */
+/** The checks that both versions start from, by the kind in the key. */
 export const CHECKS: Record<string, Check> = {
   job,
   chunk,
@@ -223,10 +250,15 @@
   catalog,
 };
 
-/** View.apply: what is in neither place is passed over, so nothing may be kept there. */
+/**
+ * Applies the check for a record's key. View.apply skips records below neither mb/final/ nor mb/live/,
+ * so this version may store nothing elsewhere.
+ */
 export function objectionsBy(checks: Record<string, Check>, key: string, value: unknown): string[] {
   if (key.startsWith('mb/final/')) return final(key.split('/').slice(2), value as Fields);
-  if (!key.startsWith('mb/live/')) return ['outside of what it reads'];
+  if (!key.startsWith('mb/live/')) return ['the key must be below mb/final/ or mb/live/'];
   const [kind = '', ...name] = key.split('/').slice(2);
-  return checks[kind]?.(name, value as Fields) ?? ['a kind that it does not know'];
+  return (
+    checks[kind]?.(name, value as Fields) ?? ['the kind in the key must be known to the version']
+  );
 }
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -1,4 +1,4 @@
-/** Two overlapping faults in the simulated cluster: the steps of the scripts, and the final checks. */
+/** Plays two overlapping faults in the simulated cluster: shared steps and the final checks. */
 import assert from 'node:assert/strict';
 import type { TestContext } from 'node:test';
 import { stageOf, type Reply, type SimJob } from './jobs.js';
@@ -7,14 +7,14 @@
 import { World, type Members } from './world.js';
 import { restartController } from './fault-steps.js';
 
-/** Two faults that overlap. After each case the invariants must hold, and all work must get done. */
+/** A case of two faults that overlap. */
 export interface OverlappingFaultsCase {
   name: string;
   members?: Members;
-  /** Zones of the machines that are up from the start. */
+  /** Zones of the machines that are up from the start, one entry for each machine. */
   zones?: string[];
   seeds?: number[];
-  /** s from the end of the script until everything is checked. */
+  /** s from the end of the script to the final checks. */
   recoveryS?: number;
   script: (world: World) => Promise<void>;
 }
@@ -22,7 +22,7 @@
 /** A job that runs until it is cancelled. */
 export const SERVICE: Partial<SimJob> = { service: true, spot: false };
 
-/** A service that goes before others. */
+/** A service of urgent rank, which is placed before jobs of lower rank. */
 export const URGENT: Partial<SimJob> = { ...SERVICE, urgent: true };
 
 /** The names of all controllers. */
@@ -32,7 +32,7 @@
 export const workersIn = (world: World, zone: string): SimWorker[] =>
   [...world.workers.values()].filter((one) => one.machine.zone === zone);
 
-/** Submits a job, at the first controller that is up unless told otherwise; it must be accepted. */
+/** Submits a job at the given controller, by default the first one that is up; it must be accepted. */
 export async function submit(
   world: World,
   id: string,
@@ -44,7 +44,10 @@
   assert.equal(reply.status, 201, `${id}: ${JSON.stringify(reply.body)}`);
 }
 
-/** Asks until it is confirmed, as users do; each time the next controller that is up. */
+/**
+ * Cancels a job as users do: repeats the request 1 s after each failure, at the given controllers in
+ * turn, until it is confirmed. Returns the last reply.
+ */
 export async function cancel(
   world: World,
   id: string,
@@ -52,15 +55,15 @@
   tries = 20,
 ): Promise<Reply> {
   let reply: Reply = { status: 0, body: null };
-  for (let turn = 0; turn < tries; turn++) {
-    reply = await awaitReply(world, world.cancel(id, nodes[turn % nodes.length]));
+  for (let retry = 0; retry < tries; retry++) {
+    reply = await awaitReply(world, world.cancel(id, nodes[retry % nodes.length]));
     if (reply.status === 200) return reply;
     await world.run(1);
   }
   return reply;
 }
 
-/** Services of both teams on all machines, and arrays beside them. */
+/** Submits services of both teams that occupy all machines, and arrays beside them. */
 export async function submitWorkload(world: World): Promise<void> {
   await submit(world, 'j-000001', { ...SERVICE, tasks: 4 });
   await submit(world, 'j-000002', { ...URGENT, team: 'blue', tasks: 4 });
@@ -70,7 +73,10 @@
   await world.run(14);
 }
 
-/** The key-value store is out for all; what runs meanwhile is given by the seconds passed. */
+/**
+ * Makes the key-value store unavailable to all controllers for so many seconds. Each function in
+ * `during` runs when as many seconds of the outage have passed as its key says.
+ */
 export async function outage(
   world: World,
   seconds: number,
@@ -82,25 +88,32 @@
   world.store.endOutage();
 }
 
-/** These controllers and these machines no longer reach each other. */
+/** Cuts the connections between these controllers and these machines, in both directions. */
 export function cutOff(world: World, nodes: string[], machines: Iterable<string>): void {
   for (const machine of machines)
     for (const node of nodes) world.cutLinks.add(`${node}>${machine}`);
 }
 
-/** The leader is killed and back at once; another one has taken over first if it is slow. */
+/**
+ * Kills the leader and starts it again after `downS` seconds. After a long time down, another
+ * controller has become the leader first.
+ */
 export async function restartLeader(world: World, downS: number): Promise<void> {
   const name = world.leader;
   await restartController(world, name, downS);
 }
 
-/** Plays a meeting by this seed; afterwards the rules must hold, and every job be as it should. */
+/**
+ * Plays a case with this seed. Afterwards the invariants must hold, and each controller must report
+ * each accepted job with the end that was sent to its user; without one, services must be running
+ * and all other jobs done.
+ */
 export async function playOverlappingFaults(
   t: TestContext,
-  row: OverlappingFaultsCase,
+  faults: OverlappingFaultsCase,
   seed: number,
 ): Promise<void> {
-  const { members, zones = ['a', 'a', 'b'], recoveryS = 130, script } = row;
+  const { members, zones = ['a', 'a', 'b'], recoveryS = 130, script } = faults;
   const world = new World(seed, members);
   for (const zone of zones) world.addMachine('small', zone, false, 500);
   await world.run(7);
@@ -117,6 +130,6 @@
       assert.equal(stageOf(reply), want, `${id} at ${node}: ${reply.status}`);
     }
   }
-  // The answers to these polls are checked too.
+  // The invariant checker has now seen the answers to these polls as well.
   assert.deepEqual(world.violations, []);
 }
