--- a/test/deploy.test.ts
+++ b/test/deploy.test.ts
@@ -1,4 +1,7 @@
-/** The deploy file: what its lines must keep for the machines that they run on. */
+/**
+ * The deploy file. Guards against heap limits with which a process outgrows the memory of a small
+ * controller before it collects garbage, and against build options that cost time or rename functions.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -6,11 +9,11 @@
 import { fileURLToPath } from 'node:url';
 import { parse } from 'smol-toml';
 
-/** MB of the smallest controllers. */
+/** MB of memory of the smallest controllers. */
 const SMALLEST_MB = 127;
-/** MB that a process holds beside its heap: code, buffers, stacks; measured 15 to 18. */
+/** MB for what a process holds beside its heap (code, buffers, stacks), which takes 15 to 18 MB. */
 const BESIDE_HEAP_MB = 20;
-/** The young space is two semi-spaces to copy between, and one of large objects. */
+/** The young generation has two semi-spaces, between which it copies, and one for large objects. */
 const SEMI_SPACES = 3;
 
 const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
@@ -24,14 +27,15 @@
   return Number(found?.[1]);
 };
 
-// With 100 MB and three times 16 MB a process could grow to 148 MB, of 127, before it collected.
+// With an old space of 100 MB and three semi-spaces of 16 MB, the heap could grow to 148 MB before a
+// garbage collection, on a machine of 127 MB.
 test('the heap that the run line allows fits the smallest controllers', () => {
   const heapMb = flag('max-old-space-size') + SEMI_SPACES * flag('max-semi-space-size');
   assert.ok(heapMb + BESIDE_HEAP_MB <= SMALLEST_MB, `${heapMb} MB of heap`);
 });
 
-// esbuild's --keep-names defines the name of each closure when it is made, in hot code too.
-test('the build does not name closures at run time, and shortens no names of functions', () => {
+// esbuild's --keep-names sets the name of each closure whenever one is created, also in hot code.
+test('the build neither names closures at run time nor shortens names of functions', () => {
   const build = deploy['build'] ?? '';
   assert.match(build, /esbuild src\/main\.ts --bundle/);
   assert.doesNotMatch(build, /--keep-names|--minify-identifiers|--minify /);
--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -1,4 +1,4 @@
-/** The documents: each file and each link that they name is there. */
+/** The documents. Guards against names of files and links that no longer exist after a move or rename. */
 import assert from 'node:assert/strict';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, posix } from 'node:path';
@@ -16,23 +16,23 @@
 ];
 const PAGES = ['README.md', ...filesBelow('docs').filter((name) => name.endsWith('.md'))];
 
-/** File names and paths of code, as pages write them; `*` stands for any name. */
+/** Names and paths of files as the documents quote them; `*` stands for any name. */
 const CODE_FILE = /`([\w./*-]+\.(?:ts|toml|mjs|json))`/g;
 const LINK = /\]\((?!https?:|#)([^)#]+)(?:#[^)]*)?\)/g;
-/** Files of a deployment, of older versions or of a build, which are not in the repository. */
+/** Files of a deployment, of older versions or of a build. They are not in the repository. */
 const ELSEWHERE = /^(?:SETTINGS|OWN|settings|fleet|n\d)\.(?:toml|json)$|^target\/|^package|^KNOWN/;
 
-const isThere = (name: string): boolean => {
+const exists = (name: string): boolean => {
   const pattern = new RegExp(`(^|/)${name.replace(/[.]/g, '\\.').replace(/\*/g, '[^/]*')}$`);
   return SOURCES.some((file) => pattern.test(file)) || existsSync(join(ROOT, name));
 };
 
 for (const page of PAGES) {
-  test(`${page} names only files that are there`, () => {
+  test(`${page}: all files and links that it names exist`, () => {
     const text = readFileSync(join(ROOT, page), 'utf8');
     const missing = [...text.matchAll(CODE_FILE)]
       .map(([, name]) => name ?? '')
-      .filter((name) => !ELSEWHERE.test(name) && !isThere(name));
+      .filter((name) => !ELSEWHERE.test(name) && !exists(name));
     const broken = [...text.matchAll(LINK)]
       .map(([, link]) => posix.join(posix.dirname(page), link ?? ''))
       .filter((link) => !existsSync(join(ROOT, link)));
--- a/test/known-failures.ts
+++ b/test/known-failures.ts
@@ -1,32 +1,35 @@
-/** A test that is known to fail for a fault that is not mended yet. */
-export interface KnownRed {
+/** Reads the list of known failures (KNOWN-RED.txt), and compares it with a run of the tests. */
+
+/** A test that is known to fail because of a fault that is not fixed yet. */
+export interface KnownFailure {
   test: string;
   cause: string;
   issue: string;
 }
 
-/** More than this many faults are not put off. */
-const MOST = 3;
+/** The list may hold at most so many tests, so that faults are fixed instead of being listed. */
+const MAX_KNOWN_FAILURES = 3;
 
-/** Lines "test | cause | issue"; throws where one is not, or there are too many. */
-export function readKnownRed(text: string): KnownRed[] {
+/** Parses lines "test | cause | issue"; throws on a malformed line and on too many lines. */
+export function readKnownFailures(text: string): KnownFailure[] {
   const known = text
     .split('\n')
     .filter((line) => line.trim() !== '')
     .map((line) => {
       const [test = '', cause = '', issue = '', ...more] = line.split('|').map((one) => one.trim());
       if (test === '' || cause === '' || issue === '' || more.length > 0) {
-        throw new Error(`KNOWN-RED.txt: not "test | cause | issue": ${line}`);
+        throw new Error(`KNOWN-RED.txt: expected "test | cause | issue", got: ${line}`);
       }
       return { test, cause, issue };
     });
-  if (known.length > MOST) throw new Error(`KNOWN-RED.txt: more than ${MOST} lines`);
+  if (known.length > MAX_KNOWN_FAILURES)
+    throw new Error(`KNOWN-RED.txt: ${known.length} lines, expected at most ${MAX_KNOWN_FAILURES}`);
   return known;
 }
 
-/** What speaks against a run: failures that are not known, known ones that passed or did not run. */
+/** Returns why a run fails: tests that failed without being listed, and listed ones that did not fail. */
 export function objections(
-  known: readonly KnownRed[],
+  known: readonly KnownFailure[],
   passed: ReadonlySet<string>,
   failed: ReadonlySet<string>,
 ): string[] {
--- a/test/measure-detector.ts
+++ b/test/measure-detector.ts
@@ -1,21 +1,24 @@
 /**
  * Measures the failure detector in simulated time; prints one JSON object a line. Not a test: run it with
- * `node target/test/measure-detector.js` after a build. Processor time is of this process, all members together.
+ * `node target/test/measure-detector.js` after a build. It simulates all
+ * members, so the CPU time is divided by their number.
  */
 import { encodeDetector } from '../src/protocol/detector-codec.js';
 import { DetectorNetwork } from './world/detector-network.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
+/** s without faults in which messages and CPU time are counted. */
 const QUIET_S = 60;
+/** s for which a member pauses, one measurement for each. */
 const PAUSES_S = [1, 2, 3, 4, 5, 6, 8, 10];
 
 const named = (count: number): string[] =>
   Array.from({ length: count }, (_, number) => `moth-${number}`);
 const print = (row: object): void => void process.stdout.write(`${JSON.stringify(row)}\n`);
-const quantile = (values: number[], share: number): number =>
-  values.sort((a, b) => a - b)[Math.floor((values.length - 1) * share)] ?? NaN;
+const quantile = (values: number[], fraction: number): number =>
+  values.sort((a, b) => a - b)[Math.floor((values.length - 1) * fraction)] ?? NaN;
 
-/** What a member sends in a quiet second, and what that costs. */
+/** Measures messages, bytes and CPU time of a member in a second without faults. */
 async function measureQuiet(count: number): Promise<void> {
   const network = new DetectorNetwork(named(count), 1);
   await network.run(count + 5);
@@ -34,7 +37,7 @@
   });
 }
 
-/** Time from a crash until each other member suspects, and finds it failed. */
+/** Measures the s from a crash until the other members suspect the member, and until it has failed. */
 async function measureCrash(count: number): Promise<void> {
   const times: Record<string, number[]> = { suspect: [], failed: [] };
   for (const seed of SEEDS) {
@@ -52,7 +55,7 @@
   }
 }
 
-/** Verdicts about a member that only paused. */
+/** Counts how often the other members suspect a member that only paused, and declare it failed. */
 async function measurePause(seconds: number): Promise<void> {
   const verdicts = { suspected: 0, failed: 0 };
   for (const seed of SEEDS) {
--- a/test/run.ts
+++ b/test/run.ts
@@ -1,18 +1,18 @@
-// Runs all tests below this folder. Those listed in KNOWN-RED.txt at the root are passed over and
-// printed; any other failure fails the run, and so does a listed test that passes by now.
+// Runs all tests below this folder. Failures of tests that KNOWN-RED.txt at the root lists are printed
+// and tolerated. Any other failure fails the run, and so does a listed test that passes or was not run.
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
 import { fileURLToPath } from 'node:url';
-import { objections, readKnownRed } from './known-failures.js';
+import { objections, readKnownFailures } from './known-failures.js';
 
-/** Tests that there were when this was last raised: a run that finds fewer has lost some on the way. */
-const LEAST_TESTS = 550;
+/** Fails a run that finds fewer tests, for example because the build has left out test files. */
+const MIN_TESTS = 550;
 
 const here = dirname(fileURLToPath(import.meta.url));
 const list = join(here, '..', '..', 'KNOWN-RED.txt');
-const known = existsSync(list) ? readKnownRed(readFileSync(list, 'utf8')) : [];
+const known = existsSync(list) ? readKnownFailures(readFileSync(list, 'utf8')) : [];
 const files = readdirSync(here, { recursive: true, encoding: 'utf8' })
   .filter((name) => name.endsWith('.test.js'))
   .map((name) => join(here, name))
@@ -35,8 +35,8 @@
   for (const name of failed) passed.delete(name);
   for (const one of known)
     process.stdout.write(`# known red: ${one.test} (${one.cause}; issue ${one.issue})\n`);
-  const against = objections(known, passed, failed);
-  if (testCount < LEAST_TESTS) against.push(`${testCount} tests were found, not ${LEAST_TESTS}`);
-  for (const one of against) process.stdout.write(`# ${one}\n`);
-  process.exitCode = against.length > 0 ? 1 : 0;
+  const problems = objections(known, passed, failed);
+  if (testCount < MIN_TESTS) problems.push(`${testCount} tests were found, not ${MIN_TESTS}`);
+  for (const one of problems) process.stdout.write(`# ${one}\n`);
+  process.exitCode = problems.length > 0 ? 1 : 0;
 });
--- a/test/stand-ins/known-failures.test.ts
+++ b/test/stand-ins/known-failures.test.ts
@@ -1,7 +1,7 @@
 /** The list of known failures. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { objections, readKnownRed } from '../known-failures.js';
+import { objections, readKnownFailures } from '../known-failures.js';
 
 // What a run of the tests comes to: nothing may hide behind the list of known failures.
 test('known failures are passed over, and only they, and only while they fail', () => {
@@ -16,10 +16,10 @@
     ['nothing was run', '', [], [], /^no test/],
   ];
   for (const [name, list, passed, failed, objection] of cases) {
-    const found = objections(readKnownRed(list), new Set(passed), new Set(failed));
+    const found = objections(readKnownFailures(list), new Set(passed), new Set(failed));
     if (objection === null) assert.deepEqual(found, [], name);
     else assert.match(found.join(), objection, name);
   }
-  assert.throws(() => readKnownRed('a test without a cause'));
-  assert.throws(() => readKnownRed(Array(4).fill(line).join('\n')));
+  assert.throws(() => readKnownFailures('a test without a cause'));
+  assert.throws(() => readKnownFailures(Array(4).fill(line).join('\n')));
 });
--- a/test/trace.ts
+++ b/test/trace.ts
@@ -1,6 +1,6 @@
 /**
- * Prints a digest of everything that simulated clusters write and start under all kinds of faults. Not a test: two
- * versions that print the same digests behave alike here, so it shows that a change of shape changed nothing else.
+ * Prints a digest of everything that simulated clusters write and start under all kinds of faults. Not a test: a
+ * refactoring whose digests equal those of the version before it has not changed the behaviour in these clusters.
  * Run it with `node target/test/trace.js [SEED...]` after a build.
  */
 import { createHash } from 'node:crypto';
@@ -12,12 +12,15 @@
 
 const MACHINES = 6;
 const JOBS = 60;
+/** ms between two submissions. */
 const JOB_EVERY_MS = 900;
+/** s from the start of the controllers to the first submission. */
 const WARM_UP_S = 7;
+/** s from the first submission to the digest. */
 const PLAY_S = 150;
 const LIMITS = { rps: 80, writeRps: 25 };
 
-/** Arrays, services, gangs and urgent jobs, with and without limits of place, some of them broken. */
+/** Arrays, services, gangs and urgent jobs with different placement constraints; some have broken tasks. */
 function jobOf(number: number): Partial<SimJob> {
   return {
     tasks: 1 + (number % 6),
@@ -37,7 +40,7 @@
   };
 }
 
-/** The digest of one played world. */
+/** Plays a fault in a simulated cluster and returns the digest. */
 async function play(
   seed: number,
   begin: (world: World) => void,
@@ -61,7 +64,7 @@
   const digest = createHash('sha256');
   for (const change of world.store.log) digest.update(JSON.stringify(change));
   for (const start of world.starts) digest.update(JSON.stringify(start));
-  for (const told of world.answeredEnds) digest.update(JSON.stringify(told));
+  for (const end of world.answeredEnds) digest.update(JSON.stringify(end));
   return `${digest.digest('hex').slice(0, 16)} changes ${world.store.log.length} starts ${world.starts.length}`;
 }
 
--- a/test/world/older-records.ts
+++ b/test/world/older-records.ts
@@ -1,4 +1,4 @@
-/** Records that older versions have left, and controllers that start with them. */
+/** Records as older versions store them, and controllers that start with these records. */
 import type { StoreReplica } from '../../src/storage/store-replica.js';
 import { SimClock } from './clock.js';
 import { JOB } from './shard-fixture.js';
@@ -10,24 +10,24 @@
 /** Records by their keys. */
 export type Records = Record<string, unknown>;
 
-/** A field that a later version may add. */
+/** A field that a later version may add to a record. */
 export const LATER = { later: { added: [1] } };
 
-/** Stores records as they are. */
-const put = (state: SimKeyValueStore, records: Records): void =>
-  state.change(Object.entries(records).map(([key, value]) => ({ key, value })));
+/** Stores records unchanged. */
+const put = (store: SimKeyValueStore, records: Records): void =>
+  store.change(Object.entries(records).map(([key, value]) => ({ key, value })));
 
-/** What a controller holds of these records. */
+/** Returns a replica that has read these records from a store. */
 export async function replicaOf(records: Records): Promise<StoreReplica> {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  put(state, records);
-  const { replica } = followingReplica(clock, state, 1000);
+  const store = new SimKeyValueStore(clock);
+  put(store, records);
+  const { replica } = followingReplica(clock, store, 1000);
   await clock.run(500);
   return replica;
 }
 
-/** A controller that starts with what others left behind. */
+/** Returns a world in which only controller n0 runs; it has started with these records stored. */
 export async function started(records: Records, members: [string, string][]): Promise<World> {
   const world = new World(4, members, { placement: { alpha: 2, penalty: 2, snapshotS: 5 } });
   for (const [name] of members) world.kill(name);
@@ -37,9 +37,9 @@
   return world;
 }
 
-/** The value that a key has now. */
-export const valueOf = <T>(state: SimKeyValueStore, key: string): T =>
-  state.entries.get(key)?.value as T;
+/** Returns the value that a key has now. */
+export const valueOf = <T>(store: SimKeyValueStore, key: string): T =>
+  store.entries.get(key)?.value as T;
 
 /** A job's spec as older versions store it. */
 export const SPEC = {
@@ -64,17 +64,17 @@
   saveS: 0,
   deadlineS: null,
 };
-/** What an assignment says of its job's tasks. */
+/** Fields of an assignment that describe its job's tasks. */
 export const KIND = { team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' };
-/** What a replica says of an assignment of this kind. */
+/** The replica's summary of an assignment with these fields. */
 export const SUMMARY = { shard: 'p', job: JOB, ...KIND };
-/** The key of the first assignment of the job. */
+/** The key of the job's first assignment. */
 export const ASSIGNMENT_1 = `mb/live/chunk/p/${JOB}/3000001`;
-/** The term of the roles that are left. */
+/** The term in the stored roles. */
 export const TERM = 3;
-/** The attempt of the tasks that are left. */
+/** The attempt of the stored tasks. */
 export const ATTEMPT = 900_000_000_000_000;
-/** A role as its last owner left it. */
+/** A role as its last holder stored it. */
 export const role = (owner: string, movedAt = 0) => ({
   owner,
   incarnation: `${owner}-before`,
@@ -82,16 +82,22 @@
   movedAt,
   ...LATER,
 });
-/** A as a new arm has it, but for this class's own cell: it is all that 89f79d3 would keep of it. */
+/**
+ * The matrix A of a new arm, with `own` as the cell of the first class. 89f79d3 would keep only these
+ * cells of A.
+ */
 const diagonal = (own: number): number[][] =>
   Array.from({ length: 21 + 2 * TYPES.length }, (_, at) => [at, at, at === 0 ? own : 1]);
-/** What a shard has learned of a type, with one class of work. */
+/** The stored arm of a shard that has learned about machine type small from one class of work. */
 export const ARM = { classes: ['work/1/0'], types: ['small'], a: diagonal(9), b: [[0, -0.5]] };
-/** A catalogue of types that differ in their names only. */
+/** Returns a catalogue of machine types that differ only in their names. */
 export const typesNamed = (...names: string[]): object[] =>
   names.map((name) => ({ ...TYPES[0], name, ...LATER }));
 
-/** What a controller has learned after some tasks of a class that these records know. */
+/**
+ * Starts a controller with these records, lets it run tasks of a class of work that is in them, and
+ * returns what it has learned: two cells of the matrix A and the classes.
+ */
 export async function learnedOn(records: Records) {
   const world = await started(records, [['n0', 'a']]);
   await world.run(10);
--- a/test/world/older-versions.ts
+++ b/test/world/older-versions.ts
@@ -1,4 +1,4 @@
-/** The two older versions that records pass to and from, and what each needs of them. */
+/** The two older versions that exchange records with this one, and what each of them can read. */
 import {
   CHECKS,
   arm,
@@ -11,20 +11,22 @@
   type Fields,
 } from './older-checks.js';
 
-/** A version before this one, as a reader of records. */
+/** An older version as a reader of records. */
 interface OlderVersion {
   commit: string;
-  /** What it would read wrongly, or fail on; none: it reads the record, or passes it over. */
+  /**
+   * Returns what the version would misread or fail on; empty if it reads the record or skips it.
+   */
   objections: (key: string, value: unknown) => string[];
 }
 
-/** In production: before gangs. */
+/** The version in production, which has no gangs. */
 const PRODUCTION: OlderVersion = {
   commit: '89f79d3',
   objections: (key, value) => objectionsBy(CHECKS, key, value),
 };
 
-/** With gangs, with chunks, arms and the catalogue in several records each. */
+/** The version with gangs, which splits chunks, arms and the catalogue into several records each. */
 const WITH_GANGS: OlderVersion = {
   commit: 'df7a3ba',
   objections: (key, value) =>
@@ -35,29 +37,30 @@
           ...job(name, record),
           ...objectionUnless(
             ['array', 'service', 'gang'].includes(String((record.spec as Fields).kind)),
-            'no such kind',
+            'kind must be array, service or gang',
           ),
         ],
-        // GangShares: an attempt makes the chunk a gang's share, and `stopping` ends it.
+        // GangShares: a chunk with an attempt is a gang subset, and `stopping` ends the subset.
         chunk: (name, record) => [
           ...chunk(name, record),
           ...objectionUnless(
             record.attempt === undefined || Number.isSafeInteger(record.attempt),
-            'attempt is no number',
+            'attempt must be an integer',
           ),
           ...objectionUnless(
             record.stopping === undefined || record.stopping === true,
-            'stopping is no true',
+            'stopping must be true',
           ),
           ...objectionUnless(
             record.attempt === undefined ||
               Object.values(record.live as Record<string, unknown[]>).every(
                 ([, attempt]) => attempt === record.attempt,
               ),
-            'a task of a gang has another attempt',
+            'all live tasks of a gang must have its attempt',
           ),
         ],
-        // Bandit.restore asks for TYPE+1 and so on, as many as the main record says, of its stamp.
+        // Bandit.restore also reads TYPE+1, TYPE+2 and so on: as many records as the main one says, and
+        // only those with its stamp.
         arm: ([part = '', last = ''], record) => {
           const [, type = '', at] = /^(.*)\+(\d+)$/.exec(last) ?? [null, last];
           if (at === undefined) {
@@ -65,7 +68,7 @@
               ...arm([part, type], record),
               ...objectionUnless(
                 (record.stamp === undefined) === (record.further === undefined),
-                'stamp and further not together',
+                'stamp and further must come together',
               ),
             ];
           }
@@ -78,17 +81,18 @@
             }),
             ...objectionUnless(
               (record.types as unknown[]).length === 0,
-              'a further record with types',
+              'a further record must have no types',
             ),
           ];
         },
-        // readCatalog takes all of them together.
-        catalog: (name, record) => (name.length > 1 ? ['not one name'] : catalog([], record)),
+        // readCatalog joins the types of all catalogue records.
+        catalog: (name, record) =>
+          name.length > 1 ? ['the key must have at most one name'] : catalog([], record),
       },
       key,
       value,
     ),
 };
 
-/** Both, the older one first. */
+/** Both older versions, the oldest first. */
 export const OLDER = [PRODUCTION, WITH_GANGS];
--- a/test/world/production-chunks.ts
+++ b/test/world/production-chunks.ts
@@ -1,15 +1,15 @@
-/** How the version in production writes a part's chunks, taken from reading its code. */
+/** Writes chunks (assignments) as the version in production does; follows that version's code. */
 import { rangesAsRead, type Fields } from './older-checks.js';
 
 /** A chunk as it is stored. */
-export interface Stored extends Fields {
+export interface StoredChunk extends Fields {
   ids: string;
   done: string;
   live: Record<string, [string, number]>;
 }
 
-/** writeRanges of both versions. */
-function asRanges(ids: Iterable<number>): string {
+/** Writes ids as ranges, as writeRanges of both older versions does. */
+function writeRanges(ids: Iterable<number>): string {
   const ranges: [number, number][] = [];
   for (const id of [...ids].sort((a, b) => a - b)) {
     const last = ranges[ranges.length - 1];
@@ -22,21 +22,21 @@
 }
 
 /**
- * What 89f79d3 makes of a chunk when tasks end and others are placed: Tasks.fill and Tasks.write.
- * It keeps the record's other fields, the key, and the tasks that are in it.
+ * Returns a chunk as 89f79d3 rewrites it (Tasks.fill and Tasks.write) after some tasks are done and
+ * others are placed. That version keeps the record's key, its ids and all fields that it does not use.
  */
 export function writtenByProduction(
   record: unknown,
   change: { done?: number[]; placed?: Record<string, [string, number]> },
-): Stored {
-  const stored = record as Stored;
+): StoredChunk {
+  const stored = record as StoredChunk;
   const ids = rangesAsRead(stored.ids) ?? [];
   const done = new Set(rangesAsRead(stored.done) ?? []);
-  const live: Stored['live'] = {};
+  const live: StoredChunk['live'] = {};
   for (const id of ids) {
     if (change.done?.includes(id)) done.add(id);
     const placement = change.placed?.[String(id)] ?? stored.live[String(id)];
     if (placement && !done.has(id)) live[String(id)] = placement;
   }
-  return { ...stored, ids: asRanges(ids), done: asRanges(done), live };
+  return { ...stored, ids: writeRanges(ids), done: writeRanges(done), live };
 }
--- a/test/world/readable-by-older-versions.ts
+++ b/test/world/readable-by-older-versions.ts
@@ -1,4 +1,4 @@
-/** Records of this version as older ones need them. */
+/** Checks that older versions can read the records that this version writes. */
 import assert from 'node:assert/strict';
 import { OLDER } from './older-versions.js';
 import type { SimKeyValueStore } from './key-value-store.js';
@@ -6,7 +6,7 @@
 /** The changes written to the key-value store, in order. */
 export type WriteLog = SimKeyValueStore['log'];
 
-/** Both older versions read all that was written. */
+/** Fails if one of the older versions cannot read a record that was written. */
 export function assertReadableByOlderVersions(log: WriteLog): void {
   for (const { key, value, removed } of log) {
     if (removed) continue;
@@ -15,7 +15,7 @@
   }
 }
 
-/** An assignment that all versions take. */
+/** An assignment that all versions can read. */
 export const ASSIGNMENT = {
   ...{ ids: '0-3', done: '1', live: { '0': ['m-1', 7] } },
   ...{ team: 'red', cpus: 1, gpus: 0, memoryGb: 1, zone: 'a' },
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -1,6 +1,7 @@
 /**
  * Examples of everything that this version writes: messages, requests, answers and records, as text.
- * The names of the examples and the order of their values don't depend on names in the program.
+ * The names of the examples are keys in the files of test/fixtures, so they stay as they are when the
+ * program's own names change. The same holds for the order of the values.
  */
 import { HttpCloudApi } from '../../src/protocol/cloud-api.js';
 import { encodeDetector } from '../../src/protocol/detector-codec.js';
@@ -113,8 +114,8 @@
   );
 }
 
-/** A client that notes each request, and answers with what it was given. */
-function notingClient(requests: string[], answers: Record<string, HttpResponse>): HttpClient {
+/** Returns a client that records each request, and answers by the first prefix of its path. */
+function recordingClient(requests: string[], answers: Record<string, HttpResponse>): HttpClient {
   const client = {
     call: (method: string, path: string, body: unknown): Promise<HttpResponse> => {
       requests.push(`${method} ${path} ${JSON.stringify(body) ?? ''}`.trimEnd());
@@ -125,17 +126,17 @@
   return client as unknown as HttpClient;
 }
 
-/** Values without their names, in order: what is read, whatever the program calls it. */
+/** Replaces objects by lists of their values, so that names in the program make no difference. */
 export function valuesOf(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(valuesOf);
   if (typeof value !== 'object' || value === null) return value;
   return Object.values(value).map(valuesOf);
 }
 
-/** The requests to the state service, and what is read of its answers. */
-async function stateForms(): Promise<Forms> {
+/** The requests to the key-value store, and the values that are read from its answers. */
+async function storeForms(): Promise<Forms> {
   const requests: string[] = [];
-  const client = notingClient(requests, {
+  const client = recordingClient(requests, {
     '/kv?': {
       status: 200,
       body: { items: [{ path: 'a/b', v: { c: 1 }, mark: 7 }], more: true, epoch: 9 },
@@ -177,7 +178,7 @@
   };
 }
 
-/** The requests to the cloud, and what is read of its answers. */
+/** The requests to the cloud, and the values that are read from its answers. */
 async function cloudForms(): Promise<Forms> {
   const requests: string[] = [];
   const type = {
@@ -201,7 +202,7 @@
     stage: 'booting',
     heldS: 61.5,
   };
-  const client = notingClient(requests, {
+  const client = recordingClient(requests, {
     '/catalog': { status: 200, body: { breeds: [type] } },
     '/rentals/return': { status: 200, body: {} },
     '/rentals?': { status: 200, body: { moths: [machine], more: true } },
@@ -221,12 +222,12 @@
   };
 }
 
-/** All examples of this version. */
+/** Returns all examples of this version. */
 export async function writtenForms(): Promise<Forms> {
   return {
     ...peerForms(),
     ...answerForms(),
-    ...(await stateForms()),
+    ...(await storeForms()),
     ...(await cloudForms()),
     ...banditForms(),
     ...(await recordForms()),
--- a/test/world/written-records.ts
+++ b/test/world/written-records.ts
@@ -7,7 +7,7 @@
 /** Examples by their names. */
 export type Forms = Record<string, string>;
 
-/** What a bandit that learned a little stores of its arms, in one value and in several. */
+/** The stored arms of a bandit with a few results: one in a single record, one split into several. */
 export function banditForms(): Forms {
   const bandit = new Bandit(['small', 'large'], 2, 2);
   const load = new Map([
@@ -26,7 +26,7 @@
   };
 }
 
-/** What stands between a kind of key and its name. */
+/** Names of examples, and the prefix of the keys of each. */
 const RECORD_KINDS: [name: string, prefix: string][] = [
   ['job', 'mb/live/job/'],
   ['chunk', 'mb/live/chunk/'],
@@ -38,14 +38,17 @@
   ['final', 'mb/final/'],
 ];
 
-/** Records that hold more than the first of their kind: the last one that matches. */
+/**
+ * Examples that hold more fields than the first record of their kind. Each is the last record whose
+ * key has the prefix and whose text matches the pattern.
+ */
 const FULL_RECORDS: [name: string, prefix: string, pattern: RegExp][] = [
   ['chunk with placed tasks', 'mb/live/chunk/', /"live":\{"/],
   ['chunk of a gang', 'mb/live/chunk/', /"attempt":/],
   ['status with machines', 'mb/live/status/', /"machines":\{"/],
 ];
 
-/** A small cluster that has run jobs of all kinds; some of them still run. */
+/** Returns a small cluster that has run jobs of all kinds; some of them still run. */
 async function busyWorld(): Promise<World> {
   const world = new World(7, undefined, { suspicion: null });
   await world.run(8);
@@ -60,7 +63,7 @@
   return world;
 }
 
-/** The first record of each kind that a busy cluster writes, and all that it holds in the end. */
+/** The first record of each kind that a busy cluster writes, fuller ones, and all records at its end. */
 export async function recordForms(): Promise<Forms> {
   const world = await busyWorld();
   const forms: Forms = {};
@@ -85,7 +88,7 @@
   const world = new World(3, undefined, WITH_FAILURE_DETECTION);
   await world.run(3);
   const node = world.nodes.get('n0')?.node;
-  if (!node) throw new Error('the node is gone');
+  if (!node) throw new Error('controller n0 is not running');
   const text = await createMetricsReader(node)();
   const named = text.split('\n').filter((line) => line.startsWith('# '));
   return { 'metrics: names and help': named.join('\n') };
