--- a/test/measure-detector.ts
+++ b/test/measure-detector.ts
@@ -37,7 +37,7 @@
   });
 }
 
-/** Measures the s from a crash until the other members suspect the member, and until it has failed. */
+/** Measures the seconds from a crash until the other members suspect the member, and until it has failed. */
 async function measureCrash(count: number): Promise<void> {
   const times: Record<string, number[]> = { suspect: [], failed: [] };
   for (const seed of SEEDS) {
--- a/test/trace.ts
+++ b/test/trace.ts
@@ -20,7 +20,7 @@
 const PLAY_S = 150;
 const LIMITS = { rps: 80, writeRps: 25 };
 
-/** Arrays, services, gangs and urgent jobs with different placement constraints; some have broken tasks. */
+/** Arrays, services, gangs and urgent jobs with different placement constraints; the tasks of some fail. */
 function jobOf(number: number): Partial<SimJob> {
   return {
     tasks: 1 + (number % 6),
--- a/test/world/fault-sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -8,21 +8,21 @@
 /** A fault that begins and ends while users submit, poll and cancel jobs. */
 export interface SweepFault {
   name: string;
-  /** Schedules the begin of the fault, and its end at most `ENDS_S` later. */
+  /** Schedules the start of the fault, and its end at most `FAULT_END_S` later. */
   begin: (world: World) => void;
 }
 
 /** s from the start of the users to a fault that has no start time of its own. */
-const BEGINS_S = 10;
+const FAULT_START_S = 10;
 /** s from the start of the users until every fault has ended and all jobs have been submitted. */
-const ENDS_S = 55;
-/** Begins a fault after `BEGINS_S` and ends it after `ENDS_S`. */
-const during = (world: World, begin: () => void, end: () => void): void => {
-  world.clock.after(BEGINS_S * 1000, begin);
-  world.clock.after(ENDS_S * 1000, end);
+const FAULT_END_S = 55;
+/** Schedules the start of a fault after `FAULT_START_S` and its end after `FAULT_END_S`. */
+const duringFault = (world: World, begin: () => void, end: () => void): void => {
+  world.clock.after(FAULT_START_S * 1000, begin);
+  world.clock.after(FAULT_END_S * 1000, end);
 };
-/** Runs a step of a fault after so many seconds. */
-const at = (world: World, seconds: number, run: () => void): void =>
+/** Schedules a step of a fault after so many seconds. */
+const runAfter = (world: World, seconds: number, run: () => void): void =>
   void world.clock.after(seconds * 1000, run);
 
 /**
@@ -35,7 +35,7 @@
     name: 'watches of one node lag',
     begin: (world) => {
       world.store.watchAnswerDelayMs = (node) => (node === 'n0' ? 1500 : 0);
-      at(world, ENDS_S, () => {
+      runAfter(world, FAULT_END_S, () => {
         world.store.watchAnswerDelayMs = () => 0;
       });
     },
@@ -45,7 +45,7 @@
     begin: (world) => {
       world.store.watchAnswerDelayMs = () => 200 + world.randomBelow(900);
       world.store.transactionAnswerDelayMs = () => world.randomBelow(700);
-      at(world, ENDS_S, () => {
+      runAfter(world, FAULT_END_S, () => {
         world.store.watchAnswerDelayMs = () => 0;
         world.store.transactionAnswerDelayMs = () => 0;
       });
@@ -54,7 +54,7 @@
   {
     name: 'answers are lost',
     begin: (world) =>
-      during(
+      duringFault(
         world,
         () => (world.store.lostAnswerShare = 0.3),
         () => (world.store.lostAnswerShare = 0),
@@ -63,7 +63,7 @@
   {
     name: 'transactions are late',
     begin: (world) =>
-      during(
+      duringFault(
         world,
         () => (world.store.lateTransactionShare = 0.3),
         () => (world.store.lateTransactionShare = 0),
@@ -72,28 +72,28 @@
   {
     name: 'an outage',
     begin: (world) => {
-      at(world, 20, () => (world.store.hasOutage = true));
-      at(world, 40, () => world.store.endOutage());
+      runAfter(world, 20, () => (world.store.hasOutage = true));
+      runAfter(world, 40, () => world.store.endOutage());
     },
   },
   {
     name: 'one node is refused while its first peer stands still',
     begin: (world) => {
-      at(world, 15, () => {
+      runAfter(world, 15, () => {
         world.store.refusedControllers.add('n0');
         world.pause('n1', 25);
       });
-      at(world, ENDS_S, () => world.store.refusedControllers.clear());
+      runAfter(world, FAULT_END_S, () => world.store.refusedControllers.clear());
     },
   },
   {
     name: 'one node loses the state service and its peers',
     begin: (world) => {
-      at(world, 15, () => {
+      runAfter(world, 15, () => {
         world.store.refusedControllers.add('n0');
         for (const peer of ['n1', 'n2']) world.lossyLinks.add(`n0>${peer}`);
       });
-      at(world, ENDS_S, () => {
+      runAfter(world, FAULT_END_S, () => {
         world.store.refusedControllers.clear();
         world.lossyLinks.clear();
       });
@@ -103,11 +103,11 @@
     name: 'all end, and one after the other, back at once',
     begin: (world) => {
       for (const [name] of world.members) {
-        at(world, 15, () => world.kill(name));
-        at(world, 15.3 + world.randomBelow(4), () => world.boot(name));
+        runAfter(world, 15, () => world.kill(name));
+        runAfter(world, 15.3 + world.randomBelow(4), () => world.boot(name));
       }
       for (const [number, [name]] of world.members.entries()) {
-        at(world, 30 + number * 6, () => {
+        runAfter(world, 30 + number * 6, () => {
           world.kill(name);
           world.boot(name);
         });
@@ -117,18 +117,18 @@
   {
     name: 'all end in an outage, with lost answers and lagging watches after it',
     begin: (world) => {
-      at(world, 15, () => (world.store.hasOutage = true));
+      runAfter(world, 15, () => (world.store.hasOutage = true));
       for (const [name] of world.members) {
-        at(world, 18, () => world.kill(name));
-        at(world, 19, () => world.boot(name));
+        runAfter(world, 18, () => world.kill(name));
+        runAfter(world, 19, () => world.boot(name));
       }
-      at(world, 30, () => {
+      runAfter(world, 30, () => {
         world.store.endOutage();
         world.store.lostAnswerShare = 0.3;
         world.store.watchAnswerDelayMs = () => world.randomBelow(1200);
         world.store.refusesListing = (listing) => listing % 2 === 0;
       });
-      at(world, ENDS_S, () => {
+      runAfter(world, FAULT_END_S, () => {
         world.store.lostAnswerShare = 0;
         world.store.watchAnswerDelayMs = () => 0;
         world.store.refusesListing = () => false;
@@ -210,7 +210,7 @@
   });
   begin(world);
   users.start();
-  await world.run(ENDS_S + 5);
+  await world.run(FAULT_END_S + 5);
   world.faultsOver();
   await world.run(size.recoveryS);
   assert.deepEqual(world.violations, []);
--- a/test/world/gang-recorder.ts
+++ b/test/world/gang-recorder.ts
@@ -113,7 +113,7 @@
     return this.ends.filter((one) => one.job === job && one.attempt === attempt);
   }
 
-  /** Returns stop commands whose grace is too short to save, for uncancelled jobs with checkpoints. */
+  /** Returns stop commands with too little grace to save, for jobs with checkpoints that are not cancelled. */
   stopsWithoutTimeToSave(): StopCommand[] {
     return this.stopCommands.filter(({ job, graceS, isCancelled }) => {
       const spec = this.world.jobs.get(job);
@@ -121,7 +121,10 @@
     });
   }
 
-  /** Returns the s between the first and the last task of an attempt to get a first stop command. */
+  /**
+   * Returns the seconds between the stop of the first and the stop of the last task of an attempt. Only
+   * the first stop command for each task counts.
+   */
   stopSpreadS(job: string, attempt: number): number {
     const first = new Map<string, number>();
     for (const command of this.stopCommands) {
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -1,4 +1,4 @@
-/** Plays the rules of the operators' documentation on gangs in the simulated cluster. */
+/** Plays cases for the rules on gangs in the operators' documentation, in the simulated cluster. */
 import assert from 'node:assert/strict';
 import { shardRole } from '../../src/coordination/election/role-election.js';
 import { FINALS, readAssignmentKey, roleKey } from '../../src/storage/keys.js';
@@ -15,7 +15,7 @@
 export const LEASE_S = 24;
 /** A gang with checkpoints whose four tasks need at least two machines. */
 export const LONG: Partial<SimJob> = { tasks: 4, cpus: 2, runS: 30, ...WITH_CHECKPOINTS };
-/** A gang of the other team that needs three machines, and with two in each zone both zones. */
+/** A gang of the other team that fills three machines. With two machines a zone it needs two zones. */
 export const WIDE: Partial<SimJob> = {
   team: 'blue',
   tasks: 6,
@@ -132,7 +132,7 @@
     return attempts;
   }
 
-  /** Returns the s of progress that a gang has saved. */
+  /** Returns the seconds of progress that a gang has saved. */
   savedS(id = GANG): number {
     return (this.world.gangs.savedProgressMs.get(id) ?? 0) / 1000;
   }
--- a/test/world/gang.ts
+++ b/test/world/gang.ts
@@ -32,6 +32,7 @@
   peerLostAt: number | null;
   /** True once a task has ended or has gone with its machine: the remaining tasks can only exit. */
   hasLostTask: boolean;
+  /** Simulated time in ms of the first stop command for which a task saves; null: none so far. */
   stopRequestedAt: number | null;
 }
 
--- a/test/world/older-checks.ts
+++ b/test/world/older-checks.ts
@@ -43,7 +43,10 @@
 
 // --- Both versions -----------------------------------------------------------------------------
 
-/** JobSpec in protocol/terms.ts: the versions use every field without checking its type. */
+/**
+ * JobSpec in protocol/terms.ts. Both versions use every field without a check; only fields whose type
+ * here ends with "?" may be null.
+ */
 const SPEC: Record<string, Type> = {
   id: 'string',
   class: 'string',
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -45,8 +45,8 @@
 }
 
 /**
- * Cancels a job as users do: repeats the request 1 s after each failure, at the given controllers in
- * turn, until it is confirmed. Returns the last reply.
+ * Cancels a job as users do: repeats the request 1 s after each failure, at each of the given
+ * controllers one after another, until it is confirmed. Returns the last reply.
  */
 export async function cancel(
   world: World,
@@ -63,7 +63,7 @@
   return reply;
 }
 
-/** Submits services of both teams that occupy all machines, and arrays beside them. */
+/** Submits services of both teams that occupy all machines and arrays beside them; runs for 14 s. */
 export async function submitWorkload(world: World): Promise<void> {
   await submit(world, 'j-000001', { ...SERVICE, tasks: 4 });
   await submit(world, 'j-000002', { ...URGENT, team: 'blue', tasks: 4 });
@@ -95,8 +95,8 @@
 }
 
 /**
- * Kills the leader and starts it again after `downS` seconds. After a long time down, another
- * controller has become the leader first.
+ * Kills the leader and starts it again after `downS` seconds. If that is long enough for a failover,
+ * another controller is the leader by then.
  */
 export async function restartLeader(world: World, downS: number): Promise<void> {
   const name = world.leader;
