--- a/test/cluster/accepted-jobs-large.test.ts
+++ b/test/cluster/accepted-jobs-large.test.ts
@@ -1,11 +1,11 @@
 /**
- * The same as the small sweep with 1,500 machines, whose records take many pages and whose
- * heartbeats never end.
+ * Guards against accepted jobs that a controller reports as unknown, in a fleet of 1,500 machines:
+ * their records take many pages of the key-value store, and their heartbeats arrive during each fault.
  */
 import { test } from 'node:test';
 import { LARGE, FAULTS, playSweep } from '../world/fault-sweep.js';
 
-for (const trouble of FAULTS.filter(({ name }) => name.startsWith('all end in'))) {
-  test(`forgotten: close polling: 1,500 machines: ${trouble.name}`, () =>
-    playSweep(trouble, 3, LARGE));
+for (const fault of FAULTS.filter(({ name }) => name.startsWith('all end in'))) {
+  test(`accepted jobs stay known to all controllers, 1,500 machines: ${fault.name}`, () =>
+    playSweep(fault, 3, LARGE));
 }
--- a/test/cluster/accepted-jobs-sweep.test.ts
+++ b/test/cluster/accepted-jobs-sweep.test.ts
@@ -1,12 +1,15 @@
-/** Users poll all controllers right after each answer, under all kinds of faults: nothing is forgotten. */
+/**
+ * Guards against accepted jobs that a controller reports as unknown: users poll all controllers
+ * right after each answer, during each kind of fault.
+ */
 import { test } from 'node:test';
 import { SMALL, FAULTS, playSweep } from '../world/fault-sweep.js';
 
 const SEEDS = [1, 2];
 
-for (const trouble of FAULTS) {
+for (const fault of FAULTS) {
   for (const seed of SEEDS) {
-    test(`forgotten: close polling: ${trouble.name} (seed ${seed})`, () =>
-      playSweep(trouble, seed, SMALL));
+    test(`accepted jobs stay known to all controllers: ${fault.name} (seed ${seed})`, () =>
+      playSweep(fault, seed, SMALL));
   }
 }
--- a/test/cluster/controller-faults.test.ts
+++ b/test/cluster/controller-faults.test.ts
@@ -1,4 +1,4 @@
-/** The invariants hold through faults of controllers and of the key-value store. */
+/** The invariants hold and all work is completed after faults of controllers and of the key-value store. */
 import { test } from 'node:test';
 import { playFaultCase, type FaultCase } from '../world/fault-case.js';
 import { WITH_FAILURE_DETECTION } from '../world/failure-detection-case.js';
@@ -21,7 +21,7 @@
     },
   },
   {
-    name: 'a controller that is not restarted',
+    name: 'a controller that is restarted only after 70 s',
     fault: async (world) => {
       await restartController(world, 'n2', 70);
       await world.run(10);
@@ -41,7 +41,7 @@
     },
   },
   {
-    name: 'a controller that only the key-value store refuses',
+    name: 'a controller that reaches its peers and workers but is refused by the key-value store',
     fault: async (world) => {
       world.store.refusedControllers.add('n1');
       await world.run(60);
@@ -57,7 +57,7 @@
     },
   },
   {
-    name: 'a controller with its workers but without key-value store and peers',
+    name: 'a controller that reaches its workers but neither the key-value store nor its peers',
     fault: async (world) => {
       world.store.refusedControllers.add('n0');
       for (const [peer] of world.members) if (peer !== 'n0') world.cutLinks.add(`n0>${peer}`);
@@ -68,7 +68,7 @@
     },
   },
   {
-    name: 'controllers that are paused for seconds, for most of their grace and beyond it',
+    name: 'controllers that are paused for 6 s, for most of their grace period and for longer than it',
     fault: async (world) => {
       for (const [at, seconds] of [6, 18, 40].entries()) {
         void world.submit(`j-10000${at}`, { service: true, spot: false, tasks: 2 });
@@ -81,12 +81,12 @@
     },
   },
   {
-    name: 'controllers back at once in the middle of an election, with late transactions',
+    name: 'controllers killed and started again at once during an election, with late transactions',
     fault: async (world) => {
       world.store.delayNextTransactionMs.set('n0', 4000);
       world.kill('n2');
       await world.run(6.5);
-      for (let turn = 0; turn < 4; turn++) {
+      for (let round = 0; round < 4; round++) {
         for (const [name] of world.members) {
           world.store.delayNextTransactionMs.set(name, 3000);
           await restartController(world, name, 0.2);
@@ -100,7 +100,7 @@
 
 for (const one of CASES) {
   for (const seed of [1, 2]) {
-    test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
+    test(`invariants hold and all work is completed: ${one.name} (seed ${seed})`, () =>
       playFaultCase(one, seed));
   }
   test(`invariants hold with failure detection: ${one.name}`, () =>
--- a/test/cluster/gang-rules-restarts.test.ts
+++ b/test/cluster/gang-rules-restarts.test.ts
@@ -1,4 +1,4 @@
-/** Rules for gangs: restarts, ends, placement, and what users are told. */
+/** Rules for gangs: when a gang restarts and ends, where it is placed, and which answers users get. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEASE_S, LONG, playRule, type GangRuleCase } from '../world/gang-scenario.js';
@@ -9,7 +9,7 @@
   // --- Restarts ------------------------------------------------------------------------------
   {
     rule: 'restart',
-    name: 'one zone: no task starts in another zone while an old one is not proven gone',
+    name: 'one zone: no task starts in another zone until the old tasks are proven to have ended',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (scenario) => {
@@ -17,23 +17,24 @@
       const attempt = await scenario.submitAndRun({ ...LONG, oneZone: true }, 7);
       const [first, second] = scenario.machinesOf();
       assert.ok(first && second);
-      // No capacity is left in its zone, and no heartbeat tells that its tasks have ended.
+      // The gang's zone has no capacity left, and no heartbeat reports that its tasks have ended.
       first.hang(20);
       scenario.cutOff(second);
       world.cloudRefusesReturns = true;
       const lastAt = world.clock.now();
       await world.run(LEASE_S - 6);
       const later = world.starts.filter((one) => one.at > lastAt);
-      assert.deepEqual(later, [], `while attempt ${attempt} is not proven gone`);
+      assert.deepEqual(later, [], `started while the end of attempt ${attempt} was not proven`);
       world.cutLinks.clear();
       world.cloudRefusesReturns = false;
       await scenario.awaitGangStart(120, 2);
     },
   },
   {
-    // One assignment is proven gone at once, the other only when its machine resumes.
+    // The tasks of one assignment are proven to have ended at once, those of the other only when the
+    // machine that hangs resumes.
     rule: 'restart',
-    name: 'one of two assignments hangs: the other waits for the proof of its end before it restarts',
+    name: 'the machines of one of two assignments hang: no task restarts until the end of all is proven',
     zones: ['a', 'a', 'a', 'a', 'b', 'b', 'b', 'b'],
     act: async (scenario) => {
       const { world } = scenario;
@@ -41,29 +42,29 @@
       const hung = scenario.machinesOf().find((one) => one.machine.zone === 'b');
       assert.ok(hung);
       hung.hang(20);
-      // A machine that is returned proves its tasks' end as well.
+      // Returning a machine to the cloud would also prove that its tasks have ended.
       world.cloudRefusesReturns = true;
       const since = world.clock.now();
       await world.run(19.5);
       assert.deepEqual(
         world.starts.filter((one) => one.at > since),
         [],
-        'starts while a task may still be on its machine',
+        'started while a task of the old attempt may still run',
       );
-      assert.equal(scenario.attempts().size, 1, 'nor is it handed out anew');
+      assert.equal(scenario.attempts().size, 1, 'no second attempt was assigned');
       world.cloudRefusesReturns = false;
       await scenario.awaitGangStart(120, 2);
     },
   },
-  // --- One done, all done --------------------------------------------------------------------
+  // --- Done ----------------------------------------------------------------------------------
   {
     rule: 'done',
-    name: 'all are done, one machine sends no heartbeats for 15 s: nothing starts again',
+    name: 'all tasks are done, heartbeats of one machine are lost for 15 s: no task starts again',
     act: async (scenario) => {
       const { world } = scenario;
       await scenario.submitAndRun(LONG, 25);
       scenario.cutOff(scenario.machineOf());
-      await scenario.runUntil('all is complete', 20, () => world.completed.size === 4);
+      await scenario.runUntil('all tasks are complete', 20, () => world.completed.size === 4);
       const starts = world.starts.length;
       await world.run(15);
       assert.equal(world.starts.length, starts);
@@ -74,18 +75,18 @@
   },
   ...['dies', 'is cut for longer than its lease'].map((fate): GangRuleCase => ({
     rule: 'done',
-    name: `all are done, one machine ${fate} before it says so: the job gets done`,
+    name: `all tasks are done, one machine ${fate} before it reports that: the job ends as done`,
     act: async (scenario) => {
       const { world } = scenario;
       await scenario.submitAndRun(LONG, 25);
       const lost = scenario.machineOf();
       scenario.cutOff(lost);
-      await scenario.runUntil('all is complete', 20, () => world.completed.size === 4);
+      await scenario.runUntil('all tasks are complete', 20, () => world.completed.size === 4);
       if (fate === 'dies') lost.die();
       await world.run(LEASE_S + 16);
       world.cutLinks.clear();
       await scenario.assertEnded(GANG, 'done', 120);
-      // Its capacity is free for the next.
+      // The gang's capacity is free for the next one.
       await scenario.submitAccepted(OTHER, { tasks: 4, cpus: 2 });
       await scenario.awaitGangStart(60, 1, OTHER);
     },
@@ -93,7 +94,7 @@
   // --- Placement -----------------------------------------------------------------------------
   {
     rule: 'placement',
-    name: 'apart: at most half of it in one zone, all at once',
+    name: 'spread: at most half of the tasks in one zone, and all start together',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (scenario) => {
@@ -103,7 +104,7 @@
   },
   {
     rule: 'placement',
-    name: 'one zone: not split over two zones though both together have the capacity',
+    name: 'one zone: not split over two zones although only both together have the capacity',
     zones: ['a', 'b'],
     act: async (scenario) => {
       await scenario.submitAccepted(GANG, { ...LONG, oneZone: true });
@@ -113,34 +114,34 @@
   // --- Users ---------------------------------------------------------------------------------
   {
     rule: 'submission',
-    name: 'submitted again while it waits, runs and is done: known, and run once',
+    name: 'submitted again while it waits, runs and is done: answered with its stage, and run once',
     act: async (scenario) => {
       const { world } = scenario;
-      const again = async (stages: string[]): Promise<void> => {
+      const resubmit = async (stages: string[]): Promise<void> => {
         for (const [node] of world.members) {
           const reply = await scenario.submit(GANG, LONG, node);
           assert.equal(reply.status, 200);
           assert.ok(stages.includes(stageOf(reply)), stageOf(reply));
-          // What is known stays accepted, even if a retry says what nobody could run.
+          // A known job stays accepted, even if a retry asks for more tasks than could ever run.
           const other = world.submit(GANG, { gang: true, ...LONG }, node, { larvae: 90_000 });
           assert.equal((await scenario.awaitReply(other)).status, 200);
         }
       };
-      const both = [scenario.submit(GANG, LONG, 'n0'), scenario.submit(GANG, LONG, 'n2')];
-      const statuses = (await Promise.all(both)).map((one) => one.status).sort();
+      const submissions = [scenario.submit(GANG, LONG, 'n0'), scenario.submit(GANG, LONG, 'n2')];
+      const statuses = (await Promise.all(submissions)).map((one) => one.status).sort();
       assert.deepEqual(statuses, [200, 201]);
-      await again(['queued', 'running']);
+      await resubmit(['queued', 'running']);
       await scenario.awaitGangStart(20);
-      await again(['running']);
+      await resubmit(['running']);
       await scenario.assertEnded(GANG, 'done', 90);
-      await again(['done']);
+      await resubmit(['done']);
       assert.equal(scenario.starts().length, 1);
       assert.equal(world.starts.length, 4);
     },
   },
   {
     rule: 'submission',
-    name: 'submitted again after it was cancelled: stays so, nothing starts',
+    name: 'submitted again after it was cancelled: stays cancelled, no task starts',
     done: [],
     act: async (scenario) => {
       const { world } = scenario;
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -1,4 +1,4 @@
-/** Rules for gangs: members that are lost or late, graceful stops, and owners that are killed. */
+/** Rules for gangs: tasks that are lost or late, graceful stops, and shard holders that are killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
@@ -15,10 +15,10 @@
 import { restartController, setOnAllWorkers } from '../world/fault-steps.js';
 
 const ROWS: GangRuleCase[] = [
-  // --- A member is lost ----------------------------------------------------------------------
+  // --- A task is lost ------------------------------------------------------------------------
   {
     rule: 'waiting',
-    name: 'a member is lost before the start: no task runs twice, all start under one attempt',
+    name: 'a machine is lost before the start: no task runs twice, all start under one attempt',
     act: async (scenario) => {
       const { world } = scenario;
       await scenario.submitAccepted(GANG, LONG);
@@ -38,7 +38,7 @@
   },
   {
     rule: 'failure',
-    name: 'a member is lost after the start: mates_gone for all others, resumed from the checkpoint',
+    name: 'a machine is lost after the start: the others end with mates_gone and resume from the checkpoint',
     act: async (scenario) => {
       const attempt = await scenario.submitAndRun(LONG, 12);
       const lost = scenario.machineOf();
@@ -64,7 +64,7 @@
   },
   ...[12, LEASE_S + 16].map((forS): GangRuleCase => ({
     rule: 'failure',
-    name: `a machine hangs for ${forS} s: its tasks start nowhere while they are on it`,
+    name: `a machine hangs for ${forS} s: its tasks start nowhere else while they may still run on it`,
     act: async (scenario) => {
       await scenario.submitAndRun(LONG, 7);
       scenario.machineOf().hang(forS);
@@ -74,39 +74,44 @@
   })),
   // --- Not complete in time ------------------------------------------------------------------
   {
-    // One image takes longer than the others wait: they exit as `alone`, and the attempt ends.
+    // One image takes longer to fetch than the other tasks wait: they exit as `alone`, and the
+    // attempt ends.
     rule: 'waiting',
-    name: 'the last image comes too late: the others exit as `alone`, and all restart together',
+    name: 'the last image is fetched too late: the others exit as `alone`, and all restart together',
     act: async (scenario) => {
       const { world, recorder } = scenario;
-      const pass = world.gangs.gather.bind(world.gangs);
-      let slow: SimWorker | null = null;
-      let first = 0;
+      const gather = world.gangs.gather.bind(world.gangs);
+      let slowWorker: SimWorker | null = null;
+      let firstAttempt = 0;
       world.gangs.gather = (worker, task, held) => {
-        slow ??= worker;
-        first ||= held.attempt;
-        if (worker === slow && held.attempt === first) held.state = 'pulling';
-        else pass(worker, task, held);
+        slowWorker ??= worker;
+        firstAttempt ||= held.attempt;
+        if (worker === slowWorker && held.attempt === firstAttempt) held.state = 'pulling';
+        else gather(worker, task, held);
       };
       await scenario.submitAccepted(GANG, LONG);
       await scenario.awaitGangStart(GANG_WAIT_S + 60);
       const [start] = scenario.starts();
-      assert.ok(start && start.attempt > first, 'a new attempt');
-      const causes = new Set(recorder.endsOf(GANG, first).map(({ cause }) => cause));
+      assert.ok(start && start.attempt > firstAttempt, 'a new attempt');
+      const causes = new Set(recorder.endsOf(GANG, firstAttempt).map(({ cause }) => cause));
       assert.ok(causes.has('alone') || causes.has('stopped'), [...causes].join());
-      assert.equal(recorder.endsOf(GANG, first).length, 4, 'all of the first attempt have ended');
+      assert.equal(
+        recorder.endsOf(GANG, firstAttempt).length,
+        4,
+        'all of the first attempt have ended',
+      );
     },
   },
   // --- Graceful stops ------------------------------------------------------------------------
   {
     rule: 'graceful stop',
-    name: 'assignments of several owners: all are notified in time, progress is kept',
+    name: 'assignments in shards of several holders: all stop in time, and progress is kept',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
     act: async (scenario) => {
       const attempt = await scenario.submitAndRun({ ...WIDE, checkpointS: 50 }, 20);
-      assert.ok(scenario.ownersOf().size >= 2, 'assignments of several owners');
+      assert.ok(scenario.ownersOf().size >= 2, 'assignments in shards of several holders');
       await scenario.submitAccepted(OTHER, URGENT);
       await scenario.awaitGangStart(30, 1, OTHER);
       const ends = scenario.recorder.endsOf(GANG, attempt);
@@ -121,9 +126,9 @@
     },
   },
   {
-    // Only one owner has a reason to stop its assignment; the others must be notified in time.
+    // Only one shard holder preempts a task itself; it must notify the others in time.
     rule: 'graceful stop',
-    name: 'one task is preempted in one zone: the assignments in the other are notified in time as well',
+    name: 'one task is preempted in one zone: the assignments in the other zone stop in time as well',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -145,9 +150,10 @@
     },
   },
   {
-    // Most is lost if the next owner stops the rest too late; then the last checkpoint counts.
+    // If the next holder stops the remaining tasks too late, they lose their progress since the last
+    // checkpoint.
     rule: 'graceful stop',
-    name: 'the owner of an assignment is killed at the first halt: one end for all, no checkpoint is lost',
+    name: 'a shard holder is killed at the first stop command: all tasks end, no checkpoint is lost',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -155,10 +161,10 @@
       const { world, recorder } = scenario;
       const attempt = await scenario.submitAndRun(WIDE, 22);
       await scenario.submitAccepted(OTHER, URGENT);
-      await scenario.runUntil('the first halt', 30, () => recorder.stopCommands.length > 0);
+      await scenario.runUntil('the first stop command', 30, () => recorder.stopCommands.length > 0);
       const nodes = [...scenario.ownersOf()];
       const [node] = nodes;
-      assert.ok(node && nodes.length >= 2, 'assignments of several owners');
+      assert.ok(node && nodes.length >= 2, 'assignments in shards of several holders');
       await restartController(world, node, 4);
       await scenario.awaitGangStart(90, 1, OTHER);
       await scenario.awaitGangStart(120, 2);
@@ -167,9 +173,10 @@
     },
   },
   {
-    // The next owner neither hears those machines nor may it place their tasks elsewhere.
+    // The next holder receives no heartbeats from those machines, and must not place their tasks
+    // elsewhere.
     rule: 'controllers killed',
-    name: 'the owner is killed after it reserved all placements, and its starts arrive 9 s later',
+    name: 'the shard holder is killed after it reserved all placements, and its starts arrive 9 s later',
     zones: ['a', 'a', 'a', 'a', 'a', 'a'],
     act: async (scenario) => {
       const { world } = scenario;
--- a/test/cluster/gangs-controller-faults.test.ts
+++ b/test/cluster/gangs-controller-faults.test.ts
@@ -1,4 +1,4 @@
-/** Gangs whose controllers are killed. */
+/** Gangs while the leader, or the holder of a shard that runs them, is killed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEADER, shardRole } from '../../src/coordination/election/role-election.js';
@@ -31,8 +31,8 @@
     },
   })),
   ...[0, 100, 300, 1200].map((ms): GangCase => ({
-    // Places may be held for a gang of which nothing was started, or only some tasks.
-    name: `a shard's owner is killed ${ms} ms after the gang got to the shard`,
+    // Capacity may be reserved for a gang of which no task, or only some tasks, were started.
+    name: `a shard's holder is killed ${ms} ms after the gang was assigned to the shard`,
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       await runUntil(world, 'a shard holds the gang', 20, () => shardsOf(world, GANG).length > 0);
@@ -41,8 +41,8 @@
     },
   })),
   {
-    // A stop that reached only some of the tasks must be brought to its end by the next owner.
-    name: "a shard's owner is killed while a gang is stopped for an urgent one",
+    // The next holder must complete a stop that has reached only some of the tasks.
+    name: "a shard's holder is killed while a gang is stopped for an urgent one",
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -51,7 +51,7 @@
       await awaitGangStart(world, GANG, 20);
       await world.run(12);
       await submit(world, OTHER, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
-      await runUntil(world, 'the lower gang is told to stop', 30, () =>
+      await runUntil(world, 'the gang of lower priority is being stopped', 30, () =>
         [...tasksOf(world, GANG)].some(
           ({ task }) => task.savedAt !== undefined || task.state === 'exited',
         ),
@@ -61,7 +61,7 @@
     },
   },
   {
-    name: "a shard's owner is killed while a cancelled gang is stopped",
+    name: "a shard's holder is killed while a cancelled gang is stopped",
     done: [],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...WITH_CHECKPOINTS });
--- a/test/cluster/gangs-machine-faults.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -1,4 +1,4 @@
-/** Gangs whose machines die, hang or are cut off, or get their calls late. */
+/** Gangs on machines that die, hang or are cut off, or that receive direct calls late or twice. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -19,7 +19,7 @@
 import type { World } from '../world/world.js';
 import { cutOffMachine, setOnAllWorkers } from '../world/fault-steps.js';
 
-/** The machine of one of the gang's tasks dies; whether the cloud's list tells that it is gone. */
+/** Ends the machine of one of the gang's tasks, and removes it from the cloud's list if `isListedAsGone`. */
 function loseMachine(world: World, isListedAsGone: boolean): void {
   const worker = machineOf(world, GANG);
   if (isListedAsGone) world.removeMachine(worker.machine.name);
@@ -27,29 +27,31 @@
 }
 
 const ROWS: GangCase[] = [
-  ...[true, false].map((noticed): GangCase => ({
-    // The tasks that wait must not be left to wait for ever, nor may the lost one run twice.
-    name: `a member's machine dies before the start, ${noticed ? 'and the cloud knows' : 'silently'}`,
+  ...[true, false].map((isListedAsGone): GangCase => ({
+    // The other tasks must not wait for ever, and the lost task must not run twice.
+    name: `the machine of one task dies before the start, ${isListedAsGone ? 'and the cloud no longer lists it' : 'but the cloud still lists it'}`,
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 6, cpus: 2 });
-      await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
-      loseMachine(world, noticed);
+      await runUntil(world, 'a task fetches its image', 20, () =>
+        hasTaskInState(world, GANG, 'pulling'),
+      );
+      loseMachine(world, isListedAsGone);
     },
   })),
-  ...[true, false].map((noticed): GangCase => ({
-    name: `a member's machine dies after the start, ${noticed ? 'and the cloud knows' : 'silently'}`,
+  ...[true, false].map((isListedAsGone): GangCase => ({
+    name: `the machine of one task dies after the start, ${isListedAsGone ? 'and the cloud no longer lists it' : 'but the cloud still lists it'}`,
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 6, cpus: 2, runS: 30, ...WITH_CHECKPOINTS });
       await awaitGangStart(world, GANG, 20);
       await world.run(12);
-      loseMachine(world, noticed);
+      loseMachine(world, isListedAsGone);
       await awaitGangStart(world, GANG, 120, 2);
     },
   })),
   {
-    // Its peers are gone when it goes on: what it holds is of an attempt that is over.
+    // When the machine resumes, its tasks belong to an attempt whose other tasks have ended.
     name: 'a machine hangs for 12 s in a running gang',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
@@ -65,14 +67,16 @@
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2 });
-      await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
+      await runUntil(world, 'a task fetches its image', 20, () =>
+        hasTaskInState(world, GANG, 'pulling'),
+      );
       machineOf(world, GANG).hang(12);
       await awaitGangStart(world, GANG, 60);
     },
   },
   {
-    // It stays a peer until its lease runs out: the gang runs on, and then ends for all.
-    name: 'a member machine is cut from all controllers for longer than its lease',
+    // The gang runs until the machine's lease expires; then all of its tasks end.
+    name: 'the machine of one task is cut off from all controllers for longer than its lease',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 60, ...WITH_CHECKPOINTS });
@@ -85,8 +89,9 @@
     },
   },
   {
-    // A repeated start must neither run beside its successor nor complete an attempt that is over.
-    name: 'direct calls come once more, soon and long after',
+    // A repeated start must neither run next to the task's later attempt nor complete an attempt
+    // that is over.
+    name: 'direct calls arrive a second time, 4 s and 70 s later',
     zones: ['a', 'a', 'a', 'b'],
     done: [OTHER, 'j-000003'],
     act: async (world) => {
@@ -111,7 +116,7 @@
     },
   },
   {
-    name: 'direct calls are held for 9 s, unanswered',
+    name: 'direct calls are delayed for 9 s',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
       setOnAllWorkers(world, { directDelayMs: 9000 });
@@ -121,8 +126,8 @@
     },
   },
   {
-    // A task that nobody has heard the end of still holds its zone.
-    name: 'one zone, its old tasks on machines whose heartbeats do not arrive',
+    // The gang must not start in another zone while the end of one of its tasks is not proven.
+    name: 'a gang bound to one zone, its old tasks on machines whose heartbeats do not arrive',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (world) => {
--- a/test/cluster/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -36,8 +36,9 @@
     },
   },
   {
-    // All must hear of it within the time that peers wait, or what was done is lost.
-    name: 'a gang that is stopped for an urgent one saves, and goes on from there',
+    // All tasks must receive the stop within the time that they wait for each other, otherwise their
+    // progress is lost.
+    name: 'a gang that is stopped for an urgent one saves its progress, and resumes from there',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
@@ -55,13 +56,15 @@
     },
   },
   ...(['accepted', 'pulling', 'gathering', 'running'] as const).map((moment): GangCase => ({
-    name: `cancelled when ${moment}: all is gone in time`,
+    name: `cancelled when ${moment}: all tasks end in time`,
     zones: moment === 'accepted' ? [] : ['a', 'a', 'a'],
     done: [OTHER],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...WITH_CHECKPOINTS });
       if (moment !== 'accepted') {
-        await runUntil(world, 'a task fetches', 20, () => hasTaskInState(world, GANG, 'pulling'));
+        await runUntil(world, 'a task fetches its image', 20, () =>
+          hasTaskInState(world, GANG, 'pulling'),
+        );
       }
       if (moment === 'gathering') machineOf(world, GANG).hang(12);
       if (moment === 'running') await awaitGangStart(world, GANG, 20);
@@ -70,29 +73,29 @@
       }
       await cancel(world, GANG, 'n1');
       await assertAllEnded(world, [GANG], 'withdrawn', 55);
-      // What was held for it is free again.
+      // The capacity that was reserved for it is free again.
       await submit(world, OTHER, { tasks: 4, cpus: 2 });
       await awaitGangStart(world, OTHER, 60);
     },
   })),
   {
-    // If each held half of what it needs, both would wait for ever: a deadlock.
+    // If each reserved half of the capacity that it needs, both would wait for ever (a deadlock).
     name: 'two gangs compete for the same capacity, each needing more than half of it',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, OTHER],
     act: async (world) => {
-      const both = [
+      const submissions = [
         world.submit(GANG, { gang: true, tasks: 5, cpus: 2, runS: 20 }, 'n0'),
         world.submit(OTHER, { gang: true, team: 'blue', tasks: 5, cpus: 2, runS: 20 }, 'n1'),
       ];
-      for (const one of both) assert.equal((await awaitReply(world, one)).status, 201);
+      for (const one of submissions) assert.equal((await awaitReply(world, one)).status, 201);
       await awaitGangStart(world, GANG, 100);
       await awaitGangStart(world, OTHER, 100);
     },
   },
   {
-    name: 'larger than the machines of any shard',
+    name: 'a gang that needs more machines than any one shard has',
     zones: ['a', 'a', 'a', 'a', 'a', 'a', 'a', 'a'],
     act: async (world) => {
       await submit(world, GANG, { team: 'wide', tasks: 16, cpus: 2, oneZone: true });
@@ -101,7 +104,7 @@
     },
   },
   {
-    name: 'over both zones where the job does not ask for one zone',
+    name: 'a gang that is not bound to one zone uses the machines of both zones',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (world) => {
@@ -111,8 +114,8 @@
     },
   },
   {
-    // A transaction of the world holds 8 changes; the store refuses a larger one.
-    name: 'larger than one transaction, over many machines and all shards',
+    // The simulated key-value store refuses a transaction of more than 8 changes.
+    name: 'a gang whose placements exceed one transaction, over many machines and all shards',
     zones: ['a', 'b', 'a', 'b', 'a', 'b', 'a', 'b', 'a', 'b'],
     maxMachines: 10,
     act: async (world) => {
@@ -122,7 +125,7 @@
     },
   },
   {
-    name: 'refused: more than its team may use, or malformed',
+    name: 'a gang is refused that exceeds its team quota or is malformed',
     act: async (world) => {
       const body = {
         ...{ ref: GANG, lane: 'work', crew: 'red', shape: 'group', rank: 'normal', larvae: 8 },
@@ -144,7 +147,7 @@
     },
   },
   {
-    name: 'other work uses up its team quota: it waits, then runs',
+    name: 'other jobs use up its team quota: it waits, then runs',
     zones: ['a', 'a', 'a', 'b', 'b', 'b'],
     done: [GANG, OTHER],
     act: async (world) => {
@@ -170,32 +173,33 @@
     },
   },
   {
-    // Capacity that becomes free bit by bit must be reserved for it, or short work takes every bit.
-    name: 'waits for capacity while short arrays keep coming, and starts within 60 s',
+    // Capacity that becomes free in small amounts must be reserved for the gang, otherwise short
+    // tasks use each amount at once.
+    name: 'waits for capacity while short arrays keep arriving, and starts within 60 s',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG],
     act: async (world) => {
-      let turn = 0;
-      const more = async (): Promise<void> => {
-        const job = { gang: false, team: turn % 2 ? 'blue' : 'red', tasks: 8, runS: 8 };
-        await submit(world, `j-1000${10 + turn++}`, job);
+      let arrays = 0;
+      const submitArray = async (): Promise<void> => {
+        const job = { gang: false, team: arrays % 2 ? 'blue' : 'red', tasks: 8, runS: 8 };
+        await submit(world, `j-1000${10 + arrays++}`, job);
       };
-      for (let at = 0; at < 4; at++) await more();
+      for (let at = 0; at < 4; at++) await submitArray();
       await runUntil(world, 'the arrays run', 30, () => world.starts.length >= 12);
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       const since = world.clock.now();
       while (gangStartsOf(world, GANG).length === 0) {
         assert.ok(world.clock.now() - since < 60_000, 'waits for more than 60 s');
         await world.run(3);
-        await more();
+        await submitArray();
       }
       await assertAllEnded(world, [GANG], 'done', 60);
     },
   },
   {
-    // Capacity reserved for a gang that can't start is withheld from others for nothing.
-    name: 'arrays behind a gang that can not start soon get done',
+    // Capacity must not stay reserved for a gang that cannot start, because other jobs could use it.
+    name: 'arrays that were submitted after a gang that cannot start soon are completed',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, 'j-000010', 'j-000011', 'j-000012'],
