--- a/test/cluster/machine-faults.test.ts
+++ b/test/cluster/machine-faults.test.ts
@@ -1,4 +1,4 @@
-/** The invariants hold through faults of machines, heartbeats and commands. */
+/** The invariants hold and all work is completed after faults of machines, heartbeats and commands. */
 import { test } from 'node:test';
 import { playFaultCase, type FaultCase } from '../world/fault-case.js';
 import { cutOffMachine, restartController, setOnAllWorkers } from '../world/fault-steps.js';
@@ -42,7 +42,7 @@
     },
   },
   {
-    name: 'a machine whose heartbeats arrive but that gets no answers',
+    name: 'a machine whose heartbeats arrive but that receives no answers',
     fault: async (world) => {
       const [first] = world.workers.values();
       if (first) first.losesAnswers = true;
@@ -52,7 +52,7 @@
     },
   },
   {
-    name: 'duplicate heartbeats that come late, also after machines died and controllers restarted',
+    name: 'duplicate heartbeats that arrive late, also after a machine died and a controller restarted',
     fault: async (world) => {
       setOnAllWorkers(world, { heartbeatDuplicatesAfterMs: [3000, 17_000, 41_000] });
       await world.run(20);
@@ -64,15 +64,20 @@
     },
   },
   {
-    // Without the fencing token raised at forgetting, a repeated start runs beside its successor, or after
-    // its job was cancelled.
-    name: 'direct calls that were carried out and come once more, long after',
+    // A shard raises the machine's fencing token with the command `forget`. Otherwise a repeated start
+    // would run next to the task's later attempt, or after its job was cancelled.
+    name: 'direct calls that were carried out and arrive again, 4 s and 70 s later',
     fault: async (world) => {
       setOnAllWorkers(world, { directDuplicatesAfterMs: [4000, 70_000] });
-      for (let turn = 0; turn < 4; turn++) {
-        void world.submit(`j-10000${turn}`, { service: true, spot: false, urgent: true, tasks: 2 });
+      for (let round = 0; round < 4; round++) {
+        void world.submit(`j-10000${round}`, {
+          service: true,
+          spot: false,
+          urgent: true,
+          tasks: 2,
+        });
         await world.run(6);
-        void world.cancel(`j-10000${turn}`);
+        void world.cancel(`j-10000${round}`);
         await world.run(2);
       }
       await world.run(60);
@@ -80,9 +85,10 @@
     },
   },
   {
-    name: 'machines that hang and go on, within their lease and beyond it, with late commands',
+    name: 'machines that hang and resume, within their lease and after it, with late commands',
     fault: async (world) => {
-      // No machine is returned meanwhile, so that only time proves the end of what hangs.
+      // No machine is returned meanwhile, so that only expired leases prove that the tasks on
+      // hanging machines have ended.
       for (let at = 0; at < 3; at++) world.addMachine('small', at < 2 ? 'a' : 'b', false, 500);
       void world.submit('j-100009', { service: true, spot: false, urgent: true, tasks: 5 });
       await world.run(8);
@@ -90,8 +96,8 @@
       for (const [at, worker] of [...world.workers.values()].entries()) {
         if (at < 4) worker.hang([12, 21, 40, 18][at] ?? 12);
       }
-      for (let turn = 0; turn < 4; turn++) {
-        void world.submit(`j-10000${turn}`, { tasks: 3, runS: 5 });
+      for (let round = 0; round < 4; round++) {
+        void world.submit(`j-10000${round}`, { tasks: 3, runS: 5 });
         await world.run(12);
       }
       world.cloudRefusesReturns = false;
@@ -111,7 +117,7 @@
 
 for (const one of CASES) {
   for (const seed of [1, 2]) {
-    test(`invariants hold and work gets done: ${one.name} (seed ${seed})`, () =>
+    test(`invariants hold and all work is completed: ${one.name} (seed ${seed})`, () =>
       playFaultCase(one, seed));
   }
 }
--- a/test/cluster/overlapping-faults-leaders.test.ts
+++ b/test/cluster/overlapping-faults-leaders.test.ts
@@ -1,4 +1,4 @@
-/** Overlapping faults: leaders and other controllers that change, stand alone or are refused. */
+/** Overlapping faults: leaders that change, and controllers that are isolated or refused by the key-value store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nodeKey } from '../../src/storage/keys.js';
@@ -26,21 +26,21 @@
       await submit(world, 'j-000001', { tasks: 3, runS: 60 });
       const [old, key] = [world.leader, nodeKey(world.leader)];
       assert.ok(world.store.entries.has(key));
-      let told: unknown = null;
+      let watchResult: unknown = null;
       void world.store
         .api(old)
         .watch('trial/', world.store.revision, 10_000)
-        .then((result) => (told = result));
+        .then((result) => (watchResult = result));
       await world.run(0.5);
       world.store.refusedControllers.add(old);
       world.store.change([{ key: 'trial/x', value: 1 }]);
       await world.run(8);
-      assert.equal(told, null, 'watch answered while refused');
-      assert.equal(world.store.entries.has(key), false, 'lease did not end');
+      assert.equal(watchResult, null, 'watch answered while refused');
+      assert.equal(world.store.entries.has(key), false, 'lease did not expire');
       assert.notEqual(world.leader, old);
       world.store.refusedControllers.clear();
       await world.run(1);
-      assert.notEqual(told, null);
+      assert.notEqual(watchResult, null);
     },
   },
   {
@@ -48,35 +48,35 @@
     seeds: [1, 2],
     script: async (world) => {
       await submitWorkload(world);
-      for (let turn = 0; turn < 10; turn++) {
+      for (let round = 0; round < 10; round++) {
         await restartLeader(world, 8);
-        if (turn === 4) await cancel(world, 'j-000002', controllerNames(world));
+        if (round === 4) await cancel(world, 'j-000002', controllerNames(world));
         await world.run(4);
       }
     },
   },
   {
-    name: 'ten changes of leader in two minutes, an outage inside',
+    name: 'ten changes of leader in two minutes, an outage among them',
     seeds: [1, 2],
     script: async (world) => {
       await submitWorkload(world);
-      for (let turn = 0; turn < 10; turn++) {
-        if (turn === 4) world.store.hasOutage = true;
-        if (turn === 7) world.store.endOutage();
-        await restartLeader(world, turn % 2 ? 0.3 : 8);
-        if (turn === 3) await cancel(world, 'j-000002', controllerNames(world));
-        await world.run(turn % 2 ? 11 : 4);
+      for (let round = 0; round < 10; round++) {
+        if (round === 4) world.store.hasOutage = true;
+        if (round === 7) world.store.endOutage();
+        await restartLeader(world, round % 2 ? 0.3 : 8);
+        if (round === 3) await cancel(world, 'j-000002', controllerNames(world));
+        await world.run(round % 2 ? 11 : 4);
       }
     },
   },
   {
-    name: 'takeover by a controller that is killed and back within 0.3 s',
+    name: 'failover to a controller that is killed and restarted within 0.3 s',
     seeds: [1, 2],
     script: async (world) => {
       await submitWorkload(world);
       const old = world.leader;
       world.kill(old);
-      for (let turn = 0; turn < 200 && world.leader === old; turn++) {
+      for (let round = 0; round < 200 && world.leader === old; round++) {
         await world.clock.run(world.clock.now() + 50);
       }
       await restartLeader(world, 0.3);
@@ -87,8 +87,8 @@
       await world.run(20);
     },
   },
-  ...[false, true].map((alone) => ({
-    name: `a leader without key-value store and peers ${alone ? 'alone reaches its workers' : 'has workers and users'}; others cancel`,
+  ...[false, true].map((othersCutOff) => ({
+    name: `a leader without key-value store and peers ${othersCutOff ? 'is the only one to reach workers' : 'reaches workers and users'}; others cancel`,
     seeds: [1, 2],
     script: async (world: World) => {
       await submitWorkload(world);
@@ -98,15 +98,16 @@
         if (name !== old) world.cutLinks.add(`${old}>${name}`);
       await world.run(1);
       const others = controllerNames(world).filter((name) => name !== old);
-      // Nobody else can stop what runs there, and no machine is returned: only leases end it.
-      if (alone) cutOff(world, others, world.workers.keys());
-      world.cloudRefusesReturns = alone;
+      // No other controller reaches the workers and no machine is returned, so that only expired
+      // leases end the tasks.
+      if (othersCutOff) cutOff(world, others, world.workers.keys());
+      world.cloudRefusesReturns = othersCutOff;
       for (const id of ['j-000001', 'j-000002', 'j-000003']) {
         assert.equal(stageOf(await cancel(world, id, others)), 'withdrawn');
         const reply = await awaitReply(world, world.poll(id, old));
         assert.ok(reply.status === 503 || stageOf(reply) === 'withdrawn', JSON.stringify(reply));
       }
-      for (let turn = 0; turn < 30; turn++) {
+      for (let round = 0; round < 30; round++) {
         await awaitReply(world, world.poll('j-000001', old));
         await world.run(2);
       }
@@ -116,7 +117,7 @@
     },
   })),
   {
-    name: 'heartbeats delayed and duplicated late, across a failover and back within a second',
+    name: 'heartbeats delayed and duplicated late, while leaders are killed a second apart',
     seeds: [1, 2],
     script: async (world) => {
       await submitWorkload(world);
@@ -135,7 +136,7 @@
     },
   },
   {
-    name: 'all controllers are away for longer than a lease, after a cancellation',
+    name: 'all controllers are down for longer than a lease, after a cancellation',
     seeds: [1, 2],
     script: async (world) => {
       await submitWorkload(world);
@@ -159,7 +160,7 @@
     },
   },
   {
-    name: 'the key-value store answers slowly, then refuses the leader, while users cancel and ask',
+    name: 'the key-value store answers slowly, then refuses the leader, while users cancel and poll',
     script: async (world) => {
       await submitWorkload(world);
       world.store.answerMs = 1200;
@@ -187,9 +188,10 @@
   }
 }
 
-// An owner that the key-value store refuses answers its workers for a grace; the word of the peer that
-// confirmed a cancellation ends the tasks long before.
-test('overlapping faults: what a peer has confirmed stops tasks at once, though the store refuses their owner', async () => {
+// A shard holder that the key-value store refuses keeps answering its workers for a grace period.
+// The change notification of the peer that confirmed a cancellation must end the tasks long before
+// that period is over.
+test('overlapping faults: a cancellation that a peer confirmed stops tasks at once, though the store refuses their holder', async () => {
   const world = new World(1);
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(7);
@@ -199,13 +201,13 @@
   await world.run(12);
   world.boot('n1');
   await world.run(1);
-  // n0 owns the shard of zone b, whose controller stays away, and hears nothing from the store.
-  const placed = (): number =>
+  // n0 holds the shard of zone b, whose controller stays down, and from now on the store refuses n0.
+  const countRunning = (): number =>
     [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]).length;
-  assert.equal(placed(), 2);
+  assert.equal(countRunning(), 2);
   world.store.refusedControllers.add('n0');
   assert.equal(stageOf(await cancel(world, 'j-000001', ['n1'])), 'withdrawn');
   await world.run(4);
-  assert.equal(placed(), 0);
+  assert.equal(countRunning(), 0);
   assert.deepEqual(world.violations, []);
 });
--- a/test/cluster/overlapping-faults-machines.test.ts
+++ b/test/cluster/overlapping-faults-machines.test.ts
@@ -1,4 +1,7 @@
-/** Overlapping faults: machines that are lost, mute or cut off, with limits, bounds and cancellations. */
+/**
+ * Overlapping faults: machines that are cut off or whose heartbeats are lost, with quotas, zone
+ * constraints and cancellations.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -27,12 +30,13 @@
       assert.equal(world.starts.length, 12);
       await submit(world, 'j-000003', { team: 'blue', tasks: 6, runS: 10 });
       world.cloudRefusesReturns = true;
-      // Those with the most tasks: what can't be asked counts against the quota until its lease ends.
-      const full = [...world.workers.values()].sort((x, y) => y.tasks.size - x.tasks.size);
+      // The machines with the most tasks: tasks on a machine that cannot be reached count against
+      // the quota until its lease expires.
+      const mostUsed = [...world.workers.values()].sort((x, y) => y.tasks.size - x.tasks.size);
       cutOff(
         world,
         controllerNames(world),
-        full.slice(0, 2).map((one) => one.machine.name),
+        mostUsed.slice(0, 2).map((one) => one.machine.name),
       );
       await world.run(1);
       const old = world.leader;
@@ -50,19 +54,19 @@
       await world.run(90);
       assert.ok(
         world.starts.some((one) => one.task.startsWith('j-000003/')),
-        'waits for ever',
+        'j-000003 did not start',
       );
     },
   },
-  ...[{ oneZone: true }, { spread: true }, { zone: 'a' }].map((bound) => ({
-    name: `a job bound by ${JSON.stringify(bound)} loses machines, not proven gone`,
+  ...[{ oneZone: true }, { spread: true }, { zone: 'a' }].map((constraint) => ({
+    name: `jobs with ${JSON.stringify(constraint)} lose machines whose tasks are not proven to have ended`,
     zones: ['a', 'a', 'a', 'b', 'b'],
     seeds: [1, 2],
     restS: 240,
     script: async (world: World) => {
       world.cloudRefusesReturns = true;
-      await submit(world, 'j-000001', { ...bound, tasks: 8, runS: 40, team: 'blue' });
-      await submit(world, 'j-000002', { ...SERVICE, ...bound, tasks: 6 });
+      await submit(world, 'j-000001', { ...constraint, tasks: 8, runS: 40, team: 'blue' });
+      await submit(world, 'j-000002', { ...SERVICE, ...constraint, tasks: 6 });
       await world.run(16);
       const used = [...world.workers.values()].filter((one) => one.tasks.size > 0);
       cutOff(
@@ -78,40 +82,42 @@
     },
   })),
   {
-    name: 'mute machines: leases end, tasks restart elsewhere, direct stops arrive',
+    name: 'heartbeats of machines are lost: leases expire, tasks restart elsewhere, direct stops arrive',
     seeds: [1, 2],
     zones: ['a', 'a', 'a', 'b'],
     script: async (world) => {
       await submit(world, 'j-000001', { ...URGENT, tasks: 6 });
       await submit(world, 'j-000002', { ...SERVICE, team: 'blue', tasks: 6 });
       await world.run(16);
-      const mute = [...world.workers.values()].filter((one) => one.tasks.size > 0).slice(0, 2);
-      const lost = new Set(mute.map((one) => one.machine.name));
-      const on = (id: string): string[] =>
-        mute.flatMap((one) => [...one.tasks.keys()].filter((task) => task.startsWith(id)));
-      const restart = on('j-000001').filter((task) => task.startsWith('j-000001/'));
-      assert.ok(mute.length === 2 && on('j-00000').length > 0);
-      for (const worker of mute) worker.losesHeartbeats = true;
-      // Only the ends of their leases prove that their tasks are gone.
+      const silent = [...world.workers.values()].filter((one) => one.tasks.size > 0).slice(0, 2);
+      const silentNames = new Set(silent.map((one) => one.machine.name));
+      const tasksOf = (id: string): string[] =>
+        silent.flatMap((one) => [...one.tasks.keys()].filter((task) => task.startsWith(id)));
+      const toRestart = tasksOf('j-000001').filter((task) => task.startsWith('j-000001/'));
+      assert.ok(silent.length === 2 && tasksOf('j-00000').length > 0);
+      for (const worker of silent) worker.losesHeartbeats = true;
+      // No machine is returned, so that only expired leases prove that its tasks have ended.
       world.cloudRefusesReturns = true;
       await world.run(1);
-      const mutedAt = world.clock.now();
+      const silentSince = world.clock.now();
       await cancel(world, 'j-000002', controllerNames(world));
       await world.run(3);
-      const ended = mute.flatMap((one) =>
+      const remaining = silent.flatMap((one) =>
         [...one.onMachine()].filter(([task]) => task.startsWith('j-000002/')),
       );
-      assert.deepEqual(ended, [], 'direct stops did not arrive');
+      assert.deepEqual(remaining, [], 'direct stops did not arrive');
       await world.run(70);
-      const late = world.starts.filter((one) => lost.has(one.machine) && one.at > mutedAt + 12_000);
-      assert.deepEqual(late, [], 'new work on a mute machine');
-      for (const task of restart) {
+      const lateStarts = world.starts.filter(
+        (one) => silentNames.has(one.machine) && one.at > silentSince + 12_000,
+      );
+      assert.deepEqual(lateStarts, [], 'new task on a machine whose heartbeats are lost');
+      for (const task of toRestart) {
         assert.ok(
-          world.starts.some((one) => one.task === task && !lost.has(one.machine)),
+          world.starts.some((one) => one.task === task && !silentNames.has(one.machine)),
           `${task} did not start elsewhere`,
         );
       }
-      for (const worker of mute) worker.losesHeartbeats = false;
+      for (const worker of silent) worker.losesHeartbeats = false;
       world.cloudRefusesReturns = false;
     },
   },
--- a/test/cluster/overlapping-faults-store-outage.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -1,6 +1,6 @@
 /**
- * Overlapping faults: a controller that is refused alone, then an outage for all, with
- * cancellations between them.
+ * Overlapping faults: the key-value store refuses the leader, then has an outage for all controllers,
+ * with cancellations between the two.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,42 +18,54 @@
 import type { World } from '../world/world.js';
 import { setOnAllWorkers } from '../world/fault-steps.js';
 
-interface Gap {
-  /** s after the beginning of the outage; below 0: before it. */
+interface RefusalThenOutage {
+  /** End of the refusal, in s after the beginning of the outage; below 0: before the outage. */
   endsS: number;
-  holdMs?: number;
+  /** Delay of starts that are sent shortly before the cancellations. */
+  directDelayMs?: number;
+  /** Time that all machines hang, from the cancellations on. */
   hangS?: number;
-  restart?: boolean;
-  /** Cancelled before the outage; the rest of the world's jobs go on. */
+  /** The refused leader restarts during the outage. */
+  restartsLeader?: boolean;
+  /** Jobs that are cancelled before the outage; the others keep running. */
   jobs?: string[];
 }
 
-/** Refused alone, then jobs are cancelled through another controller, then out for all beyond cancel_s. */
-const gap =
-  ({ endsS, holdMs, hangS, restart, jobs = ['j-000001', 'j-000002', 'j-000003'] }: Gap) =>
+/**
+ * Refuses the leader, cancels jobs through another controller, then starts an outage for all that lasts
+ * longer than cancel_s.
+ */
+const refusalThenOutage =
+  ({
+    endsS,
+    directDelayMs,
+    hangS,
+    restartsLeader,
+    jobs = ['j-000001', 'j-000002', 'j-000003'],
+  }: RefusalThenOutage) =>
   async (world: World): Promise<void> => {
     await submitWorkload(world);
     const old = world.leader;
     world.store.refusedControllers.add(old);
     const others = controllerNames(world).filter((name) => name !== old);
-    if (holdMs) {
-      // Sent just before: these starts are still on their way when their job is cancelled.
+    if (directDelayMs) {
+      // These starts are sent shortly before, and have not arrived when their job is cancelled.
       world.store.refusedControllers.clear();
-      setOnAllWorkers(world, { directDelayMs: holdMs });
+      setOnAllWorkers(world, { directDelayMs });
       await submit(world, 'j-000009', { ...URGENT, tasks: 3 }, others[0]);
       await world.run(0.6);
       world.store.refusedControllers.add(old);
     }
     await world.run(1);
     if (hangS) for (const worker of world.workers.values()) worker.hang(hangS);
-    for (const id of [...jobs, ...(holdMs ? ['j-000009'] : [])]) {
+    for (const id of [...jobs, ...(directDelayMs ? ['j-000009'] : [])]) {
       const reply = await cancel(world, id, others, 2);
       assert.equal(stageOf(reply), 'withdrawn', id);
     }
     if (endsS < 0) world.store.refusedControllers.clear();
     const during: Record<number, () => void> = {};
     if (endsS >= 0 && endsS < 63) during[endsS] = () => world.store.refusedControllers.clear();
-    if (restart) {
+    if (restartsLeader) {
       during[20] = () => world.kill(old);
       during[21] = () => world.boot(old);
     }
@@ -66,27 +78,31 @@
 
 const ROWS: OverlappingFaultsCase[] = [
   ...[
-    { what: 'refusal ends before the outage', endsS: -1 },
-    { what: 'refusal ends inside the outage', endsS: 25 },
-    { what: 'refusal ends after the outage', endsS: 70 },
-    { what: 'starts in flight', endsS: 70, holdMs: 9000 },
-    { what: 'machines hang at the cancellation', endsS: 70, hangS: 20 },
-    { what: 'machines hang, refusal ends inside', endsS: 30, hangS: 20 },
-    { what: 'the old owner restarts inside', endsS: 70, restart: true },
+    { title: 'refusal ends before the outage', endsS: -1 },
+    { title: 'refusal ends during the outage', endsS: 25 },
+    { title: 'refusal ends after the outage', endsS: 70 },
+    { title: 'starts in flight', endsS: 70, directDelayMs: 9000 },
+    { title: 'machines hang at the cancellation', endsS: 70, hangS: 20 },
+    { title: 'machines hang, refusal ends during the outage', endsS: 30, hangS: 20 },
+    { title: 'the refused leader restarts during the outage', endsS: 70, restartsLeader: true },
     {
-      what: 'the old owner restarts inside, starts in flight',
+      title: 'the refused leader restarts during the outage, starts in flight',
       endsS: 25,
-      holdMs: 9000,
-      restart: true,
+      directDelayMs: 9000,
+      restartsLeader: true,
     },
-  ].map(({ what, ...options }) => ({ name: `gap: ${what}`, seeds: [1, 2], script: gap(options) })),
+  ].map(({ title, ...options }) => ({
+    name: `refusal, then outage: ${title}`,
+    seeds: [1, 2],
+    script: refusalThenOutage(options),
+  })),
   {
-    name: 'gap: two controllers, each the only one of its zone',
+    name: 'refusal, then outage: two controllers, each the only one of its zone',
     members: [
       ['n0', 'a'],
       ['n1', 'b'],
     ],
-    script: gap({ endsS: 70, hangS: 12 }),
+    script: refusalThenOutage({ endsS: 70, hangS: 12 }),
   },
 ];
 
--- a/test/cluster/overlapping-faults-workload.test.ts
+++ b/test/cluster/overlapping-faults-workload.test.ts
@@ -1,4 +1,7 @@
-/** Overlapping faults: users and much work: the end of a job, full machines, full teams. */
+/**
+ * Overlapping faults: requests at the end of a job, more tasks than capacity, and a team that almost
+ * uses up its quota.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
@@ -13,7 +16,7 @@
 
 const ROWS: OverlappingFaultsCase[] = [
   {
-    name: 'cancel, question and repeated submission at the end of the last task',
+    name: 'cancellation, poll and repeated submission at the end of the last task',
     seeds: [1, 2],
     script: async (world) => {
       const ids = Array.from({ length: 12 }, (_, at) => `j-0000${at + 10}`);
@@ -22,11 +25,11 @@
         await submit(world, id, { tasks: 1, runS: 20, team }, `n${at % 3}`);
       }
       await world.run(10);
-      const begun = new Map(world.starts.map((one) => [one.task, one.at]));
+      const startedAt = new Map(world.starts.map((one) => [one.task, one.at]));
       let answered = 0;
       for (const [at, id] of ids.entries()) {
-        const start = begun.get(`${id}/0`);
-        assert.ok(start !== undefined, `${id} has not begun`);
+        const start = startedAt.get(`${id}/0`);
+        assert.ok(start !== undefined, `${id} has not started`);
         const moment = start + 20_000 - 900 + at * 300 - world.clock.now();
         world.clock.after(moment, () => {
           for (const node of controllerNames(world)) {
@@ -54,7 +57,7 @@
     },
   },
   {
-    name: 'more work than capacity, urgent and not, over slow links',
+    name: 'more tasks than capacity, urgent and not, over slow links',
     recoveryS: 260,
     script: async (world) => {
       world.linkDelayMs = 600;
--- a/test/cluster/overload.test.ts
+++ b/test/cluster/overload.test.ts
@@ -1,16 +1,17 @@
+/** Jobs are neither starved nor forgotten while more tasks are submitted than machines can run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { World } from '../world/world.js';
 
-// Seen in a recorded incident: large jobs that yielded to smaller ones of their team, which
-// was at its quota all day, never ended.
-test('a large job ends though smaller ones of its team keep coming', async () => {
+// In a recorded incident, large jobs never ended: their team was at its quota all day, and smaller
+// jobs of the team were always scheduled first.
+test('a large job is completed although smaller ones of its team keep arriving', async () => {
   const world = new World(11);
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(6);
   void world.submit('j-000001', { team: 'blue', cpus: 2, tasks: 20, runS: 10, deadlineS: 20 });
-  for (let turn = 1; turn < 50; turn++) {
-    const id = `j-1${String(turn).padStart(5, '0')}`;
+  for (let round = 1; round < 50; round++) {
+    const id = `j-1${String(round).padStart(5, '0')}`;
     void world.submit(id, { team: 'blue', cpus: 2, tasks: 4, runS: 10, deadlineS: 25 });
     await world.run(6);
   }
@@ -20,26 +21,27 @@
   assert.deepEqual(world.violations, []);
 });
 
-// Checked by the users: in a lasting overload the largest jobs must begin within 4 minutes. A job
-// whose deadline is far off would otherwise yield to others until three deadlines have passed.
-test('the largest job begins within 4 minutes of a lasting overload', async () => {
+// Users check that the largest jobs start within 4 minutes of a lasting overload. A job that cannot
+// meet a distant deadline would otherwise be scheduled after others until it is late by three times
+// that deadline.
+test('the largest job starts within 4 minutes of a lasting overload', async () => {
   const world = new World(12);
   for (const zone of ['a', 'a', 'b']) world.addMachine('small', zone, false, 500);
   await world.run(6);
   void world.submit('j-000001', { team: 'blue', cpus: 2, tasks: 90, runS: 10, deadlineS: 140 });
-  for (let turn = 1; turn < 48; turn++) {
-    const id = `j-1${String(turn).padStart(5, '0')}`;
+  for (let round = 1; round < 48; round++) {
+    const id = `j-1${String(round).padStart(5, '0')}`;
     void world.submit(id, { team: 'blue', cpus: 2, tasks: 6, runS: 10, deadlineS: 30 });
     await world.run(5);
   }
-  const began = world.starts.find(({ task }) => task.startsWith('j-000001/'));
-  assert.ok(began, 'nothing of it began');
+  const start = world.starts.find(({ task }) => task.startsWith('j-000001/'));
+  assert.ok(start, 'none of its tasks started');
   assert.deepEqual(world.violations, []);
 });
 
-// Checked by the users: once faults are over, 75 s without an answered question about an accepted
-// job count as forgotten. After all controllers were killed in an outage, reading the live records
-// and the rush of polls and submissions must fit the key-value store's limits together.
+// Users count an accepted job as forgotten if, once faults are over, no poll of it is answered for
+// 75 s. After all controllers were killed in an outage, they read all live records while many polls
+// and submissions arrive; both together must stay within the key-value store's rate limits.
 test('no job is forgotten after all controllers were killed in an outage', async () => {
   const world = new World(13);
   world.store.limits = { rps: 80, writeRps: 25 };
@@ -65,13 +67,13 @@
   await world.run(15);
   world.store.endOutage();
   const unanswered = new Set(ids);
-  for (let turn = 0; turn < 15 && unanswered.size > 0; turn++) {
+  for (let round = 0; round < 15 && unanswered.size > 0; round++) {
     for (const id of unanswered) {
       void world.poll(id, `n${world.randomBelow(3)}`).then((reply) => {
         if (reply.status === 200) unanswered.delete(id);
       });
       void world.submit(
-        `j-9${turn}${id.slice(2)}`,
+        `j-9${round}${id.slice(2)}`,
         { tasks: 1, runS: 5 },
         `n${world.randomBelow(3)}`,
       );
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -1,3 +1,4 @@
+/** Parts that must stay correct at scale: the machine list, the leader's totals, and connections. */
 import assert from 'node:assert/strict';
 import http from 'node:http';
 import net, { type AddressInfo } from 'node:net';
@@ -20,19 +21,21 @@
 import { SimKeyValueStore } from '../world/key-value-store.js';
 import { TYPES, silentLog } from '../world/settings.js';
 
-async function followedReplica(clock: SimClock, state: SimKeyValueStore): Promise<StoreReplica> {
-  const { replica } = followingReplica(clock, state, 1e6);
+async function followedReplica(clock: SimClock, store: SimKeyValueStore): Promise<StoreReplica> {
+  const { replica } = followingReplica(clock, store, 1e6);
   await clock.run(500);
   return replica;
 }
 
-// With 606 machines the list has two pages, and a cloud that takes 1.8 requests a second leaves one
-// at a time: the second page was never read, so that nothing beyond 500 machines was adopted.
-test('a list of several pages is read to its end though the cloud takes one request a second', async () => {
+// Guards against machines that are never adopted because a later page of the cloud's list is not
+// read. With 606 machines the list has two pages, and a limit of 1.8 requests a second allowed one
+// request at a time: the second page was never read, so that no machine beyond the first 500 was
+// adopted.
+test('a machine list of several pages is read to its end although the cloud allows one request at a time', async () => {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  state.change([{ key: CATALOG, value: TYPES }]);
-  const replica = await followedReplica(clock, state);
+  const store = new SimKeyValueStore(clock);
+  store.change([{ key: CATALOG, value: TYPES }]);
+  const replica = await followedReplica(clock, store);
   const all: ListedMachine[] = Array.from({ length: 7 }, (_, at) => ({
     name: `m-00000${at}`,
     address: '10.0.0.1:9',
@@ -47,7 +50,7 @@
     for (const change of changes) adopted.push(change.key.split('/').at(-1) ?? '');
     return Promise.resolve({ kind: 'done' as const });
   };
-  const fleet = new Autoscaler({
+  const autoscaler = new Autoscaler({
     term: 1,
     writer: { alive: () => true, commit } as unknown as GuardedWriter,
     transactionOps: 32,
@@ -74,8 +77,8 @@
     log: silentLog,
     random: () => 0.5,
   });
-  for (let turn = 0; turn < 20; turn++) {
-    void fleet.reconcile({
+  for (let round = 0; round < 20; round++) {
+    void autoscaler.reconcile({
       machines: [],
       unmetDemand: [],
       expectedCpus: 0,
@@ -90,18 +93,18 @@
   );
 });
 
-// The leader's totals follow each change of an assignment or a job; here they are compared with totals made
-// anew after hundreds of random changes.
-test('the totals of the leader are those of the assignments, whatever changes', async () => {
+// The leader updates its totals with each change of an assignment or a job. After hundreds of random
+// changes they must equal totals that are computed from all records.
+test('the totals of the leader match its records after random changes', async () => {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  const replica = await followedReplica(clock, state);
+  const store = new SimKeyValueStore(clock);
+  const replica = await followedReplica(clock, store);
   const accounting = new CapacityAccounting(replica, clock);
   accounting.refresh();
   replica.onChange((keys) => keys.forEach((key) => accounting.onKeyChanged(key)));
   const random = xoroshiro128plus(4);
   const draw = (most: number): number => uniformInt(random, 0, most - 1);
-  const simple = (of: CapacityAccounting): unknown => {
+  const roundedTotals = (of: CapacityAccounting): unknown => {
     const round = (map: ReadonlyMap<string, object | number>): unknown =>
       [...map]
         .map(([key, value]) => [
@@ -114,14 +117,14 @@
         .sort();
     return [of.machines, of.teams, of.jobs, of.endingCpusPerS, of.waiting].map(round);
   };
-  for (let turn = 0; turn < 400; turn++) {
+  for (let round = 0; round < 400; round++) {
     const job = `j-00000${draw(6)}`;
     if (draw(4) === 0) {
       const kind = draw(2) === 0 ? 'array' : 'service';
       const priority = draw(2) === 0 ? 'high' : 'normal';
       const spec = { ...SPEC, id: job, kind, priority, tasks: 6, estimateS: 7 };
       const key = jobKey(job);
-      state.change([draw(2) === 0 ? { key, remove: true } : { key, value: { spec, at: 0 } }]);
+      store.change([draw(2) === 0 ? { key, remove: true } : { key, value: { spec, at: 0 } }]);
     } else {
       const key = assignmentKey(`p${draw(2)}`, job, draw(3));
       const live = Object.fromEntries(
@@ -129,19 +132,23 @@
       );
       const value = { ids: '0-5', done: '0', live, team: `t${draw(2)}`, cpus: 1.3, gpus: 0 };
       const whole = { ...value, memoryGb: 3.7, zone: 'a' };
-      state.change([draw(5) === 0 ? { key, remove: true } : { key, value: whole }]);
+      store.change([draw(5) === 0 ? { key, remove: true } : { key, value: whole }]);
     }
-    if (turn % 40 !== 39) continue;
+    if (round % 40 !== 39) continue;
     await clock.run(clock.now() + 300);
-    const anew = new CapacityAccounting(replica, clock);
-    anew.refresh();
-    assert.deepEqual(simple(accounting), simple(anew), `after ${turn} changes`);
-    assert.deepEqual([...accounting.waiting.keys()].sort(), [...anew.waiting.keys()].sort());
+    const recomputed = new CapacityAccounting(replica, clock);
+    recomputed.refresh();
+    assert.deepEqual(
+      roundedTotals(accounting),
+      roundedTotals(recomputed),
+      `after ${round} changes`,
+    );
+    assert.deepEqual([...accounting.waiting.keys()].sort(), [...recomputed.waiting.keys()].sort());
   }
 });
 
-// After a restart of all controllers every worker and every user comes to the few that are up.
-test('when connections run short those of users end with their answer, those of workers stay', async (t) => {
+// After a restart of all controllers, all workers and users connect to the few that are up already.
+test('beyond the soft limit connections of users close with their answer, those of workers stay open', async (t) => {
   const server = await listenHttp(
     '127.0.0.1:0',
     [
@@ -175,13 +182,14 @@
   assert.equal(await connectionOf(1, '/worker'), 'keep-alive');
   assert.equal(await connectionOf(0, '/user'), 'close');
   assert.equal(await connectionOf(1, '/worker'), 'keep-alive');
-  // A user's has ended meanwhile, so two are open; one more than those makes all end in turn.
+  // One user connection has been closed, so that two are open. A third is beyond the hard limit, so
+  // that also a worker's connection is closed with its answer.
   assert.equal(await connectionOf(0, '/worker'), 'keep-alive');
   assert.equal(await connectionOf(2, '/worker'), 'close');
   assert.equal(await connectionOf(1, '/worker'), 'keep-alive');
 });
 
-test('direct calls beyond what is handled in time wait for others, and use no more sockets', async () => {
+test('direct calls: the limit is reported as reached until pending calls have timed out', async () => {
   const open = new Set<net.Socket>();
   const machine = net.createServer((socket) => {
     open.add(socket);
