--- a/test/upgrade/assignment-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -1,4 +1,7 @@
-/** Assignments that go to and fro between this version and the one in production. */
+/**
+ * Assignments whose shard moves between this version and the one in production, and back: no task
+ * may be lost, held twice or started again.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../../src/protocol/model.js';
@@ -20,18 +23,19 @@
 
 type Stored = ReturnType<typeof writtenByProduction>;
 
+/** An assignment that moves between the versions, and the limits of the key-value store. */
 interface Crossing {
   name: string;
   tasks: number;
   transactionOps: number;
-  /** Writes a second that the key-value store takes; null: any. */
+  /** Writes a second that the key-value store accepts; null: without limit. */
   writeRps: number | null;
   gang: boolean;
-  /** Its pieces fit into one transaction before many of its tasks have ended. */
-  atOnce: boolean;
+  /** The pieces of the assignment fit into one transaction before many of its tasks have ended. */
+  isSplitAtOnce: boolean;
 }
 
-/** Machine and attempt of each task, as all owners must have it. */
+/** Machine and attempt of each task, which every holder of the shard must keep. */
 type Placements = Map<number, [machine: string, attempt: number]>;
 
 const assignmentsOf = (state: SimKeyValueStore): [string, Stored][] =>
@@ -39,8 +43,8 @@
     .filter(([key]) => key.startsWith(ASSIGNMENTS))
     .map(([key, { value }]) => [key, value as Stored]);
 
-/** After each transaction each task is in one assignment, neither lost nor doubled. */
-function assertWhole(log: WriteLog, before: Map<string, unknown>, tasks: number): void {
+/** Asserts that after each transaction each task is in exactly one assignment. */
+function assertEachTaskOnce(log: WriteLog, before: Map<string, unknown>, tasks: number): void {
   const held = new Map(before);
   const revisions = [...new Set(log.map((one) => one.revision))];
   for (const revision of revisions) {
@@ -59,8 +63,11 @@
   }
 }
 
-/** This version as the owner of what is stored; `run` must leave every task in one assignment. */
-async function ownedByThisVersion(
+/**
+ * Runs this version as the holder of the stored assignments, and returns the assignments that it leaves.
+ * Each of its transactions must leave every task in exactly one assignment.
+ */
+async function heldByThisVersion(
   { tasks, transactionOps, writeRps, gang }: Crossing,
   stored: Map<string, unknown>,
   run: (world: ShardFixture) => Promise<void>,
@@ -75,11 +82,11 @@
   const from = world.state.log.length;
   await run(world);
   const log = world.state.log.slice(from);
-  assertWhole(log, stored, tasks);
+  assertEachTaskOnce(log, stored, tasks);
   assertReadableByOlderVersions(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
   assert.deepEqual(world.state.rejectedTransactions, []);
-  const all = [...world.sent.flatMap(({ commands }) => ops(commands))];
-  assert.ok(!all.includes('start'), 'what runs is not started again');
+  const sentOps = [...world.sent.flatMap(({ commands }) => ops(commands))];
+  assert.ok(!sentOps.includes('start'), 'no running task is started again');
   for (const [key, value] of assignmentsOf(world.state)) {
     if (!log.some((one) => one.key === key)) continue;
     const bytes = Buffer.byteLength(JSON.stringify(value));
@@ -88,7 +95,7 @@
   return new Map(assignmentsOf(world.state));
 }
 
-/** Each machine sends a heartbeat of its tasks; those in `done` are reported as done. */
+/** Sends a heartbeat of each machine with its tasks; those in `done` are reported as done. */
 function reportAll(world: ShardFixture, placements: Placements, done: ReadonlySet<number>): void {
   for (const machine of MACHINES) {
     const tasks: TaskStatus[] = [...placements]
@@ -100,8 +107,8 @@
         cause: done.has(index) ? 'done' : null,
       }));
     const commands = world.heartbeat({ machine }, tasks);
-    assert.ok(!ops(commands).includes('stop'), `${machine}: nothing is stopped`);
-    assert.ok(!ops(commands).includes('start'), `${machine}: nothing is started`);
+    assert.ok(!ops(commands).includes('stop'), `${machine}: no task is stopped`);
+    assert.ok(!ops(commands).includes('start'), `${machine}: no task is started`);
   }
 }
 
@@ -110,8 +117,10 @@
     .flatMap((value) => rangesAsRead((value as Stored).done) ?? [])
     .sort((a, b) => a - b);
 
-const upTo = (count: number): Set<number> => new Set(Array.from({ length: count }, (_, at) => at));
+const indexesBelow = (count: number): Set<number> =>
+  new Set(Array.from({ length: count }, (_, at) => at));
 
+/** Moves an assignment to this version, to the one in production, and back to this one. */
 async function playCrossing(row: Crossing): Promise<void> {
   const { tasks, gang } = row;
   const placements: Placements = new Map();
@@ -123,55 +132,55 @@
   assert.ok(Buffer.byteLength(JSON.stringify(record)) > LIMIT);
   let stored = new Map<string, unknown>([[`${ASSIGNMENTS}${JOB}/1`, record]]);
 
-  // This version takes it over, and takes it apart as soon as something of it changes. What ends
-  // later is written in the pieces.
-  stored = await ownedByThisVersion(row, stored, async (world) => {
-    for (const ends of [0, 6, 9]) {
-      reportAll(world, placements, upTo(ends));
+  // This version holds the assignment first. It splits the assignment as soon as one of its tasks
+  // ends, and writes the tasks that end later to the pieces.
+  stored = await heldByThisVersion(row, stored, async (world) => {
+    for (const doneCount of [0, 6, 9]) {
+      reportAll(world, placements, indexesBelow(doneCount));
       await world.reconcile(8000);
     }
   });
-  assert.ok(row.atOnce ? stored.size > 1 : stored.size === 1, `${stored.size} chunks`);
-  assert.deepEqual(doneIn(stored), row.atOnce ? [...upTo(9)] : []);
-
-  // The owner goes back to the version in production: tasks end there, and one is placed anew.
-  const again = tasks - 1;
-  if (!gang) placements.set(again, ['m-1', ATTEMPT + 2 * tasks]);
-  const placed = gang ? {} : { [again]: placements.get(again) ?? ['', 0] };
-  const done = [...upTo(60)];
+  assert.ok(row.isSplitAtOnce ? stored.size > 1 : stored.size === 1, `${stored.size} chunks`);
+  assert.deepEqual(doneIn(stored), row.isSplitAtOnce ? [...indexesBelow(9)] : []);
+
+  // The shard moves back to the version in production: tasks end there, and one is placed again.
+  const movedTask = tasks - 1;
+  if (!gang) placements.set(movedTask, ['m-1', ATTEMPT + 2 * tasks]);
+  const placed = gang ? {} : { [movedTask]: placements.get(movedTask) ?? ['', 0] };
+  const done = [...indexesBelow(60)];
   for (const [key, value] of stored) {
     const written = writtenByProduction(value, { done, placed });
     for (const { objections } of OLDER) assert.deepEqual(objections(key, written), [], key);
     stored.set(key, written);
   }
 
-  // And to this version again, which reads what that one left, and carries it to its end.
-  stored = await ownedByThisVersion(row, stored, async (world) => {
-    reportAll(world, placements, upTo(64));
+  // The shard moves to this version again, which reads those records and runs the job to its end.
+  stored = await heldByThisVersion(row, stored, async (world) => {
+    reportAll(world, placements, indexesBelow(64));
     await world.reconcile(4000);
     assert.ok(assignmentsOf(world.state).length > 1);
-    assert.deepEqual(doneIn(new Map(assignmentsOf(world.state))), [...upTo(64)]);
+    assert.deepEqual(doneIn(new Map(assignmentsOf(world.state))), [...indexesBelow(64)]);
     for (const [key, value] of assignmentsOf(world.state)) {
-      assert.deepEqual(value.later, [1], `${key}: what a later version added`);
-      assert.equal(value.attempt, gang ? ATTEMPT : undefined, `${key}: of a gang`);
+      assert.deepEqual(value.later, [1], `${key}: field of a later version`);
+      assert.equal(value.attempt, gang ? ATTEMPT : undefined, `${key}: attempt of a gang`);
       assert.equal(value.stopping, undefined, key);
       for (const [index, one] of Object.entries(value.live))
         assert.deepEqual(one, placements.get(Number(index)), `${key}: ${index}`);
     }
-    reportAll(world, placements, upTo(tasks));
+    reportAll(world, placements, indexesBelow(tasks));
     await world.reconcile(8000);
   });
-  assert.deepEqual(doneIn(stored), [...upTo(tasks)]);
+  assert.deepEqual(doneIn(stored), [...indexesBelow(tasks)]);
 }
 
 const CROSSINGS: Crossing[] = [
   {
-    name: 'more pieces than changes',
+    name: 'more pieces than changes in a transaction',
     tasks: 146,
     transactionOps: 2,
     writeRps: null,
     gang: false,
-    atOnce: false,
+    isSplitAtOnce: false,
   },
   {
     name: 'four changes a transaction',
@@ -179,7 +188,7 @@
     transactionOps: 4,
     writeRps: null,
     gang: false,
-    atOnce: true,
+    isSplitAtOnce: true,
   },
   {
     name: 'two changes and two writes a second',
@@ -187,7 +196,7 @@
     transactionOps: 2,
     writeRps: 2,
     gang: false,
-    atOnce: true,
+    isSplitAtOnce: true,
   },
   {
     name: 'a gang in four pieces',
@@ -195,10 +204,10 @@
     transactionOps: 4,
     writeRps: null,
     gang: true,
-    atOnce: true,
+    isSplitAtOnce: true,
   },
 ];
 
-test('an assignment stored larger than the announced limits crosses versions, and no task is lost', async (t) => {
+test('an assignment above the limits moves between versions without losing a task', async (t) => {
   for (const row of CROSSINGS) await t.test(row.name, () => playCrossing(row));
 });
--- a/test/upgrade/older-records.test.ts
+++ b/test/upgrade/older-records.test.ts
@@ -1,7 +1,7 @@
 /**
- * Records pass between this version and two older ones: 89f79d3, in production and without gangs,
- * and df7a3ba. Records of theirs stand here as their code writes them, each with a field that a
- * later version may add.
+ * This version reads the records of two older ones: 89f79d3, which is in production and has no
+ * gangs, and df7a3ba. The records are as the code of those versions writes them; for each kind, one
+ * has a further field, as a later version may add it.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -37,7 +37,7 @@
 
 const READ: ReadRow[] = [
   {
-    name: 'jobs, of every kind there is',
+    name: 'jobs of every kind',
     records: {
       'mb/live/job/j-000001': { spec: { ...SPEC, ...LATER }, at: 5, ...LATER },
       'mb/live/job/j-000002': { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 6 },
@@ -52,7 +52,7 @@
     },
   },
   {
-    name: 'final states, which users are told for ever',
+    name: 'final states, which users can poll for ever',
     records: {
       'mb/final/j-000001': { state: 'done', tasks: 4, ...LATER },
       'mb/final/j-000002': { state: 'cancelled', tasks: 4, ...LATER },
@@ -97,7 +97,7 @@
     },
   },
   {
-    name: 'assignments of a gang keep their attempt, and that it is being stopped',
+    name: 'assignments of a gang keep their attempt, and whether it is being stopped',
     records: {
       [ASSIGNMENT_1]: { ids: '0', done: '', live: {}, ...KIND, attempt: ATTEMPT, ...LATER },
       [`mb/live/chunk/q/${JOB}/3000002`]: {
@@ -106,16 +106,16 @@
       },
     },
     check: async (records) => {
-      // As they are, and after 89f79d3 has written them anew.
+      // The records as they are, and as 89f79d3 writes them when it holds the shard.
       const rewritten = Object.fromEntries(
         Object.entries(records).map(([key, value]) => [key, writtenByProduction(value, {})]),
       );
       for (const one of [records, rewritten]) {
         const replica = await replicaOf(one);
-        const shares = replica.assignmentsOf(JOB).map(({ shard, attempt, stopping, waiting }) => {
+        const subsets = replica.assignmentsOf(JOB).map(({ shard, attempt, stopping, waiting }) => {
           return { shard, attempt, stopping, waiting };
         });
-        assert.deepEqual(shares, [
+        assert.deepEqual(subsets, [
           { shard: 'p', attempt: ATTEMPT, stopping: false, waiting: 1 },
           { shard: 'q', attempt: ATTEMPT, stopping: true, waiting: 0 },
         ]);
@@ -123,7 +123,7 @@
     },
   },
   {
-    name: 'an assignment that was split counts with all its pieces',
+    name: 'all pieces of an assignment that was split are read',
     records: {
       [ASSIGNMENT_1]: { ids: '0-1', done: '0', live: {}, ...KIND },
       [`${ASSIGNMENT_1}.1`]: { ids: '2', done: '', live: { '2': ['m-2', ATTEMPT] }, ...KIND },
@@ -148,7 +148,7 @@
     },
   },
   {
-    name: "the leader's decision on a machine, and none",
+    name: "a machine with the leader's decision, and one without a decision",
     records: {
       'mb/live/machine/m-1': {
         ...{ state: 'rented', type: 'small', zone: 'a', spot: false, at: 5 },
@@ -168,7 +168,7 @@
     },
   },
   {
-    name: "all shards of a shard's status, and machines that leave",
+    name: "all pages of a shard's status, with machines that leave",
     records: {
       'mb/live/status/p/0': { machines: { 'm-1': ['small', 'a', 0, 'ok'] }, ...LATER },
       'mb/live/status/p/1': {
@@ -194,7 +194,7 @@
     },
   },
   {
-    name: 'roles go on from their term, and tell when they moved',
+    name: 'roles continue from their term, and have the time of their last move',
     records: {
       'mb/live/role/leader': role('n1'),
       'mb/live/role/part-n0': role('n0', 7),
@@ -216,7 +216,7 @@
     },
   },
   {
-    name: 'a controller that is there keeps its roles',
+    name: 'a controller that is registered keeps its roles',
     records: {
       'mb/live/role/leader': role('n1'),
       'mb/live/node/n1': { incarnation: 'n1-before', ...LATER },
@@ -232,7 +232,7 @@
     },
   },
   {
-    name: 'an arm in one record, as 89f79d3 has it',
+    name: 'an arm in one record, as 89f79d3 writes it',
     records: { 'mb/live/arm/n0/small': { ...ARM, ...LATER } },
     check: async (records) => {
       const { own, beside } = await learnedOn(records);
@@ -241,7 +241,7 @@
     },
   },
   {
-    name: 'an arm in several records, as df7a3ba has it',
+    name: 'an arm in several records, as df7a3ba writes it',
     records: {
       'mb/live/arm/n0/small': { ...ARM, stamp: 5, further: 2, ...LATER },
       'mb/live/arm/n0/small+1': {
@@ -261,17 +261,17 @@
     },
   },
   {
-    name: 'the catalogue in one record, as 89f79d3 has it',
+    name: 'the catalogue in one record, as 89f79d3 writes it',
     records: { 'mb/live/catalog': typesNamed('small', 'large') },
     check: async (records) => {
       assert.deepEqual(readCatalog(await replicaOf(records)), typesNamed('small', 'large'));
     },
   },
   {
-    name: 'the catalogue in several records, as df7a3ba has it',
+    name: 'the catalogue in several records, as df7a3ba writes it',
     records: {
       'mb/live/catalog': typesNamed('small', 'large'),
-      // For a moment a type stands in two records: the first one's word counts.
+      // While the catalogue is written, a type may be in two records; the first one counts.
       'mb/live/catalog/1': [{ ...TYPES[0], name: 'large', cpus: 999 }, ...typesNamed('huge')],
       'mb/live/catalog/2': typesNamed('vast'),
     },
@@ -282,10 +282,10 @@
   },
 ];
 
-test('records of older versions are read, with fields that a later one adds', async (t) => {
+test('records of older versions are read, also with fields that a later version adds', async (t) => {
   for (const { name, records, check } of READ) {
     await t.test(name, async () => {
-      // The rows are what those versions hold: their own readers take them too.
+      // The checks of those versions must accept the records as well, otherwise the row is wrong.
       const [production, gangs] = OLDER;
       for (const [key, value] of Object.entries(records))
         assert.deepEqual(gangs?.objections(key, value), [], `${key} by ${gangs?.commit}`);
--- a/test/upgrade/peer-messages.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -1,11 +1,12 @@
+/** Messages between controllers that this version and older or later ones send each other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import protobuf from 'protobufjs';
 import { decodePeer, encodePeer, type PeerMessage } from '../../src/protocol/peer-messages.js';
 
-/*
- * The frames between controllers as older versions read and write them. Both versions have no schema file:
- * these are the field numbers and types in their src/protocol/peer-messages.ts.
+/**
+ * Field numbers and types of the messages between controllers, by the name of the message. The older
+ * versions have no schema file: theirs are taken from their src/protocol/peer-messages.ts.
  */
 type Schema = Record<string, Record<string, { id: number; type: string }>>;
 
@@ -27,10 +28,10 @@
 };
 const POKE = { node: { id: 1, type: 'string' }, revision: { id: 2, type: 'uint64' } };
 
-/** 89f79d3, the version in production: before gangs, and before a poke named a cancelled job. */
+/** 89f79d3, the version in production: without gangs, and without a cancelled job in a Poke. */
 const PRODUCTION: Schema = { Envelope: ENVELOPE, Poke: POKE, Relay: RELAY, Relayed: RELAYED };
 
-/** df7a3ba: a poke may name a job that was cancelled, and how many tasks it had. */
+/** df7a3ba: a Poke may name a cancelled job and its number of tasks. */
 const WITH_GANGS: Schema = {
   ...PRODUCTION,
   Poke: {
@@ -40,7 +41,7 @@
   },
 };
 
-/** A later version: fields of each wire type that this version does not know, and a further kind. */
+/** A later version, with unknown fields of each wire type and an unknown kind of message. */
 const LATER: Schema = {
   Envelope: { ...ENVELOPE, farewell: { id: 9, type: 'Farewell' } },
   Poke: {
@@ -65,26 +66,27 @@
   return protobuf.Root.fromJSON({ nested }).lookupType('Envelope');
 }
 
-/** The message as that version's schema reads it; what it does not know is passed over. */
+/** Decodes a frame by a version's schema, which ignores unknown fields and kinds. */
 function readBy(schema: Schema, frame: Uint8Array): Fields {
   const envelope = envelopeOf(schema);
   return envelope.toObject(envelope.decodeDelimited(frame), { longs: Number });
 }
 
+/** Encodes a message by a version's schema. */
 function writtenBy(schema: Schema, message: Fields): Uint8Array {
   const envelope = envelopeOf(schema);
   return envelope.encodeDelimited(envelope.fromObject(message)).finish();
 }
 
-/** Without the length that leads it, as the link hands it on. */
-function heard(frame: Uint8Array): PeerMessage | null {
+/** Decodes a frame after its length prefix, which the peer link removes. */
+function decodeFrame(frame: Uint8Array): PeerMessage | null {
   const reader = protobuf.Reader.create(frame);
   const length = reader.uint32();
   assert.equal(reader.pos + length, frame.length);
   return decodePeer(frame.subarray(reader.pos));
 }
 
-/** The number of the kind, then number and wire type of each of its fields. */
+/** Returns the number of the kind, then number and wire type of each of its fields. */
 function numbersOf(frame: Uint8Array): [number, ...[number, number][]] {
   const reader = protobuf.Reader.create(frame);
   reader.uint32();
@@ -103,27 +105,29 @@
 
 const VARINT = 0;
 const DELIMITED = 2;
-/** More than 32 bits hold. */
+/** A revision that does not fit into 32 bits. */
 const REVISION = 2 ** 40 + 3;
 
+/** A message, and how each version encodes and decodes it. */
 interface Row {
   name: string;
   message: PeerMessage;
+  /** Numbers of the kind and of its fields, as `numbersOf` returns them. */
   numbers: [number, ...[number, number][]];
-  /** What each older version reads of it, and writes for it. */
+  /** Fields that production decodes from it, and encodes for it. */
   production: Fields;
-  /** Where it differs from production's. */
+  /** The same for the version with gangs, if different. */
   withGangs?: Fields;
-  /** What we read of production's, where that lacks something. */
+  /** Message that this version decodes from production's frame, if fields are missing there. */
   fromProduction?: PeerMessage;
-  /** The same of the version with gangs. */
+  /** The same for the frame of the version with gangs. */
   fromWithGangs?: PeerMessage;
 }
 
-/** `number`: of the question; a schema leaves zero out, both ways. */
-const relayRow = (ask: 'heartbeat' | 'submit' | 'poll' | 'cancel', number?: number): Row => ({
-  name: `relay of ${ask}`,
-  message: { kind: 'relay', id: REVISION, operation: ask, jobId: 'j-1', body: '{"ä":1}' },
+/** A row for an operation and its number on the wire; undefined for 0, which a schema leaves out. */
+const relayRow = (operation: 'heartbeat' | 'submit' | 'poll' | 'cancel', number?: number): Row => ({
+  name: `relay of ${operation}`,
+  message: { kind: 'relay', id: REVISION, operation, jobId: 'j-1', body: '{"ä":1}' },
   numbers: [2, [1, VARINT], [2, VARINT], [3, DELIMITED], [4, DELIMITED]],
   production: {
     relay: {
@@ -157,7 +161,7 @@
     },
     fromProduction: { kind: 'poke', node: 'n1', revision: REVISION },
   },
-  // What is asked goes by number, in the order that both older versions have.
+  // An operation is sent as a number, in the order that both older versions have.
   relayRow('heartbeat'),
   relayRow('submit', 1),
   relayRow('poll', 2),
@@ -178,22 +182,30 @@
   },
 ];
 
-test('peer messages: older versions read ours by the same numbers, and we read theirs', () => {
+test('peer messages: older versions decode those of this version by the same numbers, and the reverse', () => {
   for (const row of ROWS) {
     const { name, message, numbers, production, withGangs, fromProduction, fromWithGangs } = row;
     const frame = encodePeer(message);
     assert.deepEqual(numbersOf(frame), numbers, `${name}: numbers`);
     assert.deepEqual(readBy(PRODUCTION, frame), production, `${name}: read by 89f79d3`);
-    const whole = withGangs ?? production;
-    assert.deepEqual(readBy(WITH_GANGS, frame), whole, `${name}: read by df7a3ba`);
-    const ours = fromProduction ?? message;
-    assert.deepEqual(heard(writtenBy(PRODUCTION, production)), ours, `${name}: of 89f79d3`);
-    const theirs = fromWithGangs ?? message;
-    assert.deepEqual(heard(writtenBy(WITH_GANGS, whole)), theirs, `${name}: of df7a3ba`);
+    const gangFields = withGangs ?? production;
+    assert.deepEqual(readBy(WITH_GANGS, frame), gangFields, `${name}: read by df7a3ba`);
+    const expectedFromProduction = fromProduction ?? message;
+    assert.deepEqual(
+      decodeFrame(writtenBy(PRODUCTION, production)),
+      expectedFromProduction,
+      `${name}: written by 89f79d3`,
+    );
+    const expectedFromWithGangs = fromWithGangs ?? message;
+    assert.deepEqual(
+      decodeFrame(writtenBy(WITH_GANGS, gangFields)),
+      expectedFromWithGangs,
+      `${name}: written by df7a3ba`,
+    );
   }
 });
 
-test('peer messages: kinds of failure detection come as sent, and older versions pass them over', () => {
+test('peer messages: kinds of failure detection are decoded as sent, and older versions ignore them', () => {
   const tenure = { node: 'n1', role: 'part-n2', term: REVISION, incarnation: 'x' };
   const payload = Buffer.from('0a01ff', 'hex');
   const rows: [PeerMessage, [number, ...[number, number][]]][] = [
@@ -210,22 +222,22 @@
   for (const [message, numbers] of rows) {
     const frame = encodePeer(message);
     assert.deepEqual(numbersOf(frame), numbers);
-    assert.deepEqual(heard(frame), message);
+    assert.deepEqual(decodeFrame(frame), message);
     for (const schema of [PRODUCTION, WITH_GANGS]) assert.deepEqual(readBy(schema, frame), {});
   }
 });
 
-test('peer messages: what a later version adds is passed over', () => {
+test('peer messages: fields, kinds and operations that a later version adds are ignored', () => {
   for (const { name, message, production, withGangs, fromWithGangs } of ROWS) {
-    const whole = withGangs ?? production;
-    const [[kind = '', fields] = []] = Object.entries(whole);
+    const gangFields = withGangs ?? production;
+    const [[kind = '', fields] = []] = Object.entries(gangFields);
     const later = { ...(fields as Fields), ...UNKNOWN_FIELDS };
     if (kind === 'poke') Object.assign(later, { varint: 5, bytes: Buffer.from([255, 0]) });
     const expected = fromWithGangs ?? message;
-    assert.deepEqual(heard(writtenBy(LATER, { [kind]: later })), expected, name);
+    assert.deepEqual(decodeFrame(writtenBy(LATER, { [kind]: later })), expected, name);
   }
-  // A kind, and a question, that this version does not know.
-  assert.equal(heard(writtenBy(LATER, { farewell: { node: 'n1' } })), null);
-  const question = { id: 1, ask: 4, about: 'j-1', text: '' };
-  assert.equal(heard(writtenBy(LATER, { relay: question })), null);
+  // A kind, and a relayed operation, that this version does not have.
+  assert.equal(decodeFrame(writtenBy(LATER, { farewell: { node: 'n1' } })), null);
+  const unknownOperation = { id: 1, ask: 4, about: 'j-1', text: '' };
+  assert.equal(decodeFrame(writtenBy(LATER, { relay: unknownOperation })), null);
 });
--- a/test/upgrade/reader-checks.test.ts
+++ b/test/upgrade/reader-checks.test.ts
@@ -1,4 +1,4 @@
-/** The checks that stand for the readers of older versions tell broken records apart. */
+/** Checks that stand in for the readers of older versions reject records that those could not read. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JOB, SPEC } from '../world/shard-fixture.js';
@@ -16,13 +16,13 @@
 const without = (value: object, field: string): object =>
   Object.fromEntries(Object.entries(value).filter(([name]) => name !== field));
 
-/** A record that each version takes, and what would be wrong of it. */
+/** Records that older versions read, each with values and keys that their checks must reject. */
 const BROKEN: {
   key: string;
   good: object;
   bad: unknown[];
   badKeys?: string[];
-  /** What the version before gangs passes over. */
+  /** A record that only the version with gangs reads. */
   gangsOnly?: true;
 }[] = [
   {
@@ -111,8 +111,8 @@
 ];
 
 const GANG_ASSIGNMENT = { ...ASSIGNMENT, attempt: 7, stopping: true };
-const MORE = { ...{ classes: [], types: [], a: [], b: [] }, stamp: 5 };
-const FURTHER = { ...MORE, moreClasses: [], moreA: [], moreB: [] };
+const EMPTY_ARM = { ...{ classes: [], types: [], a: [], b: [] }, stamp: 5 };
+const FURTHER_ARM = { ...EMPTY_ARM, moreClasses: [], moreA: [], moreB: [] };
 BROKEN.push(
   {
     key: `mb/live/job/${JOB}`,
@@ -142,10 +142,10 @@
   {
     key: 'mb/live/arm/p/small+1',
     gangsOnly: true,
-    good: FURTHER,
+    good: FURTHER_ARM,
     bad: [
-      ...['stamp', 'moreClasses', 'moreA', 'moreB'].map((field) => without(FURTHER, field)),
-      { ...FURTHER, types: ['small'] },
+      ...['stamp', 'moreClasses', 'moreA', 'moreB'].map((field) => without(FURTHER_ARM, field)),
+      { ...FURTHER_ARM, types: ['small'] },
     ],
   },
   {
@@ -157,8 +157,9 @@
   },
 );
 
-// Rows below prove nothing where this fails: their checks would take anything.
-test('what older versions could not read is told apart', () => {
+// If this test fails, the other tests of this folder prove nothing, because their checks would accept
+// broken records.
+test('the checks reject records that older versions could not read', () => {
   for (const { commit, objections } of OLDER) {
     for (const { key, good, bad, badKeys = [], gangsOnly } of BROKEN) {
       if (gangsOnly && commit !== 'df7a3ba') continue;
--- a/test/upgrade/upgrade.test.ts
+++ b/test/upgrade/upgrade.test.ts
@@ -1,3 +1,4 @@
+/** An upgrade: this version continues from the old one's records, and the old one can read its records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -20,18 +21,15 @@
 import { TYPES } from '../world/settings.js';
 import { World } from '../world/world.js';
 
-/*
- * What the version before this one takes of each record, as it reads it: it checks nothing, so a
- * field that it uses and does not find would be wrong sums, or an exception in the middle of a pass.
- */
-const fields = (value: unknown, names: Record<string, string>): boolean =>
+/** Returns whether a record has all fields, each of the given type. */
+const hasFields = (value: unknown, names: Record<string, string>): boolean =>
   Object.entries(names).every(([name, type]) => {
     const one = (value as Record<string, unknown>)[name];
     return type === 'list' ? Array.isArray(one) : typeof one === type;
   });
 
 const RANGES = /^$|^\d+(-\d+)?(,\d+(-\d+)?)*$/;
-const count = (ranges: string): number =>
+const countIds = (ranges: string): number =>
   ranges === ''
     ? 0
     : ranges
@@ -39,33 +37,38 @@
         .map((range) => range.split('-').map(Number))
         .reduce((sum, [from = 0, to = from]) => sum + to - from + 1, 0);
 
-/** Twenty classes, one for all others, and for each type its load and itself. */
+/** Rows of an arm's matrix: 20 classes, one for all others, and for each machine type its load and itself. */
 const ARM_SIZE = 21 + 2 * TYPES.length;
 
-const OLD: Record<string, (name: string[], value: never) => boolean> = {
+/**
+ * Conditions on the records of each kind, taken from the code of the version before this one. It
+ * validates nothing: without a field that it uses, its sums would be wrong, or it would throw an
+ * exception in the middle of a pass.
+ */
+const OLD_CONDITIONS: Record<string, (name: string[], value: never) => boolean> = {
   job: ([id], value: { spec: object }) =>
-    fields(value, { spec: 'object', at: 'number' }) &&
+    hasFields(value, { spec: 'object', at: 'number' }) &&
     Object.keys(SPEC).every((field) => field in value.spec) &&
     (value.spec as { id: string }).id === id,
   chunk: (name, value: AssignmentRecord) =>
     name.length === 3 &&
     Number.isFinite(Number(name[2])) &&
-    fields(value, {
+    hasFields(value, {
       ids: 'string',
       done: 'string',
       live: 'object',
       team: 'string',
       zone: 'string',
     }) &&
-    fields(value, { cpus: 'number', gpus: 'number', memoryGb: 'number' }) &&
+    hasFields(value, { cpus: 'number', gpus: 'number', memoryGb: 'number' }) &&
     RANGES.test(value.ids) &&
     RANGES.test(value.done) &&
     Object.values(value.live).every(
       ([machine, attempt]) => typeof machine === 'string' && Number.isSafeInteger(attempt),
     ) &&
-    count(value.done) + Object.keys(value.live).length <= count(value.ids),
+    countIds(value.done) + Object.keys(value.live).length <= countIds(value.ids),
   machine: (_, value: object) =>
-    fields(value, {
+    hasFields(value, {
       state: 'string',
       type: 'string',
       zone: 'string',
@@ -82,34 +85,34 @@
         (spot === 0 || spot === 1) &&
         ['ok', 'leaving', 'silent', 'faulty'].includes(health),
     ),
-  // It restores the key's last word; other types than its own make it pass the record over.
+  // The old version restores the arm of the type that ends the key, and ignores records of other types.
   arm: ([, type], value: { types: string[]; a: [number, number, number][] }) =>
-    fields(value, { classes: 'list', types: 'list', a: 'list', b: 'list' }) &&
+    hasFields(value, { classes: 'list', types: 'list', a: 'list', b: 'list' }) &&
     (value.types.length === 0 ||
       (TYPES.some((one) => one.name === type) &&
-        // It inverts A at once, which throws where the diagonal is not whole.
+        // The old version inverts A at once, which throws if the diagonal is not complete.
         value.a.filter(([row, column, one]) => row === column && one > 0).length === ARM_SIZE)),
   role: (_, value: object) =>
-    fields(value, { owner: 'string', incarnation: 'string', term: 'number', movedAt: 'number' }),
-  node: (_, value: object) => fields(value, { incarnation: 'string' }),
+    hasFields(value, { owner: 'string', incarnation: 'string', term: 'number', movedAt: 'number' }),
+  node: (_, value: object) => hasFields(value, { incarnation: 'string' }),
   catalog: (name, value: object[]) =>
-    // It reads the first record only.
+    // The old version reads the first record only.
     name.length > 0 ||
     value.every((type) => Object.keys(TYPES[0] ?? {}).every((one) => one in type)),
 };
 
 function isReadableByOld(key: string, value: unknown): boolean {
-  if (key.startsWith(FINALS)) return fields(value, { state: 'string', tasks: 'number' });
+  if (key.startsWith(FINALS)) return hasFields(value, { state: 'string', tasks: 'number' });
   const [kind = '', ...name] = key.slice(LIVE.length).split('/');
-  return OLD[kind]?.(name, value as never) ?? false;
+  return OLD_CONDITIONS[kind]?.(name, value as never) ?? false;
 }
 
 const MACHINES = 80;
 
 const TERM = 3;
 
-/** Records as the version before left them, and workers that run what they say. */
-async function leftBehind(tasks: number, overrides: Partial<Settings>): Promise<World> {
+/** Returns a world with the records that the old version leaves, and with workers that run their tasks. */
+async function worldOfOldVersion(tasks: number, overrides: Partial<Settings>): Promise<World> {
   const world = new World(4, [['n0', 'a']], {
     ...overrides,
     fleet: { idleS: 1e6, headroomCpus: 0, spot: true, maxMachines: 200 },
@@ -175,7 +178,7 @@
       value: {
         classes: ['work'],
         types: ['small'],
-        // A starts as identity: all of its diagonal is there.
+        // A starts as the identity matrix, so that its diagonal is complete.
         a: Array.from({ length: ARM_SIZE }, (_, at) => [at, at, at === 0 ? 9 : 1]),
         b: [[0, -0.1]],
       },
@@ -183,93 +186,93 @@
   ]);
   for (const [key, { value }] of world.store.entries) assert.ok(isReadableByOld(key, value), key);
   await world.clock.run(2);
-  const put = (task: string, machine: string, number: number): void => {
+  const runTask = (task: string, machine: string, number: number): void => {
     world.workers.get(machine)?.tasks.set(task, { attempt: number, state: 'running', cpus: 0.1 });
   };
   for (const [index, [machine, number]] of Object.entries(live))
-    put(`j-000001/${index}`, machine, number);
-  put('j-000002/5', last, attempt(tasks));
+    runTask(`j-000001/${index}`, machine, number);
+  runTask('j-000002/5', last, attempt(tasks));
   return world;
 }
 
-const LOWERED = { valueBytes: 2048, transactionOps: 4 };
+const LOWERED_LIMITS = { valueBytes: 2048, transactionOps: 4 };
 
-test('a new version takes over what the old one left, and writes what the old one reads', async () => {
-  // Live tasks in one assignment, the limits that the settings tell of, and when they come into force.
+test('this version continues from the records of the old one, and writes records that the old one can read', async () => {
+  // Live tasks in one assignment, the limits in the settings, and s until the store enforces them.
   const cases: [string, number, Pick<Settings, 'valueBytes' | 'transactionOps'>, number][] = [
-    ['in force from the start', 130, LOWERED, 0],
-    ['in force in the middle of it', 130, LOWERED, 31],
+    ['limits enforced from the start', 130, LOWERED_LIMITS, 0],
+    ['limits enforced after 31 s', 130, LOWERED_LIMITS, 31],
     ['two changes a transaction', 90, { valueBytes: 2048, transactionOps: 2 }, 0],
-    ['nothing announced', 130, { valueBytes: 8192, transactionOps: 8 }, Infinity],
+    ['no lower limits', 130, { valueBytes: 8192, transactionOps: 8 }, Infinity],
   ];
-  for (const [name, tasks, limits, atS] of cases) {
-    const world = await leftBehind(tasks, limits);
+  for (const [name, tasks, limits, enforcedAtS] of cases) {
+    const world = await worldOfOldVersion(tasks, limits);
     const from = world.store.log.length;
-    const lower = (): void => {
+    const enforceLimits = (): void => {
       world.store.valueBytes = limits.valueBytes;
       world.store.transactionOps = limits.transactionOps;
     };
-    if (atS === 0) lower();
-    else if (atS < Infinity) world.clock.after(atS * 1000, lower);
+    if (enforcedAtS === 0) enforceLimits();
+    else if (enforcedAtS < Infinity) world.clock.after(enforcedAtS * 1000, enforceLimits);
     world.boot('n0');
-    const check = (): void => {
-      const seen = new Map<string, string>();
-      const listed = new Set<string>();
+    const assertNothingLost = (): void => {
+      const assignmentKeys = new Map<string, string>();
+      const listedMachines = new Set<string>();
       for (const [key, { value }] of world.store.entries) {
         const [kind, , job] = key.slice(LIVE.length).split('/');
         if (kind === 'status') {
-          for (const one of Object.keys((value as StatusRecord).machines)) listed.add(one);
+          for (const one of Object.keys((value as StatusRecord).machines)) listedMachines.add(one);
         }
         if (kind !== 'chunk') continue;
         for (const range of (value as AssignmentRecord).ids.split(',')) {
           const [first = 0, end = first] = range.split('-').map(Number);
           for (let id = first; id <= end; id++) {
             assert.equal(
-              seen.get(`${job}/${id}`),
+              assignmentKeys.get(`${job}/${id}`),
               undefined,
               `${name}: ${job}/${id} in two assignments`,
             );
-            seen.set(`${job}/${id}`, key);
+            assignmentKeys.set(`${job}/${id}`, key);
           }
         }
       }
       for (let id = 0; id < tasks; id++)
-        assert.ok(seen.has(`j-000001/${id}`), `${name}: lost ${id}`);
-      assert.equal(listed.size, MACHINES, `${name}: machines in the status`);
+        assert.ok(assignmentKeys.has(`j-000001/${id}`), `${name}: lost ${id}`);
+      assert.equal(listedMachines.size, MACHINES, `${name}: machines in the status`);
     };
     const run = async (seconds: number): Promise<void> => {
       for (let at = 0; at < seconds * 4; at++) {
         await world.run(0.25);
-        check();
+        assertNothingLost();
       }
     };
     await run(20);
     void world.submit('j-000003', { team: 'blue', spot: false });
-    // A task fails, so that the assignment has to be written anew; others end.
-    const end = (task: string, cause: string): void => {
+    // One task fails, so that the assignment must be written again; another is done.
+    const endTask = (task: string, cause: string): void => {
       for (const worker of world.workers.values()) {
         const one = worker.tasks.get(task);
         if (one) Object.assign(one, { state: 'exited', cause });
       }
     };
-    end('j-000001/7', 'error');
-    end('j-000002/5', 'done');
+    endTask('j-000001/7', 'error');
+    endTask('j-000002/5', 'done');
     await run(20);
-    end('j-000001/40', 'error');
+    endTask('j-000001/40', 'error');
     await run(60);
     assert.deepEqual(world.violations, [], name);
     assert.deepEqual(world.store.rejectedTransactions, [], name);
-    assert.equal(world.workers.size, MACHINES, `${name}: none returned`);
-    const again = world.starts
+    assert.equal(world.workers.size, MACHINES, `${name}: no machine is returned`);
+    const restarted = world.starts
       .map((one) => one.task)
       .filter((task) => task.startsWith('j-000001/'));
     assert.deepEqual(
-      again,
+      restarted,
       ['j-000001/7', 'j-000001/40'],
-      `${name}: only what failed starts again`,
+      `${name}: only failed tasks start again`,
     );
-    const others = world.starts.filter((one) => !one.task.startsWith('j-000001/'));
-    assert.equal(others.length, 4 + 4, `${name}: what waited and what came, each once`);
+    const otherStarts = world.starts.filter((one) => !one.task.startsWith('j-000001/'));
+    assert.equal(otherStarts.length, 4 + 4, `${name}: waiting and new tasks start once each`);
     for (const id of ['j-000002', 'j-000003']) {
       const final = world.store.entries.get(finalKey(id))?.value as { state?: string } | undefined;
       assert.equal(final?.state, 'done', `${name}: ${id}`);
@@ -278,17 +281,17 @@
       const held = world.store.entries.get(roleKey(role))?.value as { term: number };
       assert.equal(held.term, TERM + 1, `${name}: ${role}`);
     }
-    const apart = world.store.log.some(({ key }) => /chunk\/.*\.\d+$/.test(key));
-    assert.equal(apart, limits.valueBytes < 4096, `${name}: the assignment was split`);
-    let arms = 0;
+    const wasSplit = world.store.log.some(({ key }) => /chunk\/.*\.\d+$/.test(key));
+    assert.equal(wasSplit, limits.valueBytes < 4096, `${name}: the assignment was split`);
+    let armWrites = 0;
     for (const { key, value, removed } of world.store.log.slice(from)) {
       if (removed) continue;
-      if (key.startsWith(armKey('n0', ''))) arms++;
+      if (key.startsWith(armKey('n0', ''))) armWrites++;
       assert.ok(isReadableByOld(key, value), `${name}: ${key} ${JSON.stringify(value)}`);
       const bytes = Buffer.byteLength(JSON.stringify(value));
       assert.ok(bytes <= limits.valueBytes, `${name}: ${key} takes ${bytes}`);
     }
-    assert.ok(arms > 0, `${name}: arms were written`);
+    assert.ok(armWrites > 0, `${name}: arms were written`);
     const pages = [...world.store.entries.keys()].filter((key) =>
       key.startsWith(statusKey('n0', 0).slice(0, -1)),
     );
--- a/test/upgrade/written-records.test.ts
+++ b/test/upgrade/written-records.test.ts
@@ -1,6 +1,6 @@
 /**
- * Records that this version writes, as two older ones need them (world/older-versions.ts): 89f79d3, in
- * production and without gangs, and df7a3ba.
+ * Records that this version writes can be read by two older ones: 89f79d3, which is in production and
+ * has no gangs, and df7a3ba. Their readers are in world/older-versions.ts.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,19 +18,21 @@
 } from '../world/readable-by-older-versions.js';
 import { World } from '../world/world.js';
 
-/** A key without what differs from one record of its kind to the next. */
+/** Returns the kind of a key: the key without the parts that differ between records of one kind. */
 const kindOf = (key: string): string =>
   key.replace(/^(mb\/live\/(?:chunk|status|arm))\/.*?(\.\d+|\+\d+)?$/, '$1$2').replace(/\d+$/, 'N');
 
+/** A run of this version, and the records that it must write. */
 interface WriteRow {
   name: string;
-  /** Kinds of keys that must be among what is written. */
+  /** Kinds of keys that must be among those written. */
   kinds: string[];
-  /** The log of what this version wrote. */
+  /** Returns the log of the changes that this version wrote. */
   write: () => Promise<WriteLog>;
 }
 
-async function cancelled(world: World, id: string): Promise<void> {
+/** Repeats the cancellation of a job until its answer confirms it. */
+async function cancelJob(world: World, id: string): Promise<void> {
   let stage = '';
   for (let tries = 0; stage !== 'withdrawn'; tries++) {
     assert.ok(tries < 10, `${id} is not cancelled`);
@@ -43,7 +45,7 @@
 
 const WRITES: WriteRow[] = [
   {
-    name: 'controllers with ordinary jobs, gangs, cancellations, and machines that come and go',
+    name: 'controllers with ordinary jobs, gangs, cancellations, and machines that are rented and returned',
     kinds: [
       ...['mb/live/job/j-N', 'mb/final/j-N', 'mb/live/chunk', 'mb/live/machine/m-N'],
       ...['mb/live/status', 'mb/live/role/leader', 'mb/live/node/nN', 'mb/live/arm'],
@@ -58,7 +60,7 @@
       void world.submit('j-000002', { gang: true, tasks: 5, team: 'blue' });
       void world.submit('j-000003', { service: true, tasks: 1 });
       await world.run(120);
-      await cancelled(world, 'j-000003');
+      await cancelJob(world, 'j-000003');
       await world.run(100);
       const values = world.store.log.map((one) => one.value as Records | undefined);
       assert.ok(values.some((value) => value?.state === 'done'));
@@ -69,21 +71,21 @@
     },
   },
   {
-    name: 'an assignment of a gang that ends with the others',
+    name: 'an assignment of a gang that is stopped because another one is',
     kinds: ['mb/live/chunk'],
     write: async () => {
-      const share = { ...ASSIGNMENT, done: '', attempt: 7 };
+      const subset = { ...ASSIGNMENT, done: '', attempt: 7 };
       const world = await shardFixture({
         spec: { kind: 'gang', tasks: 4 },
         held: [
-          { key: `mb/live/chunk/p/${JOB}/1`, value: { ...share, ids: '0-1', live: {} } },
-          { key: `mb/live/chunk/q/${JOB}/2`, value: { ...share, ids: '2-3', live: {} } },
+          { key: `mb/live/chunk/p/${JOB}/1`, value: { ...subset, ids: '0-1', live: {} } },
+          { key: `mb/live/chunk/q/${JOB}/2`, value: { ...subset, ids: '2-3', live: {} } },
         ],
       });
       const from = world.state.log.length;
       world.heartbeat();
       await world.reconcile();
-      const value = { ...share, ids: '2-3', live: {}, stopping: true };
+      const value = { ...subset, ids: '2-3', live: {}, stopping: true };
       world.state.change([{ key: `mb/live/chunk/q/${JOB}/2`, value }]);
       await world.reconcile();
       const written = world.state.log.slice(from);
@@ -110,7 +112,7 @@
       await world.run(200);
       const arms = [...world.store.entries].filter(([key]) => key.startsWith('mb/live/arm/'));
       const main = arms.find(([key]) => key === 'mb/live/arm/n0/small')?.[1].value as Records;
-      // df7a3ba asks for as many as the main record says, and takes those of its stamp.
+      // df7a3ba reads as many further records as the main record states, and uses those with its stamp.
       assert.ok(typeof main.further === 'number' && main.further > 0);
       for (let at = 1; at <= main.further; at++) {
         const more = arms.find(([key]) => key === `mb/live/arm/n0/small+${at}`)?.[1].value;
@@ -132,7 +134,8 @@
       const from = world.state.log.length;
       world.heartbeat();
       await world.reconcile(20_000);
-      // 89f79d3 counts the shards that there are, and empties those past its own: no gaps.
+      // 89f79d3 counts the existing pages and empties those beyond the ones that it writes, so that
+      // their numbers must have no gaps.
       const pages = [...world.state.entries.keys()]
         .filter((key) => key.startsWith('mb/live/status/p/'))
         .map((key) => Number(key.slice('mb/live/status/p/'.length)));
@@ -149,18 +152,19 @@
     kinds: ['mb/live/catalog', 'mb/live/catalog/N'],
     write: async () => {
       const clock = new SimClock();
-      const state = new SimKeyValueStore(clock);
-      const { replica } = followingReplica(clock, state, 100);
+      const store = new SimKeyValueStore(clock);
+      const { replica } = followingReplica(clock, store, 100);
       await clock.run(500);
       const types = Array.from({ length: 30 }, (_, at) => ({
         ...(TYPES[0] as (typeof TYPES)[number]),
         name: `type-${at}`,
       }));
       const changes = writeCatalog(replica, types, 1024);
-      // The one that 89f79d3 reads comes last: until then it goes on with the one before.
+      // The record that 89f79d3 reads is written last, so that 89f79d3 uses the previous catalogue
+      // until then.
       assert.equal(changes.at(-1)?.key, 'mb/live/catalog');
-      state.change(changes);
-      return state.log;
+      store.change(changes);
+      return store.log;
     },
   },
 ];
