--- a/test/loopback/cloud-front.ts
+++ b/test/loopback/cloud-front.ts
@@ -2,7 +2,7 @@
 import type { SimCloud } from '../world/cloud.js';
 import type { FrontReply, FrontRequest } from './http-front.js';
 
-/** Answers requests of all controllers. */
+/** Answers a request of any controller to the cloud. */
 export async function answerForCloud(
   cloud: SimCloud,
   { method, path, query, body }: FrontRequest,
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -25,10 +25,10 @@
 const HEARTBEAT_TIMEOUT_MS = 4_000;
 const USER_TIMEOUT_MS = 5_000;
 const CHECK_EVERY_MS = 100;
-/** Machines that can have an address. */
-const MACHINES = 24;
+/** Number of addresses for machines, each with an HTTP server of its own. */
+const MACHINE_ADDRESSES = 24;
 
-/** The simulated parts never end by themselves: their timers don't keep the test's process alive. */
+/** A clock whose timers do not keep the test's process alive, because the simulated parts never stop theirs. */
 const stoppableClock: Clock = {
   ...systemClock,
   after: (delayMs, callback) => {
@@ -37,16 +37,16 @@
   },
 };
 
-/** What a cluster is started with. */
+/** Options of a cluster. */
 export interface ClusterOptions {
   members: readonly (readonly [string, string])[];
-  /** Operators' settings files. */
+  /** Paths of operators' settings files. */
   operators: readonly string[];
-  /** The program that controllers run first; by default this build's. */
+  /** Path of the program that controllers are started with; by default this build's. */
   program?: string;
 }
 
-/** Real controllers with all that surrounds them. */
+/** Real controllers, with a simulated key-value store, cloud and workers. */
 export class LoopbackCluster implements SimulationHost {
   readonly clock = stoppableClock;
   readonly members: readonly (readonly [string, string])[];
@@ -63,7 +63,7 @@
   readonly cloud: SimCloud = new SimCloud(this);
   private readonly invariants = new InvariantChecker(this);
   private readonly processes = new Map<string, ControllerProcess>();
-  private readonly fronts = new Map<string, string>();
+  private readonly frontAddresses = new Map<string, string>();
   private readonly servers: HttpFront[] = [];
   private readonly machineAddresses: string[] = [];
   private readonly random = xoroshiro128plus(1);
@@ -106,22 +106,22 @@
     return found;
   }
 
-  /** What a controller logged. */
+  /** Returns the lines that a controller logged. */
   log(name: string): LogLine[] {
     return this.process(name).log;
   }
 
-  /** Holder and term of a role, as the key-value store has them. */
+  /** Returns the record of a role in the key-value store, or null if there is none. */
   roleRecord(role: string): RoleRecord | null {
     return (this.store.entries.get(roleKey(role))?.value as RoleRecord | undefined) ?? null;
   }
 
-  /** Each violation of an invariant. */
+  /** A description of each violation of an invariant. */
   get violations(): string[] {
     return this.invariants.violations;
   }
 
-  /** Machines that the cloud rents out, and that no record of the controllers names. */
+  /** Returns the rented machines that have no machine record in the key-value store. */
   async orphanMachines(): Promise<string[]> {
     const { machines } = (await this.cloud.api().list('')) ?? { machines: [] };
     return machines
@@ -129,52 +129,53 @@
       .filter((name) => !this.store.entries.has(machineKey(name)));
   }
 
-  /** Commands of earlier owners that workers rejected. */
+  /** Number of commands of earlier shard holders that workers rejected. */
   get staleCommands(): number {
     return [...this.workers.values()].reduce((sum, worker) => sum + worker.staleCommands, 0);
   }
 
-  /** Waits until something holds, checking the invariants meanwhile; throws when it takes too long. */
+  /** Waits until a condition holds, and checks the invariants meanwhile; throws after `limitS`. */
   async waitUntil(
-    what: string,
+    condition: string,
     limitS: number,
     holds: () => boolean | Promise<boolean>,
   ): Promise<void> {
     const endsAt = this.clock.now() + limitS * 1000;
     while (!(await holds())) {
       if (this.clock.now() > endsAt)
-        throw new Error(`not within ${limitS} s: ${what}${this.endedControllers()}`);
+        throw new Error(`timed out after ${limitS} s: ${condition}${this.endedControllers()}`);
       this.invariants.check(CANCEL_S);
       await sleep(systemClock, CHECK_EVERY_MS);
     }
   }
 
-  /** The controllers that ended by themselves, with what they said. */
+  /** Describes the controllers that exited by themselves, with the last line that each printed. */
   private endedControllers(): string {
     return [...this.processes]
       .filter(([, { hasEnded }]) => hasEnded)
-      .map(([name, { lastPlainLine: lastWords }]) => `; ${name} has ended: ${lastWords}`)
+      .map(([name, { lastPlainLine }]) => `; ${name} exited: ${lastPlainLine}`)
       .join('');
   }
 
-  /** A user's request to a controller. */
+  /** Submits a job to a controller. */
   async submit(id: string, job: Partial<SimJob>, at: string): Promise<Reply> {
     if (!this.jobs.has(id)) this.jobs.set(id, jobOf(job));
     const body = JSON.stringify(submissionOf(id, jobOf(job), {}));
-    return this.ask('submit', id, at, ['POST', '/v2/runs', body]);
+    return this.sendUserRequest('submit', id, at, ['POST', '/v2/runs', body]);
   }
 
+  /** Asks a controller for the state of a job. */
   async poll(id: string, at: string): Promise<Reply> {
-    return this.ask('poll', id, at, ['GET', `/v2/runs/${id}`, null]);
+    return this.sendUserRequest('poll', id, at, ['GET', `/v2/runs/${id}`, null]);
   }
 
   /** Asks a controller to cancel a job. */
   async cancel(id: string, at: string): Promise<Reply> {
     this.invariants.recordCancelRequest(id);
-    return this.ask('cancel', id, at, ['POST', `/v2/runs/${id}/cancel`, null]);
+    return this.sendUserRequest('cancel', id, at, ['POST', `/v2/runs/${id}/cancel`, null]);
   }
 
-  /** Whether a controller says that it is ready. */
+  /** Returns whether a controller answers that it is ready. */
   async isReady(at: string): Promise<boolean> {
     return (await this.call(at, 'GET', '/ready', null, 1_000)).status === 200;
   }
@@ -194,7 +195,7 @@
   }
 
   addressOf(machine: number): string {
-    return this.machineAddresses[machine % MACHINES] ?? '';
+    return this.machineAddresses[machine % MACHINE_ADDRESSES] ?? '';
   }
 
   taskStarted(worker: SimWorker, task: string): void {
@@ -208,7 +209,7 @@
 
   // --- Sockets -------------------------------------------------------------------------------
 
-  private async ask(
+  private async sendUserRequest(
     kind: RequestKind,
     id: string,
     at: string,
@@ -227,7 +228,7 @@
     body: string | null,
     timeoutMs: number,
   ): Promise<Reply> {
-    return send(this.fronts.get(name) ?? '', method, path, body, timeoutMs);
+    return send(this.frontAddresses.get(name) ?? '', method, path, body, timeoutMs);
   }
 
   private async open(): Promise<void> {
@@ -237,26 +238,26 @@
       return server.address;
     };
     const cloud = await serve((request) => answerForCloud(this.cloud, request));
-    for (let machine = 0; machine < MACHINES; machine++) {
+    for (let machine = 0; machine < MACHINE_ADDRESSES; machine++) {
       const address: string = await serve((request) => this.answerForWorker(address, request));
       this.machineAddresses.push(address);
     }
     const peers = new Map<string, string>();
     for (const [name] of this.members) {
-      this.fronts.set(name, `127.0.0.1:${await freePort()}`);
+      this.frontAddresses.set(name, `127.0.0.1:${await freePort()}`);
       peers.set(name, `127.0.0.1:${await freePort()}`);
     }
     for (const [name, zone] of this.members) {
       const front = new KeyValueStoreFront(this.store, name);
-      const state = await serve((request) => front.handle(request));
+      const store = await serve((request) => front.handle(request));
       const file = join(this.folder, `${name}.toml`);
       const text = platformSettings({
         name,
         zone,
-        front: this.fronts.get(name) ?? '',
+        front: this.frontAddresses.get(name) ?? '',
         members: this.members,
         peers,
-        state,
+        store,
         cloud,
       });
       writeFileSync(file, text);
--- a/test/loopback/controller-process.ts
+++ b/test/loopback/controller-process.ts
@@ -9,18 +9,18 @@
 /** A line of a controller's log. */
 export type LogLine = Record<string, unknown> & { msg?: string };
 
-/** A controller that runs, or has run, with these arguments. */
+/** A controller that is started, once or several times, with the same arguments. */
 export class ControllerProcess {
-  /** What it logged, over all its starts. */
+  /** Log lines of all its processes. */
   readonly log: LogLine[] = [];
   private child: ChildProcess | null = null;
-  /** The last line that is not a log line, such as why it could not start. */
+  /** The last line that is not a log line, for example the reason why the controller could not start. */
   lastPlainLine = '';
   private incompleteLine = '';
 
   constructor(private readonly args: readonly string[]) {}
 
-  /** Starts it as a new process of a built program; by default this build's. */
+  /** Starts a new process with a built program; by default this build's. */
   start(program = MAIN): void {
     const child = spawn(process.execPath, [program, ...this.args], {
       stdio: ['ignore', 'ignore', 'pipe'],
@@ -30,21 +30,22 @@
     child.stderr.on('data', (bytes: Buffer) => this.read(bytes.toString()));
   }
 
-  /** Whether it ended by itself. */
+  /** Returns whether the process exited by itself. */
   get hasEnded(): boolean {
     return this.child !== null && this.child.exitCode !== null;
   }
 
-  /** It is paused, while all clocks run. */
+  /** Suspends the process; wall clock and monotonic clock continue. */
   pause(): void {
     this.child?.kill('SIGSTOP');
   }
 
+  /** Continues a suspended process. */
   resume(): void {
     this.child?.kill('SIGCONT');
   }
 
-  /** It is gone at once; resolves when it is. */
+  /** Kills the process, and resolves once it has exited. */
   async kill(): Promise<void> {
     const { child } = this;
     this.child = null;
--- a/test/loopback/free-port.ts
+++ b/test/loopback/free-port.ts
@@ -2,8 +2,8 @@
 import net from 'node:net';
 
 /**
- * Ports of controllers are below those that the system gives to outgoing connections (from 32,768 on): one of
- * those could be taken by another test between the search for it and the start of the controller.
+ * First port for controllers. All are below those that the system gives to outgoing connections (from
+ * 32,768 on), because another test's connection could use one of those before the controller starts.
  */
 const FIRST_PORT = 20_000;
 const PORT_COUNT = 12_000;
@@ -27,5 +27,5 @@
     allocatedPorts.add(port);
     if (await canListen(port)) return port;
   }
-  throw new Error('no port is free');
+  throw new Error('all ports for controllers are in use');
 }
--- a/test/loopback/http-front.ts
+++ b/test/loopback/http-front.ts
@@ -2,7 +2,7 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** The answer of a simulated part; null: none, the connection is closed. */
+/** The answer of a simulated part; null closes the connection without an answer. */
 export type FrontReply = { status: number; body: unknown } | null;
 
 /** A request to a simulated part. */
@@ -24,6 +24,7 @@
 export class HttpFront {
   private constructor(private readonly server: http.Server) {}
 
+  /** Opens a server that answers each request with what `handle` returns. */
   static async open(handle: (request: FrontRequest) => Promise<FrontReply>): Promise<HttpFront> {
     const server = http.createServer((incoming, outgoing) => {
       const { pathname, searchParams } = new URL(incoming.url ?? '/', 'http://loopback');
@@ -50,7 +51,7 @@
   }
 }
 
-/** One request; status 0: no answer in time. */
+/** Sends a request. The status is 0 if the connection fails or no answer arrives within `timeoutMs`. */
 export function send(
   address: string,
   method: string,
--- a/test/loopback/key-value-store-front.ts
+++ b/test/loopback/key-value-store-front.ts
@@ -31,10 +31,10 @@
   private readonly api: KeyValueStore;
 
   constructor(
-    private readonly state: SimKeyValueStore,
+    private readonly store: SimKeyValueStore,
     node: string,
   ) {
-    this.api = state.api(node);
+    this.api = store.api(node);
   }
 
   async handle(request: FrontRequest): Promise<FrontReply> {
@@ -64,12 +64,12 @@
     const changes = ((body['apply'] ?? []) as WireChange[]).map(changeOf);
     const result = await this.api.compareAndSwap(guards, changes);
     if (result.ok) return { status: 200, body: { epoch: result.revision } };
-    return { status: 409, body: { failed: result.failed, epoch: this.state.revision } };
+    return { status: 409, body: { failed: result.failed, epoch: this.store.revision } };
   }
 
   private async get(key: string): Promise<FrontReply> {
     const found = await this.api.get(key);
-    if (!found) return { status: 404, body: { epoch: this.state.revision } };
+    if (!found) return { status: 404, body: { epoch: this.store.revision } };
     return { status: 200, body: { path: key, v: found.value, mark: found.revision } };
   }
 
--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -1,4 +1,4 @@
-/** Real controllers on loopback: frozen, thawed and cut from the key-value store, with failure detection. */
+/** Real controllers on loopback, with failure detection: paused, resumed, and refused by the key-value store. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { nodeKey } from '../../src/storage/keys.js';
@@ -12,10 +12,10 @@
   ['n2', 'b'],
 ] as const;
 const OPERATORS = ['deploy/suspicion.toml'];
-/** s; invariants are checked, not speed: beside load all of this takes far longer. */
+/** Limit of each wait, in s. The tests check invariants, not speed, and take far longer on a busy machine. */
 const LIMIT_S = 120;
 const TASKS = 12;
-/** ms for which commands of the leader are on their way. */
+/** Delay of the leader's commands, in ms; longer than a failover takes. */
 const LATE_MS = 20_000;
 
 async function withCluster(play: (cluster: LoopbackCluster) => Promise<void>): Promise<void> {
@@ -31,7 +31,7 @@
   }
 }
 
-/** An array and a service, accepted and with tasks that run. */
+/** Submits an array and a service, and waits until their tasks run. */
 async function startWork(cluster: LoopbackCluster, at: string): Promise<void> {
   const jobs = { 'j-000001': { tasks: TASKS, runS: 25 }, 'j-000002': { tasks: 2, service: true } };
   for (const [id, job] of Object.entries(jobs)) {
@@ -47,15 +47,15 @@
     (role) => cluster.roleRecord(role)?.owner !== node,
   );
 
-const logged = (cluster: LoopbackCluster, node: string, text: string): boolean =>
+const hasLogged = (cluster: LoopbackCluster, node: string, text: string): boolean =>
   cluster.log(node).some(({ msg }) => msg === text);
 
-/** All work ends, each task ran once, and no machine is left that nobody knows. */
-async function endsWell(cluster: LoopbackCluster, at: string): Promise<void> {
+/** Asserts that the array is completed, that each task started once and that no rented machine lacks a record. */
+async function assertWorkCompletes(cluster: LoopbackCluster, at: string): Promise<void> {
   await cluster.waitUntil('the array is done', LIMIT_S, async () => {
     return stageOf(await cluster.poll('j-000001', at)) === 'done';
   });
-  await cluster.waitUntil('no machine is an orphan', LIMIT_S, async () => {
+  await cluster.waitUntil('each rented machine has a record', LIMIT_S, async () => {
     return (await cluster.orphanMachines()).length === 0;
   });
   assert.deepEqual(cluster.violations, []);
@@ -64,12 +64,13 @@
   assert.ok(tasks.length >= TASKS + 2);
 }
 
-async function frozenLeader(t: TestContext): Promise<void> {
+/** Pauses the leader until its roles have moved, with its commands and a transaction delayed. */
+async function leaderPausedUntilFailover(t: TestContext): Promise<void> {
   await withCluster(async (cluster) => {
     const leader = cluster.roleRecord('leader')?.owner ?? '';
     const other = MEMBERS.find(([name]) => name !== leader)?.[0] ?? '';
     await startWork(cluster, other);
-    // Its next transaction and all direct commands are on their way for longer than a failover takes.
+    // The leader's next transaction and all direct calls arrive only after a failover.
     cluster.store.delayNextTransactionMs.set(leader, LATE_MS);
     setOnAllWorkers(cluster, { directDelayMs: LATE_MS });
     void cluster.submit('j-000003', { tasks: 2, runS: 2, spot: false, team: 'blue' }, other);
@@ -79,29 +80,30 @@
       () => !cluster.store.delayNextTransactionMs.has(leader),
     );
     cluster.process(leader).pause();
-    await cluster.waitUntil('its roles are taken', LIMIT_S, () => holdsNothing(cluster, leader));
+    await cluster.waitUntil('its roles have moved', LIMIT_S, () => holdsNothing(cluster, leader));
     await cluster.waitUntil('its late transaction is refused', LIMIT_S, () => {
       return cluster.store.lateConflicts > 0;
     });
     cluster.process(leader).resume();
     setOnAllWorkers(cluster, { directDelayMs: 0 });
-    await cluster.waitUntil('it sees that', LIMIT_S, () =>
-      logged(cluster, leader, 'leadership lost'),
+    await cluster.waitUntil('it logs that it lost the leadership', LIMIT_S, () =>
+      hasLogged(cluster, leader, 'leadership lost'),
     );
-    await cluster.waitUntil('its shard returns', LIMIT_S, () => {
+    await cluster.waitUntil('it holds its shard again', LIMIT_S, () => {
       return cluster.roleRecord(`part-${leader}`)?.owner === leader;
     });
-    const why = MEMBERS.flatMap(([name]) => cluster.log(name)).filter(({ detection }) => {
+    const takeDecisions = MEMBERS.flatMap(([name]) => cluster.log(name)).filter(({ detection }) => {
       return (detection as { action?: string } | undefined)?.action === 'take';
     });
-    assert.ok(why.length > 0, 'no decision was logged');
-    await endsWell(cluster, other);
+    assert.ok(takeDecisions.length > 0, 'no decision was logged');
+    await assertWorkCompletes(cluster, other);
     t.diagnostic(`late transactions refused: ${cluster.store.lateConflicts}`);
-    t.diagnostic(`stale orders refused by workers: ${cluster.staleCommands}`);
+    t.diagnostic(`stale commands rejected by workers: ${cluster.staleCommands}`);
   });
 }
 
-async function pausedLeader(): Promise<void> {
+/** Pauses the leader for a shorter time than its roles take to move. */
+async function leaderPausedBriefly(): Promise<void> {
   await withCluster(async (cluster) => {
     const leader = cluster.roleRecord('leader')?.owner ?? '';
     const other = MEMBERS.find(([name]) => name !== leader)?.[0] ?? '';
@@ -109,34 +111,38 @@
     const before = cluster.roleRecord('leader')?.term;
     const from = cluster.store.log.length;
     cluster.process(leader).pause();
-    const thawAt = cluster.clock.now() + 2_000;
-    await cluster.waitUntil('two seconds are over', LIMIT_S, () => cluster.clock.now() >= thawAt);
+    const resumeAt = cluster.clock.now() + 2_000;
+    await cluster.waitUntil('two seconds are over', LIMIT_S, () => cluster.clock.now() >= resumeAt);
     cluster.process(leader).resume();
-    await endsWell(cluster, other);
-    const lapsed = cluster.store.log
+    await assertWorkCompletes(cluster, other);
+    const hasRegistrationExpired = cluster.store.log
       .slice(from)
       .some(({ key, removed }) => removed && key === nodeKey(leader));
-    if (!lapsed) assert.equal(cluster.roleRecord('leader')?.term, before);
+    if (!hasRegistrationExpired) assert.equal(cluster.roleRecord('leader')?.term, before);
   });
 }
 
-async function refusedLeader(): Promise<void> {
+/** Lets the key-value store refuse the leader until its roles have moved. */
+async function leaderRefusedByStore(): Promise<void> {
   await withCluster(async (cluster) => {
     const leader = cluster.roleRecord('leader')?.owner ?? '';
     const other = MEMBERS.find(([name]) => name !== leader)?.[0] ?? '';
     await startWork(cluster, other);
     cluster.store.refusedControllers.add(leader);
-    await cluster.waitUntil('its roles are taken', LIMIT_S, () => holdsNothing(cluster, leader));
-    assert.ok(logged(cluster, leader, 'stepped down'));
+    await cluster.waitUntil('its roles have moved', LIMIT_S, () => holdsNothing(cluster, leader));
+    assert.ok(hasLogged(cluster, leader, 'stepped down'));
     cluster.store.refusedControllers.clear();
-    await endsWell(cluster, other);
+    await assertWorkCompletes(cluster, other);
   });
 }
 
 test('loopback', { concurrency: true }, async (t) => {
   await Promise.all([
-    t.test('a frozen leader is replaced; thawed, its commands are refused', frozenLeader),
-    t.test('a controller that is paused for two seconds keeps its roles', pausedLeader),
-    t.test('a controller that the key-value store alone refuses steps down', refusedLeader),
+    t.test(
+      'a paused leader is replaced; after it resumes, its late commands are refused',
+      leaderPausedUntilFailover,
+    ),
+    t.test('a controller that is paused for two seconds keeps its roles', leaderPausedBriefly),
+    t.test('a controller that only the key-value store refuses steps down', leaderRefusedByStore),
   ]);
 });
--- a/test/loopback/platform-settings.ts
+++ b/test/loopback/platform-settings.ts
@@ -1,25 +1,29 @@
-/** The settings file that the platform would hand to a controller on loopback. */
+/** The settings file of a controller on loopback, as the platform would provide it. */
 import { TEAMS } from '../world/settings.js';
 
-/** s; as in a deployment: a worker's lease outlives a failover, so that no task has to start again. */
+/**
+ * Lease of a worker, in s. As in a deployment it is longer than a failover, so that no task has to
+ * start again.
+ */
 export const LEASE_S = 24;
+/** Time within which a cancelled job's tasks must have ended, in s. */
 export const CANCEL_S = 54;
 
-/** Where a controller is, and what it reaches. */
+/** A controller's name and zone, and the addresses of all parts that it is connected to. */
 export interface PlatformOptions {
   name: string;
   zone: string;
   front: string;
   members: readonly (readonly [string, string])[];
-  /** Addresses for peers, by name. */
+  /** Addresses for messages between controllers, by the controller's name. */
   peers: ReadonlyMap<string, string>;
-  state: string;
+  store: string;
   cloud: string;
 }
 
-/** The file's text. */
+/** Returns the text of the settings file. */
 export function platformSettings(options: PlatformOptions): string {
-  const { cloud, front, name, peers, state, zone } = options;
+  const { cloud, front, name, peers, store, zone } = options;
   const members = options.members
     .filter(([other]) => other !== name)
     .map(([other, site]) => {
@@ -37,7 +41,7 @@
 ${members.join('')}
 [services]
 cloud = "${cloud}"
-state = "${state}"
+state = "${store}"
 [params]
 zones = ["a", "b"]
 skew_ms = 100.0
