--- a/test/cluster/gang-rules-restarts.test.ts
+++ b/test/cluster/gang-rules-restarts.test.ts
@@ -34,7 +34,7 @@
     // The tasks of one assignment are proven to have ended at once, those of the other only when the
     // machine that hangs resumes.
     rule: 'restart',
-    name: 'the machines of one of two assignments hang: no task restarts until the end of all is proven',
+    name: 'a machine of one of two assignments hangs: no task restarts until the end of all is proven',
     zones: ['a', 'a', 'a', 'a', 'b', 'b', 'b', 'b'],
     act: async (scenario) => {
       const { world } = scenario;
@@ -73,7 +73,7 @@
       assert.equal(world.starts.length, starts);
     },
   },
-  ...['dies', 'is cut for longer than its lease'].map((fate): GangRuleCase => ({
+  ...['dies', 'is cut off for longer than its lease'].map((fate): GangRuleCase => ({
     rule: 'done',
     name: `all tasks are done, one machine ${fate} before it reports that: the job ends as done`,
     act: async (scenario) => {
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -38,7 +38,7 @@
   },
   {
     rule: 'failure',
-    name: 'a machine is lost after the start: the others end with mates_gone and resume from the checkpoint',
+    name: 'a machine is lost after the start: the other tasks end in time, the first with mates_gone, and resume',
     act: async (scenario) => {
       const attempt = await scenario.submitAndRun(LONG, 12);
       const lost = scenario.machineOf();
--- a/test/cluster/gangs-machine-faults.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -75,7 +75,7 @@
     },
   },
   {
-    // The gang runs until the machine's lease expires; then all of its tasks end.
+    // The gang runs until the machine's lease expires; then all tasks of the gang end.
     name: 'the machine of one task is cut off from all controllers for longer than its lease',
     zones: ['a', 'a', 'a'],
     act: async (world) => {
--- a/test/cluster/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -125,7 +125,7 @@
     },
   },
   {
-    name: 'a gang is refused that exceeds its team quota or is malformed',
+    name: 'a gang that exceeds its team quota or is malformed is refused',
     act: async (world) => {
       const body = {
         ...{ ref: GANG, lane: 'work', crew: 'red', shape: 'group', rank: 'normal', larvae: 8 },
@@ -199,7 +199,7 @@
   },
   {
     // Capacity must not stay reserved for a gang that cannot start, because other jobs could use it.
-    name: 'arrays that were submitted after a gang that cannot start soon are completed',
+    name: 'arrays are completed although a gang that cannot start was submitted before them',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     done: [GANG, 'j-000010', 'j-000011', 'j-000012'],
--- a/test/cluster/overlapping-faults-late-writes.test.ts
+++ b/test/cluster/overlapping-faults-late-writes.test.ts
@@ -69,7 +69,7 @@
       const [first] = world.workers.values();
       assert.ok(first);
       first.losesAnswers = true;
-      // The machine does not answer this start, so that the shard places no further task on it until
+      // The machine does not confirm this start, so that the shard places no further task on it until
       // it is acknowledged again.
       await submit(world, 'j-000002', { ...URGENT, tasks: 1 });
       await world.run(2.6);
--- a/test/cluster/overload.test.ts
+++ b/test/cluster/overload.test.ts
@@ -40,7 +40,7 @@
 });
 
 // Users count an accepted job as forgotten if, once faults are over, no poll of it is answered for
-// 75 s. After all controllers were killed in an outage, they read all live records while many polls
+// 75 s. After all controllers were killed in an outage, the controllers read all live records while many polls
 // and submissions arrive; both together must stay within the key-value store's rate limits.
 test('no job is forgotten after all controllers were killed in an outage', async () => {
   const world = new World(13);
