--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -39,8 +39,8 @@
 export const GANG_RESERVATION_MS = 60_000;
 
 /**
- * ms; an array that has no running task this long after its acceptance may use capacity reserved
- * for gangs, so that no job waits long while machines are idle.
+ * ms; an array that has no placed task this long after its acceptance may use capacity reserved for
+ * gangs, so that no job waits long while machines are idle.
  */
 export const ARRAY_USES_RESERVED_AFTER_MS = 40_000;
 
@@ -92,15 +92,15 @@
 
 /**
  * s; maximum progress since the last checkpoint that a gang may lose when it is stopped although
- * the stop cannot reach all of its tasks in time. A task that was started a moment ago loses as
- * much when it is stopped.
+ * the stop cannot reach all of its tasks in time. The loss is no larger than that of stopping a
+ * task that started a moment ago.
  */
 export const GANG_MAX_LOST_PROGRESS_S = 5;
 
 /**
  * ms; minimum interval at which the leader recalculates the CPUs that teams use beyond their fair
- * shares. The cost grows with the number of assignments, and the result is needed only while a gang
- * within its team's fair share waits.
+ * shares. The cost of a recalculation grows with the number of assignments, and its result is
+ * needed only while a gang within its team's fair share waits.
  */
 export const RECLAIM_RECOUNT_MS = 1_000;
 
--- a/src/constants/leader.ts
+++ b/src/constants/leader.ts
@@ -31,7 +31,7 @@
 
 /**
  * A shard zone's queue is refilled when its waiting CPUs are at most this many times the CPUs that
- * it still lacks. With 1, it is refilled when it is at most half full.
+ * may still be added to it. With 1, it is refilled when it is at most half full.
  */
 export const QUEUE_REFILL_FACTOR = 1;
 
@@ -54,8 +54,7 @@
 
 /**
  * ms; a non-urgent job that had no task placed or assigned for this long may use quota that is
- * reserved for urgent work. This time is far shorter than users accept that a job waits while
- * machines are idle.
+ * reserved for urgent work. Users accept a far longer wait than this while machines are idle.
  */
 export const STARVATION_MS = 30_000;
 
@@ -73,8 +72,8 @@
 export const DEADLINE_CAPACITY_FRACTION = 0.75;
 
 /**
- * Number of urgent jobs for which a team's non-urgent work leaves quota unused. Each is taken to be
- * as large as the team's largest open urgent job; of an array one task counts.
+ * Number of urgent jobs for which a team's non-urgent work leaves quota unused. Each is assumed to
+ * be as large as the team's largest open urgent job, where only one task of an array counts.
  */
 export const URGENT_RESERVE_JOBS = 2;
 
@@ -86,7 +85,7 @@
 
 /**
  * A job that cannot meet its deadline is scheduled after those that can, until it is late by more
- * than this many times its deadline. Then it is scheduled in the order of deadlines again, among
- * the first.
+ * than this many times its deadline. From then on it is scheduled in the order of deadlines again,
+ * in which it is among the first because its deadline has passed long ago.
  */
 export const LATE_JOB_PRIORITY_DEADLINES = 3;
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -15,7 +15,7 @@
 import { countFittingTasks } from './resources.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** Number of tasks of a gang that lack capacity; `spec.zone` is the zone in which they lack it. */
+/** Number of tasks of a gang that lack capacity in the zone `spec.zone`; a zone of null: any zone. */
 export interface MissingCapacity {
   spec: JobSpec;
   count: number;
@@ -52,7 +52,8 @@
 
 /**
  * Returns the zone with the most capacity for a gang, counting `GANG_RECLAIMABLE_FRACTION` of the
- * reclaimable capacity; null: any zone.
+ * reclaimable capacity. If no machine is eligible, returns the zone that the job requires; null:
+ * any zone.
  */
 function zoneWithMostCapacity(spec: JobSpec, machines: readonly MachineCapacity[]): string | null {
   const zones = new Map<string, number>();
@@ -93,9 +94,10 @@
 }
 
 /**
- * Returns the key of the shard zone that reserves capacity for such a gang: the one with the most
- * eligible machines that are not spot instances. The leader and the shards compute it by this same
- * function. While their data differ, their results may differ too, which only delays some arrays.
+ * Returns the key of the shard zone that reserves capacity for a gang like this one, which is the
+ * shard zone with the most eligible on-demand machines; null: no machine is eligible. The leader
+ * and the shards both call this function. While their data differ, their results may differ too,
+ * which only delays some arrays.
  */
 export function reservingShardZone(
   spec: JobSpec,
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -92,7 +92,8 @@
   }
 
   /**
-   * Copies field by field, because objects created by a spread are slow in the JavaScript engine.
+   * Returns the capacity of a machine. The fields are copied one by one, because objects created by
+   * a spread are slow in the JavaScript engine.
    */
   private capacityOf(identity: MachineIdentity, type: MachineType): MachineCapacity {
     const usage = this.accounting.machines.get(identity.name) ?? EMPTY_MACHINE_USAGE;
--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -32,9 +32,9 @@
   constructor(private readonly options: AssignmentCommitOptions) {}
 
   /**
-   * Commits assignments until a transaction fails. `urgentAssignmentKeys` are the keys of the
-   * assignments of urgent work and of gangs. Returns the shards with an assignment in a transaction
-   * that contained at least one of these.
+   * Commits assignments until a transaction fails. `urgentAssignmentKeys` contains the keys of the
+   * assignments of urgent work and of gangs. A transaction with at least one such key is urgent.
+   * Returns the shards with an assignment in an urgent transaction.
    */
   async run(
     assignments: readonly NewAssignment[],
@@ -65,8 +65,8 @@
         else rejectedChangeBackoff.clear(job);
       }
       if (result.kind !== 'done') break;
-      // Other work is assigned ahead of free capacity. It is early enough if its shards read it in
-      // their next scheduling cycle.
+      // Only the shards of urgent transactions are returned. Other work is assigned before capacity
+      // is free, so it is early enough if its shards read it in their next scheduling cycle.
       if (urgent) for (const assignment of group) urgentShards.add(shardOf(assignment));
     }
     return urgentShards;
--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -14,7 +14,7 @@
   readonly value: AssignmentRecord;
 }
 
-/** Fields that only assignments of gangs have: the attempt, and the CPUs that it may reclaim. */
+/** Fields that only assignments of gangs have: the attempt, and the CPUs that the gang may reclaim. */
 export type GangFields = Pick<AssignmentRecord, 'attempt' | 'reclaim'>;
 
 /**
--- a/src/coordination/leader/assignment-history.ts
+++ b/src/coordination/leader/assignment-history.ts
@@ -13,12 +13,12 @@
   readonly tasksWithoutCapacity: number;
 }
 
-/** History of the assignments of open jobs. Times are of the monotonic clock, in ms. */
+/** History of the assignments of open jobs. Times are of the steady clock, in ms. */
 export class AssignmentHistory {
   private readonly recent = new Map<string, RecentAssignment>();
   /**
-   * Time at which each job was last seen with placed tasks or got tasks assigned, since this
-   * leader's term began.
+   * Time at which tasks of each job were last assigned by this leader, or were last found to be
+   * placed. For a job without either, the time of its first check.
    */
   private readonly lastActiveAt = new Map<string, number>();
 
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -32,7 +32,7 @@
 /** A plan for a gang for which there is capacity, free or after reclaiming. */
 type PlannedSubsets = Extract<GangPlan, { subsets: GangSubset[] }>;
 
-/** Decision on a gang. */
+/** The plan by which a gang is assigned, or which states the capacity that it lacks. */
 interface GangDecision {
   readonly plan: GangPlan;
   /** Plan by which the gang reclaims capacity from other teams; null: it reclaims none. */
@@ -61,8 +61,8 @@
     const reservesCapacity = gangHistory.reservesCapacity(id, cycle.startedAt);
     const exceedsQuota = teamQuota.wouldExceed(spec.team, resourcesOf(spec, spec.tasks));
     const decision = exceedsQuota ? null : this.decide(job, cycle.machines);
-    // During reservation periods, the team's quota is reserved as well. These periods are limited
-    // so that the team's small jobs can continue in between.
+    // A gang that is not assigned reserves its team's quota during its reservation periods. Between
+    // these periods, the quota is left to the team's small jobs.
     if (decision?.plan.subsets || reservesCapacity) teamQuota.recordUse(spec, spec.tasks);
     if (!decision) {
       teamQuota.recordWaiting(job);
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -18,7 +18,7 @@
   lastTriedAt: number;
 }
 
-/** History of gangs in one term. Times are of the monotonic clock, in ms. */
+/** History of gangs in one term. Times are of the steady clock, in ms. */
 export class GangHistory {
   private readonly attempts: TermNumbers;
   private readonly triesByJob = new Map<string, AssignmentTries>();
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -21,9 +21,10 @@
 
 /**
  * Plan for a gang. With `subsets`, there is capacity for all tasks, and `availability` states
- * whether it is free now or only after reclaiming. Without `subsets`, there is not enough capacity:
- * `zone` is the zone with the most capacity for the gang (null: any zone), and `missingTasks` is
- * the number of tasks without free capacity there.
+ * whether it is free now or only after reclaiming. Without `subsets`, there is not enough capacity.
+ * Then `zone` is the zone that should get more capacity (null: any zone), and `missingTasks` is the
+ * number of tasks without free capacity there. For a gang that must stay in one zone, `zone` is the
+ * zone with the most capacity, otherwise the one that the job requires.
  */
 export type GangPlan =
   | { subsets: GangSubset[]; availability: Availability }
--- a/src/coordination/leader/gang-shard-zones.ts
+++ b/src/coordination/leader/gang-shard-zones.ts
@@ -13,7 +13,7 @@
 /** Numbers of tasks of a gang that fit in a shard zone. */
 export interface GangCapacity extends ShardZone {
   immediate: number;
-  /** Includes those that fit now. */
+  /** Number of tasks that fit after reclaiming, including those that fit now. */
   afterReclaim: number;
 }
 
--- a/src/coordination/leader/recent-arrivals.ts
+++ b/src/coordination/leader/recent-arrivals.ts
@@ -9,7 +9,7 @@
 /** ms; minimum period of observation. Before it has passed, no CPUs are forecast. */
 const MIN_OBSERVED_MS = ARRIVAL_WINDOW_MS / 3;
 
-/** Arrival of a non-urgent array, at `arrivedAt` of the monotonic clock in ms. */
+/** Arrival of a non-urgent array, at `arrivedAt` of the steady clock in ms. */
 interface ArrayArrival {
   readonly arrivedAt: number;
   /** Estimated work of all its tasks, in CPU seconds. */
--- a/src/coordination/leader/scheduling-cycle.ts
+++ b/src/coordination/leader/scheduling-cycle.ts
@@ -5,7 +5,7 @@
 
 /** One scheduling cycle: its input, and the resulting assignments and unmet demand. */
 export interface SchedulingCycle {
-  /** Start of the cycle by the monotonic clock, in ms. */
+  /** Start of the cycle by the steady clock, in ms. */
   readonly startedAt: number;
   /** All machines, including those that are booting or must not get new tasks. */
   readonly fleet: MachineCapacity[];
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -21,11 +21,15 @@
    */
   isWithinFairShare: boolean;
   /**
-   * 0: the job is expected to meet its deadline, has none, or is so late that it has priority
-   * again; 1: the job will miss its deadline, or would make others miss theirs.
+   * 0: the job is expected to meet its deadline, has none, or is late by more than
+   * `LATE_JOB_PRIORITY_DEADLINES` times its deadline; 1: the job will miss its deadline, or would
+   * make others miss theirs. Jobs of tier 0 precede those of tier 1.
    */
   deadlineTier: number;
-  /** Whether no task was assigned for so long that the job precedes all others of its priority. */
+  /**
+   * Whether no task of the job is assigned although it was accepted more than `START_OVERDUE_S`
+   * ago. Such a job precedes the other jobs of its priority.
+   */
   isStartOverdue: boolean;
 }
 
@@ -146,8 +150,8 @@
     Number(b.job.isStartOverdue) - Number(a.job.isStartOverdue) ||
     (a.job.isStartOverdue ? a.job.acceptedAt - b.job.acceptedAt : 0) ||
     Number(b.job.isWithinFairShare) - Number(a.job.isWithinFairShare) ||
-    // A gang needs all of its capacity at once. It would never get it after jobs whose single tasks
-    // fill every free machine.
+    // A gang needs capacity for all of its tasks at once. If jobs whose tasks are assigned one by
+    // one preceded it, they would fill every free machine, and the gang would never start.
     Number(b.job.spec.kind === 'gang') - Number(a.job.spec.kind === 'gang')
   );
 }
