--- a/src/coordination/shard-state/machine-types.ts
+++ b/src/coordination/shard-state/machine-types.ts
@@ -1,4 +1,4 @@
-/** The machine types of the stored catalogue, by name. */
+/** The machine types of the stored catalog, by name. */
 import type { MachineType } from '../../protocol/model.js';
 import { readCatalog } from '../../storage/catalog.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
@@ -6,14 +6,14 @@
 
 const NO_TYPES: MachineType[] = [];
 
-/** Looks up machine types by name; the index is rebuilt after each change of the catalogue. */
+/** Looks up machine types by name; the index is rebuilt after each change of the catalog. */
 export class MachineTypes {
   private catalog: MachineType[] | null = null;
   private byName = new Map<string, MachineType>();
 
   constructor(private readonly replica: StoreReplica) {}
 
-  /** The machine type with this name; undefined: the catalogue has none. */
+  /** The machine type with this name; undefined: the catalog has none. */
   get(name: string): MachineType | undefined {
     const catalog = readCatalog(this.replica) ?? NO_TYPES;
     if (this.catalog !== catalog) {
@@ -23,7 +23,7 @@
     return this.byName.get(name);
   }
 
-  /** The resources of an empty machine of a type; all 0 if the catalogue has no such type. */
+  /** The resources of an empty machine of a type; all 0 if the catalog has no such type. */
   capacity(name: string): Resources {
     const type = this.get(name);
     return { cpus: type?.cpus ?? 0, gpus: type?.gpus ?? 0, memoryGb: type?.memoryGb ?? 0 };
--- a/src/coordination/shard-state/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -87,12 +87,12 @@
     return leaseExpiry(this.all.get(name), this.options);
   }
 
-  /** The machine type with this name; undefined: the catalogue has none. */
+  /** The machine type with this name; undefined: the catalog has none. */
   machineType(name: string): MachineType | undefined {
     return this.types.get(name);
   }
 
-  /** The resources of an empty machine of a type; all 0 if the catalogue has no such type. */
+  /** The resources of an empty machine of a type; all 0 if the catalog has no such type. */
   capacity(typeName: string): Resources {
     return this.types.capacity(typeName);
   }
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -141,8 +141,8 @@
     }
     index.updateWaiting(source);
     index.updateWaiting(assignment);
-    // The split assignment changed during the write. The changed tasks may be among those that
-    // moved.
+    // If the split assignment changed during the write, the changed tasks may be among those that
+    // were moved.
     if (changed.all.has(source)) changed.mark(assignment);
   }
 }
--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -17,7 +17,7 @@
 
 /**
  * Whether an assignment was added, must wait for the next transaction because this one is full, or
- * is too large for any.
+ * is too large for any transaction. `pieces`: number of pieces into which it would be split.
  */
 export type AddResult = { kind: 'added' } | { kind: 'full' } | { kind: 'tooLarge'; pieces: number };
 
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -7,7 +7,7 @@
 import type { ShardContext } from './shard-context.js';
 import type { Assignment } from '../shard-state/assignment.js';
 
-/** The events of a writer that its shard handles. */
+/** Functions of the shard that the writer calls. */
 export interface AssignmentWriterCallbacks {
   /** Called when placements on these machines are committed, so that their starts may be sent. */
   readonly onCommitted: (machines: ReadonlySet<string>, urgent: boolean) => void;
@@ -15,8 +15,8 @@
 
 /**
  * Writes a shard's changed assignments in transactions that are guarded by the shard's role.
- * Placements are written soon and ends of tasks in batches. An assignment that is larger than the
- * store's limit for values is split.
+ * Placements are written with little delay, and ends of tasks in larger batches. An assignment that
+ * is larger than the store's limit for values is split.
  */
 export class AssignmentWriter {
   /** Assignments that are paused, because the store rejected them or they are too large for now. */
--- a/src/coordination/shard/gang-stop-cost.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -1,4 +1,4 @@
-/** Decides whether a gang may be preempted, by the progress that the stop may lose. */
+/** Decides whether a gang may be preempted, depending on the progress that it could lose. */
 import { GANG_MAX_LOST_PROGRESS_S, GANG_STOP_PROPAGATION_MS } from '../../constants/gangs.js';
 import type { JobSpec } from '../../protocol/model.js';
 import type { Assignment } from '../shard-state/assignment.js';
@@ -43,7 +43,10 @@
     return this.context.machines.health(machine) === 'ok';
   }
 
-  /** Upper bound of the seconds since the gang's last checkpoint; 0 if it never saves. */
+  /**
+   * Upper bound of the seconds since the gang's last checkpoint; 0 if the gang never saves, or if
+   * none of its tasks has been running.
+   */
   private progressAtRiskS(assignment: Assignment, spec: JobSpec): number {
     let since = Infinity;
     for (const task of assignment.tasks.values()) {
--- a/src/coordination/shard/gang-subsets.ts
+++ b/src/coordination/shard/gang-subsets.ts
@@ -27,9 +27,9 @@
 /**
  * A shard's gang subsets, each of which consists of the tasks of one gang that are assigned to this
  * shard. Committed placements of a gang are reservations. The tasks start once every task of the
- * gang is placed, here and in other shards, under the same attempt. When one task ends otherwise
- * than done, all tasks of the gang are stopped and returned to the leader. Once none is left in any
- * shard, the leader assigns the gang again under a new attempt.
+ * gang is placed, here and in other shards, under the same attempt. When a task ends in
+ * any other way than done, all tasks of the gang are stopped and returned to the leader. Once none
+ * is left in any shard, the leader assigns the gang again under a new attempt.
  */
 export class GangSubsets {
   constructor(
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Stops failed subsets, and returns subsets that found no machines in time to the leader. Returns
-   * the machines on which tasks must now be stopped. All tasks of a subset are stopped at once, so
-   * that their progress is saved.
+   * Stops failed subsets. If a subset found no machines in time, its tasks are returned to the
+   * leader. Returns the machines on which tasks must now be stopped. All tasks of a subset are
+   * stopped at once, so that their progress is saved.
    */
   reconcile(): Set<string> {
     const stopped = new Set<string>();
--- a/src/coordination/shard/holder-records.ts
+++ b/src/coordination/shard/holder-records.ts
@@ -13,7 +13,7 @@
   isHolder: () => boolean;
 }
 
-/** The services that these writes use. */
+/** The services that `HolderRecords` uses. */
 export interface HolderRecordsServices {
   readonly replica: StoreReplica;
   readonly committer: Committer;
@@ -36,7 +36,10 @@
     return this.rejected.isPaused(key);
   }
 
-  /** Commits changes; returns whether they were. Keys that the store rejects are paused. */
+  /**
+   * Commits changes; returns whether they were committed. If the store rejects the transaction,
+   * further changes of its keys are paused.
+   */
   async write(purpose: 'status' | 'part', changes: Change[]): Promise<boolean> {
     const { committer, replica } = this.services;
     const { roleKey, roleRevision, isHolder } = this.options;
--- a/src/coordination/shard/job-failure-backoff.ts
+++ b/src/coordination/shard/job-failure-backoff.ts
@@ -1,4 +1,4 @@
-/** The backoff of jobs whose tasks fail. */
+/** Pauses jobs whose tasks fail, so that no more of their tasks are placed during the pause. */
 
 import { MAX_FAILURE_BACKOFF_S, MIN_FAILURE_BACKOFF_S } from '../../constants/shard.js';
 import { KeyedBackoff } from '../../transport/backoff.js';
@@ -21,7 +21,10 @@
     return this.backoff.recordFailure(job) / 1000;
   }
 
-  /** Ends the pause: a task of the job succeeded, or the shard has no more tasks of the job. */
+  /**
+   * Ends the pause of a job. Called when a task of the job succeeded, or when the shard has no more
+   * tasks of the job.
+   */
   clear(job: string): void {
     this.backoff.clear(job);
   }
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -49,7 +49,8 @@
     const { tasks } = this.context;
     const { machine, resend, free } = batch;
     const assignment = tasks.findTask(status.task.job, status.task.index)?.assignment;
-    // The resources of a task without an assignment are unknown, so it counts as the whole machine.
+    // The resources of a task without an assignment are unknown, so the task is counted as using all
+    // resources of the machine that are still free.
     if (status.state !== 'exited') allocate(free, assignment ? assignment.record : { ...free });
     const assigned = findReportedTask(tasks, machine, status);
     if (!assigned) {
--- a/src/coordination/shard/reserved-gang.ts
+++ b/src/coordination/shard/reserved-gang.ts
@@ -9,7 +9,8 @@
 
 /**
  * The reservation of free capacity for the next gang, which is expected to be like the largest
- * recent one. Only the shard and zone with the most machines for such a gang reserve capacity.
+ * recent gang that is not urgent. Only the shard that has the most machines for such a gang in one
+ * zone reserves capacity.
  */
 export class ReservedGang {
   private readonly recentGangs: RecentGangs;
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -8,7 +8,7 @@
 import type { ReservedGang } from './reserved-gang.js';
 import { machineTypeNames, type ShardContext } from './shard-context.js';
 
-/** Creates the scheduler once the replica holds the catalogue of machine types. */
+/** Creates the scheduler once the replica holds the catalog of machine types. */
 export class SchedulerLoader {
   private loaded: Scheduler | null = null;
 
@@ -22,13 +22,13 @@
     return this.loaded;
   }
 
-  /** Creates the scheduler; null: there is no catalogue yet. */
+  /** Creates the scheduler; null: there is no catalog yet. */
   async load(): Promise<Scheduler | null> {
     const types = machineTypeNames(this.context);
     if (types.length === 0) return null;
     const { clock, costLearning, log, machines, options, tasks } = this.context;
-    // Imported here, not at start-up, because the matrix library is the largest dependency and
-    // would slow the start down.
+    // The bandit is imported here and not at start-up, because its matrix library is the largest
+    // dependency and would slow the start down.
     const module = await import('../scheduling/bandit.js');
     const bandit = new module.Bandit(types, options.alpha, options.penalty);
     this.restore(bandit);
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -99,7 +99,7 @@
   for (const machine of machines) machinesToCommand.add(machine);
 }
 
-/** Names of the machine types in the stored catalogue; empty while there is no catalogue. */
+/** Names of the machine types in the stored catalog; empty while there is no catalog. */
 export function machineTypeNames({ replica }: Pick<ShardContext, 'replica'>): string[] {
   return (readCatalog(replica) ?? []).map((type) => type.name);
 }
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -17,7 +17,8 @@
 }
 
 /**
- * The longest health value; used for all machines so that a change of health never changes a page.
+ * The longest health value. The size of each machine's entry is computed with it, so that a change
+ * of health never moves a machine to another page.
  */
 const LONGEST_HEALTH: MachineHealth = 'leaving';
 
@@ -27,9 +28,10 @@
 }
 
 /**
- * Plans the page of each machine. A machine keeps its page as long as the page fits its stored
- * value. Pages that the previous version wrote larger are divided. The pages are numbered without
- * gaps, because the previous version counts them to find those that it must empty.
+ * Plans the page of each machine. A machine keeps its page as long as the page fits one stored
+ * value. Pages that the previous version of this program wrote may be too large; then some of their
+ * machines move to other pages. The pages are numbered without gaps, because the previous version
+ * counts them to find those that it must empty.
  */
 export class StatusPagePlan {
   readonly pages: StatusPage[] = [];
@@ -110,9 +112,9 @@
 
   /**
    * Assigns new machines and machines that move to pages, in the order of their names and
-   * preferring the last pages. Names grow with time, and the previous version orders its pages by
-   * name. When a controller of that version becomes the holder, it therefore moves few machines
-   * between pages, and none to a later page.
+   * preferring the last pages. The names of newer machines sort after those of older ones, and the
+   * previous version of this program orders its pages by name. When a controller of that version
+   * becomes the holder, it therefore moves few machines between pages, and none to a later page.
    */
   private addMovingMachines(): void {
     for (const name of this.entries.keys())
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -63,16 +63,18 @@
   }
 
   /**
-   * Whether an assignment's changes should be written now. Placements are written soon. Ends of
-   * tasks wait to share a write, because one write for each short task would exceed the key-value
-   * store's limits.
+   * Whether an assignment's changes should be written now. Urgent placements are written at once,
+   * other placements and the last ends of an assignment's tasks after `PLACEMENT_BATCH_MS`. Other
+   * ends wait for `COMPLETION_BATCH_MS` to share a write, because one write for each short task
+   * would exceed the key-value store's limits.
    */
   private isDue(assignment: Assignment, now: number): boolean {
     if (this.mustBeRemoved(assignment)) return true;
     const age = now - (assignment.changedSince ?? now);
     const supply = this.context.options.limiter.supply;
     if (age >= COMPLETION_BATCH_MS[supply]) return true;
-    // Other shards stop their subsets of the gang when they see that this one is stopping.
+    // Other shards stop their subsets of the gang once the stored record of this one shows that it
+    // is stopping.
     const spansShards = assignment.tasks.size < (jobSpec(this.context, assignment.job)?.tasks ?? 0);
     if (assignment.hasFailed && spansShards && !assignment.committedRecord.stopping) return true;
     if (!this.hasNewPlacements(assignment) && this.hasUnfinishedTasks(assignment)) return false;
