--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -38,7 +38,10 @@
 export interface PreemptionCandidate {
   task: Task;
   assignment: Assignment;
-  /** Cost of its preemption in tasks: 1, but for a gang its size plus 1, since all of it stops. */
+  /**
+   * Cost of its preemption, in tasks: 1, or for a gang the gang's size plus 1, because all tasks of
+   * the gang are stopped.
+   */
   cost: number;
   /** Whether its job ranks below the job that preempts it. */
   hasLowerRank: boolean;
@@ -131,12 +134,13 @@
     assignment: Assignment,
     { rank, arrayCpus }: PreemptionRights,
   ): PreemptionCandidate | null {
-    const { findJob: job, hasStartedLate: beganLate, mayStopGang } = this.rules;
-    const spec = task.isStopping ? null : job(assignment.job)?.spec;
+    const { findJob, hasStartedLate, mayStopGang } = this.rules;
+    const spec = task.isStopping ? null : findJob(assignment.job)?.spec;
     if (!spec) return null;
     // The first tasks of a job that started late are the newest on their machines. Without this
     // rule they would be preempted again and again.
-    if (!hasMinimumRunTime(task, this.dependencies.clock) && beganLate(assignment.job)) return null;
+    if (!hasMinimumRunTime(task, this.dependencies.clock) && hasStartedLate(assignment.job))
+      return null;
     const isGang = assignment.record.attempt !== undefined;
     if (isGang && !mayStopGang(assignment)) return null;
     const hasLowerRank = rankOf(spec.priority) < rank;
