--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -1,7 +1,8 @@
 /** Constants of scale-out and scale-in. */
 
 /**
- * ms; first and longest pause after a failed pass. They may be long, as no user waits for a pass.
+ * ms; shortest and longest pause after a failed pass. The pauses may be long, because no user waits
+ * for a pass.
  */
 export const CLOUD_BACKOFF_MIN_MS = 500;
 export const CLOUD_BACKOFF_MAX_MS = 8_000;
@@ -13,8 +14,8 @@
 export const HEADROOM_RELEASE_AFTER_MS = 25_000;
 
 /**
- * Fraction of the work expected from recent arrivals for which the fleet keeps capacity. With all
- * of it, the price of the fleet rose by a seventh.
+ * Fraction of the work expected from recent arrivals for which the fleet keeps capacity. With 1,
+ * the price of the fleet rose by a seventh.
  */
 export const EXPECTED_WORK_FRACTION = 0.8;
 
@@ -56,8 +57,8 @@
 
 /**
  * ms; duration of silence after which up to `SILENT_RETURN_MAX_MACHINES` machines are returned. The
- * status records of the other shards, which show whether more machines are silent, take two of
- * their passes.
+ * other shards take up to two of their passes to write the status records that show whether more
+ * machines are silent.
  */
 export const SILENT_CONFIRMATION_MS = 1_500;
 
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -27,7 +27,7 @@
   readonly cloudRps: number;
   /** Maximum seconds by which the cloud's list of machines is out of date. */
   readonly listLagS: number;
-  /** Seconds for which a worker's tasks may run after its last acknowledged heartbeat. */
+  /** Seconds for which a worker's tasks may run after its last answered heartbeat. */
   readonly leaseS: number;
   /** ms after which an idle machine of the type with the highest price per CPU is drained. */
   readonly idleMs: number;
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -15,7 +15,7 @@
   readonly count: number;
 }
 
-/** Input for `demandBeyondFleet`. */
+/** The state from which the demand beyond the fleet's capacity is computed. */
 export interface DemandInput {
   readonly snapshot: FleetSnapshot;
   /** Rented machines that no shard has reported yet. */
@@ -119,8 +119,8 @@
 }
 
 /**
- * Tasks like those of the last array, as many as the needed CPUs exceed the CPUs of the fleet and
- * of the demand so far; null if they don't exceed them.
+ * Returns tasks like those of the last array, enough to use the CPUs by which `neededCpus` exceeds
+ * the CPUs of the fleet and of the demand so far; null if it does not exceed them.
  */
 function expectedDemand(
   { snapshot, types }: DemandInput,
@@ -150,7 +150,7 @@
   return spec.deadlineS === null ? -Infinity : acceptedAt + spec.deadlineS * 1000;
 }
 
-/** Sorts by descending priority, then by deadline. */
+/** Sorts by descending priority, then by deadline; jobs without a deadline come first. */
 function sortByUrgency(unmet: readonly UnmetDemand[]): UnmetDemand[] {
   return [...unmet].sort(
     (a, b) => rankOf(b.spec.priority) - rankOf(a.spec.priority) || dueAt(a) - dueAt(b),
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -6,7 +6,10 @@
 import type { Clock } from '../../transport/clock.js';
 import type { FleetSnapshot } from '../capacity/machine-capacity.js';
 
-/** Headroom for urgent work and for gangs like recent ones; released after a time without jobs. */
+/**
+ * Headroom for urgent work and for gangs like recent ones. It is released once no job has been open
+ * for `HEADROOM_RELEASE_AFTER_MS`.
+ */
 export class Headroom {
   private lastOpenJobAt: number;
 
@@ -18,7 +21,7 @@
     this.lastOpenJobAt = clock.now();
   }
 
-  /** Records whether a job is open; called in each pass. */
+  /** Records the current time if a job is open; called in each pass. */
   update(): void {
     const [openJob] = this.replica.openJobs();
     if (openJob !== undefined) this.lastOpenJobAt = this.clock.now();
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -18,7 +18,7 @@
  * their tasks have ended in any case. The number of returns in a period is limited.
  */
 export class HeartbeatTimeouts {
-  /** Steady time at which this leader first saw a machine as silent, for machines still silent. */
+  /** Steady time at which this leader first found each silent machine to be silent, by name. */
   private readonly silentSince = new Map<string, number>();
   /** Steady time of each selection within the last `SILENT_RETURN_PERIOD_MS`, by machine name. */
   private readonly recentReturns = new Map<string, number>();
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -52,7 +52,7 @@
     for (const machine of this.listIdle(snapshot, types)) {
       const since = this.idleSince.get(machine.name) ?? now;
       this.idleSince.set(machine.name, since);
-      // Cheap machines stay longer, because machines rented later in their place may cost more.
+      // Cheap machines are kept longer, because machines rented later in their place may cost more.
       const priceRatio = highestPrice / Math.max(MIN_CPU_PRICE, cpuPrice(machine, types));
       const idleLimitMs = idleMs * Math.min(IDLE_TIME_MAX_FACTOR, priceRatio);
       if (now - since < idleLimitMs) continue;
@@ -88,7 +88,10 @@
     return Math.max(headroom.cpus, gangCpus);
   }
 
-  /** CPUs of healthy machines, free or used by preemptible work, that such work doesn't need. */
+  /**
+   * CPUs of healthy machines, free or used by preemptible work, that exceed the CPUs that preemptible
+   * work needs; negative: there are too few.
+   */
   private spareCpus(snapshot: FleetSnapshot, types: readonly MachineType[]): number {
     let spareCpus = -neededCpus(snapshot, types);
     for (const machine of snapshot.machines) {
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -19,8 +19,8 @@
 
 /**
  * LinUCB over machine types, with one arm (A and b) per type. A context consists of the one-hot
- * encoded task class, each type's fraction of the queued and running tasks, and the one-hot encoded
- * machine type. Classes beyond `MAX_TASK_CLASSES` share one entry.
+ * encoded task class, each type's fraction of the placed tasks, and the one-hot encoded machine
+ * type. Classes beyond `MAX_TASK_CLASSES` share one entry.
  */
 export class Bandit {
   private readonly arms = new Map<string, Arm>();
@@ -67,7 +67,7 @@
   }
 
   /**
-   * The context of assigning a task of this class to this type. `taskCounts`: queued and running
+   * The context of assigning a task of this class to this type. `taskCounts`: number of placed
    * tasks by machine type.
    */
   context(taskClass: string, type: string, taskCounts: ReadonlyMap<string, number>): number[] {
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -18,7 +18,8 @@
   /** Whether its free resources are reserved for a gang that does not fit yet. */
   isReserved: boolean;
   /**
-   * Whether its free resources are reserved for a future gang, so that most arrays can't use them.
+   * Whether its free resources are reserved for a future gang. Then only arrays that have waited
+   * long may use them.
    */
   excludesArrays: boolean;
 }
@@ -51,7 +52,7 @@
   return machine.zone === assignment.record.zone && isEligible(spec, machine);
 }
 
-/** Counts the queued and running tasks by machine type. */
+/** Counts the placed tasks by machine type. */
 export function countTasksByType(machines: Machines, tasks: Tasks): Map<string, number> {
   const counts = new Map<string, number>();
   for (const name of tasks.occupiedMachines()) {
--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -11,7 +11,10 @@
 interface ImageFetches {
   /** Whether the fetch is short enough for the start target of the gang's class. */
   isInTime: (machine: Machine) => boolean;
-  /** Whether even a slow fetch ends before the tasks that have the image stop waiting for it. */
+  /**
+   * Whether a fetch, even a slow one, ends before the gang's tasks on machines that have the image
+   * stop waiting for the other tasks.
+   */
   isWithinGangWait: (machine: Machine) => boolean;
 }
 
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -42,7 +42,7 @@
     // ended. With just enough capacity it would have to wait for all of them.
     const reservedCount = taskCount * GANG_RESERVATION_FACTOR;
     const selection = this.select(assignment.record, candidates, reservedCount);
-    // A gang that won't fit in any case must not delay other work.
+    // A gang that won't fit even after the arrays have ended must not delay other work.
     if (selection.fittingLater < taskCount) return false;
     for (const candidate of selection.selected) candidate.isReserved = true;
     return true;
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -14,7 +14,7 @@
   startWithinS: Readonly<Record<string, number>>;
 }
 
-/** Queued and running tasks by machine type. */
+/** Number of placed tasks by machine type. */
 type TaskCounts = ReadonlyMap<string, number>;
 
 /** A machine type and the bandit's score for a task class on it; higher is better. */
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -43,9 +43,9 @@
 
 /**
  * Lists the assignments with waiting tasks by priority, then in the order in which the leader made
- * them, which is that of their numbers. They are not sorted by deadline: jobs that can't meet
- * theirs would be served before all others, and a job that the leader assigned late would be
- * overtaken until it is returned to the leader.
+ * them, which is that of their numbers. They are not sorted by deadline, because jobs that can't
+ * meet their deadlines would then precede all others, and tasks that the leader assigned late would
+ * wait until they are returned to the leader.
  */
 export function waitingAssignments(tasks: Tasks, rules: SchedulingCycleRules): WaitingAssignment[] {
   const waiting: WaitingAssignment[] = [];
@@ -63,15 +63,18 @@
 
 /** The machines of a cycle, and the effects of its decisions so far. */
 export class SchedulingCycle {
-  /** Queued and running tasks by machine type. */
+  /** Number of placed tasks by machine type. */
   readonly taskCounts: Map<string, number>;
   /** Machines on which tasks must now be stopped. */
   readonly machinesWithStops = new Set<string>();
   /** All machines that may take tasks; their free resources decrease with each task assigned. */
   private readonly candidates: readonly CandidateMachine[];
-  /** The recent gang for which arrays are kept off some machines, as another like it may come. */
+  /**
+   * The recent gang for which arrays are kept off some machines, because a similar gang may be
+   * assigned to this shard; null: arrays may use all machines.
+   */
   private readonly expectedGang: JobSpec | null;
-  /** The lowest rank of all placed tasks; work must rank above it to preempt a task. */
+  /** The lowest rank of all placed tasks; only a job of a higher rank can preempt a task. */
   private readonly lowestRank: number;
 
   constructor(
