--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -63,8 +63,8 @@
 export const SILENT_CONFIRMATION_MS = 1_500;
 
 /**
- * Fraction of the fleet that may be returned for silence within `SILENT_RETURN_PERIOD_MS`, but
- * always `SILENT_RETURN_MAX_MACHINES` machines.
+ * Fraction of the fleet that may be returned for silence within `SILENT_RETURN_PERIOD_MS`. In a
+ * fleet too small for that, `SILENT_RETURN_MAX_MACHINES` machines may be returned.
  */
 export const SILENT_RETURN_MAX_FLEET_FRACTION = 0.1;
 
@@ -78,9 +78,9 @@
 export const RUN_ESTIMATE_FACTOR = 1.25;
 
 /**
- * Multiple of the fastest boot time. It is the period over which the needed CPUs are computed, and
- * the time until the latest start that is assumed for tasks that even a machine rented now could
- * not finish by their deadlines.
+ * The needed CPUs are computed over a period of this many times the fastest boot time. Tasks that
+ * even a machine rented now could not finish by their deadlines are planned as if the same period
+ * were left until their latest start.
  */
 export const LATE_TASK_BOOT_FACTOR = 1.5;
 
--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -85,8 +85,8 @@
 
 /**
  * ms; maximum time from a shard's decision to stop a gang until the stop reaches the gang's tasks
- * in other shards. Within it a record is written, the other shards' watches return it, and these
- * shards send their direct calls.
+ * in other shards. Within this time a record is written, the watches of the other shards return it,
+ * and these shards send their direct calls.
  */
 export const GANG_STOP_PROPAGATION_MS = 2_500;
 
--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -15,7 +15,7 @@
 
 /** Settings of the autoscaler, and the services that it uses. */
 export interface AutoscalerOptions {
-  /** The leader's fencing token; part of the identifier of each rent request. */
+  /** Term in which this controller is the leader; part of the identifier of each rent request. */
   readonly term: number;
   /** Commits transactions on the condition that this controller is still the leader. */
   readonly writer: GuardedWriter;
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -47,7 +47,7 @@
     for (const name of names) this.machineList.clearFailed(name);
   }
 
-  /** Machines that are to be returned now. */
+  /** Machines that are drained, failed or silent, or whose boot timed out. */
   private returnableMachines(snapshot: FleetSnapshot): RecordedMachine[] {
     const { rejectedChangeBackoff, replica } = this.context;
     const isOccupied = this.occupancyCheck();
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -15,7 +15,7 @@
 import { countFittingTasks } from './resources.js';
 import { shardZoneKey } from './shard-zone.js';
 
-/** Number of tasks of a gang that lack capacity in the zone `spec.zone`; a zone of null: any zone. */
+/** Number of tasks of a gang that lack capacity in the zone `spec.zone` (null: any zone). */
 export interface MissingCapacity {
   spec: JobSpec;
   count: number;
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -23,7 +23,8 @@
   /**
    * 0: the job is expected to meet its deadline, has none, or is late by more than
    * `LATE_JOB_PRIORITY_DEADLINES` times its deadline; 1: the job will miss its deadline, or would
-   * make others miss theirs. Jobs of tier 0 precede those of tier 1.
+   * make others miss theirs. Among jobs equal in priority, fair share and kind, those of tier 0
+   * precede those of tier 1.
    */
   deadlineTier: number;
   /**
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -21,7 +21,8 @@
   group: readonly CandidateMachine[],
 ): GangLayout | null {
   const hasImage = ({ machine }: CandidateMachine): boolean => machine.images.has(spec.image);
-  // On-demand machines first; among equals those with the image, then those in use.
+  // On-demand machines precede spot instances. Among machines of the same kind, those with the image
+  // come first, then those in use.
   const preference = (candidate: CandidateMachine): number =>
     (candidate.machine.spot ? 0 : 4) + (hasImage(candidate) ? 2 : 0) + (candidate.isEmpty ? 0 : 1);
   const sorted = [...group].sort((a, b) => preference(b) - preference(a));
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -20,8 +20,8 @@
   /** Whether a job was accepted long ago and none of its tasks is placed. */
   hasWaitedLong: (id: string) => boolean;
   /**
-   * The largest recent gang, if this shard keeps arrays off some machines so that another one like
-   * it would fit; null if it doesn't.
+   * The largest recent gang that is not urgent, if this shard keeps arrays off some machines so that
+   * a similar gang would fit; null: the shard keeps arrays off no machine.
    */
   expectedGang: () => JobSpec | null;
   /** Whether a job is paused after failures. */
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -6,7 +6,7 @@
 import type { Resources } from '../capacity/resources.js';
 import type { AssignedTask } from '../shard-state/tasks.js';
 
-/** Reports the ends of tasks to the bandit; ends before the bandit is loaded are not reported. */
+/** Reports the ends of tasks to the bandit, except those of tasks that end before it is loaded. */
 export class CostLearning {
   /** The shard's bandit; null until it is loaded. */
   bandit: Bandit | null = null;
