--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -18,7 +18,10 @@
       const isGone = machines.recordedState(name) === 'gone';
       if (!isGone && now < machines.leaseExpiresAt(name)) continue;
       const lost = [...tasks.placedOn(name)];
-      log.info({ machine: name, tasks: lost.length, gone: isGone }, 'machine lost, tasks requeued');
+      log.info(
+        { machine: name, taskCount: lost.length, gone: isGone },
+        'machine lost, tasks requeued',
+      );
       for (const [task, assignment] of lost) tasks.requeue(assignment, task);
     }
     machines.sweep();
