--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -57,14 +57,14 @@
 
 /**
  * ms; duration of silence after which up to `SILENT_RETURN_MAX_MACHINES` machines are returned. The
- * other shards take up to two of their passes to write the status records that show whether more
+ * other shards take two of their passes to write the status records that show whether more
  * machines are silent.
  */
 export const SILENT_CONFIRMATION_MS = 1_500;
 
 /**
- * Fraction of the fleet that may be returned for silence within `SILENT_RETURN_PERIOD_MS`. In a
- * fleet too small for that, `SILENT_RETURN_MAX_MACHINES` machines may be returned.
+ * Fraction of the fleet that may be returned for silence within `SILENT_RETURN_PERIOD_MS`. In
+ * a small fleet, up to `SILENT_RETURN_MAX_MACHINES` machines may be returned nevertheless.
  */
 export const SILENT_RETURN_MAX_FLEET_FRACTION = 0.1;
 
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -18,8 +18,8 @@
   /** Whether its free resources are reserved for a gang that does not fit yet. */
   isReserved: boolean;
   /**
-   * Whether its free resources are reserved for a future gang. Then only arrays that have waited
-   * long may use them.
+   * Whether its free resources are reserved for a future gang. Then arrays may use them only after
+   * a long wait.
    */
   excludesArrays: boolean;
 }
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -47,9 +47,9 @@
 
   /**
    * Stops the services of machines with low CPU use if they fit on other machines that have their
-   * images. The emptied machines become idle and are returned. A service's task is
-   * unavailable for well under a second while it moves. Tasks that started recently stay, and none
-   * moves while tasks wait for a machine. Returns the machines on which tasks must now be stopped.
+   * images. The emptied machines become idle and are returned. A service's task is unavailable for
+   * well under a second while it moves. Tasks that started recently stay, and none moves while tasks
+   * wait for a machine. Returns the machines on which tasks must now be stopped.
    */
   run(): Set<string> {
     const { tasks, machines, clock } = this.dependencies;
