--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -15,7 +15,7 @@
 
 /** Settings of the autoscaler, and the services that it uses. */
 export interface AutoscalerOptions {
-  /** The leader's fencing token; part of the identifier of each rent request. */
+  /** Term in which this controller is the leader; part of the identifier of each rent request. */
   readonly term: number;
   /** Commits transactions on the condition that this controller is still the leader. */
   readonly writer: GuardedWriter;
@@ -27,7 +27,7 @@
   readonly cloudRps: number;
   /** Maximum seconds by which the cloud's list of machines is out of date. */
   readonly listLagS: number;
-  /** Seconds for which a worker's tasks may run after its last acknowledged heartbeat. */
+  /** Seconds for which a worker's tasks may run after its last answered heartbeat. */
   readonly leaseS: number;
   /** ms after which an idle machine of the type with the highest price per CPU is drained. */
   readonly idleMs: number;
