--- a/test/cluster/gang-rules-restarts.test.ts
+++ b/test/cluster/gang-rules-restarts.test.ts
@@ -1,8 +1,8 @@
 /** Rules for gangs: when a gang restarts and ends, where it is placed, and which answers users get. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEASE_S, LONG, playRule, type GangRuleCase } from '../world/gang-scenario.js';
-import { GANG, OTHER } from '../world/gang-steps.js';
+import { LEASE_S, CHECKPOINTED_GANG, playRule, type GangRuleCase } from '../world/gang-scenario.js';
+import { GANG, OTHER_JOB } from '../world/gang-steps.js';
 import { stageOf } from '../world/jobs.js';
 
 const ROWS: GangRuleCase[] = [
@@ -14,7 +14,7 @@
     maxMachines: 4,
     act: async (scenario) => {
       const { world } = scenario;
-      const attempt = await scenario.submitAndRun({ ...LONG, oneZone: true }, 7);
+      const attempt = await scenario.submitAndRun({ ...CHECKPOINTED_GANG, oneZone: true }, 7);
       const [first, second] = scenario.machinesOf();
       assert.ok(first && second);
       // The gang's zone has no capacity left, and no heartbeat reports that its tasks have ended.
@@ -38,7 +38,7 @@
     zones: ['a', 'a', 'a', 'a', 'b', 'b', 'b', 'b'],
     act: async (scenario) => {
       const { world } = scenario;
-      await scenario.submitAndRun({ ...LONG, tasks: 6, cpus: 1, spread: true }, 7);
+      await scenario.submitAndRun({ ...CHECKPOINTED_GANG, tasks: 6, cpus: 1, spread: true }, 7);
       const hung = scenario.machinesOf().find((one) => one.machine.zone === 'b');
       assert.ok(hung);
       hung.hang(20);
@@ -62,7 +62,7 @@
     name: 'all tasks are done, heartbeats of one machine are lost for 15 s: no task starts again',
     act: async (scenario) => {
       const { world } = scenario;
-      await scenario.submitAndRun(LONG, 25);
+      await scenario.submitAndRun(CHECKPOINTED_GANG, 25);
       scenario.cutOff(scenario.machineOf());
       await scenario.runUntil('all tasks are complete', 20, () => world.completed.size === 4);
       const starts = world.starts.length;
@@ -78,7 +78,7 @@
     name: `all tasks are done, one machine ${fate} before it reports that: the job ends as done`,
     act: async (scenario) => {
       const { world } = scenario;
-      await scenario.submitAndRun(LONG, 25);
+      await scenario.submitAndRun(CHECKPOINTED_GANG, 25);
       const lost = scenario.machineOf();
       scenario.cutOff(lost);
       await scenario.runUntil('all tasks are complete', 20, () => world.completed.size === 4);
@@ -87,8 +87,8 @@
       world.cutLinks.clear();
       await scenario.assertEnded(GANG, 'done', 120);
       // The gang's capacity is free for the next one.
-      await scenario.submitAccepted(OTHER, { tasks: 4, cpus: 2 });
-      await scenario.awaitGangStart(60, 1, OTHER);
+      await scenario.submitAccepted(OTHER_JOB, { tasks: 4, cpus: 2 });
+      await scenario.awaitGangStart(60, 1, OTHER_JOB);
     },
   })),
   // --- Placement -----------------------------------------------------------------------------
@@ -98,7 +98,7 @@
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
     act: async (scenario) => {
-      await scenario.submitAccepted(GANG, { ...LONG, tasks: 6, spread: true });
+      await scenario.submitAccepted(GANG, { ...CHECKPOINTED_GANG, tasks: 6, spread: true });
       await scenario.awaitGangStart(60);
     },
   },
@@ -107,7 +107,7 @@
     name: 'one zone: not split over two zones although only both together have the capacity',
     zones: ['a', 'b'],
     act: async (scenario) => {
-      await scenario.submitAccepted(GANG, { ...LONG, oneZone: true });
+      await scenario.submitAccepted(GANG, { ...CHECKPOINTED_GANG, oneZone: true });
       await scenario.awaitGangStart(60);
     },
   },
@@ -119,15 +119,20 @@
       const { world } = scenario;
       const resubmit = async (stages: string[]): Promise<void> => {
         for (const [node] of world.members) {
-          const reply = await scenario.submit(GANG, LONG, node);
+          const reply = await scenario.submit(GANG, CHECKPOINTED_GANG, node);
           assert.equal(reply.status, 200);
           assert.ok(stages.includes(stageOf(reply)), stageOf(reply));
           // A known job stays accepted, even if a retry asks for more tasks than could ever run.
-          const other = world.submit(GANG, { gang: true, ...LONG }, node, { larvae: 90_000 });
+          const other = world.submit(GANG, { gang: true, ...CHECKPOINTED_GANG }, node, {
+            larvae: 90_000,
+          });
           assert.equal((await scenario.awaitReply(other)).status, 200);
         }
       };
-      const submissions = [scenario.submit(GANG, LONG, 'n0'), scenario.submit(GANG, LONG, 'n2')];
+      const submissions = [
+        scenario.submit(GANG, CHECKPOINTED_GANG, 'n0'),
+        scenario.submit(GANG, CHECKPOINTED_GANG, 'n2'),
+      ];
       const statuses = (await Promise.all(submissions)).map((one) => one.status).sort();
       assert.deepEqual(statuses, [200, 201]);
       await resubmit(['queued', 'running']);
@@ -145,9 +150,9 @@
     done: [],
     act: async (scenario) => {
       const { world } = scenario;
-      await scenario.submitAndRun({ ...LONG, runS: 200 }, 5);
+      await scenario.submitAndRun({ ...CHECKPOINTED_GANG, runS: 200 }, 5);
       await scenario.awaitReply(world.cancel(GANG, 'n1'));
-      const reply = await scenario.submit(GANG, LONG, 'n2');
+      const reply = await scenario.submit(GANG, CHECKPOINTED_GANG, 'n2');
       assert.equal(reply.status, 200);
       assert.equal(stageOf(reply), 'withdrawn');
       await scenario.assertEnded(GANG, 'withdrawn', 50);
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -4,13 +4,13 @@
 import { GANG_PEER_S, GANG_WAIT_S } from '../world/gang.js';
 import {
   LEASE_S,
-  LONG,
-  URGENT,
-  WIDE,
+  CHECKPOINTED_GANG,
+  URGENT_GANG,
+  TWO_ZONE_GANG,
   playRule,
   type GangRuleCase,
 } from '../world/gang-scenario.js';
-import { GANG, OTHER } from '../world/gang-steps.js';
+import { GANG, OTHER_JOB } from '../world/gang-steps.js';
 import type { SimWorker } from '../world/worker.js';
 import { restartController, setOnAllWorkers } from '../world/fault-steps.js';
 
@@ -21,7 +21,7 @@
     name: 'a machine is lost before the start: no task runs twice, all start under one attempt',
     act: async (scenario) => {
       const { world } = scenario;
-      await scenario.submitAccepted(GANG, LONG);
+      await scenario.submitAccepted(GANG, CHECKPOINTED_GANG);
       await scenario.runUntil('a task waits', 20, () =>
         scenario.machinesOf().some((one) => [...one.onMachine()].length > 0 || one.tasks.size > 0),
       );
@@ -40,7 +40,7 @@
     rule: 'failure',
     name: 'a machine is lost after the start: the other tasks end in time, the first with mates_gone, and resume',
     act: async (scenario) => {
-      const attempt = await scenario.submitAndRun(LONG, 12);
+      const attempt = await scenario.submitAndRun(CHECKPOINTED_GANG, 12);
       const lost = scenario.machineOf();
       const diedAt = scenario.world.clock.now();
       const others = 4 - lost.tasks.size;
@@ -66,7 +66,7 @@
     rule: 'failure',
     name: `a machine hangs for ${forS} s: its tasks start nowhere else while they may still run on it`,
     act: async (scenario) => {
-      await scenario.submitAndRun(LONG, 7);
+      await scenario.submitAndRun(CHECKPOINTED_GANG, 7);
       scenario.machineOf().hang(forS);
       await scenario.awaitGangStart(120, 2);
       await scenario.assertResumedFrom(5, 30);
@@ -89,7 +89,7 @@
         if (worker === slowWorker && held.attempt === firstAttempt) held.state = 'pulling';
         else gather(worker, task, held);
       };
-      await scenario.submitAccepted(GANG, LONG);
+      await scenario.submitAccepted(GANG, CHECKPOINTED_GANG);
       await scenario.awaitGangStart(GANG_WAIT_S + 60);
       const [start] = scenario.starts();
       assert.ok(start && start.attempt > firstAttempt, 'a new attempt');
@@ -108,12 +108,12 @@
     name: 'assignments in shards of several holders: all stop in time, and progress is kept',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (scenario) => {
-      const attempt = await scenario.submitAndRun({ ...WIDE, checkpointS: 50 }, 20);
-      assert.ok(scenario.ownersOf().size >= 2, 'assignments in shards of several holders');
-      await scenario.submitAccepted(OTHER, URGENT);
-      await scenario.awaitGangStart(30, 1, OTHER);
+      const attempt = await scenario.submitAndRun({ ...TWO_ZONE_GANG, checkpointS: 50 }, 20);
+      assert.ok(scenario.holdersOf().size >= 2, 'assignments in shards of several holders');
+      await scenario.submitAccepted(OTHER_JOB, URGENT_GANG);
+      await scenario.awaitGangStart(30, 1, OTHER_JOB);
       const ends = scenario.recorder.endsOf(GANG, attempt);
       assert.deepEqual(
         ends.map(({ cause, isProgressSaved }) => [cause, isProgressSaved]),
@@ -131,13 +131,18 @@
     name: 'one task is preempted in one zone: the assignments in the other zone stop in time as well',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (scenario) => {
-      const job = { ...WIDE, team: 'wide', tasks: 8, checkpointS: 50 };
+      const job = { ...TWO_ZONE_GANG, team: 'wide', tasks: 8, checkpointS: 50 };
       const attempt = await scenario.submitAndRun(job, 10);
-      await scenario.submitAccepted(OTHER, { ...URGENT, gang: false, tasks: 1, zone: 'b' });
+      await scenario.submitAccepted(OTHER_JOB, {
+        ...URGENT_GANG,
+        gang: false,
+        tasks: 1,
+        zone: 'b',
+      });
       await scenario.runUntil('the urgent task starts', 30, () =>
-        scenario.world.starts.some(({ task }) => task === `${OTHER}/0`),
+        scenario.world.starts.some(({ task }) => task === `${OTHER_JOB}/0`),
       );
       const ends = scenario.recorder.endsOf(GANG, attempt);
       assert.deepEqual(
@@ -156,17 +161,17 @@
     name: 'a shard holder is killed at the first stop command: all tasks end, no checkpoint is lost',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (scenario) => {
       const { world, recorder } = scenario;
-      const attempt = await scenario.submitAndRun(WIDE, 22);
-      await scenario.submitAccepted(OTHER, URGENT);
+      const attempt = await scenario.submitAndRun(TWO_ZONE_GANG, 22);
+      await scenario.submitAccepted(OTHER_JOB, URGENT_GANG);
       await scenario.runUntil('the first stop command', 30, () => recorder.stopCommands.length > 0);
-      const nodes = [...scenario.ownersOf()];
+      const nodes = [...scenario.holdersOf()];
       const [node] = nodes;
       assert.ok(node && nodes.length >= 2, 'assignments in shards of several holders');
       await restartController(world, node, 4);
-      await scenario.awaitGangStart(90, 1, OTHER);
+      await scenario.awaitGangStart(90, 1, OTHER_JOB);
       await scenario.awaitGangStart(120, 2);
       assert.equal(new Set(recorder.endsOf(GANG, attempt).map(({ task }) => task)).size, 6);
       assert.ok(scenario.savedS() >= 20, `saved ${scenario.savedS()} s`);
@@ -181,7 +186,7 @@
     act: async (scenario) => {
       const { world } = scenario;
       setOnAllWorkers(world, { directDelayMs: 9000 });
-      await scenario.submitAccepted(GANG, LONG);
+      await scenario.submitAccepted(GANG, CHECKPOINTED_GANG);
       await scenario.runUntil(
         'all placements are reserved',
         20,
@@ -192,7 +197,7 @@
       const machines = new Set(scenario.reservedMachines());
       for (const worker of world.workers.values())
         worker.losesHeartbeats = machines.has(worker.machine.name);
-      const [node] = scenario.ownersOf();
+      const [node] = scenario.holdersOf();
       assert.ok(node);
       await restartController(world, node, 4);
       await world.run(10);
--- a/test/cluster/gangs-controller-faults.test.ts
+++ b/test/cluster/gangs-controller-faults.test.ts
@@ -4,13 +4,13 @@
 import { LEADER, shardRole } from '../../src/coordination/election/role-election.js';
 import {
   GANG,
-  OTHER,
+  OTHER_JOB,
   RESTART_S,
   WITH_CHECKPOINTS,
   awaitGangStart,
   cancel,
   assertAllEnded,
-  restartShardOwner,
+  restartShardHolder,
   roleHolder,
   shardsOf,
   playGang,
@@ -37,7 +37,7 @@
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       await runUntil(world, 'a shard holds the gang', 20, () => shardsOf(world, GANG).length > 0);
       await world.run(ms / 1000);
-      await restartShardOwner(world, GANG);
+      await restartShardHolder(world, GANG);
     },
   })),
   {
@@ -45,19 +45,19 @@
     name: "a shard's holder is killed while a gang is stopped for an urgent one",
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (world) => {
       await submit(world, GANG, { team: 'blue', tasks: 6, cpus: 2, runS: 90, ...WITH_CHECKPOINTS });
       await awaitGangStart(world, GANG, 20);
       await world.run(12);
-      await submit(world, OTHER, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
+      await submit(world, OTHER_JOB, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
       await runUntil(world, 'the gang of lower priority is being stopped', 30, () =>
         [...tasksOf(world, GANG)].some(
           ({ task }) => task.savedAt !== undefined || task.state === 'exited',
         ),
       );
-      await restartShardOwner(world, GANG);
-      await awaitGangStart(world, OTHER, 60);
+      await restartShardHolder(world, GANG);
+      await awaitGangStart(world, OTHER_JOB, 60);
     },
   },
   {
--- a/test/cluster/gangs-machine-faults.test.ts
+++ b/test/cluster/gangs-machine-faults.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import {
   GANG,
-  OTHER,
+  OTHER_JOB,
   WITH_CHECKPOINTS,
   awaitGangStart,
   cancel,
@@ -93,12 +93,12 @@
     // that is over.
     name: 'direct calls arrive a second time, 4 s and 70 s later',
     zones: ['a', 'a', 'a', 'b'],
-    done: [OTHER, 'j-000003'],
+    done: [OTHER_JOB, 'j-000003'],
     act: async (world) => {
       setOnAllWorkers(world, { directDuplicatesAfterMs: [4000, 70_000] });
       await submit(world, GANG, { tasks: 4, cpus: 2, urgent: true, runS: 40, ...WITH_CHECKPOINTS });
       await awaitGangStart(world, GANG, 20);
-      await submit(world, OTHER, {
+      await submit(world, OTHER_JOB, {
         team: 'blue',
         tasks: 3,
         cpus: 2,
--- a/test/cluster/gangs.test.ts
+++ b/test/cluster/gangs.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import {
   GANG,
-  OTHER,
+  OTHER_JOB,
   WITH_CHECKPOINTS,
   awaitGangStart,
   gangStartsOf,
@@ -41,7 +41,7 @@
     name: 'a gang that is stopped for an urgent one saves its progress, and resumes from there',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (world) => {
       await submit(world, GANG, {
         ...{ team: 'blue', tasks: 6, cpus: 2, runS: 60 },
@@ -49,8 +49,8 @@
       });
       await awaitGangStart(world, GANG, 20);
       await world.run(20);
-      await submit(world, OTHER, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
-      await awaitGangStart(world, OTHER, 30);
+      await submit(world, OTHER_JOB, { tasks: 4, cpus: 2, urgent: true, runS: 15 });
+      await awaitGangStart(world, OTHER_JOB, 30);
       const savedMs = world.gangs.savedProgressMs.get(GANG) ?? 0;
       assert.ok(savedMs >= 15_000, `saved ${savedMs} ms`);
     },
@@ -58,7 +58,7 @@
   ...(['accepted', 'pulling', 'gathering', 'running'] as const).map((moment): GangCase => ({
     name: `cancelled when ${moment}: all tasks end in time`,
     zones: moment === 'accepted' ? [] : ['a', 'a', 'a'],
-    done: [OTHER],
+    done: [OTHER_JOB],
     act: async (world) => {
       await submit(world, GANG, { tasks: 4, cpus: 2, runS: 200, ...WITH_CHECKPOINTS });
       if (moment !== 'accepted') {
@@ -74,8 +74,8 @@
       await cancel(world, GANG, 'n1');
       await assertAllEnded(world, [GANG], 'withdrawn', 55);
       // The capacity that was reserved for it is free again.
-      await submit(world, OTHER, { tasks: 4, cpus: 2 });
-      await awaitGangStart(world, OTHER, 60);
+      await submit(world, OTHER_JOB, { tasks: 4, cpus: 2 });
+      await awaitGangStart(world, OTHER_JOB, 60);
     },
   })),
   {
@@ -83,15 +83,15 @@
     name: 'two gangs compete for the same capacity, each needing more than half of it',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (world) => {
       const submissions = [
         world.submit(GANG, { gang: true, tasks: 5, cpus: 2, runS: 20 }, 'n0'),
-        world.submit(OTHER, { gang: true, team: 'blue', tasks: 5, cpus: 2, runS: 20 }, 'n1'),
+        world.submit(OTHER_JOB, { gang: true, team: 'blue', tasks: 5, cpus: 2, runS: 20 }, 'n1'),
       ];
       for (const one of submissions) assert.equal((await awaitReply(world, one)).status, 201);
       await awaitGangStart(world, GANG, 100);
-      await awaitGangStart(world, OTHER, 100);
+      await awaitGangStart(world, OTHER_JOB, 100);
     },
   },
   {
@@ -149,9 +149,9 @@
   {
     name: 'other jobs use up its team quota: it waits, then runs',
     zones: ['a', 'a', 'a', 'b', 'b', 'b'],
-    done: [GANG, OTHER],
+    done: [GANG, OTHER_JOB],
     act: async (world) => {
-      await submit(world, OTHER, { gang: false, tasks: 16, runS: 30 });
+      await submit(world, OTHER_JOB, { gang: false, tasks: 16, runS: 30 });
       await runUntil(world, 'the array runs', 30, () => world.starts.length >= 16);
       await submit(world, GANG, { tasks: 4, cpus: 2 });
       await world.run(15);
@@ -163,9 +163,9 @@
     name: 'an urgent gang preempts lower-priority arrays',
     zones: ['a', 'a', 'b', 'b'],
     maxMachines: 4,
-    done: [GANG, OTHER, 'j-000003'],
+    done: [GANG, OTHER_JOB, 'j-000003'],
     act: async (world) => {
-      await submit(world, OTHER, { gang: false, team: 'blue', tasks: 12, runS: 100 });
+      await submit(world, OTHER_JOB, { gang: false, team: 'blue', tasks: 12, runS: 100 });
       await submit(world, 'j-000003', { gang: false, tasks: 4, runS: 100 });
       await runUntil(world, 'the arrays run', 30, () => world.starts.length >= 16);
       await submit(world, GANG, { tasks: 4, cpus: 2, urgent: true });
@@ -205,7 +205,7 @@
     done: [GANG, 'j-000010', 'j-000011', 'j-000012'],
     act: async (world) => {
       const service = { gang: false, service: true, spot: false, urgent: true, spread: true };
-      await submit(world, OTHER, { ...service, tasks: 2, cpus: 2 });
+      await submit(world, OTHER_JOB, { ...service, tasks: 2, cpus: 2 });
       await runUntil(world, 'the service runs', 20, () => world.starts.length >= 2);
       // The service leaves 6 CPUs in each zone, and the cloud has no further machine.
       world.cloudRefusesReturns = true;
@@ -220,7 +220,7 @@
       assert.equal(gangStartsOf(world, GANG).length, 0);
       world.cloudRefusesReturns = false;
       world.capacity = 4;
-      await cancel(world, OTHER);
+      await cancel(world, OTHER_JOB);
       await awaitGangStart(world, GANG, 60);
     },
   },
--- a/test/cluster/overlapping-faults-late-writes.test.ts
+++ b/test/cluster/overlapping-faults-late-writes.test.ts
@@ -4,7 +4,7 @@
 import { ASSIGNMENTS } from '../../src/storage/keys.js';
 import type { SimJob } from '../world/jobs.js';
 import {
-  URGENT,
+  URGENT_SERVICE,
   restartLeader,
   playOverlappingFaults,
   submit,
@@ -21,7 +21,7 @@
     seeds: [1, 2],
     restS: 200,
     script: async (world: World) => {
-      world.store.lateTransactionShare = 0.3;
+      world.store.lateTransactionFraction = 0.3;
       for (let round = 0; round < 6; round++) {
         const job = round % 2 ? { ...SHORT, team: 'blue', urgent: true } : SHORT;
         void world.submit(`j-00000${round}`, { ...job, spread: round === 3 }, `n${round % 3}`);
@@ -29,7 +29,7 @@
         if (killsLeaders && round % 2) await restartLeader(world, round === 3 ? 8 : 0.3);
         await world.run(5);
       }
-      world.store.lateTransactionShare = 0;
+      world.store.lateTransactionFraction = 0;
     },
   })),
   ...[false, true].map((killsLeaders) => ({
@@ -40,7 +40,7 @@
     script: async (world: World) => {
       // A machine that receives no answers gets no tasks, so that its shard returns its assignments,
       // urgent ones sooner.
-      world.store.lateTransactionShare = 0.3;
+      world.store.lateTransactionFraction = 0.3;
       for (let round = 0; round < 5; round++) {
         const [worker] = workersIn(world, round % 2 ? 'b' : 'a');
         if (worker) worker.losesAnswers = true;
@@ -50,7 +50,7 @@
         if (worker) worker.losesAnswers = false;
         await world.run(2);
       }
-      world.store.lateTransactionShare = 0;
+      world.store.lateTransactionFraction = 0;
     },
   })),
   {
@@ -64,14 +64,14 @@
     zones: ['a'],
     script: async (world) => {
       world.capacity = 0;
-      await submit(world, 'j-000001', { ...URGENT, tasks: 1 });
+      await submit(world, 'j-000001', { ...URGENT_SERVICE, tasks: 1 });
       await world.run(10);
       const [first] = world.workers.values();
       assert.ok(first);
       first.losesAnswers = true;
       // The machine does not confirm this start, so that the shard places no further task on it until
       // it is acknowledged again.
-      await submit(world, 'j-000002', { ...URGENT, tasks: 1 });
+      await submit(world, 'j-000002', { ...URGENT_SERVICE, tasks: 1 });
       await world.run(2.6);
       let delayedKey = '';
       let wasRemoved: boolean | null = null;
--- a/test/cluster/overlapping-faults-machines.test.ts
+++ b/test/cluster/overlapping-faults-machines.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import {
   SERVICE,
-  URGENT,
+  URGENT_SERVICE,
   cancel,
   restartLeader,
   cutOff,
@@ -86,7 +86,7 @@
     seeds: [1, 2],
     zones: ['a', 'a', 'a', 'b'],
     script: async (world) => {
-      await submit(world, 'j-000001', { ...URGENT, tasks: 6 });
+      await submit(world, 'j-000001', { ...URGENT_SERVICE, tasks: 6 });
       await submit(world, 'j-000002', { ...SERVICE, team: 'blue', tasks: 6 });
       await world.run(16);
       const silent = [...world.workers.values()].filter((one) => one.tasks.size > 0).slice(0, 2);
--- a/test/cluster/overlapping-faults-store-outage.test.ts
+++ b/test/cluster/overlapping-faults-store-outage.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
 import {
-  URGENT,
+  URGENT_SERVICE,
   cancel,
   submitWorkload,
   controllerNames,
@@ -52,7 +52,7 @@
       // These starts are sent shortly before, and have not arrived when their job is cancelled.
       world.store.refusedControllers.clear();
       setOnAllWorkers(world, { directDelayMs });
-      await submit(world, 'j-000009', { ...URGENT, tasks: 3 }, others[0]);
+      await submit(world, 'j-000009', { ...URGENT_SERVICE, tasks: 3 }, others[0]);
       await world.run(0.6);
       world.store.refusedControllers.add(old);
     }
--- a/test/cluster/overlapping-faults-workload.test.ts
+++ b/test/cluster/overlapping-faults-workload.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { stageOf } from '../world/jobs.js';
 import {
-  URGENT,
+  URGENT_SERVICE,
   controllerNames,
   playOverlappingFaults,
   submit,
@@ -73,7 +73,7 @@
   {
     name: 'services that almost use up a quota, while an array of the team waits',
     script: async (world) => {
-      await submit(world, 'j-000001', { ...URGENT, tasks: 7, cpus: 2 });
+      await submit(world, 'j-000001', { ...URGENT_SERVICE, tasks: 7, cpus: 2 });
       await world.run(60);
       assert.equal(world.starts.length, 7);
       await submit(world, 'j-000002', { tasks: 2, runS: 10 });
--- a/test/trace.ts
+++ b/test/trace.ts
@@ -4,7 +4,7 @@
  * Run it with `node target/test/trace.js [SEED...]` after a build.
  */
 import { createHash } from 'node:crypto';
-import { FAULTS } from './world/fault-sweep.js';
+import { SWEEP_FAULTS } from './world/fault-sweep.js';
 import { WITH_FAILURE_DETECTION } from './world/failure-detection-case.js';
 import { Users } from './world/users.js';
 import { World } from './world/world.js';
@@ -70,7 +70,7 @@
 
 const seeds = process.argv.length > 2 ? process.argv.slice(2).map(Number) : [1];
 for (const seed of seeds) {
-  for (const { name, begin } of FAULTS) {
+  for (const { name, begin } of SWEEP_FAULTS) {
     for (const detects of [false, true]) {
       const digest = await play(seed, begin, detects);
       process.stdout.write(`${digest} seed ${seed} detection ${detects}: ${name}\n`);
--- a/test/upgrade/assignment-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -7,8 +7,8 @@
 import type { TaskStatus } from '../../src/protocol/model.js';
 import { JOB, shardFixture, ops, type ShardFixture } from '../world/shard-fixture.js';
 import { rangesAsRead } from '../world/older-checks.js';
-import { writtenByProduction } from '../world/production-chunks.js';
-import { OLDER } from '../world/older-versions.js';
+import { rewrittenByProduction } from '../world/production-chunks.js';
+import { OLDER_VERSIONS } from '../world/older-versions.js';
 import type { SimKeyValueStore } from '../world/key-value-store.js';
 import {
   ASSIGNMENT,
@@ -21,7 +21,7 @@
 const LIMIT = 2048;
 const ASSIGNMENTS = 'mb/live/chunk/p/';
 
-type Stored = ReturnType<typeof writtenByProduction>;
+type Stored = ReturnType<typeof rewrittenByProduction>;
 
 /** An assignment that moves between the versions, and the limits of the key-value store. */
 interface Crossing {
@@ -149,8 +149,9 @@
   const placed = gang ? {} : { [movedTask]: placements.get(movedTask) ?? ['', 0] };
   const done = [...indexesBelow(60)];
   for (const [key, value] of stored) {
-    const written = writtenByProduction(value, { done, placed });
-    for (const { objections } of OLDER) assert.deepEqual(objections(key, written), [], key);
+    const written = rewrittenByProduction(value, { done, placed });
+    for (const { objections } of OLDER_VERSIONS)
+      assert.deepEqual(objections(key, written), [], key);
     stored.set(key, written);
   }
 
--- a/test/upgrade/older-records.test.ts
+++ b/test/upgrade/older-records.test.ts
@@ -25,8 +25,8 @@
   valueOf,
   type Records,
 } from '../world/older-records.js';
-import { OLDER } from '../world/older-versions.js';
-import { writtenByProduction } from '../world/production-chunks.js';
+import { OLDER_VERSIONS } from '../world/older-versions.js';
+import { rewrittenByProduction } from '../world/production-chunks.js';
 import { TYPES } from '../world/settings.js';
 
 interface ReadRow {
@@ -108,7 +108,7 @@
     check: async (records) => {
       // The records as they are, and as 89f79d3 writes them when it holds the shard.
       const rewritten = Object.fromEntries(
-        Object.entries(records).map(([key, value]) => [key, writtenByProduction(value, {})]),
+        Object.entries(records).map(([key, value]) => [key, rewrittenByProduction(value, {})]),
       );
       for (const one of [records, rewritten]) {
         const replica = await replicaOf(one);
@@ -286,7 +286,7 @@
   for (const { name, records, check } of READ) {
     await t.test(name, async () => {
       // The checks of those versions must accept the records as well, otherwise the row is wrong.
-      const [production, gangs] = OLDER;
+      const [production, gangs] = OLDER_VERSIONS;
       for (const [key, value] of Object.entries(records))
         assert.deepEqual(gangs?.objections(key, value), [], `${key} by ${gangs?.commit}`);
       if (name.includes('89f79d3')) {
--- a/test/upgrade/reader-checks.test.ts
+++ b/test/upgrade/reader-checks.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JOB, SPEC } from '../world/shard-fixture.js';
-import { OLDER } from '../world/older-versions.js';
+import { OLDER_VERSIONS } from '../world/older-versions.js';
 import { TYPES } from '../world/settings.js';
 import { ASSIGNMENT } from '../world/readable-by-older-versions.js';
 
@@ -160,7 +160,7 @@
 // If this test fails, the other tests of this folder prove nothing, because their checks would accept
 // broken records.
 test('the checks reject records that older versions could not read', () => {
-  for (const { commit, objections } of OLDER) {
+  for (const { commit, objections } of OLDER_VERSIONS) {
     for (const { key, good, bad, badKeys = [], gangsOnly } of BROKEN) {
       if (gangsOnly && commit !== 'df7a3ba') continue;
       assert.deepEqual(objections(key, good), [], `${commit} ${key}`);
--- a/test/world/fault-sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -29,7 +29,7 @@
  * All faults. The tests on accepted jobs play them, and so does test/trace.ts, which prints their
  * names: a changed name makes its output differ between versions.
  */
-export const FAULTS: SweepFault[] = [
+export const SWEEP_FAULTS: SweepFault[] = [
   { name: 'none', begin: () => undefined },
   {
     name: 'watches of one node lag',
@@ -56,8 +56,8 @@
     begin: (world) =>
       duringFault(
         world,
-        () => (world.store.lostAnswerShare = 0.3),
-        () => (world.store.lostAnswerShare = 0),
+        () => (world.store.lostAnswerFraction = 0.3),
+        () => (world.store.lostAnswerFraction = 0),
       ),
   },
   {
@@ -65,8 +65,8 @@
     begin: (world) =>
       duringFault(
         world,
-        () => (world.store.lateTransactionShare = 0.3),
-        () => (world.store.lateTransactionShare = 0),
+        () => (world.store.lateTransactionFraction = 0.3),
+        () => (world.store.lateTransactionFraction = 0),
       ),
   },
   {
@@ -124,12 +124,12 @@
       }
       runAfter(world, 30, () => {
         world.store.endOutage();
-        world.store.lostAnswerShare = 0.3;
+        world.store.lostAnswerFraction = 0.3;
         world.store.watchAnswerDelayMs = () => world.randomBelow(1200);
         world.store.refusesListing = (listing) => listing % 2 === 0;
       });
       runAfter(world, FAULT_END_S, () => {
-        world.store.lostAnswerShare = 0;
+        world.store.lostAnswerFraction = 0;
         world.store.watchAnswerDelayMs = () => 0;
         world.store.refusesListing = () => false;
       });
@@ -152,7 +152,7 @@
 }
 
 /** Five controllers and the largest fleet that operators run. */
-export const LARGE: SweepSize = {
+export const LARGE_CLUSTER: SweepSize = {
   members: [
     ['n0', 'a'],
     ['n1', 'a'],
@@ -168,7 +168,7 @@
   recoveryS: 80,
 };
 /** The default three controllers and a few machines. */
-export const SMALL: SweepSize = {
+export const SMALL_CLUSTER: SweepSize = {
   rps: 80,
   writeRps: 25,
   machines: 4,
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -14,9 +14,14 @@
 /** s after its last acknowledged heartbeat at which a worker has ended all its tasks. */
 export const LEASE_S = 24;
 /** A gang with checkpoints whose four tasks need at least two machines. */
-export const LONG: Partial<SimJob> = { tasks: 4, cpus: 2, runS: 30, ...WITH_CHECKPOINTS };
+export const CHECKPOINTED_GANG: Partial<SimJob> = {
+  tasks: 4,
+  cpus: 2,
+  runS: 30,
+  ...WITH_CHECKPOINTS,
+};
 /** A gang of the other team that fills three machines. With two machines a zone it needs two zones. */
-export const WIDE: Partial<SimJob> = {
+export const TWO_ZONE_GANG: Partial<SimJob> = {
   team: 'blue',
   tasks: 6,
   cpus: 2,
@@ -24,7 +29,7 @@
   ...WITH_CHECKPOINTS,
 };
 /** A gang of urgent rank, which preempts others. */
-export const URGENT: Partial<SimJob> = { tasks: 4, cpus: 2, urgent: true, runS: 15 };
+export const URGENT_GANG: Partial<SimJob> = { tasks: 4, cpus: 2, urgent: true, runS: 15 };
 
 /** A case for one rule: the machines, what is done to a gang, and the jobs that must get done. */
 export interface GangRuleCase {
@@ -102,7 +107,7 @@
   }
 
   /** Returns the holders of all shards that hold gang subsets of a job. */
-  ownersOf(id = GANG): Set<string> {
+  holdersOf(id = GANG): Set<string> {
     const owners = new Set<string>();
     for (const key of this.world.store.entries.keys()) {
       const assignment = readAssignmentKey(key);
--- a/test/world/gang-steps.ts
+++ b/test/world/gang-steps.ts
@@ -12,7 +12,7 @@
 /** The job id of the gang under test. */
 export const GANG = 'j-000001';
 /** The job id of a second job beside the gang. */
-export const OTHER = 'j-000002';
+export const OTHER_JOB = 'j-000002';
 
 /** Fields of a job that has a checkpoint every 5 s and needs 3 s to save when it is stopped. */
 export const WITH_CHECKPOINTS = { checkpointS: 5, saveS: 3 };
@@ -118,7 +118,7 @@
     .flatMap((assignment) => (assignment?.job === id ? [assignment.shard] : []));
 
 /** Kills the holder of a shard that has tasks of the job, and starts it again after `RESTART_S`. */
-export async function restartShardOwner(world: World, id: string): Promise<void> {
+export async function restartShardHolder(world: World, id: string): Promise<void> {
   const [shard] = shardsOf(world, id);
   assert.ok(shard, `no shard holds ${id}`);
   await restartController(world, roleHolder(world, shardRole(shard)), RESTART_S);
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -66,9 +66,9 @@
   /** ms that the answer to a watch is on its way. */
   watchAnswerDelayMs: (node: string) => number = () => 0;
   /** This share of all transactions is carried out at once, and the answer is lost. */
-  lostAnswerShare = 0;
+  lostAnswerFraction = 0;
   /** This share of all transactions is carried out 2 to 12 s later, unanswered. */
-  lateTransactionShare = 0;
+  lateTransactionFraction = 0;
   private readonly random;
 
   constructor(
@@ -136,7 +136,10 @@
     if (changes.length === 0) return null;
     const held = this.transactionDelayMs(node, changes);
     if (held !== null) return held;
-    if (this.lateTransactionShare === 0 || uniformFloat64(this.random) >= this.lateTransactionShare)
+    if (
+      this.lateTransactionFraction === 0 ||
+      uniformFloat64(this.random) >= this.lateTransactionFraction
+    )
       return null;
     return uniformInt(this.random, 2000, 12_000);
   }
@@ -237,7 +240,7 @@
           throw new OutcomeUnknownError('held');
         }
         const result = this.alterTransactionAnswer(this.compareAndSwap(guards, changes));
-        if (this.lostAnswerShare > 0 && uniformFloat64(this.random) < this.lostAnswerShare) {
+        if (this.lostAnswerFraction > 0 && uniformFloat64(this.random) < this.lostAnswerFraction) {
           await new Promise<void>((resolve) => clock.after(2000, resolve));
           throw new OutcomeUnknownError('lost');
         }
--- a/test/world/older-versions.ts
+++ b/test/world/older-versions.ts
@@ -94,4 +94,4 @@
 };
 
 /** Both older versions, the oldest first. */
-export const OLDER = [PRODUCTION, WITH_GANGS];
+export const OLDER_VERSIONS = [PRODUCTION, WITH_GANGS];
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -23,7 +23,7 @@
 export const SERVICE: Partial<SimJob> = { service: true, spot: false };
 
 /** A service of urgent rank, which is placed before jobs of lower rank. */
-export const URGENT: Partial<SimJob> = { ...SERVICE, urgent: true };
+export const URGENT_SERVICE: Partial<SimJob> = { ...SERVICE, urgent: true };
 
 /** The names of all controllers. */
 export const controllerNames = (world: World): string[] => world.members.map(([name]) => name);
@@ -66,7 +66,7 @@
 /** Submits services of both teams that occupy all machines and arrays beside them; runs for 14 s. */
 export async function submitWorkload(world: World): Promise<void> {
   await submit(world, 'j-000001', { ...SERVICE, tasks: 4 });
-  await submit(world, 'j-000002', { ...URGENT, team: 'blue', tasks: 4 });
+  await submit(world, 'j-000002', { ...URGENT_SERVICE, team: 'blue', tasks: 4 });
   await submit(world, 'j-000003', { tasks: 4, runS: 60 });
   await submit(world, 'j-000004', { ...SERVICE, team: 'blue', tasks: 3 });
   await submit(world, 'j-000005', { team: 'blue', tasks: 6, runS: 20 });
--- a/test/world/production-chunks.ts
+++ b/test/world/production-chunks.ts
@@ -25,7 +25,7 @@
  * Returns a chunk as 89f79d3 rewrites it (Tasks.fill and Tasks.write) after some tasks are done and
  * others are placed. That version keeps the record's key, its ids and all fields that it does not use.
  */
-export function writtenByProduction(
+export function rewrittenByProduction(
   record: unknown,
   change: { done?: number[]; placed?: Record<string, [string, number]> },
 ): StoredChunk {
--- a/test/world/readable-by-older-versions.ts
+++ b/test/world/readable-by-older-versions.ts
@@ -1,6 +1,6 @@
 /** Checks that older versions can read the records that this version writes. */
 import assert from 'node:assert/strict';
-import { OLDER } from './older-versions.js';
+import { OLDER_VERSIONS } from './older-versions.js';
 import type { SimKeyValueStore } from './key-value-store.js';
 
 /** The changes written to the key-value store, in order. */
@@ -10,7 +10,7 @@
 export function assertReadableByOlderVersions(log: WriteLog): void {
   for (const { key, value, removed } of log) {
     if (removed) continue;
-    for (const { commit, objections } of OLDER)
+    for (const { commit, objections } of OLDER_VERSIONS)
       assert.deepEqual(objections(key, value), [], `${key} by ${commit}: ${JSON.stringify(value)}`);
   }
 }
