--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -1,6 +1,7 @@
 /** Tests when roles fail over from paused or ended controllers if failure detection is enabled. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { nodeKey } from '../../src/storage/keys.js';
 import {
   playSuspicionCase,
   partition,
@@ -36,7 +37,7 @@
       let hasExpired = false;
       for (let step = 0; step < 80; step++) {
         await world.run(0.25);
-        if (!world.store.entries.has(`n/${leader}`)) hasExpired = true;
+        if (!world.store.entries.has(nodeKey(leader))) hasExpired = true;
         if (!hasExpired) assert.deepEqual(roleTerms(world), before);
       }
     },
--- a/test/world/gang-steps.ts
+++ b/test/world/gang-steps.ts
@@ -106,9 +106,9 @@
 /** Returns the controller that holds a role, by its stored record. */
 export function roleHolder(world: World, role: string): string {
   const record = world.store.entries.get(roleKey(role))?.value as
-    { roleHolder: string } | undefined;
+    { owner: string } | undefined;
   assert.ok(record, `no record of role ${role} is stored`);
-  return record.roleHolder;
+  return record.owner;
 }
 
 /** Returns the shard of each assignment of a job. */
