--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -1,50 +1,70 @@
 /** Constants of leader election, member leases and the numbers that belong to a term. */
 
-/** ms; time to live of a member's lease. A controller that is killed usually restarts before its
+/**
+ * Time to live of a member's lease in ms. A controller that is killed usually restarts before its
  * lease expires and claims its own shard again. With 3.5 s each restart moved the shard away and
- * back. */
+ * back.
+ */
 export const MEMBER_LEASE_TTL_MS = 6_000;
 
-/** ms; interval of lease renewals. Three in a row may fail before the lease expires. */
+/** Interval of lease renewals in ms. Three in a row may fail before the lease expires. */
 export const MEMBER_LEASE_RENEW_MS = 1_500;
 
-/** ms; minimum time since its own start before a preferred holder reclaims its shard from a live
- * holder. */
+/**
+ * Minimum time in ms since its own start before a preferred holder reclaims its shard from a live
+ * holder.
+ */
 export const PREFERRED_HOLDER_SETTLE_MS = 500;
 
-/** ms; time since its own start during which a controller leaves the leader role to candidates that
- * rank higher, because they may be starting too. Two lease renewal intervals at most. */
+/**
+ * Time in ms since its own start during which a controller leaves the leader role to candidates
+ * that rank higher, because they may be starting too. At most two lease renewal intervals.
+ */
 export const LEADER_SETTLE_MS = 3_000;
 
-/** ms; time since a role's last failover, by wall-clock time, after which its former holder
- * certainly no longer answers: far longer than grace, clock skew and transaction delay together. */
+/**
+ * Time in ms since a role's last failover, by wall-clock time, after which its former holder
+ * certainly no longer answers. Far longer than grace, clock skew and transaction delay together.
+ */
 export const FORMER_HOLDER_GONE_MS = 300_000;
 
-/** ms; added to a computed lease expiry, because timers fire late and responses take time. */
+/** Time in ms added to a computed lease expiry, because timers fire late and responses take time. */
 export const LEASE_MARGIN_MS = 1_000;
 
-/** s; minimum time between the expiry of the last possible worker lease and `cancel_s`. */
+/** Minimum time in s between the expiry of the last possible worker lease and `cancel_s`. */
 export const CANCEL_MARGIN_S = 5;
 
-/** Maximum of `CANCEL_MARGIN_S` as a fraction of the time between the lease's end and `cancel_s`.
- * */
+/**
+ * Upper limit of the cancel margin, as a fraction of the time between the lease's expiry and
+ * `cancel_s`. Limits `CANCEL_MARGIN_S` if that time is short.
+ */
 export const CANCEL_MARGIN_MAX_FRACTION = 0.4;
 
-/** A watch returns within this fraction of the grace, so that a working holder's replica stays
- * current. */
+/**
+ * Fraction of the grace within which a watch returns, so that a working holder's replica stays
+ * current.
+ */
 export const WATCH_GRACE_FRACTION = 0.25;
 
-/** ms; time after which a holder that stepped down continues under a new term if no other
+/**
+ * Time in ms after which a holder that stepped down continues under a new term if no other
  * controller has claimed its role. The controller that requested the step-down claims the role in
- * its next reconcile, within a second. */
+ * its next reconcile, within a second.
+ */
 export const STEP_DOWN_UNCLAIMED_MS = 4_000;
 
-/** Fencing token = term × this + offset. The offset fences a single machine without a write to the
- * key-value store. */
+/**
+ * Number of fencing tokens in a term. A fencing token is the term times this number plus an offset.
+ * A higher offset fences a single machine without a write to the key-value store.
+ */
 export const FENCING_TOKENS_PER_TERM = 2 ** 16;
 
-/** Attempt number = (term × SHARDS_PER_TERM + shard number) × range size + counter, so that no
- * attempt number is used twice. The leader has the last range of a term, for gangs. */
+/**
+ * Number of ranges of attempt numbers in a term. An attempt number is
+ * (term × `SHARDS_PER_TERM` + shard number) × `ATTEMPT_RANGE_SIZE` + counter, so that no attempt
+ * number is used twice. The leader has the last range of a term, for gangs.
+ */
 export const SHARDS_PER_TERM = 64;
+
 /** Size of the range of attempt numbers that a shard, or the leader, has in a term. */
 export const ATTEMPT_RANGE_SIZE = 2 ** 20;
