--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -31,12 +31,14 @@
 /** Time in ms added to a computed lease expiry, because timers fire late and responses take time. */
 export const LEASE_MARGIN_MS = 1_000;
 
-/** Minimum time in s between the expiry of the last possible worker lease and `cancel_s`. */
+/**
+ * Time in s that must remain between the expiry of the last possible worker lease and `cancel_s`.
+ * `CANCEL_MARGIN_MAX_FRACTION` limits it.
+ */
 export const CANCEL_MARGIN_S = 5;
 
 /**
- * Upper limit of the cancel margin, as a fraction of the time between the lease's expiry and
- * `cancel_s`. Limits `CANCEL_MARGIN_S` if that time is short.
+ * Maximum of `CANCEL_MARGIN_S` as a fraction of the time between the lease's expiry and `cancel_s`.
  */
 export const CANCEL_MARGIN_MAX_FRACTION = 0.4;
 
@@ -55,7 +57,7 @@
 
 /**
  * Number of fencing tokens in a term. A fencing token is the term times this number plus an offset.
- * A higher offset fences a single machine without a write to the key-value store.
+ * Raising the offset fences a single machine without a write to the key-value store.
  */
 export const FENCING_TOKENS_PER_TERM = 2 ** 16;
 
