--- a/packages/failure-detector/src/local-health.ts
+++ b/packages/failure-detector/src/local-health.ts
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Raises the score after a failed probe by the number of helpers that sent no answer at all: their
-   * silence suggests that the fault lies with this member.
+   * Raises the score after a failed probe by the number of helpers that sent no answer at all, because
+   * that suggests a fault of this member.
    */
   onProbeFailed(unansweredHelpers: number): void {
     this.add(unansweredHelpers);
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -37,7 +37,7 @@
 program
   .command('detections')
   .description('write one HTML report of the failure detection of several nodes')
-  .argument('<files...>', 'logs of controllers, or what GET /detections told, also compressed')
+  .argument('<files...>', 'logs of controllers, or responses of GET /detections, also compressed')
   .option('--out <file>', 'the report', 'detections.html')
   .option('--export <file>', 'all records as one compressed file as well')
   .action(writeDetections);
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -5,10 +5,10 @@
 
 /** A request that waits for the result of a check. */
 interface Waiter {
-  /** The check that is waited for; replaced when it is merged into a later one of the same job. */
+  /** The awaited check; replaced when it is merged into a later one of the same job. */
   check: JobCheck;
   resolve: (lookup: JobLookup) => void;
-  /** Cancels the time-out; otherwise thousands of timers would each wake the process to no use. */
+  /** Cancels the time-out; otherwise thousands of unneeded timers would wake the process. */
   cancelTimer: () => void;
 }
 
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Returns the result of a job's check, which is queued unless it already is; unknown after
-   * `timeoutMs`.
+   * Queues a check of a job, unless one is queued already, and returns its result. The result is
+   * unknown if there is none within `timeoutMs`.
    */
   waitFor(id: string, timeoutMs: number): Promise<JobLookup> {
     const check = this.pending.get(id) ?? { id, waiters: new Set() };
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -19,7 +19,7 @@
 export interface JobChecksOptions {
   /** Changes that one transaction may hold. */
   transactionOps: number;
-  /** ms between two transactions that check jobs; checks that arrive in between share the next. */
+  /** Time in ms between two transactions that check jobs. Checks in between share the next one. */
   checkIntervalMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
@@ -62,9 +62,9 @@
   private schedule(): void {
     if (this.isScheduled || this.queue.size === 0) return;
     this.isScheduled = true;
-    const { clock, checkIntervalMs: checkMs } = this.options;
+    const { clock, checkIntervalMs } = this.options;
     const isFull = this.queue.size >= this.checksPerTransaction;
-    const remainingMs = isFull ? 0 : checkMs - (clock.now() - this.lastCheckedAt);
+    const remainingMs = isFull ? 0 : checkIntervalMs - (clock.now() - this.lastCheckedAt);
     clock.after(Math.max(GROUP_COMMIT_DELAY_MS, remainingMs), () => void this.checkNextBatch());
   }
 
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -56,8 +56,8 @@
   /**
    * Looks up a job as the key-value store holds it now. Once a watch that was sent after the poll
    * arrived is answered, the replica's state of an open job is as current as the answer to a
-   * separate request, which is thus saved. Where changes are rare, or the replica does not hold the
-   * job, the store is asked.
+   * separate request, so that no such request is sent. If no watch is answered in time because
+   * changes are rare, or the replica does not hold the job, the job is checked with the store.
    */
   private async lookUpNewest(id: string): Promise<JobLookup> {
     const knownFinal = this.replica.finalRecord(id);
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -71,7 +71,7 @@
     return queue.recordBytes(spec) > valueBytes ? RECORD_TOO_LARGE : null;
   }
 
-  /** Refuses a submission for good, unless its job was accepted before. */
+  /** Refuses a submission permanently, unless its job was accepted before. */
   private refuse(id: string, status: 400 | 422, error: string): Promise<HttpReply> {
     return this.unlessKnown(id, () => errorReply(status, error));
   }
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -21,7 +21,7 @@
   transactionOps: number;
   /** Largest size in bytes of a job's record in the key-value store. */
   valueBytes: number;
-  /** ms between two transactions that check jobs; checks that arrive in between share the next. */
+  /** Time in ms between two transactions that check jobs. Checks in between share the next one. */
   checkIntervalMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -56,7 +56,7 @@
     this.syncLeader();
   }
 
-  /** The roles that have used half of their term's numbers, such as attempts and fencing tokens. */
+  /** Returns the roles that have used half of their term's attempt numbers or fencing tokens. */
   rolesNeedingTermRenewal(): string[] {
     const shards = [...this.shards].filter(([, shard]) => shard.needsTermRenewal);
     const roles = shards.map(([name]) => shardRole(name));
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -15,9 +15,12 @@
   readonly log: Log;
   /** Runs one pass. If it rejects, the error is logged and the loop continues. */
   readonly reconcile: () => Promise<void>;
-  /** CPU time of the last pass in ms; a woken loop pauses in proportion to it before the next. */
+  /**
+   * Returns the CPU time of the last pass in ms. A woken loop pauses in proportion to this time
+   * before the next pass.
+   */
   readonly lastCycleCpuMs?: () => number;
-  /** ms between two passes while nothing wakes the loop; by default `LOOP_INTERVAL_MS`. */
+  /** Returns the ms between two passes while nothing wakes the loop. Default: `LOOP_INTERVAL_MS`. */
   readonly intervalMs?: () => number;
 }
 
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -151,14 +151,14 @@
 
   /**
    * Whether users' requests can be answered by this controller, or through it by a peer. During an
-   * outage of the key-value store that affects all controllers it stays true, since a controller
-   * that was taken out of service gets requests again only with a delay.
+   * outage of the key-value store that affects all controllers the value stays true, since a
+   * controller that was taken out of service gets requests again only with a delay.
    */
   get isReady(): boolean {
     return this.userEndpoint.isReady;
   }
 
-  /** ms since the replica was last known to be current. */
+  /** Returns the time in ms since the replica was last known to be current. */
   replicaAgeMs(): number {
     return this.services.environment.clock.now() - this.replica.knownCurrentAt;
   }
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Applies a cancellation to the replica. It is final, because peers send it only after its
-   * commit. A holder that can't reach the key-value store thus stops the job's tasks now. Otherwise
-   * it would do so only after its grace period and the tasks' leases have expired.
+   * Applies a cancellation to the replica. The cancellation is final, because peers send it only
+   * after its commit. A holder that can't reach the key-value store thus stops the job's tasks now.
+   * Otherwise the tasks would stop only after the holder's grace and the worker's lease have expired.
    */
   private applyCancellation({ job, tasks }: CancelledJob, revision: number): void {
     const final: FinalRecord = { state: 'cancelled', tasks };
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -15,16 +15,16 @@
 /** Statuses of final replies: there is no such job, or the job can't be accepted. */
 const REFUSAL_STATUSES: readonly number[] = [400, 404, 422];
 
-/** Request to test whether a peer replies. No job has an empty id, so it is answered at once. */
+/** Request to test whether a peer replies. No job has an empty id, so peers reply at once. */
 const PROBE: RelayRequest = { operation: 'poll', jobId: '', body: '' };
 
 /** Rules for relaying a request to several peers. */
 export interface RelayPolicy {
-  /** ms without a reply after which the request is sent to the next peer as well. */
+  /** Time in ms without a reply after which the request is sent to the next peer as well. */
   readonly nextPeerDelayMs: number;
-  /** ms after which the relay fails if no acceptable reply has come. */
+  /** Time in ms after which the relay fails if no acceptable reply was received. */
   readonly timeoutMs: number;
-  /** Whether a reply may be returned; otherwise the next peer is asked. */
+  /** Returns whether a reply is acceptable; otherwise the request is sent to the next peer. */
   readonly isAcceptable: (reply: HttpReply) => boolean;
 }
 
@@ -32,7 +32,7 @@
 export class PeerRelay {
   private readonly pendingRequests = new Map<number, (reply: HttpReply | null) => void>();
   private requestCount = 0;
-  /** Peers that let a request time out, and have replied to no request since. */
+  /** Peers to which a request has timed out, and which have replied to no request since. */
   private readonly unresponsivePeers = new Set<string>();
   /** Unresponsive peers with a pending `PROBE`. */
   private readonly probedPeers = new Set<string>();
@@ -88,10 +88,10 @@
   }
 
   /**
-   * Relays a request to the connected peers one after the other, unresponsive ones last. The next
-   * peer is asked when one gives no acceptable reply, or none within `nextPeerDelayMs`: its process
-   * may be suspended, or a network fault may drop the packets. Null: no acceptable reply came in
-   * time.
+   * Relays a request to the connected peers one after the other, unresponsive ones last. The request
+   * is sent to the next peer when one gives no acceptable reply, or none within `nextPeerDelayMs`,
+   * because that peer's process may be suspended, or a network fault may drop the packets. Returns
+   * null if no acceptable reply was received in time.
    */
   requestFromAny(request: RelayRequest, policy: RelayPolicy): Promise<HttpReply | null> {
     const { clock } = this.environment;
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -1,4 +1,4 @@
-/** Serves users' requests, through a peer where this controller can't serve them itself. */
+/** Serves users' requests, and relays those that this controller can't serve to its peers. */
 import {
   USER_POLL_TIMEOUT_MS,
   RETRY_AFTER_S,
@@ -46,9 +46,10 @@
 
   /**
    * Whether users' requests can be answered by this controller, or through it by a peer. During an
-   * outage of the key-value store that affects all controllers it stays true, since a controller
-   * that was taken out of service gets requests again only with a delay. It is false where only
-   * this controller has lost the store and its peers, since the others can answer its users.
+   * outage of the key-value store that affects all controllers the value stays true, since a
+   * controller that was taken out of service gets requests again only with a delay. The value is
+   * false if only this controller can't reach the store and its peers, since the others can answer
+   * its users.
    */
   get isReady(): boolean {
     const { isSingle, reachability, peerRelay, userRequests } = this.options;
@@ -97,7 +98,7 @@
     return this.handleLocally(request);
   }
 
-  /** Returns the reply, or 503 when it is not there by the deadline. */
+  /** Returns the reply, or 503 if there is none by the deadline. */
   private withinDeadline(deadlineMs: number, reply: Promise<HttpReply>): Promise<HttpReply> {
     return new Promise((resolve, reject) => {
       const { clock } = this.options.environment;
@@ -148,7 +149,7 @@
 
 const storeUnreachable = (): HttpReply => unavailable('state service out of reach');
 
-/** Whether a reply says nothing about the job, only that the user should try again. */
+/** Returns whether a reply contains nothing about the job, and only asks the user to try again. */
 function isTemporary({ status }: HttpReply): boolean {
   return status === 429 || status >= 500;
 }
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -85,7 +85,8 @@
   }
 
   /**
-   * Returns since when this process has seen that a role is free; records the time on first call.
+   * Returns the steady time in ms at which this process first saw that a role is free. The first call
+   * records this time.
    */
   private trackFreeSince(role: string): number {
     const freeSince = this.freeSince.get(role) ?? this.options.clock.now();
--- a/src/coordination/election/member-registration.ts
+++ b/src/coordination/election/member-registration.ts
@@ -8,7 +8,7 @@
 import { claimRecord } from './role-claims.js';
 
 /**
- * Key of the registration in `rejectedChangeBackoff`, next to the names of roles; no role has it.
+ * Key of the registration in `rejectedChangeBackoff`, next to the names of roles. No role has this name.
  */
 const REGISTRATION = 'registration';
 
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -10,7 +10,8 @@
 }
 
 /**
- * The last term of each role from which this process stepped down. It no longer acts in that term.
+ * The last term of each role from which this process stepped down. This process no longer acts in
+ * that term.
  */
 export class SteppedDownRoles {
   private readonly terms = new Map<string, SteppedDownTerm>();
--- a/src/main.ts
+++ b/src/main.ts
@@ -32,7 +32,7 @@
   const program = new Command('mothbank')
     .description('One controller of a mothbank cluster.')
     .version(VERSION)
-    .requiredOption('--config <file>', 'the settings file that the platform hands over (TOML)')
+    .requiredOption('--config <file>', 'the settings file that the platform provides (TOML)')
     .option(
       '--operators <file>',
       "the operators' own settings (TOML); repeatable",
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -24,7 +24,7 @@
 
 /** The operations of the cloud that the program uses; tests pass a stand-in. */
 export interface CloudApi {
-  /** Fetches the catalogue of machine types; null: no valid response, to be retried later. */
+  /** Fetches the catalog of machine types; null: no valid response, to be retried later. */
   types(): Promise<MachineType[] | null>;
   /** Rents up to `count` machines. Throws if the response does not show whether any were rented. */
   rent(rental: Rental): Promise<RentResult>;
@@ -37,7 +37,7 @@
   list(after: string): Promise<{ machines: ListedMachine[]; more: boolean } | null>;
 }
 
-/** A machine type in the cloud's catalogue, with the names that the cloud uses. */
+/** A machine type in the cloud's catalog, with the names that the cloud uses. */
 interface WireType {
   label: string;
   cores: number;
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -45,7 +45,7 @@
   alpha: number;
   /** Cost of a failed task, as a multiple of the highest cost of its class. */
   penalty: number;
-  /** Seconds between two stored snapshots of what the bandit has learned. */
+  /** Seconds between two stored snapshots of the bandit's state. */
   snapshotS: number;
 }
 
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -53,7 +53,7 @@
   gangWaitS: number;
   /**
    * Seconds within which tasks of a gang notice the end of another task, and within which all of
-   * them must get a stop.
+   * them must receive a stop command.
    */
   gangPeerS: number;
   /**
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -22,13 +22,16 @@
   | { kind: 'done' }
   /** The guards of the keys in `failed` did not hold; the replica was refreshed for these keys. */
   | { kind: 'conflict'; failed: string[] }
-  /** Given up because it was no longer wanted. `mayCommitLater`: an earlier attempt may commit. */
+  /**
+   * The transaction was abandoned because it was no longer wanted. `mayCommitLater`: an earlier
+   * attempt may commit.
+   */
   | { kind: 'abandoned'; mayCommitLater: boolean }
-  /** An attempt got no response, and it is certain that it was not committed and never will be. */
+  /** An attempt got no response, but was certainly not committed and never will be. */
   | { kind: 'neverCommitted' }
   /**
-   * Rejected by the store as invalid, for example as too large. `mayCommitLater`: an earlier
-   * attempt may commit.
+   * The store rejected the transaction as invalid, for example as too large. `mayCommitLater`: an
+   * earlier attempt may commit.
    */
   | { kind: 'rejected'; mayCommitLater: boolean };
 
@@ -94,9 +97,9 @@
 
   /**
    * Commits a transaction that must not be applied twice. If its keys are removed before a late
-   * copy of it arrives, the guards of the copy hold and it would create them again. After an
+   * copy of it arrives, the guards of the copy hold and the copy would create them again. After an
    * attempt without a response, `invalidateLateCopy` therefore ensures that the attempt fails
-   * unless it was applied already. It returns false if it could not ensure that.
+   * unless it was applied already. `invalidateLateCopy` returns false if it could not ensure that.
    */
   commitOnce(
     transaction: Transaction,
--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -83,7 +83,7 @@
     return this.pauses.has(key);
   }
 
-  /** Removes keys whose pause ended more than the longest pause ago, since nothing retried them. */
+  /** Removes keys that were not retried within the longest pause after their own pause ended. */
   forgetExpired(): void {
     const now = this.clock.now();
     for (const [key, { until }] of this.pauses) {
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -26,7 +26,7 @@
 
 /**
  * Collects a response and reports it to `succeed` or `fail`. Both may be called, since a connection
- * can break with several events: the first call decides the outcome.
+ * can break with several events. The first call decides the outcome.
  */
 function readResponse(
   response: http.IncomingMessage,
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -191,7 +191,7 @@
   }
 
   private answerFailure(error: unknown, incoming: IncomingMessage, outgoing: ServerResponse): void {
-    // The client closed the connection before its request was complete: this is no server error.
+    // The client closed the connection before its request was complete, which is no server error.
     if (incoming.destroyed && !incoming.complete) return;
     this.onError(error);
     if (!outgoing.headersSent)
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -5,12 +5,12 @@
 import type { Clock } from './clock.js';
 import { FrameTooLongError } from './errors.js';
 
-/** Bits of a length prefix at which it is rejected: 5 bytes of a varint, each with 7 bits. */
+/** Number of bits at which a length prefix is rejected: those of 5 varint bytes with 7 bits each. */
 const PREFIX_BITS_LIMIT = 35;
 /** Idle timeout of an outgoing connection, as a multiple of the pause before it is reopened. */
 const OUTGOING_IDLE_RETRY_INTERVALS = 5;
 /**
- * Idle timeout of an incoming connection, as a multiple of that pause; the peer then reconnects.
+ * Idle timeout of an incoming connection, as a multiple of the pause before the peer reopens it.
  */
 const INCOMING_IDLE_RETRY_INTERVALS = 30;
 
