--- a/packages/failure-detector/src/delegated-probes.ts
+++ b/packages/failure-detector/src/delegated-probes.ts
@@ -18,7 +18,7 @@
 /** Dependencies of `DelegatedProbes`. */
 export interface DelegatedProbesOptions {
   readonly now: () => number;
-  /** ms without an answer after which the requester is notified that the target was not reached. */
+  /** Time in ms without an answer after which the requester is sent a negative answer. */
   readonly answerWithinMs: number;
   readonly send: (member: string, body: DetectorBody) => boolean;
 }
--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -30,8 +30,8 @@
 export const RETRY_AFTER_S = 1;
 
 /**
- * Size in bytes of a submission in a transaction besides its job's record: the transaction contains
- * each of its keys twice.
+ * Size in bytes of a submission in a transaction besides its job's record, for the keys of its
+ * guards and of its change.
  */
 export const SUBMISSION_OVERHEAD_BYTES = 400;
 
--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -28,7 +28,7 @@
   return null;
 }
 
-/** Whether a task of the job may run on machines of the type, and fits an empty one. */
+/** Returns whether a task of the job may run on machines of the type, and fits an empty one. */
 function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
@@ -40,8 +40,8 @@
 }
 
 /**
- * Whether a gang that must be spread can use too few zones: at most half of its tasks may be in one
- * zone, and all of them run at the same time.
+ * Returns whether a gang that must be spread can use too few zones. At most half of its tasks may be
+ * in one zone, and all of them run at the same time.
  */
 function lacksZonesToSpread(spec: JobSpec, fittingTypes: readonly MachineType[]): boolean {
   if (spec.kind !== 'gang' || !spec.spread || spec.tasks <= 1) return false;
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -32,7 +32,7 @@
     return this.pending.size;
   }
 
-  /** Whether another request may wait for the check of a job. */
+  /** Returns whether another request may wait for the check of a job. */
   mayWaitFor(id: string): boolean {
     return this.pending.has(id) || this.waiterCount < MAX_WAITING_CHECKS;
   }
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -146,7 +146,7 @@
     } else if (result.kind !== 'rejected') {
       this.resolveAll(group, 'unknown');
     } else if (group.length > 1) {
-      // One invalid job must not make the others fail, so each is tried on its own.
+      // One invalid job must not make the others fail, so each is committed on its own.
       for (const submission of group) await this.commitGroup([submission]);
     } else {
       this.resolveAll(group, result.mayCommitLater ? 'unknown' : 'invalid');
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -28,14 +28,15 @@
 
 /** The endpoint of workers' heartbeats. */
 export class HeartbeatEndpoint {
-  /** Steady time at which each machine's last heartbeat was redirected or relayed. */
+  /** Steady time in ms at which each machine's last heartbeat was redirected or relayed. */
   private readonly lastForwardedAt = new Map<string, number>();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
   /**
    * Answers a heartbeat if this controller holds the machine's shard. Otherwise redirects the
-   * worker to the holder, or relays the heartbeat if the worker was redirected lately.
+   * worker to the holder, or relays the heartbeat if the worker's last one was redirected or relayed
+   * within `REDIRECT_RETRY_MS`.
    */
   async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
@@ -71,7 +72,7 @@
     return this.replyAsHolder(shardOf(machine, zone, this.options.members), parsed.value);
   }
 
-  /** Removes entries older than `REDIRECT_RETRY_MS`, which no longer cause a heartbeat's relay. */
+  /** Removes entries older than `REDIRECT_RETRY_MS`, because only newer ones cause a relay. */
   removeExpiredForwardTimes(): void {
     const now = this.options.clock.now();
     for (const [machine, at] of this.lastForwardedAt) {
--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -21,8 +21,8 @@
   constructor(private readonly options: HolderNotifierOptions) {}
 
   /**
-   * Notifies the holder of a role, unless this controller holds it or nobody does. `cancelled`: the
-   * job that the change cancelled.
+   * Notifies the holder of a role, unless this controller holds it or there is no holder.
+   * `cancelled`: the job that the change cancelled.
    */
   notify(role: string, cancelled?: CancelledJob): void {
     const { environment, controllerName, replica, election } = this.options;
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -124,7 +124,7 @@
   ageS: number;
 }
 
-/** The name of a task on the wire: `JOB/INDEX`. */
+/** Returns the name of a task on the wire: `JOB/INDEX`. */
 export function taskName(task: TaskRef): string {
   return `${task.job}/${task.index}`;
 }
@@ -138,7 +138,7 @@
   return { job: name.slice(0, slash), index };
 }
 
-/** The rank of a priority, from 0 for the lowest; a higher rank is more urgent. */
+/** Returns the rank of a priority, from 0 for the lowest; a higher rank is more urgent. */
 export function rankOf(priority: Priority): number {
   return PRIORITIES.indexOf(priority);
 }
--- a/src/protocol/protobuf-tags.ts
+++ b/src/protocol/protobuf-tags.ts
@@ -9,7 +9,7 @@
 /** Wire type of texts, bytes and embedded messages, which are prefixed with their length. */
 export const DELIMITED = 2;
 
-/** The tag of an integer or boolean field. */
+/** Returns the tag of an integer or boolean field. */
 export const varint = (field: number): number => (field << WIRE_TYPE_BITS) | VARINT;
-/** The tag of a field that holds a text, bytes or an embedded message. */
+/** Returns the tag of a field that holds a text, bytes or an embedded message. */
 export const delimited = (field: number): number => (field << WIRE_TYPE_BITS) | DELIMITED;
--- a/src/protocol/user-codec.ts
+++ b/src/protocol/user-codec.ts
@@ -53,7 +53,7 @@
   cancelled: 'withdrawn',
 };
 
-/** Whether the text has the form of a job id. */
+/** Returns whether the text has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
--- a/src/storage/rejected-change-backoff.ts
+++ b/src/storage/rejected-change-backoff.ts
@@ -51,6 +51,6 @@
 
   /** Removes subjects whose pause ended long ago, because they no longer exist. */
   removeExpired(): void {
-    this.backoff.forgetExpired();
+    this.backoff.removeExpired();
   }
 }
--- a/src/transport/backoff.ts
+++ b/src/transport/backoff.ts
@@ -25,7 +25,7 @@
     this.pauseMs = firstMs;
   }
 
-  /** Milliseconds to wait before the next attempt. */
+  /** Returns the time in ms to wait before the next attempt. */
   nextPauseMs(): number {
     const pauseMs = this.pauseMs * (1 - this.random() / 2);
     this.pauseMs = Math.min(this.pauseMs * 2, this.longestMs);
@@ -69,7 +69,7 @@
     this.pauses.set(key, { failures: 0, until: this.clock.now() + pauseMs });
   }
 
-  /** Removes the key's pause and count of failures: it succeeded or no longer exists. */
+  /** Removes the pause and the count of failures of a key that succeeded or no longer exists. */
   clear(key: string): void {
     this.pauses.delete(key);
   }
@@ -78,13 +78,13 @@
     return (this.pauses.get(key)?.until ?? -Infinity) > this.clock.now();
   }
 
-  /** Whether the key was paused and not cleared since; true also after its pause has ended. */
+  /** Returns whether the key was paused and not cleared since, even if its pause has ended. */
   isTracked(key: string): boolean {
     return this.pauses.has(key);
   }
 
   /** Removes keys that were not retried within the longest pause after their own pause ended. */
-  forgetExpired(): void {
+  removeExpired(): void {
     const now = this.clock.now();
     for (const [key, { until }] of this.pauses) {
       if (now - until > this.longestMs) this.pauses.delete(key);
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -45,7 +45,7 @@
 
 /** Limits that keep a server responsive under load. */
 export interface ServerLimits {
-  /** Bytes; a handler gets null instead of a longer body. */
+  /** Maximum size of a body in bytes; a handler receives null instead of a larger one. */
   maxBodyBytes: number;
   /** Maximum number of connections; further ones are closed at once. */
   maxConnections: number;
@@ -72,7 +72,7 @@
 /** The routes of one path. */
 type PathRoutes = readonly Route[];
 
-/** The path in a request's target, without query and fragment. */
+/** Returns the path in a request's target, without query and fragment. */
 function pathOf(target: string): string {
   const end = target.search(/[?#]/);
   return end < 0 ? target : target.slice(0, end);
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Whether a connection stays open after the response to a request of this route. */
+  /** Returns whether a connection stays open after the response to a request of this route. */
   private mayKeepConnection(route: Route): boolean {
     const { softConnectionLimit, hardConnectionLimit } = this.limits;
     return (
@@ -169,7 +169,8 @@
   }
 
   /**
-   * The route of a request with the `:id` of its path, or a 404 or 405 response if none matches.
+   * Returns the route of a request with the `:id` of its path, or a 404 or 405 response if none
+   * matches.
    */
   private findRoute(incoming: IncomingMessage): HttpReply | { found: Route; id: string } {
     const { method = '', url = '/' } = incoming;
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -66,9 +66,12 @@
 /** Options of outgoing and incoming connections. */
 export interface PeerLinkOptions {
   clock: Clock;
-  /** Milliseconds from the end of an outgoing connection until it is reopened. */
+  /** Time in ms from the end of an outgoing connection until it is reopened. */
   reconnectMs: number;
-  /** Bytes; a connection with a longer frame, or with more bytes waiting to be sent, is closed. */
+  /**
+   * Maximum size of a frame in bytes. A connection on which a larger one is received, or with more
+   * bytes waiting to be sent, is closed.
+   */
   maxFrameBytes: number;
   /** Handles a received frame; `answer` sends a frame back on the same connection. */
   onFrame(frame: Buffer, answer: (frame: Uint8Array) => void): void;
--- a/src/transport/token-bucket.ts
+++ b/src/transport/token-bucket.ts
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Milliseconds until `cost` tokens are available; 0: they may be spent now. A cost above `burst`
-   * waits for a full bucket.
+   * Returns the time in ms until `cost` tokens are available; 0: they may be spent now. For a cost
+   * above `burst`, a full bucket is sufficient.
    */
   waitFor(cost: number): number {
     this.refill();
