--- a/src/coordination/controller/metrics.ts
+++ b/src/coordination/controller/metrics.ts
@@ -27,32 +27,20 @@
 
 function addDetectionGauges(detection: DetectionService, addGauge: AddGauge): void {
   const { counts, probeCounts } = detection;
-  addGauge('suspicions', 'Suspicions of peers', () => counts.suspicions);
-  addGauge(
-    'suspicions_refuted',
-    'Suspicions that the peer refuted before they timed out',
-    () => counts.refutations,
-  );
-  addGauge('failures_detected', 'Peers whose failure was detected', () => counts.failures);
-  addGauge(
-    'failures_false',
-    'Detected failures that the peer refuted afterwards',
-    () => counts.falseFailures,
-  );
-  addGauge(
-    'detection_ms',
-    'Sum in ms of the times from the last answered probe to the detected failure',
-    () => {
-      return counts.detectionMs;
-    },
-  );
-  addGauge('probes_sent', 'Probes that were started', () => probeCounts.sent);
-  addGauge('probes_failed', 'Probes that failed', () => probeCounts.failed);
-  addGauge('detector_bytes_sent', 'Bytes of sent detector messages', () => detection.bytesSent);
-  addGauge('detector_messages_dropped', 'Detector messages and updates that were dropped', () =>
+  addGauge('suspicions', 'Peers that were suspected', () => counts.suspicions);
+  addGauge('suspicions_refuted', 'Suspected peers that answered in time', () => counts.refutations);
+  addGauge('failures_detected', 'Peers that were found failed', () => counts.failures);
+  addGauge('failures_false', 'Of these, peers that answered again', () => counts.falseFailures);
+  addGauge('detection_ms', 'Sum of the time from the last answer to the verdict', () => {
+    return counts.detectionMs;
+  });
+  addGauge('probes_sent', 'Probes of peers', () => probeCounts.sent);
+  addGauge('probes_failed', 'Probes of peers without an answer', () => probeCounts.failed);
+  addGauge('detector_bytes_sent', 'Bytes of probes and answers', () => detection.bytesSent);
+  addGauge('detector_messages_dropped', 'Messages and rumours passed over', () =>
     Object.values(counts.dropped).reduce((sum, count) => sum + count, 0),
   );
-  addGauge('local_health', 'Local health score; 0: healthy', () => detection.localHealthScore);
+  addGauge('local_health', '0: trusts its own observations', () => detection.localHealthScore);
 }
 
 /** Returns a function that renders the metrics in the Prometheus text format. */
@@ -70,21 +58,15 @@
   };
   const sumOverShards = (count: keyof ShardCounts): number =>
     [...source.heldShards.values()].reduce((sum, shard) => sum + shard.counts()[count], 0);
-  addGauge('view_age_ms', 'Age in ms of the replica of the key-value store', () =>
-    source.replicaAgeMs(),
-  );
-  addGauge('leader', '1 on the controller that is the leader, otherwise 0', () =>
-    source.leader ? 1 : 0,
-  );
-  addGauge('parts', 'Shards that this controller holds', () => source.heldShards.size);
-  addGauge('machines', 'Machines of these shards', () => sumOverShards('machines'));
-  addGauge('tasks_placed', 'Tasks placed on these machines', () => sumOverShards('placed'));
-  addGauge('tasks_waiting', 'Tasks of these shards that wait for free capacity', () =>
-    sumOverShards('waiting'),
-  );
+  addGauge('view_age_ms', 'Age of the view of the state service', () => source.replicaAgeMs());
+  addGauge('leader', '1 on the node that leads', () => (source.leader ? 1 : 0));
+  addGauge('parts', 'Parts that this node owns', () => source.heldShards.size);
+  addGauge('machines', 'Machines of these parts', () => sumOverShards('machines'));
+  addGauge('tasks_placed', 'Tasks placed on them', () => sumOverShards('placed'));
+  addGauge('tasks_waiting', 'Tasks that wait in them for room', () => sumOverShards('waiting'));
   addGauge(
     'chunks',
-    'Assignments of all jobs that have not ended',
+    'Ranges of tasks of all jobs that are not over',
     () => source.replica.assignmentCount,
   );
   const { detection } = source;
