--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -1,6 +1,7 @@
 /**
- * The invariant checker of the simulated cluster notes each form of a forgotten job: a fault is put
- * in for each.
+ * Guards against an invariant checker that misses a forgotten job, so that cluster tests would pass
+ * without a reason. Each form of a forgotten job is injected as a fault and must be recorded as a
+ * violation; short faults, and faults that affect all jobs alike, must not be.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,11 +19,11 @@
 interface Fault {
   name: string;
   tamper?: Tamper;
-  /** Put in once two jobs run. */
+  /** Called once two jobs run, to inject the fault. */
   begin?: (world: World) => void | Promise<void>;
-  /** s for which users ask. */
+  /** Seconds for which users send requests. */
   forS: number;
-  /** Troubles end when the fault begins. */
+  /** Set if the checks that apply after all faults start together with this fault. */
   isOver?: true;
   expected: RegExp | null;
 }
--- a/test/world/await-reply.ts
+++ b/test/world/await-reply.ts
@@ -1,10 +1,10 @@
-/** Users' requests in simulated time. */
+/** Waits in simulated time for the reply to a user's request. */
 import type { World } from './world.js';
 
-/** ms between two checks whether a request is answered. */
+/** ms of simulated time between two checks for a reply. */
 const STEP_MS = 50;
 
-/** Lets simulated time run until a request is answered, but no longer than so many turns. */
+/** Runs simulated time until a request is answered, for at most `maxSteps` steps of 50 ms. */
 export async function awaitReply<T>(world: World, request: Promise<T>, maxSteps = 200): Promise<T> {
   let done = false;
   void request.finally(() => {
--- a/test/world/clock.ts
+++ b/test/world/clock.ts
@@ -1,4 +1,7 @@
-// Loaded ahead: the shard imports it lazily, in real time, which would make simulated time vary.
+/** The clock of simulated time. */
+
+// Imported in advance, because the shard imports this module lazily. An import during a simulation
+// takes real time, which would make simulated runs differ.
 import '../../src/coordination/scheduling/bandit.js';
 import type { Clock } from '../../src/transport/clock.js';
 
@@ -8,9 +11,9 @@
   cancelled: boolean;
 }
 
-/** Simulated time: events run in order, and all promises settle between two of them. */
+/** Simulated time: events run in the order of their times, and all promises settle in between. */
 export class SimClock implements Clock {
-  /** The latest first, so that the next one is at the end; of the same time the last made first. */
+  /** From the latest to the next event; among events of the same time, the last created is first. */
   private readonly events: Event[] = [];
   private time = 0;
 
@@ -34,7 +37,7 @@
     };
   }
 
-  /** Index of the first event that is not later than this time: a new one goes before it. */
+  /** Returns the index at which an event is inserted: before all events that are not later. */
   private placeOf(at: number): number {
     let low = 0;
     let high = this.events.length;
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -6,13 +6,13 @@
 import { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
-/** Machines that are rented, and the faults that renting may have. */
+/** Rents out machines and takes them back, with the faults that tests inject. */
 export class SimCloud {
-  /** Machines that the cloud still has; 0 refuses. */
+  /** Number of machines that can still be rented; with 0, a rental gets "no capacity". */
   capacity = 20;
-  /** The cloud takes nothing back. */
+  /** True if the cloud refuses to take machines back. */
   refusesReturns = false;
-  /** The cloud tells its machine types. */
+  /** True if the cloud answers requests for its machine types. */
   hasCatalog = true;
   private readonly rentedMachines = new Map<string, ListedMachine>();
   private readonly machineByAddress = new Map<string, string>();
@@ -21,7 +21,7 @@
 
   constructor(private readonly world: SimulationHost) {}
 
-  /** The cloud as a controller sees it. */
+  /** Returns the cloud's interface for a controller. */
   api(): CloudApi {
     return {
       types: () =>
@@ -50,13 +50,13 @@
     };
   }
 
-  /** The name of the machine with this address. */
+  /** Returns the name of the rented machine with this address. */
   machineAt(address: string): string | undefined {
     const name = this.machineByAddress.get(address);
     return name !== undefined && this.rentedMachines.has(name) ? name : undefined;
   }
 
-  /** Rents a machine, whose worker is up after `bootMs`. */
+  /** Rents a machine whose worker starts after `bootMs`; returns the machine's name. */
   addMachine(type: string, zone: string, spot: boolean, bootMs: number): string {
     const name = `m-${String(this.machineCount++).padStart(6, '0')}`;
     this.capacity--;
@@ -72,7 +72,7 @@
     return name;
   }
 
-  /** The machine is gone at once. */
+  /** Removes a machine at once and ends its worker. */
   removeMachine(name: string): void {
     if (this.rentedMachines.delete(name)) this.capacity++;
     this.world.workers.get(name)?.die();
--- a/test/world/detector-network.ts
+++ b/test/world/detector-network.ts
@@ -1,4 +1,4 @@
-/** Failure detectors alone, in simulated time, on a network with losses and delays. */
+/** Failure detectors without controllers, on a simulated network with losses and delays. */
 import {
   FailureDetector,
   type DetectorMessage,
@@ -9,7 +9,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { SimClock } from './clock.js';
 
-/** What operators get without settings of their own. */
+/** The default timing, which applies if operators set none. */
 export const TIMING = {
   probeIntervalMs: 1000,
   probeTimeoutMs: 500,
@@ -17,30 +17,31 @@
   suspicionMostMs: 6000,
 };
 
-/** A message on its way. */
+/** A message with its sender and its receiver. */
 export interface Delivery {
   from: string;
   to: string;
   message: DetectorMessage;
 }
 
-/** What waits for a member that is paused. */
+/** Timers and messages that a paused member handles when its pause ends. */
 interface Pending {
   timers: (() => void)[];
   messages: (() => void)[];
 }
 
-/** Detectors that send each other messages. */
+/** Failure detectors that exchange messages over a simulated network. */
 export class DetectorNetwork {
   readonly clock = new SimClock();
   readonly detectors = new Map<string, FailureDetector>();
   readonly transitions: Transition[] = [];
-  /** ms that a message takes; null: it is lost. */
+  /** Returns the delay in ms of a message; null: the message is lost. */
   delayMs: (delivery: Delivery) => number | null = () => 2;
-  /** Members that the store does not answer. */
+  /** Members that get no answer from the key-value store. */
   readonly withoutStore = new Set<string>();
-  /** All that was sent, if it is to be sent again. */
+  /** All messages that were sent, so that tests can deliver them again. */
   readonly sent: Delivery[] = [];
+  /** Offset in ms of the members' wall-clock time. */
   wallOffsetMs = 0;
   private readonly pendingWhilePaused = new Map<string, Pending>();
   private readonly random;
@@ -83,25 +84,25 @@
     detector.start();
   }
 
-  /** A member is gone. */
+  /** Stops a member and removes it. */
   kill(name: string): void {
     this.detectors.get(name)?.stop();
     this.detectors.delete(name);
   }
 
-  /** A member's event loop is paused: what comes waits until it goes on. */
+  /** Pauses a member's event loop; its timers and messages wait until the pause ends. */
   pause(name: string, seconds: number): void {
     const waiting: Pending = { timers: [], messages: [] };
     this.pendingWhilePaused.set(name, waiting);
     this.clock.after(seconds * 1000, () => {
       if (this.pendingWhilePaused.get(name) !== waiting) return;
       this.pendingWhilePaused.delete(name);
-      // A process that goes on runs its timers before it reads its sockets.
+      // A process that resumes runs its expired timers before it reads its sockets.
       for (const run of [...waiting.timers, ...waiting.messages]) this.clock.after(0, run);
     });
   }
 
-  /** Delivers a message, or delivers it once more. */
+  /** Delivers a message; tests also call this to deliver a duplicate. */
   deliver({ from, to, message }: Delivery): void {
     this.deliverTo(to, () => {
       this.detectors.get(to)?.receive(message, (reply) => {
@@ -118,13 +119,13 @@
     return this.detectors.get(observer)?.stateOf(member) ?? 'unknown';
   }
 
-  /** The states that a member ever had for others, since a time of day. */
+  /** Returns all states that a member had for any observer, since a wall-clock time in ms. */
   statesOf(member: string, since = 0): Set<MemberState> {
     const own = this.transitions.filter((one) => one.member === member && one.at >= since);
     return new Set(own.map((one) => one.to));
   }
 
-  /** Uniform in [0, 1), by the seed. */
+  /** Returns a random number in [0, 1), determined by the seed. */
   random01(): number {
     return uniformFloat64(this.random);
   }
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -1,4 +1,4 @@
-/** What a controller of the simulated cluster reaches: time, key-value store, cloud, workers and peers. */
+/** The environment of a simulated controller: clock, key-value store, cloud, workers and peers. */
 import type { Environment } from '../../src/coordination/controller/controller-core.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
@@ -9,12 +9,12 @@
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { World } from './world.js';
 
-/** ms that messages between controllers take. */
+/** Delay in ms of a message between controllers. */
 const PEER_DELAY_MS = 2;
-/** ms after which a direct call without an answer has failed. */
+/** ms after which a direct call without an answer times out. */
 const DIRECT_TIMEOUT_MS = 2000;
 
-/** Commands from a controller to a machine, without waiting for its next heartbeat. */
+/** Commands that a controller sends to a machine without waiting for its next heartbeat. */
 interface DirectCall {
   address: string;
   fencingToken: number;
@@ -22,9 +22,13 @@
   commands: Command[];
 }
 
+/** Delays a result while its controller is paused, and drops it if the controller has stopped. */
 type Guarded = <T>(call: Promise<T>) => Promise<T>;
 
-/** The environment of a controller. What comes while it is paused waits; a stopped one gets nothing more. */
+/**
+ * Returns the environment of a controller. Events wait while the controller is paused; a stopped
+ * controller receives none.
+ */
 export function environmentOf(world: World, name: string, isDead: () => boolean): Environment {
   const guarded: Guarded = (call) =>
     new Promise((resolve, reject) => {
--- a/test/world/failure-detection-case.ts
+++ b/test/world/failure-detection-case.ts
@@ -1,4 +1,4 @@
-/** The simulated cluster with failure detection between its controllers, and what was decided there. */
+/** Test cases in the simulated cluster with failure detection between its controllers. */
 import assert from 'node:assert/strict';
 import type { DetectionRecord } from '../../src/coordination/failure-detection/detection-records.js';
 import { readOperatorSettings } from '../../src/protocol/operator-settings.js';
@@ -8,23 +8,23 @@
 import { silentLog } from './settings.js';
 import { World, type Members } from './world.js';
 
-/** What the deploy file sets. */
+/** The settings of failure detection in the deploy file. */
 export const WITH_FAILURE_DETECTION: Partial<Settings> = {
   suspicion: readOperatorSettings(['deploy/suspicion.toml'], 3).suspicion,
 };
 
-/** Tasks of the work that runs in it. */
+/** Number of tasks of the two jobs that run in each case. */
 const TASKS = 18;
 
-/** A world and the records of all its controllers. */
+/** A world with the detection records and step-downs of all its controllers. */
 export interface ObservedWorld {
   world: World;
   records: DetectionRecord[];
-  /** Logged step-downs: the controller and the role. */
+  /** Logged step-downs, each as the controller and the role. */
   steppedDown: string[];
 }
 
-/** A world whose controllers detect failures, with machines and work of both teams running. */
+/** Returns a world with failure detection, four machines and running jobs of two teams. */
 export async function worldWithFailureDetection(
   seed: number,
   members?: Members,
@@ -48,19 +48,19 @@
   return { world, records, steppedDown };
 }
 
-/** A fault, and what must come of it. */
+/** A fault and its expected effects. */
 export interface SuspicionCase {
   name: string;
   fault: (watched: ObservedWorld) => Promise<void>;
-  /** Nobody's term changes over the fault. */
+  /** True if each role must have the same holder and term before and after the fault. */
   keepsTerms?: boolean;
-  /** Reasons for which roles were taken, and none but these. */
+  /** The reasons of all failovers, in the order of their first occurrence. */
   reasons?: string[];
-  /** Tasks that start again since their machine was cut off: as many as without failure detection. */
+  /** Number of tasks that start again even without failure detection: their machine is cut off. */
   restarts?: number;
 }
 
-/** Plays a row: the rules must hold, all work must get done, and no task starts again without need. */
+/** Runs a case: the invariants hold, the array completes, and only `restarts` tasks start again. */
 export async function playSuspicionCase(row: SuspicionCase, seed: number): Promise<void> {
   const watched = await worldWithFailureDetection(seed);
   const { world, records } = watched;
@@ -80,7 +80,7 @@
   assert.ok(world.starts.length <= most, `seed ${seed}: a task had to start again`);
 }
 
-/** Controllers of two groups can't reach each other. */
+/** Cuts the links between the controllers in `left` and all other controllers. */
 export function partition(world: World, left: readonly string[]): void {
   for (const one of left) {
     for (const [other] of world.members)
@@ -88,7 +88,7 @@
   }
 }
 
-/** Holders and terms of all roles, as the store has them. */
+/** Returns the stored holder and term of each role. */
 export function roleTerms(world: World): Record<string, string> {
   const roles = ['leader', ...world.members.map(([name]) => `part-${name}`)];
   return Object.fromEntries(
@@ -99,7 +99,7 @@
   );
 }
 
-/** The reasons for which roles were taken. */
+/** Returns the reasons of all failovers. */
 function failoverReasons(records: readonly DetectionRecord[]): Set<string> {
   const reasons = new Set<string>();
   for (const record of records) {
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -6,21 +6,22 @@
 import type { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
-/** What users ask of controllers. */
+/** Kinds of users' requests. */
 export type RequestKind = 'submit' | 'cancel' | 'poll';
 
 const isEnd = (stage: string): boolean => stage === 'done' || stage === 'withdrawn';
 
-/** Checks what controllers answer users, and what runs where. */
+/** Checks the replies of controllers to users, and which tasks run on which machines. */
 export class InvariantChecker {
-  /** Each violation of an invariant, and by what. */
+  /** The violations so far: the invariant's name, and the job, task or team that violated it. */
   readonly violations: string[] = [];
-  /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
+  /** Tasks that started after a confirmed cancellation; a violation only after more than 50 s. */
   readonly startsAfterCancel: string[] = [];
-  /** Jobs that a controller called accepted, and the ends that controllers told of jobs, with the time. */
+  /** Jobs whose submission a controller accepted. */
   readonly accepted = new Set<string>();
+  /** Final states of jobs in replies to users, with the time in ms of the first such reply. */
   readonly answeredEnds = new Map<string, { stage: string; at: number }>();
-  /** Jobs whose users asked to cancel them. */
+  /** Jobs whose cancellation a user requested. */
   private readonly cancelRequests = new Set<string>();
   private readonly pollOutcomes = new PollOutcomes();
   private readonly waitingJobs: WaitingJobs;
@@ -29,17 +30,17 @@
     this.waitingJobs = new WaitingJobs(world, this);
   }
 
-  /** A user asks to cancel a job. */
+  /** Records that a user requests the cancellation of a job. */
   recordCancelRequest(id: string): void {
     this.cancelRequests.add(id);
   }
 
-  /** A poll of a job got no answer at all. */
+  /** Records a request that got no reply because its controller is down; only polls count. */
   recordNoReply(kind: RequestKind, id: string): void {
     this.recordPoll(kind, id, false);
   }
 
-  /** All faults are over: from now on each job is answered for, and none waits without need. */
+  /** Starts the checks that apply after all faults: polls are answered, no job waits needlessly. */
   faultsOver(): void {
     const now = this.world.clock.now();
     this.pollOutcomes.faultsOver(now);
@@ -51,13 +52,19 @@
     this.violations.push(...this.pollOutcomes.record(id, isAnswered, this.world.clock.now()));
   }
 
-  /** Looks at what runs and waits; to be called each second. */
+  /**
+   * Checks tasks on machines and waiting jobs; called every simulated second. All tasks of a job must
+   * have ended `cancelS` seconds after its confirmed cancellation.
+   */
   check(cancelS: number): void {
     this.checkCancelledTasks(cancelS);
     this.violations.push(...this.waitingJobs.check());
   }
 
-  /** What a controller tells a user: ends stay, accepted jobs stay known, `done` means done. */
+  /**
+   * Checks a controller's reply to a user: an accepted job is always found, its final state never
+   * changes, and it is `done` only if all its tasks have completed.
+   */
   recordReply(kind: RequestKind, id: string, requestedAt: number, reply: Reply): void {
     const now = this.world.clock.now();
     const known = this.accepted.has(id);
@@ -77,7 +84,7 @@
     if (!this.answeredEnds.has(id) && isEnd(stage)) this.answeredEnds.set(id, { stage, at: now });
   }
 
-  /** An end that was told stays, and only a user's wish withdraws a job. */
+  /** Checks that a final state does not change, and that only a cancelled job is `withdrawn`. */
   private checkStage(id: string, stage: string, requestedAt: number): void {
     const before = this.answeredEnds.get(id);
     if (before && before.at <= requestedAt && before.stage !== stage) {
@@ -91,7 +98,7 @@
     }
   }
 
-  /** A job is done only when each of its tasks is. */
+  /** Checks that each task of a job that is reported as done has completed. */
   private checkDone(id: string, job: SimJob | undefined): void {
     for (let index = 0; index < (job?.tasks ?? 0); index++) {
       if (!this.world.completed.has(`${id}/${index}`))
@@ -99,7 +106,7 @@
     }
   }
 
-  /** All tasks of a gang run: none of them may be of another attempt. */
+  /** Checks that no running task of a gang belongs to another attempt. */
   gangStarted(id: string, attempt: number): void {
     for (const worker of this.world.workers.values()) {
       for (const [name, task] of worker.onMachine()) {
@@ -110,7 +117,7 @@
     }
   }
 
-  /** A task got on a machine: it runs once, within its team's limit, and where its job may run. */
+  /** Checks that a task is on no other machine, within its team's quota, and in an allowed place. */
   taskStarted(worker: SimWorker, task: string): void {
     const [id = ''] = task.split('/');
     const job = this.world.jobs.get(id);
@@ -134,6 +141,7 @@
     this.checkPlacement(job, worker, task, zones);
   }
 
+  /** A task may start at most 50 s after the confirmed cancellation of its job. */
   private checkStartAfterCancel(job: SimJob, task: string): void {
     if (job.cancelledAt !== null) this.startsAfterCancel.push(task);
     if (job.cancelledAt !== null && this.world.clock.now() - job.cancelledAt > 50_000) {
@@ -141,7 +149,7 @@
     }
   }
 
-  /** `zones`: how many other tasks of the job are in each. */
+  /** Checks zone and spot rules of a job; `zones`: the number of its other tasks, by zone. */
   private checkPlacement(
     job: SimJob,
     worker: SimWorker,
@@ -160,7 +168,7 @@
     }
   }
 
-  /** Tasks of cancelled jobs that are still on a machine past their time. */
+  /** Checks that tasks of cancelled jobs are on no machine after `cancelS`. */
   private checkCancelledTasks(cancelS: number): void {
     for (const worker of this.world.workers.values()) {
       for (const [name] of worker.onMachine()) {
--- a/test/world/jobs.ts
+++ b/test/world/jobs.ts
@@ -1,22 +1,22 @@
-/** Jobs of the simulated cluster: what is known of them, how they are sent, and what is answered. */
+/** Jobs of the simulated cluster: their properties, their submissions and the replies to users. */
 
-/** An answer of a controller to a user. */
+/** A controller's reply to a user. */
 export interface Reply {
   status: number;
   body: unknown;
 }
 
-/** The state of a job that an answer names. */
+/** Returns the job's state in a reply; empty: the reply has none. */
 export const stageOf = (reply: Reply): string =>
   (reply.body as { stage?: string } | null)?.stage ?? '';
 
-/** A relayed answer's body is still text. */
+/** Returns a reply with its body parsed; the body of a relayed reply is text. */
 export function unwrap(reply: Reply): Reply {
   const { status, body } = reply;
   return { status, body: typeof body === 'string' ? (JSON.parse(body) as unknown) : body };
 }
 
-/** A job as its user described it, and what the world decides of it. */
+/** A submitted job, with properties that only the simulation uses. */
 export interface SimJob {
   team: string;
   cpus: number;
@@ -24,11 +24,11 @@
   tasks: number;
   runS: number;
   service: boolean;
-  /** All its tasks run together or none does. */
+  /** True if all tasks run at the same time or none runs. */
   gang: boolean;
-  /** Interval of progress after which it saves by itself; 0: it never saves. */
+  /** Seconds of progress between two checkpoints; 0: the job saves no progress. */
   checkpointS: number;
-  /** What saving takes when it is stopped. */
+  /** Seconds that a stopped job takes to save its progress. */
   saveS: number;
   spot: boolean;
   zone: string | null;
@@ -36,14 +36,15 @@
   spread: boolean;
   /** Allowed machine types; null: any. */
   types: string[] | null;
+  /** Time in ms of the first reply that confirmed the cancellation; null: none did. */
   cancelledAt: number | null;
   urgent: boolean;
   deadlineS: number | null;
-  /** Its tasks fail on every machine. */
+  /** True if its tasks fail on every machine. */
   broken: boolean;
 }
 
-/** A job whose user says nothing else. */
+/** The properties of a job for which a test sets none. */
 const DEFAULT_JOB: SimJob = {
   team: 'red',
   cpus: 1,
@@ -65,10 +66,10 @@
   deadlineS: null,
 };
 
-/** A whole description of a job. */
+/** Returns a job with the default for each property that is not set. */
 export const jobOf = (job: Partial<SimJob>): SimJob => ({ ...DEFAULT_JOB, ...job });
 
-/** A submission's body; `raw` overrides fields as sent, undefined leaves one out. */
+/** Returns a submission's body. `raw` replaces fields of the body; undefined removes a field. */
 export function submissionOf(
   id: string,
   job: SimJob,
@@ -105,8 +106,11 @@
   state: 'pulling' | 'gathering' | 'running' | 'exited';
   cause?: string;
   cpus: number;
-  /** Gang tasks, told to stop with grace: when its progress is saved. It reports `running` until it exits. */
+  /**
+   * Time in ms at which a gang's task has saved its progress, after a command to stop with time to
+   * save. The task reports `running` until it exits.
+   */
   savedAt?: number;
-  /** Its progress was saved when it was stopped. */
+  /** True if the progress was saved when the task was stopped. */
   stored?: boolean;
 }
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -1,3 +1,4 @@
+/** The key-value store of the simulated cluster, with the faults that tests inject. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -20,54 +21,55 @@
   lease: number | null;
 }
 
-/** A simulated key-value store: consistent, with leases, watches, outages and late requests. */
+/** A consistent key-value store in memory, with leases, watches, outages and late requests. */
 export class SimKeyValueStore {
   readonly entries = new Map<string, StoredEntry>();
   readonly log: { key: string; value: unknown; revision: number; removed: boolean }[] = [];
   private readonly leases = new Map<number, { ttl: number; ends: number }>();
   private leaseCount = 0;
   revision = 1;
-  /** Nobody is served. */
+  /** True during an outage: no request is served and no lease expires. */
   hasOutage = false;
-  /** These controllers get 503. */
+  /** Controllers whose requests are refused with 503. */
   readonly refusedControllers = new Set<string>();
-  /** These controllers get no answer. */
+  /** Controllers whose requests time out after 2 s without being executed. */
   readonly unansweredControllers = new Set<string>();
-  /** Requests and writes a second that are served, with bursts of one second's worth. */
+  /** Limits of requests and writes per second, with bursts of one second's worth; null: none. */
   limits: { rps: number; writeRps: number } | null = null;
   private readonly tokenBucket = { at: 0, requests: 0, writes: 0 };
   rateLimitRejections = 0;
-  /** Late transactions whose conditions did not hold any more. */
+  /** Number of late transactions whose guards no longer held when they were executed. */
   lateConflicts = 0;
-  /** Keys that one page of a listing holds. */
+  /** Largest number of keys on one page of a listing. */
   pageKeys = 1000;
-  /** Listings that were asked for, and which of them are not served. */
+  /** Number of listings that were requested. */
   listings = 0;
+  /** True for listings that are refused with 429; `listing`: the listing's number, from 1. */
   refusesListing: (listing: number) => boolean = () => false;
-  /** Puts and deletes that one transaction may hold, and four times as many guards. */
+  /** Largest number of changes in one transaction; four times as many guards are allowed. */
   transactionOps = 8;
-  /** Bytes that one value may take. */
+  /** Largest size of one value in bytes. */
   valueBytes = 8192;
-  /** Transactions that were refused with 400, by their keys. */
+  /** The keys of each transaction that was refused with 400 because of its size. */
   readonly rejectedTransactions: string[][] = [];
-  /** The next transactions of these controllers are carried out this much later, unanswered. */
+  /** Delay in ms of the next transaction of a controller; its outcome is reported as unknown. */
   readonly delayNextTransactionMs = new Map<string, number>();
-  /** ms after which a transaction is carried out, unanswered; null: at once. */
+  /** Returns the delay in ms of a transaction, which gets no answer; null: executed at once. */
   transactionDelayMs: (node: string, changes: Change[]) => number | null = () => null;
-  /** ms that an answer takes, watches aside. */
+  /** Latency in ms of each request; a watch also waits for changes. */
   answerMs = 5;
-  /** ms that the answer to a transaction takes longer, after it was carried out. */
+  /** Returns the extra delay in ms of the answer to a transaction, after its execution. */
   transactionAnswerDelayMs: (node: string, changes: Change[]) => number = () => 0;
-  /** The answer to a transaction that was evaluated in time. */
+  /** Changes the answer to a transaction that was executed at once. */
   alterTransactionAnswer: (result: CompareAndSwapResult) => CompareAndSwapResult = (result) =>
     result;
-  /** Changes that watches may still ask for. */
+  /** Number of the latest revisions whose changes a watch can still return. */
   retainedChanges = 10_000;
-  /** ms that the answer to a watch is on its way. */
+  /** Returns the extra delay in ms of the answer to a watch. */
   watchAnswerDelayMs: (node: string) => number = () => 0;
-  /** This share of all transactions is carried out at once, and the answer is lost. */
+  /** Fraction of all transactions that are executed at once and whose answer is lost. */
   lostAnswerShare = 0;
-  /** This share of all transactions is carried out 2 to 12 s later, unanswered. */
+  /** Fraction of all transactions that are executed 2 to 12 s later, without an answer. */
   lateTransactionShare = 0;
   private readonly random;
 
@@ -113,7 +115,7 @@
     const failed = guards
       .filter((guard) => (this.entries.get(guard.key)?.revision ?? 0) !== guard.revision)
       .map((guard) => guard.key);
-    // An expired lease is refused whatever the guards say: also a late copy can't bring it back.
+    // Checked before the guards' result is returned, so that an expired lease is always refused.
     for (const one of changes) {
       if ('lease' in one && one.lease !== undefined && !this.leases.has(one.lease)) {
         throw new StoreRejectedError(400);
@@ -124,14 +126,14 @@
     return { ok: true, revision: this.revision };
   }
 
-  /** The log is in the order of revisions; what a watch has not heard of is at its end. */
+  /** Returns the changes after a revision: the end of the log, which is ordered by revision. */
   private eventsSince(since: number): SimKeyValueStore['log'] {
     let first = this.log.length;
     while (first > 0 && (this.log[first - 1]?.revision ?? 0) > since) first--;
     return this.log.slice(first);
   }
 
-  /** ms that a transaction is held up; null: not at all. */
+  /** Returns the delay in ms of a transaction; null: it is executed at once. */
   private pickTransactionDelayMs(node: string, changes: Change[]): number | null {
     if (changes.length === 0) return null;
     const held = this.transactionDelayMs(node, changes);
@@ -141,7 +143,7 @@
     return uniformInt(this.random, 2000, 12_000);
   }
 
-  /** Carried out late, and nobody hears of it; an outage puts it off. */
+  /** Executes a transaction after a delay, without an answer; not before an outage has ended. */
   private applyLater(guards: Guard[], changes: Change[], delayMs: number): void {
     this.clock.after(delayMs, () => {
       if (this.hasOutage) this.applyLater(guards, changes, 50);
@@ -149,7 +151,7 @@
         try {
           if (!this.compareAndSwap(guards, changes).ok) this.lateConflicts++;
         } catch {
-          // Refused: its lease has ended meanwhile.
+          // Refused because its lease has expired.
         }
       }
     });
@@ -182,7 +184,7 @@
     );
   }
 
-  /** The service as one controller reaches it. */
+  /** Returns the store's interface for one controller, with the faults that apply to it. */
   api(node: string): KeyValueStore {
     const { clock } = this;
     const served = async (writes = 0): Promise<void> => {
--- a/test/world/poll-outcomes.ts
+++ b/test/world/poll-outcomes.ts
@@ -1,8 +1,8 @@
-/** Records which polls of accepted jobs are answered: a job whose state cannot be learned is forgotten. */
+/** Records which polls of accepted jobs are answered, and finds jobs whose polls always fail. */
 
-/** ms for which every poll of a job may fail while most others are answered. */
+/** ms for which all polls of a job may fail while most polls of other jobs are answered. */
 const FAILING_MS = 90_000;
-/** ms without an answered poll after the end of all faults, however others fare. */
+/** ms for which all polls of a job may fail after all faults, whatever other jobs' polls return. */
 const UNANSWERED_MS = 75_000;
 
 /** The outcome of one poll. */
@@ -12,19 +12,19 @@
   isAnswered: boolean;
 }
 
-/** The polls that users make of accepted jobs. */
+/** The outcomes of users' polls of accepted jobs. */
 export class PollOutcomes {
   private readonly outcomes: PollOutcome[] = [];
-  /** When the first of the polls failed that were not answered since, by job. */
+  /** Time in ms of the first failed poll since the last answered one, by job. */
   private readonly failingSince = new Map<string, number>();
   private faultsOverAt: number | null = null;
 
-  /** All faults are over. */
+  /** Records that all faults are over. */
   faultsOver(at: number): void {
     this.faultsOverAt = at;
   }
 
-  /** A poll of an accepted job was answered or not; returns the violations that this shows. */
+  /** Records the outcome of a poll of an accepted job; returns the violations that it proves. */
   record(id: string, isAnswered: boolean, at: number): string[] {
     this.outcomes.push({ id, at, isAnswered });
     if (isAnswered) {
--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -1,4 +1,4 @@
-/** A replica of what the simulated key-value store holds. */
+/** A replica of the simulated key-value store. */
 import type { Log } from '../../src/storage/log.js';
 import { RateLimiter } from '../../src/storage/rate-limiter.js';
 import { StoreReplica } from '../../src/storage/store-replica.js';
@@ -6,12 +6,12 @@
 import { silentLog } from './settings.js';
 import type { SimKeyValueStore } from './key-value-store.js';
 
-/** Controller that the replica is of. */
+/** Name of the controller that has the replica. */
 const NODE = 'p';
 
 /**
- * A replica that follows the key-value store, with all it is made of; `rps`: requests and writes a
- * second. It holds what is stored once simulated time has run on a little.
+ * Returns a replica that follows the key-value store, with its dependencies. `rps` limits requests
+ * as well as writes per second. The replica is empty until simulated time has run for some ms.
  */
 export function followingReplica(
   clock: SimClock,
--- a/test/world/settings-file.ts
+++ b/test/world/settings-file.ts
@@ -1,6 +1,6 @@
-/** The settings file that the platform would hand to a controller, as text that tests change. */
+/** The settings file that the platform passes to a controller, as text that tests change. */
 
-/** A usable file of a cluster of two. */
+/** A valid settings file of a cluster with two controllers. */
 export const SETTINGS_FILE = `
 node_name = "moth-0"
 site = "a"
--- a/test/world/settings.ts
+++ b/test/world/settings.ts
@@ -1,9 +1,9 @@
-/** What the simulated cluster is set to: its machine types, teams, fleet and the controllers' settings. */
+/** Settings of the simulated cluster: machine types, teams, fleet and controllers. */
 import type { MachineType } from '../../src/protocol/model.js';
 import type { Settings } from '../../src/protocol/settings.js';
 import type { Log } from '../../src/storage/log.js';
 
-/** A log that keeps nothing; errors fail the test. */
+/** A log that discards its entries; a logged error throws, so that the test fails. */
 export const silentLog: Log = {
   debug: () => undefined,
   info: () => undefined,
@@ -13,7 +13,7 @@
   },
 };
 
-/** The machine types that the cloud tells. */
+/** The machine types that the cloud offers. */
 export const TYPES: MachineType[] = [
   {
     name: 'small',
@@ -29,18 +29,18 @@
   },
 ];
 
-/** The teams of all controllers. */
+/** The teams in the settings of all controllers. */
 export const TEAMS = [
   { name: 'red', cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 0 },
   { name: 'blue', cpus: 8, cpusMax: 12, gpus: 0, gpusMax: 0 },
-  // Wide enough for a gang larger than one transaction; nothing is guaranteed to it.
+  // Its limit allows a gang that is larger than one transaction; its guaranteed CPUs are 0.
   { name: 'wide', cpus: 0, cpusMax: 60, gpus: 0, gpusMax: 0 },
 ];
 
-/** What operators would set for the world's fleet. */
+/** The fleet settings, which operators would set. */
 export const FLEET = { idleS: 30, headroomCpus: 0, spot: true, maxMachines: 8 };
 
-/** Settings of a controller; `all` lists the members with their zones. */
+/** Returns the settings of a controller; `all` lists all controllers with their zones. */
 export function settingsOf(node: string, zone: string, all: [string, string][]): Settings {
   return {
     node,
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -1,4 +1,4 @@
-/** One shard on its own, with its key-value store, and the heartbeats of its machines. */
+/** Fixture: one shard with a simulated key-value store, and heartbeats of its machines. */
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG, assignmentKey, jobKey, roleKey } from '../../src/storage/keys.js';
 import type { AssignmentRecord, JobRecord } from '../../src/storage/records.js';
@@ -10,13 +10,13 @@
 import { SimKeyValueStore } from './key-value-store.js';
 import { TYPES, silentLog } from './settings.js';
 
-/** The only job there is from the start. */
+/** The only job that is stored when the shard starts. */
 export const JOB = 'j-000001';
 const TERM = 5;
 /** The fencing token of the shard's term. */
 export const FENCING_TOKEN = TERM * FENCING_TOKENS_PER_TERM;
 
-/** The spec of that job. */
+/** The spec of `JOB`. */
 export const SPEC: JobSpec = {
   id: JOB,
   class: 'work',
@@ -40,7 +40,7 @@
   deadlineS: null,
 };
 
-/** An assignment of two tasks of that job's kind, of which none is placed. */
+/** An assignment of two tasks with the resources of `JOB`; neither task is placed. */
 export const PLAIN_ASSIGNMENT: AssignmentRecord = {
   ids: '0-1',
   done: '',
@@ -51,29 +51,30 @@
   memoryGb: 1,
   zone: 'a',
 };
-/** The attempt under which a gang's tasks start. */
+/** The attempt number with which a gang's tasks start. */
 export const GANG_ATTEMPT = 900;
-/** The same as a share of a gang. */
+/** The same assignment as a gang subset. */
 export const GANG_ASSIGNMENT: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
-/** What differs from the default: one task of one job, with limits that allow all changes at once. */
+/** Options of the fixture. By default, one task is assigned, and all changes fit one transaction. */
 interface ShardFixtureOptions {
-  /** A former owner placed the task. */
+  /** True if a former holder of the shard placed task 0. */
   placed?: boolean;
   spec?: Partial<JobSpec>;
   zone?: string;
   ids?: string;
+  /** ms since the submission of the job. */
   agedMs?: number;
   transactionOps?: number;
   valueBytes?: number;
-  /** Placements beside the first. */
+  /** Placements of further tasks. */
   live?: AssignmentRecord['live'];
   done?: string;
-  /** What else is there from the start. */
+  /** Further records that are stored when the shard starts. */
   held?: { key: string; value: unknown }[];
 }
 
-/** Stores what is there from the start: the role, the catalogue, a job and its only assignment. */
+/** Stores the first records: the role, the catalogue, a job and its only assignment. */
 function fill(state: SimKeyValueStore, clock: SimClock, options: ShardFixtureOptions): void {
   const assignment: AssignmentRecord = {
     ids: options.ids ?? '0',
@@ -101,7 +102,7 @@
   ]);
 }
 
-/** One shard on its own, with its key-value store. */
+/** Returns a shard with its key-value store, and functions that act on them. */
 export async function shardFixture(options: ShardFixtureOptions = {}) {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
@@ -168,7 +169,7 @@
     const given = answer(change, tasks);
     return given.ok ? given.commands : [];
   };
-  /** Rounds for so long: ends of tasks gather for a while before they are written. */
+  /** Reconciles every 250 ms for `ms`: ends of tasks are collected for a while, then written. */
   const reconcile = async (ms = 2000): Promise<void> => {
     for (let at = 0; at < ms; at += 250) {
       void shard.reconcile();
@@ -194,7 +195,7 @@
   };
 }
 
-/** Its first task runs. */
+/** Returns the status of task 0 while it runs. */
 export const running = (attempt: number): TaskStatus => ({
   task: { job: JOB, index: 0 },
   attempt,
@@ -202,20 +203,20 @@
   cause: null,
 });
 
-/** Its first task is done. */
+/** Returns the status of task 0 after it completed. */
 export const ended = (attempt: number): TaskStatus => ({
   ...running(attempt),
   state: 'exited',
   cause: 'done',
 });
 
-/** The commands sent to machines, in order. */
+/** Returns the operations of commands, in order. */
 export const ops = (commands: Command[]): string[] => commands.map((command) => command.op);
 
-/** A shard on its own, and what a test sees and does of it. */
+/** A shard with its key-value store, and the functions with which a test acts on them. */
 export type ShardFixture = Awaited<ReturnType<typeof shardFixture>>;
 
-/** A heartbeat of machine m-1, the first of its first agent epoch unless told otherwise. */
+/** Returns a heartbeat of machine m-1: the first of its first worker epoch, except for `change`. */
 export const heartbeatOf = (change: Partial<Heartbeat>): Heartbeat => ({
   machine: 'm-1',
   address: '10.0.0.1:9',
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -1,4 +1,4 @@
-/** The environment that the simulated parts need: simulated too, or real processes on loopback. */
+/** The interface of a cluster with simulated workers; its controllers may be real processes. */
 import type { Settings } from '../../src/protocol/settings.js';
 import type { Clock } from '../../src/transport/clock.js';
 import type { SimGangs } from './gang.js';
@@ -6,12 +6,12 @@
 import type { SimWorker } from './worker.js';
 import type { Answer } from './worker-wire.js';
 
-/** A controller, as workers reach it. */
+/** A controller that accepts heartbeats. */
 export interface HeartbeatTarget {
   readonly node: { handleHeartbeat(body: string): Promise<Answer> };
 }
 
-/** The environment of the simulated workers, cloud and invariant checker. */
+/** The cluster in which the simulated workers, cloud and invariant checker run. */
 export interface SimulationHost {
   readonly clock: Clock;
   readonly members: readonly (readonly [string, string])[];
@@ -21,20 +21,20 @@
   readonly completed: Set<string>;
   readonly gangs: SimGangs;
   readonly overrides: Partial<Settings>;
-  /** ms that messages between controllers and workers take each way. */
+  /** Delay in ms of a message between a controller and a worker, in each direction. */
   readonly linkDelayMs: number;
-  /** ms after its last answered heartbeat at which a worker ends its tasks. */
+  /** ms after the sending of its last answered heartbeat when a worker ends its tasks. */
   readonly workerLeaseMs: number;
-  /** A whole number below `most`. */
+  /** Returns a random integer from 0 to `most` - 1. */
   randomBelow(most: number): number;
-  /** Runs what comes for a controller, when it can. */
+  /** Runs an event of a controller, at once or when the controller's pause ends. */
   deliver(node: string, run: () => void): void;
-  /** Whether a controller and a machine can't reach each other. */
+  /** True if a controller and a machine cannot reach each other. */
   isCut(node: string, machine: string): boolean;
-  /** The address of the machine of this number. */
+  /** Returns the address of the machine with this number. */
   addressOf(machine: number): string;
-  /** A task got on its machine. */
+  /** Records that a task has its image and occupies its machine. */
   taskStarted(worker: SimWorker, task: string): void;
-  /** All tasks of a gang run. */
+  /** Records that all tasks of a gang run. */
   gangStarted(job: string, attempt: number): void;
 }
--- a/test/world/sizes.ts
+++ b/test/world/sizes.ts
@@ -1,7 +1,7 @@
 /** Sizes of stored values. */
 
-/** Bytes of a value that is small for the records under test, so that they need several. */
+/** A size limit of values so low that each record under test needs several values. */
 export const SMALL_VALUE_BYTES = 2048;
 
-/** Bytes that a value takes in the key-value store. */
+/** Returns the size in bytes of a value in the key-value store. */
 export const storedBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- a/test/world/user-requests-fixture.ts
+++ b/test/world/user-requests-fixture.ts
@@ -1,4 +1,4 @@
-/** One controller's handlers of users' requests on their own, with the key-value store behind them. */
+/** Fixture: one controller's handlers of users' requests, with a simulated key-value store. */
 import { UserRequests } from '../../src/coordination/api/user-requests.js';
 import { Committer } from '../../src/storage/committer.js';
 import { CATALOG } from '../../src/storage/keys.js';
@@ -9,29 +9,32 @@
 import { TEAMS, TYPES, silentLog } from './settings.js';
 import { SimKeyValueStore } from './key-value-store.js';
 
-/** What users may ask about a job. `malformed`, `unfit`: a repeat that lacks a field, or fits nowhere. */
+/**
+ * Requests about an accepted job. `malformed`: a repeated submission that lacks a field; `unfit`:
+ * one with a team that does not exist.
+ */
 export const REQUESTS = ['poll', 'repeat', 'malformed', 'unfit', 'cancel'] as const;
-/** One of them. */
+/** One of `REQUESTS`. */
 export type UserRequestKind = (typeof REQUESTS)[number];
 
-/** What a repeated submission says otherwise than the accepted one. */
+/** Fields in which a repeated submission differs from the accepted one. */
 const REPEATS: Partial<Record<UserRequestKind, Record<string, unknown>>> = {
   repeat: {},
   malformed: { gpus: undefined },
   unfit: { crew: 'nobody' },
 };
 
-/** What differs from the default. */
+/** Options of the fixture. */
 export interface UserRequestsFixtureOptions {
-  /** ms between two checking transactions. */
+  /** ms between two transactions that check jobs. */
   checkMs?: number;
-  /** Requests and writes a second that this controller may use. */
+  /** Limit of this controller's requests and writes per second. */
   rps?: number;
   /** Changes the key-value store before the controller reads it. */
   prepare?: (state: SimKeyValueStore) => void;
 }
 
-/** The handlers of users' requests of one controller, whose replica follows the key-value store. */
+/** Returns one controller's request handlers, whose replica follows the key-value store. */
 export async function userRequestsFixture({
   checkMs = 300,
   rps = 100,
@@ -55,7 +58,7 @@
     log,
     onCommitted: () => undefined,
   });
-  /** A submission of this job, changed as the kind of request says. */
+  /** Returns the body of a submission, changed according to the kind of request. */
   const body = (id: string, kind: UserRequestKind): string =>
     JSON.stringify(submissionOf(id, jobOf({ tasks: 1 }), REPEATS[kind] ?? {}));
   let answered = 0;
@@ -69,7 +72,7 @@
     answered++;
     return reply;
   };
-  /** Lets simulated time run until the replies are there. */
+  /** Runs 12 s of simulated time and returns the replies. */
   const settle = async (...replies: Promise<HttpReply>[]): Promise<HttpReply[]> => {
     const all = Promise.all(replies);
     await clock.run(clock.now() + 12_000);
--- a/test/world/users.ts
+++ b/test/world/users.ts
@@ -1,23 +1,23 @@
-/** Users who submit, poll, retry and cancel, and poll all controllers right after each answer. */
+/** Simulated users who submit, poll and cancel jobs, and poll all controllers after each change. */
 import type { SimJob, Reply } from './jobs.js';
 import { stageOf } from './jobs.js';
 import type { World } from './world.js';
 
-/** ms that users wait for an answer to a poll, and to a submission or cancellation. */
+/** Timeouts in ms of a poll, and of a submission or cancellation. */
 const POLL_TIMEOUT_MS = 2000;
 const CHANGE_TIMEOUT_MS = 5000;
-/** ms between two polls of a user, and before a submission or cancellation is repeated. */
+/** Pauses in ms between two polls, and before a submission or cancellation is repeated. */
 const POLL_EVERY_MS = 5000;
 const RETRY_MS = 1000;
-/** ms for which users go on trying. */
+/** ms for which users repeat a submission or cancellation that is not confirmed. */
 const RETRY_FOR_MS = 60_000;
-/** ms within which a user polls all controllers. */
+/** ms within which a user sends requests to all controllers. */
 const POLL_SPREAD_MS = 80;
 
-/** Changes of a submission that is sent again: as it was, lacking a field, and fitting nowhere. */
+/** Changes of a repeated submission: none, a missing field, and a team that does not exist. */
 const RESUBMISSIONS: Record<string, unknown>[] = [{}, { gpus: undefined }, { crew: 'nobody' }];
 
-/** How many jobs come, and what they are. */
+/** The number of jobs, the interval between them, and their properties. */
 export interface UsersOptions {
   jobs: number;
   /** ms between two jobs. */
@@ -27,7 +27,7 @@
 
 /** The users of a world. */
 export class Users {
-  /** Jobs whose users were told that they are accepted. */
+  /** Jobs whose submission was confirmed to the user. */
   readonly accepted: string[] = [];
 
   constructor(
@@ -35,7 +35,7 @@
     private readonly options: UsersOptions,
   ) {}
 
-  /** Begins to submit jobs; their users go on until each has ended, and then a last time. */
+  /** Submits the jobs at intervals; each user polls until the job has ended. */
   start(): void {
     for (let number = 0; number < this.options.jobs; number++) {
       const id = `j-${String(500_000 + number)}`;
@@ -49,7 +49,7 @@
     if (!(await this.retryUntilConfirmed(submit))) return;
     this.accepted.push(id);
     await this.pollAllControllers(id, job);
-    // A quarter is cancelled at once, a quarter later.
+    // A quarter of the jobs is cancelled at once, another quarter after 7 s.
     const cancelAfterMs = [0, 7000][this.world.randomBelow(4)];
     if (cancelAfterMs !== undefined) {
       await this.sleep(cancelAfterMs);
@@ -65,7 +65,7 @@
     await this.pollAllControllers(id, job);
   }
 
-  /** Repeats a request as users do; false: given up. */
+  /** Repeats a request until it is confirmed; false: not confirmed within `RETRY_FOR_MS`. */
   private async retryUntilConfirmed(request: (node: string) => Promise<Reply>): Promise<boolean> {
     const until = this.world.clock.now() + RETRY_FOR_MS;
     while (this.world.clock.now() < until) {
@@ -76,7 +76,7 @@
     return false;
   }
 
-  /** Polls and repeats of all kinds at all controllers, within some milliseconds. */
+  /** Sends random polls and repeated submissions to all controllers, within `POLL_SPREAD_MS`. */
   private async pollAllControllers(id: string, job: Partial<SimJob>): Promise<void> {
     const requests = this.world.members.flatMap(([node]) =>
       [0, 1, 2].map(async () => {
@@ -100,7 +100,7 @@
     return new Promise((resolve) => this.world.clock.after(ms, resolve));
   }
 
-  /** The reply, or none after the time that users wait. */
+  /** Returns the reply, or status 0 if no reply comes within `ms`. */
   private withTimeout(ms: number, reply: Promise<Reply>): Promise<Reply> {
     return new Promise((resolve) => {
       const cancel = this.world.clock.after(ms, () => resolve({ status: 0, body: null }));
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -1,23 +1,23 @@
-/** Finds jobs that wait though a machine has capacity for them and their team is under its quota. */
+/** Finds jobs that wait although a machine has capacity for them and their team has quota left. */
 import type { SimJob } from './jobs.js';
 import type { InvariantChecker } from './invariant-checker.js';
 import { TEAMS, TYPES } from './settings.js';
 import type { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
-/** ms for which a job may wait in front of free machines. */
+/** ms for which a job may wait while a machine has capacity for it. */
 const WAIT_MS = 90_000;
 
-/** What tasks take: by job the number of them, by team the CPUs. */
+/** Resources in use: the number of tasks by job, and the CPUs by team. */
 interface ResourcesInUse {
   tasks: ReadonlyMap<string, number>;
   cpus: ReadonlyMap<string, number>;
 }
 
-/** The jobs that wait without need once all faults are over. */
+/** Finds jobs that wait needlessly once all faults are over. */
 export class WaitingJobs {
   private isWatching = false;
-  /** Since when each job waits in front of free machines. */
+  /** Time in ms since which a job has waited needlessly, by job. */
   private readonly waitingSince = new Map<string, number>();
 
   constructor(
@@ -25,12 +25,12 @@
     private readonly invariants: Pick<InvariantChecker, 'accepted' | 'answeredEnds'>,
   ) {}
 
-  /** From now on no job may wait without need. */
+  /** Starts the check; before, jobs may wait for any time. */
   faultsOver(): void {
     this.isWatching = true;
   }
 
-  /** The jobs that have waited for too long by now. */
+  /** Returns a violation for each job that has waited for too long. */
   check(): string[] {
     if (!this.isWatching) return [];
     const now = this.world.clock.now();
@@ -66,7 +66,7 @@
     return { tasks, cpus };
   }
 
-  /** Nothing of the job runs or is done, and a task of it could run at once. */
+  /** True if no task of the job runs or has completed, although a task could run at once. */
   private waitsNeedlessly(id: string, job: SimJob, running: ResourcesInUse): boolean {
     if (job.cancelledAt !== null || this.invariants.answeredEnds.has(id) || job.broken)
       return false;
--- a/test/world/worker-wire.ts
+++ b/test/world/worker-wire.ts
@@ -1,6 +1,6 @@
-/** Messages between controllers and the simulated worker, by the wire's names. */
+/** Messages between controllers and the simulated workers, with their names on the wire. */
 
-/** A command to a machine. */
+/** A command to a worker. */
 export interface WireCommand {
   verb: string;
   larva: string;
@@ -14,13 +14,13 @@
   body: unknown;
 }
 
-/** The body of an answer: commands to a machine of its own, or the controller to send heartbeats to. */
+/** The body of an answer: commands, or with status 421 the controller to send heartbeats to. */
 export interface WireAnswer {
   mandate?: number;
   calls?: WireCommand[];
   hive?: string;
 }
 
-/** The body of an answer, whether it came as text or not. */
+/** Returns the body of an answer, parsed if the body is text. */
 export const bodyOf = (answer: Answer | null): WireAnswer | null =>
   (typeof answer?.body === 'string' ? JSON.parse(answer.body) : answer?.body) as WireAnswer | null;
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -6,14 +6,14 @@
 
 /** ms between two heartbeats when nothing changes. */
 const HEARTBEAT_MS = 3000;
-/** ms after which a heartbeat that was not accepted goes to the next controller. */
+/** ms after which a heartbeat that was not accepted is sent to the next controller. */
 const RETRY_MS = 1000;
-/** ms after which a heartbeat without an answer has failed. */
+/** ms after which a heartbeat without an answer times out. */
 const ANSWER_TIMEOUT_MS = 4000;
 /** ms that a machine takes to fetch an image. */
 const IMAGE_MS = 1000;
 
-/** A simulated worker of a machine: heartbeats, leases, fencing tokens, agent epochs and commands. */
+/** A simulated worker: sends heartbeats, keeps its lease and executes controllers' commands. */
 export class SimWorker {
   readonly tasks = new Map<string, SimTask>();
   private workerEpoch = 1;
@@ -22,19 +22,19 @@
   private leaseRenewedAt: number;
   private controllerIndex = 0;
   isDead = false;
-  /** Direct calls to this machine are carried out this much later, and their answers are lost. */
+  /** Delay in ms before a direct call is executed; above 0, the call's answer is lost. */
   directDelayMs = 0;
-  /** Direct calls that were carried out are delivered once more so much later. */
+  /** Delays in ms after which duplicates of a direct call arrive, from its own arrival on. */
   directDuplicatesAfterMs: number[] = [];
-  /** Heartbeats sent from now on are held back this long, and their answers are lost. */
+  /** Extra delay in ms of heartbeats; an answer after `ANSWER_TIMEOUT_MS` is ignored. */
   heartbeatDelayMs = 0;
-  /** Its heartbeats arrive, but answers and commands do not reach it. */
+  /** True if heartbeats arrive, but answers and direct calls do not reach this worker. */
   losesAnswers = false;
-  /** Its heartbeats reach no controller; direct calls reach it. */
+  /** True if heartbeats reach no controller; direct calls still reach this worker. */
   losesHeartbeats = false;
-  /** Duplicates of its heartbeats arrive this much later, at any controller. */
+  /** Delays in ms after which duplicates of a heartbeat arrive, each at a random controller. */
   heartbeatDuplicatesAfterMs: number[] = [];
-  /** Commands and answers that were rejected because their fencing token is older than one seen before. */
+  /** Number of direct calls and answers with a fencing token older than the latest one received. */
   staleCommands = 0;
   private isHeartbeatInFlight = false;
   private hungUntil = 0;
@@ -54,7 +54,7 @@
     this.tick();
   }
 
-  /** The machine is back at once, without memory of agent epochs, fencing tokens and tasks. */
+  /** Restarts the machine at once; its worker epoch, fencing token and tasks are lost. */
   restart(): void {
     this.tasks.clear();
     this.workerEpoch = 1;
@@ -68,14 +68,14 @@
     this.tasks.clear();
   }
 
-  /** Tasks that have their image and have not ended, those that wait for their gang included. */
+  /** Yields the tasks that have their image and have not ended, running or waiting for their gang. */
   *onMachine(): Generator<[string, SimTask]> {
     for (const entry of this.tasks) {
       if (entry[1].state === 'running' || entry[1].state === 'gathering') yield entry;
     }
   }
 
-  /** A direct call: carried out if fencing token and agent epoch match, perhaps late. */
+  /** Executes a direct call, or refuses it if its fencing token is old or its worker epoch differs. */
   command(
     fencingToken: number,
     workerEpoch: number,
@@ -91,12 +91,15 @@
     return { status: match ? 200 : 409, body: this.heartbeatBody() };
   }
 
-  /** Hangs: no heartbeats, direct calls are carried out when it goes on; its lease runs out as ever. */
+  /**
+   * Hangs the worker for some seconds: no heartbeats are sent, and direct calls are executed after
+   * the hang. The worker's lease still expires.
+   */
   hang(seconds: number): void {
     this.hungUntil = this.world.clock.now() + seconds * 1000;
   }
 
-  /** ms until it goes on; 0: it does not hang. */
+  /** Remaining ms of a hang; 0: the worker does not hang. */
   get hungMs(): number {
     return Math.max(0, this.hungUntil - this.world.clock.now());
   }
@@ -166,7 +169,10 @@
     if (workerEpoch === this.workerEpoch) this.applyAnswer(parsed, sentAt);
   }
 
-  /** The answer to a heartbeat of this agent epoch renews the lease, unless its fencing token is older. */
+  /**
+   * Renews the lease and executes the commands of an answer to a heartbeat. An answer with an older
+   * fencing token than the latest one is ignored.
+   */
   private applyAnswer(answer: WireAnswer | null, sentAt: number): void {
     const fencingToken = answer?.mandate ?? -1;
     if (fencingToken < this.fencingToken) {
@@ -179,7 +185,7 @@
     for (const command of answer?.calls ?? []) this.execute(command);
   }
 
-  /** Sends a heartbeat to a controller, with its duplicates; null: no answer in time. */
+  /** Sends a heartbeat and its duplicates; returns null if the answer does not come in time. */
   private send(name: string, body: string): Promise<Answer | null> {
     const { world } = this;
     const held = this.heartbeatDelayMs;
@@ -247,9 +253,9 @@
     });
   }
 
-  /** The image of a gang's task is there: it waits for the others. */
+  /** Lets a gang's task whose image was fetched wait for the gang's other tasks. */
   private joinGang(name: string, task: SimTask): void {
-    // The result of what is done is kept.
+    // A task that completed in an earlier attempt does not run again.
     if (this.world.completed.has(name)) {
       this.exit(task, 'done');
       return;
@@ -260,7 +266,7 @@
     this.world.gangs.gather(this, name, task);
   }
 
-  /** The image of an ordinary task is there: it runs, a service for ever. */
+  /** Runs a task whose image was fetched; the task of a service runs until it is stopped. */
   private runTask(name: string, task: SimTask, job: SimJob): void {
     task.state = 'running';
     this.hasChanged = true;
@@ -278,7 +284,7 @@
     return this.world.jobs.get(name.split('/')[0] ?? '');
   }
 
-  /** All of a task's gang have their image. */
+  /** Sets a gang's task to running; called once all tasks of the gang have their image. */
   markRunning(task: SimTask): void {
     task.state = 'running';
     this.hasChanged = true;
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -19,10 +19,10 @@
 import type { SimulationHost } from './simulation-host.js';
 import type { SimWorker } from './worker.js';
 
-/** Names and zones of the controllers. */
+/** Name and zone of each controller. */
 export type Members = [string, string][];
 
-/** Controllers, workers, cloud and key-value store in simulated time, and a checker of the invariants. */
+/** Controllers, workers, cloud and key-value store in simulated time, with an invariant checker. */
 export class World implements SimulationHost {
   readonly clock = new SimClock();
   readonly store;
@@ -32,28 +32,28 @@
   readonly jobs = new Map<string, SimJob>();
   readonly completed = new Set<string>();
   readonly starts: { task: string; machine: string; at: number }[] = [];
-  /** When all tasks of a gang ran together. */
+  /** Attempts of gangs whose tasks all ran at the same time; `at`: ms of simulated time. */
   readonly gangStarts: { job: string; attempt: number; at: number }[] = [];
   readonly gangs: SimGangs = new SimGangs(this);
-  /** Pairs "x>y" that can't reach each other; x and y are controller or machine names. */
+  /** Pairs "x>y" of controllers or machines that cannot reach each other, in either direction. */
   readonly cutLinks = new Set<string>();
-  /** What becomes of a message between controllers on its way. */
+  /** Changes a message between controllers before it is delivered. */
   onPeerMessage: (message: PeerMessage) => PeerMessage = (message) => message;
-  /** A fault put in on purpose: what a user gets in place of a controller's reply. */
+  /** Injects a fault: returns the reply that a user receives in place of the controller's. */
   tamper: (kind: RequestKind, id: string, reply: Reply) => Reply = (_kind, _id, reply) => reply;
-  /** Pairs "x>y" of controllers whose connection stays open, while nothing that they send arrives. */
+  /** Pairs "x>y" of connected controllers whose messages are lost, in both directions. */
   readonly lossyLinks = new Set<string>();
-  /** Pairs "x>y" of controllers: what x sends y is lost, while what y sends x arrives. */
+  /** Pairs "x>y" of controllers: messages from x to y are lost, messages from y to x arrive. */
   readonly oneWayLossyLinks = new Set<string>();
-  /** What the settings of one controller say otherwise, from its next start on. */
+  /** Returns the changes of one controller's default settings; read when the controller starts. */
   settingsFor: (node: string) => Partial<Settings> = () => this.overrides;
-  /** Where a controller logs. */
+  /** Returns the log of a controller. */
   private readonly logOf: (node: string) => Log;
-  /** ms that messages between controllers and workers take each way. */
+  /** Delay in ms of a message between a controller and a worker, in each direction. */
   linkDelayMs = 1;
   readonly workerLeaseMs = 24_000;
   private readonly invariants = new InvariantChecker(this);
-  /** What waits for controllers that are paused. */
+  /** Events that paused controllers handle when their pause ends, by controller. */
   private readonly pendingWhilePaused = new Map<string, (() => void)[]>();
   private incarnations = 0;
   private readonly random;
@@ -65,7 +65,7 @@
       ['n1', 'a'],
       ['n2', 'b'],
     ],
-    /** What the controllers' settings say otherwise. */
+    /** Changes of the default settings, for all controllers. */
     readonly overrides: Partial<Settings> = {},
     logOf: (node: string) => Log = () => silentLog,
   ) {
@@ -75,32 +75,32 @@
     for (const [name] of members) this.boot(name);
   }
 
-  /** A whole number below `most`, by the world's seed. */
+  /** Returns a random integer from 0 to `most` - 1, determined by the world's seed. */
   randomBelow(most: number): number {
     return uniformInt(this.random, 0, most - 1);
   }
 
   // --- Controllers -------------------------------------------------------------------------------
 
-  /** A controller is paused while clocks run on: what comes for it meanwhile is handled on waking. */
+  /** Pauses a controller while time continues; its events are handled when the pause ends. */
   pause(name: string, seconds: number): void {
     const held: (() => void)[] = [];
     this.pendingWhilePaused.set(name, held);
     this.clock.after(seconds * 1000, () => {
       this.pendingWhilePaused.delete(name);
-      // One after the other, as a process handles what it finds: promises settle in between.
+      // Each is a clock event of its own, so that promises settle in between, as in a real process.
       for (const run of held) this.clock.after(0, run);
     });
   }
 
-  /** Runs what comes for a controller, when it can. */
+  /** Runs an event of a controller, at once or when the controller's pause ends. */
   deliver(name: string, run: () => void): void {
     const held = this.pendingWhilePaused.get(name);
     if (held) held.push(run);
     else run();
   }
 
-  /** Starts a controller, as a new incarnation. */
+  /** Starts a controller as a new incarnation. */
   boot(name: string): void {
     this.pendingWhilePaused.delete(name);
     const zone = this.members.find(([one]) => one === name)?.[1] ?? 'a';
@@ -125,31 +125,31 @@
     });
   }
 
-  /** The controller that holds the leader's role, by the key-value store. */
+  /** The stored holder of the leader's role; empty: none is stored. */
   get leader(): string {
     return (
       (this.store.entries.get(roleKey('leader'))?.value as RoleRecord | undefined)?.owner ?? ''
     );
   }
 
-  /** A controller is gone at once. */
+  /** Stops a controller at once; it receives no further events. */
   kill(name: string): void {
     this.nodes.get(name)?.kill();
   }
 
-  /** Whether two controllers, or a controller and a machine, can't reach each other. */
+  /** True if two controllers, or a controller and a machine, cannot reach each other. */
   isCut(x: string, y: string): boolean {
     return this.cutLinks.has(`${x}>${y}`) || this.cutLinks.has(`${y}>${x}`);
   }
 
-  /** Whether what two controllers send each other is lost, though they are connected. */
+  /** True if two controllers are connected but lose all messages to each other. */
   drops(x: string, y: string): boolean {
     return this.lossyLinks.has(`${x}>${y}`) || this.lossyLinks.has(`${y}>${x}`);
   }
 
   // --- The cloud -----------------------------------------------------------------------------
 
-  /** Machines that the cloud still has; 0 refuses. */
+  /** Number of machines that can still be rented; with 0, the cloud answers "no capacity". */
   get capacity(): number {
     return this.cloud.capacity;
   }
@@ -158,7 +158,7 @@
     this.cloud.capacity = machines;
   }
 
-  /** The cloud takes nothing back. */
+  /** True if the cloud refuses to take machines back. */
   get cloudRefusesReturns(): boolean {
     return this.cloud.refusesReturns;
   }
@@ -167,7 +167,7 @@
     this.cloud.refusesReturns = refuses;
   }
 
-  /** The cloud tells its machine types. */
+  /** True if the cloud answers requests for its machine types. */
   get cloudHasCatalog(): boolean {
     return this.cloud.hasCatalog;
   }
@@ -176,24 +176,24 @@
     this.cloud.hasCatalog = known;
   }
 
-  /** The address of the machine of this number. */
+  /** Returns the address of the machine with this number. */
   addressOf(machine: number): string {
     return `10.1.0.${machine}:9000`;
   }
 
-  /** Rents a machine, whose worker is up after `bootMs`. */
+  /** Rents a machine whose worker starts after `bootMs`; returns the machine's name. */
   addMachine(type: string, zone: string, spot: boolean, bootMs: number): string {
     return this.cloud.addMachine(type, zone, spot, bootMs);
   }
 
-  /** A machine is gone at once, and the cloud knows. */
+  /** Removes a machine at once, from the cloud's list as well. */
   removeMachine(name: string): void {
     this.cloud.removeMachine(name);
   }
 
   // --- Users ---------------------------------------------------------------------------------
 
-  /** `raw` overrides fields as sent; undefined leaves one out. */
+  /** Submits a job. `raw` replaces fields of the request's body; undefined removes a field. */
   submit(
     id: string,
     job: Partial<SimJob>,
@@ -201,12 +201,12 @@
     raw: Record<string, unknown> = {},
   ): Promise<Reply> {
     const whole = jobOf(job);
-    // A repeated submission leaves what is known of the job.
+    // A repeated submission does not replace the job of the first one.
     if (!this.jobs.has(id)) this.jobs.set(id, whole);
     return this.post(submissionOf(id, whole, raw), at);
   }
 
-  /** A submission as it is, also one that nobody should accept. */
+  /** Sends a submission's body unchanged, so that tests can send invalid ones. */
   post(body: object, at = 'n0'): Promise<Reply> {
     return this.request(
       'submit',
@@ -247,44 +247,44 @@
 
   // --- The invariant checker ---------------------------------------------------------------------
 
-  /** Each violation of an invariant. */
+  /** The violations of invariants so far. */
   get violations(): string[] {
     return this.invariants.violations;
   }
 
-  /** Starts after a confirmed cancellation: counted apart, since the rules give some time. */
+  /** Tasks that started after a confirmed cancellation; a violation only after more than 50 s. */
   get startsAfterCancel(): string[] {
     return this.invariants.startsAfterCancel;
   }
 
-  /** Jobs that a controller called accepted. */
+  /** Jobs whose submission a controller accepted. */
   get accepted(): Set<string> {
     return this.invariants.accepted;
   }
 
-  /** The ends that controllers told of jobs, with the time. */
+  /** Final states of jobs in replies to users, with the time in ms of the first such reply. */
   get answeredEnds(): Map<string, { stage: string; at: number }> {
     return this.invariants.answeredEnds;
   }
 
-  /** Tells the invariant checker that all faults are over. */
+  /** Starts the checks that apply only after all faults are over. */
   faultsOver(): void {
     this.invariants.faultsOver();
   }
 
-  /** Called when all tasks of a gang run. */
+  /** Records that all tasks of a gang run. */
   gangStarted(id: string, attempt: number): void {
     this.gangStarts.push({ job: id, attempt, at: this.clock.now() });
     this.invariants.gangStarted(id, attempt);
   }
 
-  /** Called by a worker when a task gets on its machine. */
+  /** Records that a task has its image and occupies its machine; called by the worker. */
   taskStarted(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name, at: this.clock.now() });
     this.invariants.taskStarted(worker, task);
   }
 
-  /** Runs on, checking invariants every simulated second. */
+  /** Runs simulated time for some seconds and checks the invariants after each second. */
   async run(seconds: number): Promise<void> {
     const until = this.clock.now() + seconds * 1000;
     while (this.clock.now() < until) {
