--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -1,7 +1,8 @@
 /**
- * Guards against an invariant checker that misses a forgotten job, so that cluster tests would pass
- * without a reason. Each form of a forgotten job is injected as a fault and must be recorded as a
- * violation; short faults, and faults that affect all jobs alike, must not be.
+ * Guards against an invariant checker that misses a forgotten job, so that cluster tests pass
+ * although the job is lost. Each form of a forgotten job is injected as a fault and must be recorded
+ * as a violation. Faults within the allowed times must not be, and neither must failures of all
+ * polls while faults are not over.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -36,7 +37,7 @@
   kind === 'poll' ? { status: 503, body: null } : reply;
 
 const FAULTS: Fault[] = [
-  { name: 'none', forS: 100, isOver: true, expected: null },
+  { name: 'no fault', forS: 100, isOver: true, expected: null },
   {
     name: 'a poll gets 404',
     tamper: only('poll', JOB, 404),
@@ -44,22 +45,22 @@
     expected: /^forgotten j-000001 \(poll\)$/,
   },
   ...[400, 422].map((status) => ({
-    name: `a repeat gets ${status}`,
+    name: `a repeated submission gets ${status}`,
     tamper: only('submit', JOB, status),
     forS: 10,
     expected: new RegExp(`^forgotten ${JOB} \\(submission ${status}\\)$`),
   })),
   {
-    name: 'each poll of one fails for 80 s',
+    name: 'each poll of one job fails for 80 s',
     tamper: only('poll', JOB, 503),
     forS: 80,
     expected: null,
   },
   {
-    name: 'each poll of one fails for 100 s',
+    name: 'each poll of one job fails for 100 s',
     tamper: only('poll', JOB, 503),
     forS: 100,
-    expected: /^forgotten j-000001: each question failed for 90 s$/,
+    expected: /^forgotten j-000001: each poll failed for 90 s$/,
   },
   { name: 'all polls fail for 100 s', tamper: allPolls, forS: 100, expected: null },
   {
@@ -67,7 +68,7 @@
     tamper: allPolls,
     forS: 80,
     isOver: true,
-    expected: /^forgotten j-00000[12]: no question answered for 75 s/,
+    expected: /^forgotten j-00000[12]: no poll answered for 75 s/,
   },
   {
     name: 'all controllers are down for 80 s after all faults',
@@ -76,10 +77,10 @@
     },
     forS: 80,
     isOver: true,
-    expected: /^forgotten j-00000[12]: no question answered for 75 s/,
+    expected: /^forgotten j-00000[12]: no poll answered for 75 s/,
   },
   {
-    name: 'nothing more is placed, though machines are free',
+    name: 'no task is placed although machines are free',
     begin: async (world) => {
       await submit(world, LATER, { tasks: 1 });
       for (const name of controllerNames(world)) world.kill(name);
@@ -90,7 +91,7 @@
   },
 ];
 
-test('invariant checker: each form of a forgotten job is noted, and nothing else', async () => {
+test('invariant checker: each form of a forgotten job is a violation, tolerated faults are not', async () => {
   for (const { name, tamper, begin, forS, isOver, expected } of FAULTS) {
     const world = new World(51);
     for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
--- a/test/world/clock.ts
+++ b/test/world/clock.ts
@@ -13,7 +13,7 @@
 
 /** Simulated time: events run in the order of their times, and all promises settle in between. */
 export class SimClock implements Clock {
-  /** From the latest to the next event; among events of the same time, the last created is first. */
+  /** From the latest to the next event; of events with the same time, the last created is first. */
   private readonly events: Event[] = [];
   private time = 0;
 
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -27,7 +27,7 @@
       types: () =>
         this.hasCatalog
           ? Promise.resolve(structuredClone(TYPES))
-          : Promise.reject(new OutcomeUnknownError('no catalogue')),
+          : Promise.reject(new OutcomeUnknownError('catalogue not available')),
       rent: ({ request, type, zone, spot, count }) => {
         const before = this.rentRequests.get(request);
         if (before) return Promise.resolve({ kind: 'rented', machines: before });
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Checks tasks on machines and waiting jobs; called every simulated second. All tasks of a job must
-   * have ended `cancelS` seconds after its confirmed cancellation.
+   * Checks tasks on machines and waiting jobs; called every simulated second. All tasks of a job
+   * must have ended `cancelS` seconds after its confirmed cancellation.
    */
   check(cancelS: number): void {
     this.checkCancelledTasks(cancelS);
@@ -94,7 +94,7 @@
       this.violations.push(`went_back ${id}: both ${before.stage} and ${stage}`);
     }
     if (stage === 'withdrawn' && !this.cancelRequests.has(id)) {
-      this.violations.push(`went_back ${id} withdrawn, though nobody asked for it`);
+      this.violations.push(`went_back ${id} withdrawn, though no user cancelled it`);
     }
   }
 
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Checks that a task is on no other machine, within its team's quota, and in an allowed place. */
+  /** Checks that a task is on one machine only, in an allowed place and within its team's quota. */
   taskStarted(worker: SimWorker, task: string): void {
     const [id = ''] = task.split('/');
     const job = this.world.jobs.get(id);
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -224,24 +224,24 @@
         if (gone) throw new StoreRejectedError(400, NO_SUCH_LEASE);
         if (!this.isWithinSizeLimits(guards, changes)) {
           this.rejectedTransactions.push(changes.map((one) => one.key));
-          throw new StoreRejectedError(400, 'too large');
+          throw new StoreRejectedError(400, 'transaction or value too large');
         }
         const delay = this.delayNextTransactionMs.get(node);
         if (delay !== undefined && changes.length > 0) {
           this.delayNextTransactionMs.delete(node);
           this.applyLater(guards, changes, delay);
-          throw new OutcomeUnknownError('held');
+          throw new OutcomeUnknownError('transaction delayed');
         }
         const heldMs = this.pickTransactionDelayMs(node, changes);
         if (heldMs !== null) {
           this.applyLater(guards, changes, heldMs);
           await new Promise<void>((resolve) => clock.after(2000, resolve));
-          throw new OutcomeUnknownError('held');
+          throw new OutcomeUnknownError('transaction delayed');
         }
         const result = this.alterTransactionAnswer(this.compareAndSwap(guards, changes));
         if (this.lostAnswerShare > 0 && uniformFloat64(this.random) < this.lostAnswerShare) {
           await new Promise<void>((resolve) => clock.after(2000, resolve));
-          throw new OutcomeUnknownError('lost');
+          throw new OutcomeUnknownError('answer lost');
         }
         const lateMs = this.transactionAnswerDelayMs(node, changes);
         if (lateMs > 0) await new Promise<void>((resolve) => clock.after(lateMs, resolve));
--- a/test/world/poll-outcomes.ts
+++ b/test/world/poll-outcomes.ts
@@ -35,10 +35,10 @@
     this.failingSince.set(id, since);
     const violations: string[] = [];
     if (at - since >= FAILING_MS && this.mostOthersAreAnswered(id, since)) {
-      violations.push(`forgotten ${id}: each question failed for 90 s`);
+      violations.push(`forgotten ${id}: each poll failed for 90 s`);
     }
     if (this.faultsOverAt !== null && at - Math.max(since, this.faultsOverAt) >= UNANSWERED_MS) {
-      violations.push(`forgotten ${id}: no question answered for 75 s after all faults`);
+      violations.push(`forgotten ${id}: no poll answered for 75 s after all faults`);
     }
     return violations;
   }
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -56,7 +56,7 @@
 /** The same assignment as a gang subset. */
 export const GANG_ASSIGNMENT: AssignmentRecord = { ...PLAIN_ASSIGNMENT, attempt: GANG_ATTEMPT };
 
-/** Options of the fixture. By default, one task is assigned, and all changes fit one transaction. */
+/** Options of the fixture. By default, one task is assigned and one transaction fits all changes. */
 interface ShardFixtureOptions {
   /** True if a former holder of the shard placed task 0. */
   placed?: boolean;
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -68,14 +68,14 @@
     this.tasks.clear();
   }
 
-  /** Yields the tasks that have their image and have not ended, running or waiting for their gang. */
+  /** Yields the tasks that have their image and have not ended: they run or wait for their gang. */
   *onMachine(): Generator<[string, SimTask]> {
     for (const entry of this.tasks) {
       if (entry[1].state === 'running' || entry[1].state === 'gathering') yield entry;
     }
   }
 
-  /** Executes a direct call, or refuses it if its fencing token is old or its worker epoch differs. */
+  /** Executes a direct call, but refuses an old fencing token or a different worker epoch. */
   command(
     fencingToken: number,
     workerEpoch: number,
