--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -15,11 +15,11 @@
 const OTHER = 'j-000002';
 const LATER = 'j-000003';
 
-type Tamper = (kind: RequestKind, id: string, reply: Reply) => Reply;
+type AlterReply = (kind: RequestKind, id: string, reply: Reply) => Reply;
 
 interface Fault {
   name: string;
-  tamper?: Tamper;
+  alterReply?: AlterReply;
   /** Called once two jobs run, to inject the fault. */
   begin?: (world: World) => void | Promise<void>;
   /** Seconds for which users send requests. */
@@ -29,43 +29,43 @@
   expected: RegExp | null;
 }
 
-const only =
-  (kind: RequestKind, id: string, status: number): Tamper =>
-  (one, about, reply) =>
-    one === kind && about === id ? { status, body: null } : reply;
-const allPolls: Tamper = (kind, _id, reply) =>
+const failOnly =
+  (kind: RequestKind, id: string, status: number): AlterReply =>
+  (requestKind, requestId, reply) =>
+    requestKind === kind && requestId === id ? { status, body: null } : reply;
+const allPolls: AlterReply = (kind, _id, reply) =>
   kind === 'poll' ? { status: 503, body: null } : reply;
 
 const FAULTS: Fault[] = [
   { name: 'no fault', forS: 100, isOver: true, expected: null },
   {
     name: 'a poll gets 404',
-    tamper: only('poll', JOB, 404),
+    alterReply: failOnly('poll', JOB, 404),
     forS: 10,
     expected: /^forgotten j-000001 \(poll\)$/,
   },
   ...[400, 422].map((status) => ({
     name: `a repeated submission gets ${status}`,
-    tamper: only('submit', JOB, status),
+    alterReply: failOnly('submit', JOB, status),
     forS: 10,
     expected: new RegExp(`^forgotten ${JOB} \\(submission ${status}\\)$`),
   })),
   {
     name: 'each poll of one job fails for 80 s',
-    tamper: only('poll', JOB, 503),
+    alterReply: failOnly('poll', JOB, 503),
     forS: 80,
     expected: null,
   },
   {
     name: 'each poll of one job fails for 100 s',
-    tamper: only('poll', JOB, 503),
+    alterReply: failOnly('poll', JOB, 503),
     forS: 100,
     expected: /^forgotten j-000001: each poll failed for 90 s$/,
   },
-  { name: 'all polls fail for 100 s', tamper: allPolls, forS: 100, expected: null },
+  { name: 'all polls fail for 100 s', alterReply: allPolls, forS: 100, expected: null },
   {
     name: 'all polls fail for 80 s after all faults',
-    tamper: allPolls,
+    alterReply: allPolls,
     forS: 80,
     isOver: true,
     expected: /^forgotten j-00000[12]: no poll answered for 75 s/,
@@ -92,14 +92,14 @@
 ];
 
 test('invariant checker: each form of a forgotten job is a violation, tolerated faults are not', async () => {
-  for (const { name, tamper, begin, forS, isOver, expected } of FAULTS) {
+  for (const { name, alterReply, begin, forS, isOver, expected } of FAULTS) {
     const world = new World(51);
     for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
     await world.run(7);
     for (const id of [JOB, OTHER]) await submit(world, id, { ...SERVICE, tasks: 1 });
     await world.run(5);
     await begin?.(world);
-    if (tamper) world.tamper = tamper;
+    if (alterReply) world.alterReply = alterReply;
     if (isOver) world.faultsOver();
     for (let second = 0; second < forS; second++) {
       if (second % 5 === 0) {
@@ -111,8 +111,8 @@
       await world.run(1);
     }
     const matching = world.violations.filter((one) => expected?.test(one));
-    const told = `${name}: ${JSON.stringify(world.violations.slice(0, 3))}`;
-    if (expected) assert.ok(matching.length > 0, told);
-    else assert.equal(world.violations.length, 0, told);
+    const message = `${name}: ${JSON.stringify(world.violations.slice(0, 3))}`;
+    if (expected) assert.ok(matching.length > 0, message);
+    else assert.equal(world.violations.length, 0, message);
   }
 });
--- a/test/world/await-reply.ts
+++ b/test/world/await-reply.ts
@@ -6,11 +6,11 @@
 
 /** Runs simulated time until a request is answered, for at most `maxSteps` steps of 50 ms. */
 export async function awaitReply<T>(world: World, request: Promise<T>, maxSteps = 200): Promise<T> {
-  let done = false;
+  let isAnswered = false;
   void request.finally(() => {
-    done = true;
+    isAnswered = true;
   });
-  for (let turn = 0; turn < maxSteps && !done; turn++) {
+  for (let step = 0; step < maxSteps && !isAnswered; step++) {
     await world.clock.run(world.clock.now() + STEP_MS);
   }
   return request;
--- a/test/world/clock.ts
+++ b/test/world/clock.ts
@@ -31,14 +31,14 @@
       run: callback,
       cancelled: false,
     };
-    this.events.splice(this.placeOf(event.at), 0, event);
+    this.events.splice(this.insertionIndex(event.at), 0, event);
     return () => {
       event.cancelled = true;
     };
   }
 
   /** Returns the index at which an event is inserted: before all events that are not later. */
-  private placeOf(at: number): number {
+  private insertionIndex(at: number): number {
     let low = 0;
     let high = this.events.length;
     while (low < high) {
--- a/test/world/cloud.ts
+++ b/test/world/cloud.ts
@@ -29,11 +29,13 @@
           ? Promise.resolve(structuredClone(TYPES))
           : Promise.reject(new OutcomeUnknownError('catalogue not available')),
       rent: ({ request, type, zone, spot, count }) => {
-        const before = this.rentRequests.get(request);
-        if (before) return Promise.resolve({ kind: 'rented', machines: before });
-        const got = Math.min(count, this.capacity);
-        if (got === 0) return Promise.resolve({ kind: 'noCapacity' });
-        const machines = Array.from({ length: got }, () => this.addMachine(type, zone, spot, 8000));
+        const rentedBefore = this.rentRequests.get(request);
+        if (rentedBefore) return Promise.resolve({ kind: 'rented', machines: rentedBefore });
+        const rentedCount = Math.min(count, this.capacity);
+        if (rentedCount === 0) return Promise.resolve({ kind: 'noCapacity' });
+        const machines = Array.from({ length: rentedCount }, () =>
+          this.addMachine(type, zone, spot, 8000),
+        );
         this.rentRequests.set(request, machines);
         return Promise.resolve({ kind: 'rented', machines });
       },
--- a/test/world/detector-network.ts
+++ b/test/world/detector-network.ts
@@ -92,13 +92,13 @@
 
   /** Pauses a member's event loop; its timers and messages wait until the pause ends. */
   pause(name: string, seconds: number): void {
-    const waiting: Pending = { timers: [], messages: [] };
-    this.pendingWhilePaused.set(name, waiting);
+    const pending: Pending = { timers: [], messages: [] };
+    this.pendingWhilePaused.set(name, pending);
     this.clock.after(seconds * 1000, () => {
-      if (this.pendingWhilePaused.get(name) !== waiting) return;
+      if (this.pendingWhilePaused.get(name) !== pending) return;
       this.pendingWhilePaused.delete(name);
       // A process that resumes runs its expired timers before it reads its sockets.
-      for (const run of [...waiting.timers, ...waiting.messages]) this.clock.after(0, run);
+      for (const run of [...pending.timers, ...pending.messages]) this.clock.after(0, run);
     });
   }
 
@@ -121,8 +121,8 @@
 
   /** Returns all states that a member had for any observer, since a wall-clock time in ms. */
   statesOf(member: string, since = 0): Set<MemberState> {
-    const own = this.transitions.filter((one) => one.member === member && one.at >= since);
-    return new Set(own.map((one) => one.to));
+    const transitions = this.transitions.filter((one) => one.member === member && one.at >= since);
+    return new Set(transitions.map((one) => one.to));
   }
 
   /** Returns a random number in [0, 1), determined by the seed. */
@@ -131,16 +131,16 @@
   }
 
   private deliverTo(name: string, run: () => void, kind: keyof Pending = 'messages'): void {
-    const waiting = this.pendingWhilePaused.get(name);
-    if (waiting) waiting[kind].push(run);
+    const pending = this.pendingWhilePaused.get(name);
+    if (pending) pending[kind].push(run);
     else run();
   }
 
   private send(delivery: Delivery): boolean {
     if (!this.detectors.has(delivery.to)) return false;
     this.sent.push(delivery);
-    const delay = this.delayMs(delivery);
-    if (delay !== null) this.clock.after(delay, () => this.deliver(delivery));
+    const delayMs = this.delayMs(delivery);
+    if (delayMs !== null) this.clock.after(delayMs, () => this.deliver(delivery));
     return true;
   }
 }
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -79,8 +79,8 @@
 function sendToPeer(world: World, name: string, peer: string, message: PeerMessage): boolean {
   const other = world.nodes.get(peer);
   if (!other || world.isCut(name, peer)) return false;
-  if (world.drops(name, peer) || world.oneWayLossyLinks.has(`${name}>${peer}`)) return true;
-  const back = (reply: PeerMessage): void => {
+  if (world.isLossy(name, peer) || world.oneWayLossyLinks.has(`${name}>${peer}`)) return true;
+  const sendReply = (reply: PeerMessage): void => {
     if (world.oneWayLossyLinks.has(`${peer}>${name}`)) return;
     world.clock.after(PEER_DELAY_MS, () => {
       world.deliver(name, () =>
@@ -90,7 +90,7 @@
   };
   world.clock.after(PEER_DELAY_MS, () => {
     world.deliver(peer, () =>
-      world.nodes.get(peer)?.node.receive(world.onPeerMessage(message), back),
+      world.nodes.get(peer)?.node.receive(world.onPeerMessage(message), sendReply),
     );
   });
   return true;
@@ -103,17 +103,17 @@
 ): Promise<DirectResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
-    const cut = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
+    const isUnreachable = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
     const delayMs = Math.max(worker?.directDelayMs ?? 0, worker?.hungMs ?? 0);
     const { calls } = encodeDirectCommands(fencingToken, workerEpoch, commands) as {
       calls: never[];
     };
     world.clock.after(DIRECT_TIMEOUT_MS, () => reject(new OutcomeUnknownError('timed out')));
-    if (cut) return;
+    if (isUnreachable) return;
     world.clock.after(world.linkDelayMs + delayMs, () => {
       const reply = worker.command(fencingToken, workerEpoch, calls);
-      for (const later of worker.directDuplicatesAfterMs) {
-        world.clock.after(later, () => worker.command(fencingToken, workerEpoch, calls));
+      for (const duplicateAfterMs of worker.directDuplicatesAfterMs) {
+        world.clock.after(duplicateAfterMs, () => worker.command(fencingToken, workerEpoch, calls));
       }
       const parsed = parseHeartbeat(JSON.parse(reply.body) as Record<string, unknown>);
       if (parsed.ok && delayMs === 0)
--- a/test/world/failure-detection-case.ts
+++ b/test/world/failure-detection-case.ts
@@ -51,7 +51,7 @@
 /** A fault and its expected effects. */
 export interface SuspicionCase {
   name: string;
-  fault: (watched: ObservedWorld) => Promise<void>;
+  fault: (observed: ObservedWorld) => Promise<void>;
   /** True if each role must have the same holder and term before and after the fault. */
   keepsTerms?: boolean;
   /** The reasons of all failovers, in the order of their first occurrence. */
@@ -62,10 +62,10 @@
 
 /** Runs a case: the invariants hold, the array completes, and only `restarts` tasks start again. */
 export async function playSuspicionCase(row: SuspicionCase, seed: number): Promise<void> {
-  const watched = await worldWithFailureDetection(seed);
-  const { world, records } = watched;
+  const observed = await worldWithFailureDetection(seed);
+  const { world, records } = observed;
   const before = roleTerms(world);
-  await row.fault(watched);
+  await row.fault(observed);
   if (row.keepsTerms) assert.deepEqual(roleTerms(world), before);
   if (row.reasons) assert.deepEqual([...failoverReasons(records)], row.reasons);
   world.settingsFor = () => WITH_FAILURE_DETECTION;
@@ -76,8 +76,8 @@
   assert.deepEqual(world.violations, []);
   const { body } = await world.poll('j-000001', 'n0');
   assert.match(JSON.stringify(body), /"done"/, `seed ${seed}`);
-  const most = TASKS + (row.restarts ?? 0);
-  assert.ok(world.starts.length <= most, `seed ${seed}: a task had to start again`);
+  const maxStarts = TASKS + (row.restarts ?? 0);
+  assert.ok(world.starts.length <= maxStarts, `seed ${seed}: a task had to start again`);
 }
 
 /** Cuts the links between the controllers in `left` and all other controllers. */
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -67,9 +67,9 @@
    */
   recordReply(kind: RequestKind, id: string, requestedAt: number, reply: Reply): void {
     const now = this.world.clock.now();
-    const known = this.accepted.has(id);
-    if (reply.status === 404 && known) this.violations.push(`forgotten ${id} (${kind})`);
-    if (kind === 'submit' && (reply.status === 400 || reply.status === 422) && known) {
+    const isAcceptedJob = this.accepted.has(id);
+    if (reply.status === 404 && isAcceptedJob) this.violations.push(`forgotten ${id} (${kind})`);
+    if (kind === 'submit' && (reply.status === 400 || reply.status === 422) && isAcceptedJob) {
       this.violations.push(`forgotten ${id} (submission ${reply.status})`);
     }
     this.recordPoll(kind, id, reply.status === 200);
@@ -86,12 +86,12 @@
 
   /** Checks that a final state does not change, and that only a cancelled job is `withdrawn`. */
   private checkStage(id: string, stage: string, requestedAt: number): void {
-    const before = this.answeredEnds.get(id);
-    if (before && before.at <= requestedAt && before.stage !== stage) {
-      this.violations.push(`went_back ${id} ${before.stage} to ${stage}`);
+    const previous = this.answeredEnds.get(id);
+    if (previous && previous.at <= requestedAt && previous.stage !== stage) {
+      this.violations.push(`went_back ${id} ${previous.stage} to ${stage}`);
     }
-    if (before && isEnd(stage) && before.stage !== stage) {
-      this.violations.push(`went_back ${id}: both ${before.stage} and ${stage}`);
+    if (previous && isEnd(stage) && previous.stage !== stage) {
+      this.violations.push(`went_back ${id}: both ${previous.stage} and ${stage}`);
     }
     if (stage === 'withdrawn' && !this.cancelRequests.has(id)) {
       this.violations.push(`went_back ${id} withdrawn, though no user cancelled it`);
@@ -121,13 +121,13 @@
   taskStarted(worker: SimWorker, task: string): void {
     const [id = ''] = task.split('/');
     const job = this.world.jobs.get(id);
-    let used = 0;
+    let usedCpus = 0;
     const zones = new Map<string, number>();
     for (const other of this.world.workers.values()) {
-      for (const [name, on] of other.onMachine()) {
+      for (const [name, otherTask] of other.onMachine()) {
         if (name === task && other !== worker) this.violations.push(`ran_twice ${task}`);
         const otherJob = this.world.jobs.get(name.split('/')[0] ?? '');
-        if (otherJob?.team === job?.team) used += on.cpus;
+        if (otherJob?.team === job?.team) usedCpus += otherTask.cpus;
         if (name.startsWith(`${id}/`) && name !== task) {
           zones.set(other.machine.zone, (zones.get(other.machine.zone) ?? 0) + 1);
         }
@@ -137,7 +137,7 @@
     this.checkStartAfterCancel(job, task);
     const teams = this.world.overrides.teams ?? TEAMS;
     const cpuQuota = teams.find((team) => team.name === job.team)?.cpusMax ?? 0;
-    if (used > cpuQuota + 1e-6) this.violations.push(`quota ${job.team} ${used}`);
+    if (usedCpus > cpuQuota + 1e-6) this.violations.push(`quota ${job.team} ${usedCpus}`);
     this.checkPlacement(job, worker, task, zones);
   }
 
@@ -172,8 +172,8 @@
   private checkCancelledTasks(cancelS: number): void {
     for (const worker of this.world.workers.values()) {
       for (const [name] of worker.onMachine()) {
-        const at = this.world.jobs.get(name.split('/')[0] ?? '')?.cancelledAt ?? null;
-        if (at !== null && this.world.clock.now() > at + cancelS * 1000) {
+        const cancelledAt = this.world.jobs.get(name.split('/')[0] ?? '')?.cancelledAt ?? null;
+        if (cancelledAt !== null && this.world.clock.now() > cancelledAt + cancelS * 1000) {
           this.violations.push(`ran_cancelled ${name}`);
         }
       }
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -25,7 +25,7 @@
 export class SimKeyValueStore {
   readonly entries = new Map<string, StoredEntry>();
   readonly log: { key: string; value: unknown; revision: number; removed: boolean }[] = [];
-  private readonly leases = new Map<number, { ttl: number; ends: number }>();
+  private readonly leases = new Map<number, { ttl: number; expiresAt: number }>();
   private leaseCount = 0;
   revision = 1;
   /** True during an outage: no request is served and no lease expires. */
@@ -79,25 +79,25 @@
   ) {
     this.random = xoroshiro128plus(seed);
     const tick = (): void => {
-      this.expire();
+      this.expireLeases();
       clock.after(50, tick);
     };
     tick();
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     if (this.hasOutage) return;
     for (const [id, lease] of this.leases) {
-      if (lease.ends > this.clock.now()) continue;
+      if (lease.expiresAt > this.clock.now()) continue;
       this.leases.delete(id);
-      const keys = [...this.entries].filter(([, cell]) => cell.lease === id).map(([key]) => key);
+      const keys = [...this.entries].filter(([, entry]) => entry.lease === id).map(([key]) => key);
       if (keys.length > 0) this.change(keys.map((key) => ({ key, remove: true })));
     }
   }
 
   endOutage(): void {
     this.hasOutage = false;
-    for (const lease of this.leases.values()) lease.ends = this.clock.now() + lease.ttl;
+    for (const lease of this.leases.values()) lease.expiresAt = this.clock.now() + lease.ttl;
   }
 
   change(changes: Change[]): void {
@@ -136,8 +136,8 @@
   /** Returns the delay in ms of a transaction; null: it is executed at once. */
   private pickTransactionDelayMs(node: string, changes: Change[]): number | null {
     if (changes.length === 0) return null;
-    const held = this.transactionDelayMs(node, changes);
-    if (held !== null) return held;
+    const delayMs = this.transactionDelayMs(node, changes);
+    if (delayMs !== null) return delayMs;
     if (this.lateTransactionShare === 0 || uniformFloat64(this.random) >= this.lateTransactionShare)
       return null;
     return uniformInt(this.random, 2000, 12_000);
@@ -160,17 +160,20 @@
   private isWithinRateLimits(writes: number): boolean {
     if (!this.limits) return true;
     const { rps, writeRps } = this.limits;
-    const { tokenBucket: levels } = this;
-    const passed = (this.clock.now() - levels.at) / 1000;
-    levels.at = this.clock.now();
-    levels.requests = Math.min(rps, levels.requests + passed * rps);
-    levels.writes = Math.min(writeRps, levels.writes + passed * writeRps);
-    if (levels.requests < 1 || (writes > 0 && levels.writes < Math.min(writes, writeRps))) {
+    const { tokenBucket } = this;
+    const elapsedS = (this.clock.now() - tokenBucket.at) / 1000;
+    tokenBucket.at = this.clock.now();
+    tokenBucket.requests = Math.min(rps, tokenBucket.requests + elapsedS * rps);
+    tokenBucket.writes = Math.min(writeRps, tokenBucket.writes + elapsedS * writeRps);
+    if (
+      tokenBucket.requests < 1 ||
+      (writes > 0 && tokenBucket.writes < Math.min(writes, writeRps))
+    ) {
       this.rateLimitRejections++;
       return false;
     }
-    levels.requests--;
-    levels.writes -= writes;
+    tokenBucket.requests--;
+    tokenBucket.writes -= writes;
     return true;
   }
 
@@ -187,7 +190,8 @@
   /** Returns the store's interface for one controller, with the faults that apply to it. */
   api(node: string): KeyValueStore {
     const { clock } = this;
-    const served = async (writes = 0): Promise<void> => {
+    /** Waits for the latency; throws if the request is refused or times out. */
+    const admitRequest = async (writes = 0): Promise<void> => {
       await new Promise<void>((resolve) => clock.after(this.answerMs, resolve));
       if (this.unansweredControllers.has(node)) {
         await new Promise<void>((resolve) => clock.after(2000, resolve));
@@ -198,43 +202,43 @@
     };
     return {
       get: async (key) => {
-        await served();
-        const cell = this.entries.get(key);
-        return cell ? { value: structuredClone(cell.value), revision: cell.revision } : null;
+        await admitRequest();
+        const entry = this.entries.get(key);
+        return entry ? { value: structuredClone(entry.value), revision: entry.revision } : null;
       },
       list: async (prefix, after) => {
-        await served();
+        await admitRequest();
         if (this.refusesListing(++this.listings)) throw new StoreRejectedError(429);
         const entries: Entry[] = [...this.entries]
           .filter(([key]) => key.startsWith(prefix) && (after === null || key > after))
           .sort(([a], [b]) => (a < b ? -1 : 1))
-          .map(([key, cell]) => ({
+          .map(([key, entry]) => ({
             key,
-            value: structuredClone(cell.value),
-            revision: cell.revision,
+            value: structuredClone(entry.value),
+            revision: entry.revision,
           }));
         const page = entries.slice(0, this.pageKeys);
         return { entries: page, more: page.length < entries.length, revision: this.revision };
       },
       compareAndSwap: async (guards, changes) => {
-        await served(changes.length);
-        const gone = changes.some(
+        await admitRequest(changes.length);
+        const hasExpiredLease = changes.some(
           (one) => 'lease' in one && one.lease !== undefined && !this.leases.has(one.lease),
         );
-        if (gone) throw new StoreRejectedError(400, NO_SUCH_LEASE);
+        if (hasExpiredLease) throw new StoreRejectedError(400, NO_SUCH_LEASE);
         if (!this.isWithinSizeLimits(guards, changes)) {
           this.rejectedTransactions.push(changes.map((one) => one.key));
           throw new StoreRejectedError(400, 'transaction or value too large');
         }
-        const delay = this.delayNextTransactionMs.get(node);
-        if (delay !== undefined && changes.length > 0) {
+        const nextDelayMs = this.delayNextTransactionMs.get(node);
+        if (nextDelayMs !== undefined && changes.length > 0) {
           this.delayNextTransactionMs.delete(node);
-          this.applyLater(guards, changes, delay);
+          this.applyLater(guards, changes, nextDelayMs);
           throw new OutcomeUnknownError('transaction delayed');
         }
-        const heldMs = this.pickTransactionDelayMs(node, changes);
-        if (heldMs !== null) {
-          this.applyLater(guards, changes, heldMs);
+        const delayMs = this.pickTransactionDelayMs(node, changes);
+        if (delayMs !== null) {
+          this.applyLater(guards, changes, delayMs);
           await new Promise<void>((resolve) => clock.after(2000, resolve));
           throw new OutcomeUnknownError('transaction delayed');
         }
@@ -248,19 +252,19 @@
         return result;
       },
       grant: async (ttlMs) => {
-        await served();
+        await admitRequest();
         const id = ++this.leaseCount;
-        this.leases.set(id, { ttl: ttlMs, ends: clock.now() + ttlMs });
+        this.leases.set(id, { ttl: ttlMs, expiresAt: clock.now() + ttlMs });
         return id;
       },
       extend: async (lease) => {
-        await served();
-        const held = this.leases.get(lease);
-        if (held) held.ends = clock.now() + held.ttl;
-        return held !== undefined;
+        await admitRequest();
+        const granted = this.leases.get(lease);
+        if (granted) granted.expiresAt = clock.now() + granted.ttl;
+        return granted !== undefined;
       },
       watch: async (prefix, since, waitMs): Promise<WatchResult | null> => {
-        await served();
+        await admitRequest();
         const until = clock.now() + waitMs;
         for (;;) {
           if (!this.hasOutage && !this.refusedControllers.has(node)) {
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -75,7 +75,11 @@
 }
 
 /** Stores the first records: the role, the catalogue, a job and its only assignment. */
-function fill(state: SimKeyValueStore, clock: SimClock, options: ShardFixtureOptions): void {
+function storeFirstRecords(
+  state: SimKeyValueStore,
+  clock: SimClock,
+  options: ShardFixtureOptions,
+): void {
   const assignment: AssignmentRecord = {
     ids: options.ids ?? '0',
     done: options.done ?? '',
@@ -106,7 +110,7 @@
 export async function shardFixture(options: ShardFixtureOptions = {}) {
   const clock = new SimClock();
   const state = new SimKeyValueStore(clock);
-  fill(state, clock, options);
+  storeFirstRecords(state, clock, options);
   state.transactionOps = options.transactionOps ?? 8;
   state.valueBytes = options.valueBytes ?? 8192;
   const store = followingReplica(clock, state, 100);
@@ -146,7 +150,7 @@
       committer: new Committer(store),
       workers: {
         full: false,
-        command: (_address, fencingToken, _agentEpoch, commands) =>
+        command: (_address, fencingToken, _workerEpoch, commands) =>
           new Promise((resolve, reject) => {
             sent.push({
               fencingToken,
@@ -162,12 +166,12 @@
     },
   );
   replica.onChange((keys) => keys.forEach((key) => shard.handleChange(key)));
-  let seq = 0;
+  let lastSequence = 0;
   const answer = (change: Partial<Heartbeat> = {}, tasks: TaskStatus[] = []) =>
-    shard.handleHeartbeat(heartbeatOf({ sequence: ++seq, tasks, ...change }));
+    shard.handleHeartbeat(heartbeatOf({ sequence: ++lastSequence, tasks, ...change }));
   const heartbeat = (change: Partial<Heartbeat> = {}, tasks: TaskStatus[] = []): Command[] => {
-    const given = answer(change, tasks);
-    return given.ok ? given.commands : [];
+    const result = answer(change, tasks);
+    return result.ok ? result.commands : [];
   };
   /** Reconciles every 250 ms for `ms`: ends of tasks are collected for a while, then written. */
   const reconcile = async (ms = 2000): Promise<void> => {
--- a/test/world/user-requests-fixture.ts
+++ b/test/world/user-requests-fixture.ts
@@ -59,13 +59,13 @@
     onCommitted: () => undefined,
   });
   /** Returns the body of a submission, changed according to the kind of request. */
-  const body = (id: string, kind: UserRequestKind): string =>
+  const bodyOf = (id: string, kind: UserRequestKind): string =>
     JSON.stringify(submissionOf(id, jobOf({ tasks: 1 }), REPEATS[kind] ?? {}));
   let answered = 0;
   const send = (kind: UserRequestKind, id: string): Promise<HttpReply> => {
     if (kind === 'poll') return users.poll(id);
     if (kind === 'cancel') return users.cancel(id);
-    return users.submit(body(id, kind));
+    return users.submit(bodyOf(id, kind));
   };
   const request = async (kind: UserRequestKind, id: string): Promise<HttpReply> => {
     const reply = await send(kind, id);
--- a/test/world/users.ts
+++ b/test/world/users.ts
@@ -104,9 +104,9 @@
   private withTimeout(ms: number, reply: Promise<Reply>): Promise<Reply> {
     return new Promise((resolve) => {
       const cancel = this.world.clock.after(ms, () => resolve({ status: 0, body: null }));
-      void reply.then((one) => {
+      void reply.then((received) => {
         cancel();
-        resolve(one);
+        resolve(received);
       });
     });
   }
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -16,7 +16,7 @@
 
 /** Finds jobs that wait needlessly once all faults are over. */
 export class WaitingJobs {
-  private isWatching = false;
+  private areFaultsOver = false;
   /** Time in ms since which a job has waited needlessly, by job. */
   private readonly waitingSince = new Map<string, number>();
 
@@ -27,18 +27,18 @@
 
   /** Starts the check; before, jobs may wait for any time. */
   faultsOver(): void {
-    this.isWatching = true;
+    this.areFaultsOver = true;
   }
 
   /** Returns a violation for each job that has waited for too long. */
   check(): string[] {
-    if (!this.isWatching) return [];
+    if (!this.areFaultsOver) return [];
     const now = this.world.clock.now();
-    const running = this.resourcesInUse();
+    const inUse = this.resourcesInUse();
     const violations: string[] = [];
     for (const id of this.invariants.accepted) {
       const job = this.world.jobs.get(id);
-      if (!job || !this.waitsNeedlessly(id, job, running)) {
+      if (!job || !this.waitsNeedlessly(id, job, inUse)) {
         this.waitingSince.delete(id);
         continue;
       }
@@ -67,13 +67,13 @@
   }
 
   /** True if no task of the job runs or has completed, although a task could run at once. */
-  private waitsNeedlessly(id: string, job: SimJob, running: ResourcesInUse): boolean {
+  private waitsNeedlessly(id: string, job: SimJob, inUse: ResourcesInUse): boolean {
     if (job.cancelledAt !== null || this.invariants.answeredEnds.has(id) || job.broken)
       return false;
-    if ((running.tasks.get(id) ?? 0) > 0 || this.hasDoneTask(id, job)) return false;
+    if ((inUse.tasks.get(id) ?? 0) > 0 || this.hasDoneTask(id, job)) return false;
     const cpuQuota = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
-    const needed = job.cpus * (job.gang ? job.tasks : 1);
-    if ((running.cpus.get(job.team) ?? 0) + needed > cpuQuota) return false;
+    const neededCpus = job.cpus * (job.gang ? job.tasks : 1);
+    if ((inUse.cpus.get(job.team) ?? 0) + neededCpus > cpuQuota) return false;
     return [...this.world.workers.values()].some((worker) => hasCapacity(worker, job));
   }
 
@@ -90,8 +90,8 @@
   if (worker.isDead || (machine.spot && !job.spot)) return false;
   if (job.zone !== null && job.zone !== machine.zone) return false;
   if (job.types !== null && !job.types.includes(machine.type)) return false;
-  let used = 0;
-  for (const task of worker.tasks.values()) if (task.state !== 'exited') used += task.cpus;
+  let usedCpus = 0;
+  for (const task of worker.tasks.values()) if (task.state !== 'exited') usedCpus += task.cpus;
   const type = TYPES.find((one) => one.name === machine.type);
-  return used + job.cpus <= (type?.cpus ?? 0);
+  return usedCpus + job.cpus <= (type?.cpus ?? 0);
 }
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -82,13 +82,13 @@
     calls: WireCommand[],
   ): { status: number; body: string } {
     if (fencingToken < this.fencingToken) this.staleCommands++;
-    const match =
+    const isAccepted =
       !this.isDead && fencingToken >= this.fencingToken && workerEpoch === this.workerEpoch;
-    if (match) {
+    if (isAccepted) {
       this.fencingToken = fencingToken;
       for (const call of calls) this.execute(call);
     }
-    return { status: match ? 200 : 409, body: this.heartbeatBody() };
+    return { status: isAccepted ? 200 : 409, body: this.heartbeatBody() };
   }
 
   /**
@@ -188,18 +188,18 @@
   /** Sends a heartbeat and its duplicates; returns null if the answer does not come in time. */
   private send(name: string, body: string): Promise<Answer | null> {
     const { world } = this;
-    const held = this.heartbeatDelayMs;
+    const heartbeatDelayMs = this.heartbeatDelayMs;
     const entry = world.nodes.get(name);
     const isReachable =
       entry !== undefined && !this.losesHeartbeats && !world.isCut(name, this.machine.name);
     for (const delayMs of this.heartbeatDuplicatesAfterMs) {
-      const [copyTo = ''] = world.members[world.randomBelow(world.members.length)] ?? [];
-      world.clock.after(delayMs, () => void world.nodes.get(copyTo)?.node.handleHeartbeat(body));
+      const [receiver = ''] = world.members[world.randomBelow(world.members.length)] ?? [];
+      world.clock.after(delayMs, () => void world.nodes.get(receiver)?.node.handleHeartbeat(body));
     }
     return new Promise<Answer | null>((resolve) => {
       world.clock.after(ANSWER_TIMEOUT_MS, () => resolve(null));
       if (!isReachable || !entry) return;
-      world.clock.after(world.linkDelayMs + held, () => {
+      world.clock.after(world.linkDelayMs + heartbeatDelayMs, () => {
         world.deliver(name, () => {
           void entry.node.handleHeartbeat(body).then((reply) => {
             if (!world.isCut(name, this.machine.name) && !this.losesAnswers)
@@ -217,31 +217,31 @@
   }
 
   private forget(command: WireCommand): void {
-    const known = this.tasks.get(command.larva);
-    if (known?.state === 'exited' && known.attempt === command.try) {
+    const existing = this.tasks.get(command.larva);
+    if (existing?.state === 'exited' && existing.attempt === command.try) {
       this.tasks.delete(command.larva);
     }
   }
 
   private halt(command: WireCommand): void {
-    const known = this.tasks.get(command.larva);
-    if (!known || known.state === 'exited' || known.attempt !== command.try) return;
+    const existing = this.tasks.get(command.larva);
+    if (!existing || existing.state === 'exited' || existing.attempt !== command.try) return;
     if (this.jobOf(command.larva)?.gang) {
-      this.world.gangs.halt(this, command.larva, known, command.settleS ?? 0);
-    } else this.exit(known, 'stopped');
+      this.world.gangs.halt(this, command.larva, existing, command.settleS ?? 0);
+    } else this.exit(existing, 'stopped');
   }
 
   private launch(command: WireCommand): void {
-    const known = this.tasks.get(command.larva);
+    const existing = this.tasks.get(command.larva);
     const job = this.jobOf(command.larva);
-    if (known?.attempt === command.try || (known && known.state !== 'exited')) return;
+    if (existing?.attempt === command.try || (existing && existing.state !== 'exited')) return;
     if (!job) return;
     const task: SimTask = { attempt: command.try, state: 'pulling', cpus: job.cpus };
     this.tasks.set(command.larva, task);
     // Tasks that fetch their image or wait for their gang occupy the machine as well.
-    const held = [...this.tasks.values()].filter((one) => one.state !== 'exited');
-    const free = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
-    if (held.reduce((sum, one) => sum + one.cpus, 0) > free + 1e-6) {
+    const unfinished = [...this.tasks.values()].filter((one) => one.state !== 'exited');
+    const machineCpus = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
+    if (unfinished.reduce((sum, one) => sum + one.cpus, 0) > machineCpus + 1e-6) {
       this.exit(task, 'full');
       return;
     }
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -40,7 +40,7 @@
   /** Changes a message between controllers before it is delivered. */
   onPeerMessage: (message: PeerMessage) => PeerMessage = (message) => message;
   /** Injects a fault: returns the reply that a user receives in place of the controller's. */
-  tamper: (kind: RequestKind, id: string, reply: Reply) => Reply = (_kind, _id, reply) => reply;
+  alterReply: (kind: RequestKind, id: string, reply: Reply) => Reply = (_kind, _id, reply) => reply;
   /** Pairs "x>y" of connected controllers whose messages are lost, in both directions. */
   readonly lossyLinks = new Set<string>();
   /** Pairs "x>y" of controllers: messages from x to y are lost, messages from y to x arrive. */
@@ -84,19 +84,19 @@
 
   /** Pauses a controller while time continues; its events are handled when the pause ends. */
   pause(name: string, seconds: number): void {
-    const held: (() => void)[] = [];
-    this.pendingWhilePaused.set(name, held);
+    const pendingEvents: (() => void)[] = [];
+    this.pendingWhilePaused.set(name, pendingEvents);
     this.clock.after(seconds * 1000, () => {
       this.pendingWhilePaused.delete(name);
       // Each is a clock event of its own, so that promises settle in between, as in a real process.
-      for (const run of held) this.clock.after(0, run);
+      for (const run of pendingEvents) this.clock.after(0, run);
     });
   }
 
   /** Runs an event of a controller, at once or when the controller's pause ends. */
   deliver(name: string, run: () => void): void {
-    const held = this.pendingWhilePaused.get(name);
-    if (held) held.push(run);
+    const pendingEvents = this.pendingWhilePaused.get(name);
+    if (pendingEvents) pendingEvents.push(run);
     else run();
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** True if two controllers are connected but lose all messages to each other. */
-  drops(x: string, y: string): boolean {
+  isLossy(x: string, y: string): boolean {
     return this.lossyLinks.has(`${x}>${y}`) || this.lossyLinks.has(`${y}>${x}`);
   }
 
@@ -200,10 +200,10 @@
     at = 'n0',
     raw: Record<string, unknown> = {},
   ): Promise<Reply> {
-    const whole = jobOf(job);
+    const fullJob = jobOf(job);
     // A repeated submission does not replace the job of the first one.
-    if (!this.jobs.has(id)) this.jobs.set(id, whole);
-    return this.post(submissionOf(id, whole, raw), at);
+    if (!this.jobs.has(id)) this.jobs.set(id, fullJob);
+    return this.post(submissionOf(id, fullJob, raw), at);
   }
 
   /** Sends a submission's body unchanged, so that tests can send invalid ones. */
@@ -237,7 +237,7 @@
     return new Promise((resolve) => {
       this.deliver(at, () => {
         void node.handleUserRequest(kind, kind === 'submit' ? '' : id, body).then((raw) => {
-          const reply = this.tamper(kind, id, unwrap(raw));
+          const reply = this.alterReply(kind, id, unwrap(raw));
           this.invariants.recordReply(kind, id, requestedAt, reply);
           resolve(reply);
         });
