--- a/test/world/replica.ts
+++ b/test/world/replica.ts
@@ -15,11 +15,11 @@
  */
 export function followingReplica(
   clock: SimClock,
-  state: SimKeyValueStore,
+  simStore: SimKeyValueStore,
   rps: number,
   log: Log = silentLog,
 ) {
-  const keyValueStore = state.api(NODE);
+  const keyValueStore = simStore.api(NODE);
   const limiter = new RateLimiter(clock, { rps, writeRps: rps, transactionOps: 8 });
   const store = { keyValueStore, limiter, clock, log, random: () => 0.5 };
   const replica = new StoreReplica(store);
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -76,7 +76,7 @@
 
 /** Stores the first records: the role, the catalogue, a job and its only assignment. */
 function storeFirstRecords(
-  state: SimKeyValueStore,
+  simStore: SimKeyValueStore,
   clock: SimClock,
   options: ShardFixtureOptions,
 ): void {
@@ -97,7 +97,7 @@
     spec: { ...SPEC, ...options.spec },
     at: clock.wall() - (options.agedMs ?? 0),
   };
-  state.change([
+  simStore.change([
     { key: roleKey('part-p'), value: { owner: 'p' } },
     { key: CATALOG, value: TYPES },
     { key: jobKey(JOB), value: job },
@@ -109,11 +109,11 @@
 /** Returns a shard with its key-value store, and functions that act on them. */
 export async function shardFixture(options: ShardFixtureOptions = {}) {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  storeFirstRecords(state, clock, options);
-  state.transactionOps = options.transactionOps ?? 8;
-  state.valueBytes = options.valueBytes ?? 8192;
-  const store = followingReplica(clock, state, 100);
+  const simStore = new SimKeyValueStore(clock);
+  storeFirstRecords(simStore, clock, options);
+  simStore.transactionOps = options.transactionOps ?? 8;
+  simStore.valueBytes = options.valueBytes ?? 8192;
+  const store = followingReplica(clock, simStore, 100);
   const { replica } = store;
   await clock.run(500);
   const sent: {
@@ -181,14 +181,14 @@
     }
   };
   const stored = (): AssignmentRecord | undefined =>
-    state.entries.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
+    simStore.entries.get(assignmentKey('p', JOB, 1))?.value as AssignmentRecord | undefined;
   const cancel = async (): Promise<void> => {
-    state.change([{ key: jobKey(JOB), remove: true }]);
+    simStore.change([{ key: jobKey(JOB), remove: true }]);
     await clock.run(clock.now() + 300);
   };
   return {
     clock,
-    state,
+    state: simStore,
     shard,
     answer,
     heartbeat,
--- a/test/world/user-requests-fixture.ts
+++ b/test/world/user-requests-fixture.ts
@@ -31,7 +31,7 @@
   /** Limit of this controller's requests and writes per second. */
   rps?: number;
   /** Changes the key-value store before the controller reads it. */
-  prepare?: (state: SimKeyValueStore) => void;
+  prepare?: (simStore: SimKeyValueStore) => void;
 }
 
 /** Returns one controller's request handlers, whose replica follows the key-value store. */
@@ -41,12 +41,12 @@
   prepare,
 }: UserRequestsFixtureOptions = {}) {
   const clock = new SimClock();
-  const state = new SimKeyValueStore(clock);
-  state.change([{ key: CATALOG, value: TYPES }]);
-  prepare?.(state);
+  const simStore = new SimKeyValueStore(clock);
+  simStore.change([{ key: CATALOG, value: TYPES }]);
+  prepare?.(simStore);
   const errors: string[] = [];
   const log = { ...silentLog, error: (_: object, message: string) => void errors.push(message) };
-  const store = followingReplica(clock, state, rps, log);
+  const store = followingReplica(clock, simStore, rps, log);
   await clock.run(500);
   const users = new UserRequests({
     ...store,
@@ -78,5 +78,14 @@
     await clock.run(clock.now() + 12_000);
     return all;
   };
-  return { ...store, clock, state, users, request, settle, errors, answered: () => answered };
+  return {
+    ...store,
+    clock,
+    state: simStore,
+    users,
+    request,
+    settle,
+    errors,
+    answered: () => answered,
+  };
 }
