--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -26,8 +26,8 @@
 type Guarded = <T>(call: Promise<T>) => Promise<T>;
 
 /**
- * Returns the environment of a controller. Events wait while the controller is paused; a stopped
- * controller receives none.
+ * Returns the environment of a controller. Events wait while the controller is paused, and a stopped
+ * controller receives no events.
  */
 export function environmentOf(world: World, name: string, isDead: () => boolean): Environment {
   const guarded: Guarded = (call) =>
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -84,7 +84,7 @@
     if (!this.answeredEnds.has(id) && isEnd(stage)) this.answeredEnds.set(id, { stage, at: now });
   }
 
-  /** Checks that a final state does not change, and that only a cancelled job is `withdrawn`. */
+  /** Checks that a final state stays, and that a job is `withdrawn` only if a user cancelled it. */
   private checkStage(id: string, stage: string, requestedAt: number): void {
     const previous = this.answeredEnds.get(id);
     if (previous && previous.at <= requestedAt && previous.stage !== stage) {
--- a/test/world/jobs.ts
+++ b/test/world/jobs.ts
@@ -24,7 +24,7 @@
   tasks: number;
   runS: number;
   service: boolean;
-  /** True if all tasks run at the same time or none runs. */
+  /** True for a gang: all its tasks run at the same time, or none runs. */
   gang: boolean;
   /** Seconds of progress between two checkpoints; 0: the job saves no progress. */
   checkpointS: number;
--- a/test/world/settings.ts
+++ b/test/world/settings.ts
@@ -37,7 +37,7 @@
   { name: 'wide', cpus: 0, cpusMax: 60, gpus: 0, gpusMax: 0 },
 ];
 
-/** The fleet settings, which operators would set. */
+/** The fleet settings, which operators set in a real cluster. */
 export const FLEET = { idleS: 30, headroomCpus: 0, spot: true, maxMachines: 8 };
 
 /** Returns the settings of a controller; `all` lists all controllers with their zones. */
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -220,7 +220,7 @@
 /** A shard with its key-value store, and the functions with which a test acts on them. */
 export type ShardFixture = Awaited<ReturnType<typeof shardFixture>>;
 
-/** Returns a heartbeat of machine m-1: the first of its first worker epoch, except for `change`. */
+/** Returns the first heartbeat of machine m-1 in its first worker epoch, changed by `change`. */
 export const heartbeatOf = (change: Partial<Heartbeat>): Heartbeat => ({
   machine: 'm-1',
   address: '10.0.0.1:9',
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -23,7 +23,7 @@
   readonly overrides: Partial<Settings>;
   /** Delay in ms of a message between a controller and a worker, in each direction. */
   readonly linkDelayMs: number;
-  /** ms after the sending of its last answered heartbeat when a worker ends its tasks. */
+  /** Lease of a worker in ms, from the sending of its last answered heartbeat; then its tasks end. */
   readonly workerLeaseMs: number;
   /** Returns a random integer from 0 to `most` - 1. */
   randomBelow(most: number): number;
--- a/test/world/users.ts
+++ b/test/world/users.ts
@@ -35,7 +35,7 @@
     private readonly options: UsersOptions,
   ) {}
 
-  /** Submits the jobs at intervals; each user polls until the job has ended. */
+  /** Submits the jobs at intervals; each user then cancels the job or polls until it has ended. */
   start(): void {
     for (let number = 0; number < this.options.jobs; number++) {
       const id = `j-${String(500_000 + number)}`;
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -284,7 +284,7 @@
     this.invariants.taskStarted(worker, task);
   }
 
-  /** Runs simulated time for some seconds and checks the invariants after each second. */
+  /** Runs simulated time for `seconds` and checks the invariants after each second. */
   async run(seconds: number): Promise<void> {
     const until = this.clock.now() + seconds * 1000;
     while (this.clock.now() < until) {
