--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -1,6 +1,8 @@
 /**
- * The invariant checker of the simulated cluster notes each form of a forgotten job: a fault is put
- * in for each.
+ * Guards against an invariant checker that misses a forgotten job, so that cluster tests pass
+ * although the job is lost. Each form of a forgotten job is injected as a fault and must be recorded
+ * as a violation. Faults within the allowed times must not be, and neither must failures of all
+ * polls while faults are not over.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,60 +15,60 @@
 const OTHER = 'j-000002';
 const LATER = 'j-000003';
 
-type Tamper = (kind: RequestKind, id: string, reply: Reply) => Reply;
+type AlterReply = (kind: RequestKind, id: string, reply: Reply) => Reply;
 
 interface Fault {
   name: string;
-  tamper?: Tamper;
-  /** Put in once two jobs run. */
+  alterReply?: AlterReply;
+  /** Called once two jobs run, to inject the fault. */
   begin?: (world: World) => void | Promise<void>;
-  /** s for which users ask. */
+  /** Seconds for which users send requests. */
   forS: number;
-  /** Troubles end when the fault begins. */
+  /** Set if the checks that apply after all faults start together with this fault. */
   isOver?: true;
   expected: RegExp | null;
 }
 
-const only =
-  (kind: RequestKind, id: string, status: number): Tamper =>
-  (one, about, reply) =>
-    one === kind && about === id ? { status, body: null } : reply;
-const allPolls: Tamper = (kind, _id, reply) =>
+const failOnly =
+  (kind: RequestKind, id: string, status: number): AlterReply =>
+  (requestKind, requestId, reply) =>
+    requestKind === kind && requestId === id ? { status, body: null } : reply;
+const allPolls: AlterReply = (kind, _id, reply) =>
   kind === 'poll' ? { status: 503, body: null } : reply;
 
 const FAULTS: Fault[] = [
-  { name: 'none', forS: 100, isOver: true, expected: null },
+  { name: 'no fault', forS: 100, isOver: true, expected: null },
   {
     name: 'a poll gets 404',
-    tamper: only('poll', JOB, 404),
+    alterReply: failOnly('poll', JOB, 404),
     forS: 10,
     expected: /^forgotten j-000001 \(poll\)$/,
   },
   ...[400, 422].map((status) => ({
-    name: `a repeat gets ${status}`,
-    tamper: only('submit', JOB, status),
+    name: `a repeated submission gets ${status}`,
+    alterReply: failOnly('submit', JOB, status),
     forS: 10,
     expected: new RegExp(`^forgotten ${JOB} \\(submission ${status}\\)$`),
   })),
   {
-    name: 'each poll of one fails for 80 s',
-    tamper: only('poll', JOB, 503),
+    name: 'each poll of one job fails for 80 s',
+    alterReply: failOnly('poll', JOB, 503),
     forS: 80,
     expected: null,
   },
   {
-    name: 'each poll of one fails for 100 s',
-    tamper: only('poll', JOB, 503),
+    name: 'each poll of one job fails for 100 s',
+    alterReply: failOnly('poll', JOB, 503),
     forS: 100,
-    expected: /^forgotten j-000001: each question failed for 90 s$/,
+    expected: /^forgotten j-000001: each poll failed for 90 s$/,
   },
-  { name: 'all polls fail for 100 s', tamper: allPolls, forS: 100, expected: null },
+  { name: 'all polls fail for 100 s', alterReply: allPolls, forS: 100, expected: null },
   {
     name: 'all polls fail for 80 s after all faults',
-    tamper: allPolls,
+    alterReply: allPolls,
     forS: 80,
     isOver: true,
-    expected: /^forgotten j-00000[12]: no question answered for 75 s/,
+    expected: /^forgotten j-00000[12]: no poll answered for 75 s/,
   },
   {
     name: 'all controllers are down for 80 s after all faults',
@@ -75,10 +77,10 @@
     },
     forS: 80,
     isOver: true,
-    expected: /^forgotten j-00000[12]: no question answered for 75 s/,
+    expected: /^forgotten j-00000[12]: no poll answered for 75 s/,
   },
   {
-    name: 'nothing more is placed, though machines are free',
+    name: 'no task is placed although machines are free',
     begin: async (world) => {
       await submit(world, LATER, { tasks: 1 });
       for (const name of controllerNames(world)) world.kill(name);
@@ -89,15 +91,15 @@
   },
 ];
 
-test('invariant checker: each form of a forgotten job is noted, and nothing else', async () => {
-  for (const { name, tamper, begin, forS, isOver, expected } of FAULTS) {
+test('invariant checker: each form of a forgotten job is a violation, tolerated faults are not', async () => {
+  for (const { name, alterReply, begin, forS, isOver, expected } of FAULTS) {
     const world = new World(51);
     for (const zone of ['a', 'b']) world.addMachine('small', zone, false, 500);
     await world.run(7);
     for (const id of [JOB, OTHER]) await submit(world, id, { ...SERVICE, tasks: 1 });
     await world.run(5);
     await begin?.(world);
-    if (tamper) world.tamper = tamper;
+    if (alterReply) world.alterReply = alterReply;
     if (isOver) world.faultsOver();
     for (let second = 0; second < forS; second++) {
       if (second % 5 === 0) {
@@ -109,8 +111,8 @@
       await world.run(1);
     }
     const matching = world.violations.filter((one) => expected?.test(one));
-    const told = `${name}: ${JSON.stringify(world.violations.slice(0, 3))}`;
-    if (expected) assert.ok(matching.length > 0, told);
-    else assert.equal(world.violations.length, 0, told);
+    const message = `${name}: ${JSON.stringify(world.violations.slice(0, 3))}`;
+    if (expected) assert.ok(matching.length > 0, message);
+    else assert.equal(world.violations.length, 0, message);
   }
 });
--- a/test/world/environment.ts
+++ b/test/world/environment.ts
@@ -1,4 +1,4 @@
-/** What a controller of the simulated cluster reaches: time, key-value store, cloud, workers and peers. */
+/** The environment of a simulated controller: clock, key-value store, cloud, workers and peers. */
 import type { Environment } from '../../src/coordination/controller/controller-core.js';
 import type { Command } from '../../src/protocol/model.js';
 import type { PeerMessage } from '../../src/protocol/peer-messages.js';
@@ -9,12 +9,12 @@
 import { OutcomeUnknownError } from '../../src/transport/errors.js';
 import type { World } from './world.js';
 
-/** ms that messages between controllers take. */
+/** Delay in ms of a message between controllers. */
 const PEER_DELAY_MS = 2;
-/** ms after which a direct call without an answer has failed. */
+/** ms after which a direct call without an answer times out. */
 const DIRECT_TIMEOUT_MS = 2000;
 
-/** Commands from a controller to a machine, without waiting for its next heartbeat. */
+/** Commands that a controller sends to a machine without waiting for its next heartbeat. */
 interface DirectCall {
   address: string;
   fencingToken: number;
@@ -22,9 +22,13 @@
   commands: Command[];
 }
 
+/** Delays a result while its controller is paused, and drops it if the controller has stopped. */
 type Guarded = <T>(call: Promise<T>) => Promise<T>;
 
-/** The environment of a controller. What comes while it is paused waits; a stopped one gets nothing more. */
+/**
+ * Returns the environment of a controller. Events wait while the controller is paused, and a stopped
+ * controller receives no events.
+ */
 export function environmentOf(world: World, name: string, isDead: () => boolean): Environment {
   const guarded: Guarded = (call) =>
     new Promise((resolve, reject) => {
@@ -75,8 +79,8 @@
 function sendToPeer(world: World, name: string, peer: string, message: PeerMessage): boolean {
   const other = world.nodes.get(peer);
   if (!other || world.isCut(name, peer)) return false;
-  if (world.drops(name, peer) || world.oneWayLossyLinks.has(`${name}>${peer}`)) return true;
-  const back = (reply: PeerMessage): void => {
+  if (world.isLossy(name, peer) || world.oneWayLossyLinks.has(`${name}>${peer}`)) return true;
+  const sendReply = (reply: PeerMessage): void => {
     if (world.oneWayLossyLinks.has(`${peer}>${name}`)) return;
     world.clock.after(PEER_DELAY_MS, () => {
       world.deliver(name, () =>
@@ -86,7 +90,7 @@
   };
   world.clock.after(PEER_DELAY_MS, () => {
     world.deliver(peer, () =>
-      world.nodes.get(peer)?.node.receive(world.onPeerMessage(message), back),
+      world.nodes.get(peer)?.node.receive(world.onPeerMessage(message), sendReply),
     );
   });
   return true;
@@ -99,17 +103,17 @@
 ): Promise<DirectCommandResult> {
   return new Promise((resolve, reject) => {
     const worker = world.workers.get(world.cloud.machineAt(address) ?? '');
-    const cut = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
+    const isUnreachable = !worker || worker.losesAnswers || world.isCut(node, worker.machine.name);
     const delayMs = Math.max(worker?.directDelayMs ?? 0, worker?.hungMs ?? 0);
     const { calls } = encodeDirectCommands(fencingToken, workerEpoch, commands) as {
       calls: never[];
     };
     world.clock.after(DIRECT_TIMEOUT_MS, () => reject(new OutcomeUnknownError('timed out')));
-    if (cut) return;
+    if (isUnreachable) return;
     world.clock.after(world.linkDelayMs + delayMs, () => {
       const reply = worker.command(fencingToken, workerEpoch, calls);
-      for (const later of worker.directDuplicatesAfterMs) {
-        world.clock.after(later, () => worker.command(fencingToken, workerEpoch, calls));
+      for (const duplicateAfterMs of worker.directDuplicatesAfterMs) {
+        world.clock.after(duplicateAfterMs, () => worker.command(fencingToken, workerEpoch, calls));
       }
       const parsed = parseHeartbeat(JSON.parse(reply.body) as Record<string, unknown>);
       if (parsed.ok && delayMs === 0)
--- a/test/world/key-value-store.ts
+++ b/test/world/key-value-store.ts
@@ -1,3 +1,4 @@
+/** The key-value store of the simulated cluster, with the faults that tests inject. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -20,54 +21,55 @@
   lease: number | null;
 }
 
-/** A simulated key-value store: consistent, with leases, watches, outages and late requests. */
+/** A consistent key-value store in memory, with leases, watches, outages and late requests. */
 export class SimKeyValueStore {
   readonly entries = new Map<string, StoredEntry>();
   readonly log: { key: string; value: unknown; revision: number; removed: boolean }[] = [];
-  private readonly leases = new Map<number, { ttl: number; ends: number }>();
+  private readonly leases = new Map<number, { ttl: number; expiresAt: number }>();
   private leaseCount = 0;
   revision = 1;
-  /** Nobody is served. */
+  /** True during an outage: no request is served and no lease expires. */
   hasOutage = false;
-  /** These controllers get 503. */
+  /** Controllers whose requests are refused with 503. */
   readonly refusedControllers = new Set<string>();
-  /** These controllers get no answer. */
+  /** Controllers whose requests time out after 2 s without being executed. */
   readonly unansweredControllers = new Set<string>();
-  /** Requests and writes a second that are served, with bursts of one second's worth. */
+  /** Limits of requests and writes per second, with bursts of one second's worth; null: none. */
   limits: { rps: number; writeRps: number } | null = null;
   private readonly tokenBucket = { at: 0, requests: 0, writes: 0 };
   rateLimitRejections = 0;
-  /** Late transactions whose conditions did not hold any more. */
+  /** Number of late transactions whose guards no longer held when they were executed. */
   lateConflicts = 0;
-  /** Keys that one page of a listing holds. */
+  /** Largest number of keys on one page of a listing. */
   pageKeys = 1000;
-  /** Listings that were asked for, and which of them are not served. */
+  /** Number of listings that were requested. */
   listings = 0;
+  /** True for listings that are refused with 429; `listing`: the listing's number, from 1. */
   refusesListing: (listing: number) => boolean = () => false;
-  /** Puts and deletes that one transaction may hold, and four times as many guards. */
+  /** Largest number of changes in one transaction; four times as many guards are allowed. */
   transactionOps = 8;
-  /** Bytes that one value may take. */
+  /** Largest size of one value in bytes. */
   valueBytes = 8192;
-  /** Transactions that were refused with 400, by their keys. */
+  /** The keys of each transaction that was refused with 400 because of its size. */
   readonly rejectedTransactions: string[][] = [];
-  /** The next transactions of these controllers are carried out this much later, unanswered. */
+  /** Delay in ms of the next transaction of a controller; its outcome is reported as unknown. */
   readonly delayNextTransactionMs = new Map<string, number>();
-  /** ms after which a transaction is carried out, unanswered; null: at once. */
+  /** Returns the delay in ms of a transaction, which gets no answer; null: executed at once. */
   transactionDelayMs: (node: string, changes: Change[]) => number | null = () => null;
-  /** ms that an answer takes, watches aside. */
+  /** Latency in ms of each request; a watch also waits for changes. */
   answerMs = 5;
-  /** ms that the answer to a transaction takes longer, after it was carried out. */
+  /** Returns the extra delay in ms of the answer to a transaction, after its execution. */
   transactionAnswerDelayMs: (node: string, changes: Change[]) => number = () => 0;
-  /** The answer to a transaction that was evaluated in time. */
+  /** Changes the answer to a transaction that was executed at once. */
   alterTransactionAnswer: (result: CompareAndSwapResult) => CompareAndSwapResult = (result) =>
     result;
-  /** Changes that watches may still ask for. */
+  /** Number of the latest revisions whose changes a watch can still return. */
   retainedChanges = 10_000;
-  /** ms that the answer to a watch is on its way. */
+  /** Returns the extra delay in ms of the answer to a watch. */
   watchAnswerDelayMs: (node: string) => number = () => 0;
-  /** This share of all transactions is carried out at once, and the answer is lost. */
+  /** Fraction of all transactions that are executed at once and whose answer is lost. */
   lostAnswerFraction = 0;
-  /** This share of all transactions is carried out 2 to 12 s later, unanswered. */
+  /** Fraction of all transactions that are executed 2 to 12 s later, without an answer. */
   lateTransactionFraction = 0;
   private readonly random;
 
@@ -77,25 +79,25 @@
   ) {
     this.random = xoroshiro128plus(seed);
     const tick = (): void => {
-      this.expire();
+      this.expireLeases();
       clock.after(50, tick);
     };
     tick();
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     if (this.hasOutage) return;
     for (const [id, lease] of this.leases) {
-      if (lease.ends > this.clock.now()) continue;
+      if (lease.expiresAt > this.clock.now()) continue;
       this.leases.delete(id);
-      const keys = [...this.entries].filter(([, cell]) => cell.lease === id).map(([key]) => key);
+      const keys = [...this.entries].filter(([, entry]) => entry.lease === id).map(([key]) => key);
       if (keys.length > 0) this.change(keys.map((key) => ({ key, remove: true })));
     }
   }
 
   endOutage(): void {
     this.hasOutage = false;
-    for (const lease of this.leases.values()) lease.ends = this.clock.now() + lease.ttl;
+    for (const lease of this.leases.values()) lease.expiresAt = this.clock.now() + lease.ttl;
   }
 
   change(changes: Change[]): void {
@@ -113,7 +115,7 @@
     const failed = guards
       .filter((guard) => (this.entries.get(guard.key)?.revision ?? 0) !== guard.revision)
       .map((guard) => guard.key);
-    // An expired lease is refused whatever the guards say: also a late copy can't bring it back.
+    // Checked before the guards' result is returned, so that an expired lease is always refused.
     for (const one of changes) {
       if ('lease' in one && one.lease !== undefined && !this.leases.has(one.lease)) {
         throw new StoreRejectedError(400);
@@ -124,18 +126,18 @@
     return { ok: true, revision: this.revision };
   }
 
-  /** The log is in the order of revisions; what a watch has not heard of is at its end. */
+  /** Returns the changes after a revision: the end of the log, which is ordered by revision. */
   private eventsSince(since: number): SimKeyValueStore['log'] {
     let first = this.log.length;
     while (first > 0 && (this.log[first - 1]?.revision ?? 0) > since) first--;
     return this.log.slice(first);
   }
 
-  /** ms that a transaction is held up; null: not at all. */
+  /** Returns the delay in ms of a transaction; null: it is executed at once. */
   private pickTransactionDelayMs(node: string, changes: Change[]): number | null {
     if (changes.length === 0) return null;
-    const held = this.transactionDelayMs(node, changes);
-    if (held !== null) return held;
+    const delayMs = this.transactionDelayMs(node, changes);
+    if (delayMs !== null) return delayMs;
     if (
       this.lateTransactionFraction === 0 ||
       uniformFloat64(this.random) >= this.lateTransactionFraction
@@ -144,7 +146,7 @@
     return uniformInt(this.random, 2000, 12_000);
   }
 
-  /** Carried out late, and nobody hears of it; an outage puts it off. */
+  /** Executes a transaction after a delay, without an answer; not before an outage has ended. */
   private applyLater(guards: Guard[], changes: Change[], delayMs: number): void {
     this.clock.after(delayMs, () => {
       if (this.hasOutage) this.applyLater(guards, changes, 50);
@@ -152,7 +154,7 @@
         try {
           if (!this.compareAndSwap(guards, changes).ok) this.lateConflicts++;
         } catch {
-          // Refused: its lease has ended meanwhile.
+          // Refused because its lease has expired.
         }
       }
     });
@@ -161,17 +163,20 @@
   private isWithinRateLimits(writes: number): boolean {
     if (!this.limits) return true;
     const { rps, writeRps } = this.limits;
-    const { tokenBucket: levels } = this;
-    const passed = (this.clock.now() - levels.at) / 1000;
-    levels.at = this.clock.now();
-    levels.requests = Math.min(rps, levels.requests + passed * rps);
-    levels.writes = Math.min(writeRps, levels.writes + passed * writeRps);
-    if (levels.requests < 1 || (writes > 0 && levels.writes < Math.min(writes, writeRps))) {
+    const { tokenBucket } = this;
+    const elapsedS = (this.clock.now() - tokenBucket.at) / 1000;
+    tokenBucket.at = this.clock.now();
+    tokenBucket.requests = Math.min(rps, tokenBucket.requests + elapsedS * rps);
+    tokenBucket.writes = Math.min(writeRps, tokenBucket.writes + elapsedS * writeRps);
+    if (
+      tokenBucket.requests < 1 ||
+      (writes > 0 && tokenBucket.writes < Math.min(writes, writeRps))
+    ) {
       this.rateLimitRejections++;
       return false;
     }
-    levels.requests--;
-    levels.writes -= writes;
+    tokenBucket.requests--;
+    tokenBucket.writes -= writes;
     return true;
   }
 
@@ -185,10 +190,11 @@
     );
   }
 
-  /** The service as one controller reaches it. */
+  /** Returns the store's interface for one controller, with the faults that apply to it. */
   api(node: string): KeyValueStore {
     const { clock } = this;
-    const served = async (writes = 0): Promise<void> => {
+    /** Waits for the latency; throws if the request is refused or times out. */
+    const admitRequest = async (writes = 0): Promise<void> => {
       await new Promise<void>((resolve) => clock.after(this.answerMs, resolve));
       if (this.unansweredControllers.has(node)) {
         await new Promise<void>((resolve) => clock.after(2000, resolve));
@@ -199,69 +205,69 @@
     };
     return {
       get: async (key) => {
-        await served();
-        const cell = this.entries.get(key);
-        return cell ? { value: structuredClone(cell.value), revision: cell.revision } : null;
+        await admitRequest();
+        const entry = this.entries.get(key);
+        return entry ? { value: structuredClone(entry.value), revision: entry.revision } : null;
       },
       list: async (prefix, after) => {
-        await served();
+        await admitRequest();
         if (this.refusesListing(++this.listings)) throw new StoreRejectedError(429);
         const entries: Entry[] = [...this.entries]
           .filter(([key]) => key.startsWith(prefix) && (after === null || key > after))
           .sort(([a], [b]) => (a < b ? -1 : 1))
-          .map(([key, cell]) => ({
+          .map(([key, entry]) => ({
             key,
-            value: structuredClone(cell.value),
-            revision: cell.revision,
+            value: structuredClone(entry.value),
+            revision: entry.revision,
           }));
         const page = entries.slice(0, this.pageKeys);
         return { entries: page, more: page.length < entries.length, revision: this.revision };
       },
       compareAndSwap: async (guards, changes) => {
-        await served(changes.length);
-        const gone = changes.some(
+        await admitRequest(changes.length);
+        const hasExpiredLease = changes.some(
           (one) => 'lease' in one && one.lease !== undefined && !this.leases.has(one.lease),
         );
-        if (gone) throw new StoreRejectedError(400, NO_SUCH_LEASE);
+        if (hasExpiredLease) throw new StoreRejectedError(400, NO_SUCH_LEASE);
         if (!this.isWithinSizeLimits(guards, changes)) {
           this.rejectedTransactions.push(changes.map((one) => one.key));
-          throw new StoreRejectedError(400, 'too large');
+          throw new StoreRejectedError(400, 'transaction or value too large');
         }
-        const delay = this.delayNextTransactionMs.get(node);
-        if (delay !== undefined && changes.length > 0) {
+        const nextDelayMs = this.delayNextTransactionMs.get(node);
+        if (nextDelayMs !== undefined && changes.length > 0) {
           this.delayNextTransactionMs.delete(node);
-          this.applyLater(guards, changes, delay);
-          throw new OutcomeUnknownError('held');
+          this.applyLater(guards, changes, nextDelayMs);
+          throw new OutcomeUnknownError('transaction delayed');
         }
-        const heldMs = this.pickTransactionDelayMs(node, changes);
-        if (heldMs !== null) {
-          this.applyLater(guards, changes, heldMs);
+        const delayMs = this.pickTransactionDelayMs(node, changes);
+        if (delayMs !== null) {
+          this.applyLater(guards, changes, delayMs);
           await new Promise<void>((resolve) => clock.after(2000, resolve));
-          throw new OutcomeUnknownError('held');
+          throw new OutcomeUnknownError('transaction delayed');
         }
         const result = this.alterTransactionAnswer(this.compareAndSwap(guards, changes));
         if (this.lostAnswerFraction > 0 && uniformFloat64(this.random) < this.lostAnswerFraction) {
           await new Promise<void>((resolve) => clock.after(2000, resolve));
-          throw new OutcomeUnknownError('lost');
+          throw new OutcomeUnknownError('answer lost');
         }
         const lateMs = this.transactionAnswerDelayMs(node, changes);
         if (lateMs > 0) await new Promise<void>((resolve) => clock.after(lateMs, resolve));
         return result;
       },
       grant: async (ttlMs) => {
-        await served();
+        await admitRequest();
         const id = ++this.leaseCount;
-        this.leases.set(id, { ttl: ttlMs, ends: clock.now() + ttlMs });
+        this.leases.set(id, { ttl: ttlMs, expiresAt: clock.now() + ttlMs });
         return id;
       },
       extend: async (lease) => {
-        await served();
-        const held = this.leases.get(lease);
-        if (held) held.ends = clock.now() + held.ttl;
-        return held !== undefined;
+        await admitRequest();
+        const granted = this.leases.get(lease);
+        if (granted) granted.expiresAt = clock.now() + granted.ttl;
+        return granted !== undefined;
       },
       watch: async (prefix, since, waitMs): Promise<WatchResult | null> => {
-        await served();
+        await admitRequest();
         const until = clock.now() + waitMs;
         for (;;) {
           if (!this.hasOutage && !this.refusedControllers.has(node)) {
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -1,23 +1,23 @@
-/** Finds jobs that wait though a machine has capacity for them and their team is under its quota. */
+/** Finds jobs that wait although a machine has capacity for them and their team has quota left. */
 import type { SimJob } from './jobs.js';
 import type { InvariantChecker } from './invariant-checker.js';
 import { TEAMS, TYPES } from './settings.js';
 import type { SimWorker } from './worker.js';
 import type { SimulationHost } from './simulation-host.js';
 
-/** ms for which a job may wait in front of free machines. */
+/** ms for which a job may wait while a machine has capacity for it. */
 const WAIT_MS = 90_000;
 
-/** What tasks take: by job the number of them, by team the CPUs. */
+/** Resources in use: the number of tasks by job, and the CPUs by team. */
 interface ResourcesInUse {
   tasks: ReadonlyMap<string, number>;
   cpus: ReadonlyMap<string, number>;
 }
 
-/** The jobs that wait without need once all faults are over. */
+/** Finds jobs that wait needlessly once all faults are over. */
 export class WaitingJobs {
-  private isWatching = false;
-  /** Since when each job waits in front of free machines. */
+  private areFaultsOver = false;
+  /** Time in ms since which a job has waited needlessly, by job. */
   private readonly waitingSince = new Map<string, number>();
 
   constructor(
@@ -25,20 +25,20 @@
     private readonly invariants: Pick<InvariantChecker, 'accepted' | 'answeredEnds'>,
   ) {}
 
-  /** From now on no job may wait without need. */
+  /** Starts the check; before, jobs may wait for any time. */
   faultsOver(): void {
-    this.isWatching = true;
+    this.areFaultsOver = true;
   }
 
-  /** The jobs that have waited for too long by now. */
+  /** Returns a violation for each job that has waited for too long. */
   check(): string[] {
-    if (!this.isWatching) return [];
+    if (!this.areFaultsOver) return [];
     const now = this.world.clock.now();
-    const running = this.resourcesInUse();
+    const inUse = this.resourcesInUse();
     const violations: string[] = [];
     for (const id of this.invariants.accepted) {
       const job = this.world.jobs.get(id);
-      if (!job || !this.waitsNeedlessly(id, job, running)) {
+      if (!job || !this.waitsNeedlessly(id, job, inUse)) {
         this.waitingSince.delete(id);
         continue;
       }
@@ -66,14 +66,14 @@
     return { tasks, cpus };
   }
 
-  /** Nothing of the job runs or is done, and a task of it could run at once. */
-  private waitsNeedlessly(id: string, job: SimJob, running: ResourcesInUse): boolean {
+  /** True if no task of the job runs or has completed, although a task could run at once. */
+  private waitsNeedlessly(id: string, job: SimJob, inUse: ResourcesInUse): boolean {
     if (job.cancelledAt !== null || this.invariants.answeredEnds.has(id) || job.broken)
       return false;
-    if ((running.tasks.get(id) ?? 0) > 0 || this.hasDoneTask(id, job)) return false;
+    if ((inUse.tasks.get(id) ?? 0) > 0 || this.hasDoneTask(id, job)) return false;
     const cpuQuota = TEAMS.find((team) => team.name === job.team)?.cpusMax ?? 0;
-    const needed = job.cpus * (job.gang ? job.tasks : 1);
-    if ((running.cpus.get(job.team) ?? 0) + needed > cpuQuota) return false;
+    const neededCpus = job.cpus * (job.gang ? job.tasks : 1);
+    if ((inUse.cpus.get(job.team) ?? 0) + neededCpus > cpuQuota) return false;
     return [...this.world.workers.values()].some((worker) => hasCapacity(worker, job));
   }
 
@@ -90,8 +90,8 @@
   if (worker.isDead || (machine.spot && !job.spot)) return false;
   if (job.zone !== null && job.zone !== machine.zone) return false;
   if (job.types !== null && !job.types.includes(machine.type)) return false;
-  let used = 0;
-  for (const task of worker.tasks.values()) if (task.state !== 'exited') used += task.cpus;
+  let usedCpus = 0;
+  for (const task of worker.tasks.values()) if (task.state !== 'exited') usedCpus += task.cpus;
   const type = TYPES.find((one) => one.name === machine.type);
-  return used + job.cpus <= (type?.cpus ?? 0);
+  return usedCpus + job.cpus <= (type?.cpus ?? 0);
 }
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -6,14 +6,14 @@
 
 /** ms between two heartbeats when nothing changes. */
 const HEARTBEAT_MS = 3000;
-/** ms after which a heartbeat that was not accepted goes to the next controller. */
+/** ms after which a heartbeat that was not accepted is sent to the next controller. */
 const RETRY_MS = 1000;
-/** ms after which a heartbeat without an answer has failed. */
+/** ms after which a heartbeat without an answer times out. */
 const ANSWER_TIMEOUT_MS = 4000;
 /** ms that a machine takes to fetch an image. */
 const IMAGE_MS = 1000;
 
-/** A simulated worker of a machine: heartbeats, leases, fencing tokens, agent epochs and commands. */
+/** A simulated worker: sends heartbeats, keeps its lease and executes controllers' commands. */
 export class SimWorker {
   readonly tasks = new Map<string, SimTask>();
   private workerEpoch = 1;
@@ -22,19 +22,19 @@
   private leaseRenewedAt: number;
   private controllerIndex = 0;
   isDead = false;
-  /** Direct calls to this machine are carried out this much later, and their answers are lost. */
+  /** Delay in ms before a direct call is executed; above 0, the call's answer is lost. */
   directDelayMs = 0;
-  /** Direct calls that were carried out are delivered once more so much later. */
+  /** Delays in ms after which duplicates of a direct call arrive, from its own arrival on. */
   directDuplicatesAfterMs: number[] = [];
-  /** Heartbeats sent from now on are held back this long, and their answers are lost. */
+  /** Extra delay in ms of heartbeats; an answer after `ANSWER_TIMEOUT_MS` is ignored. */
   heartbeatDelayMs = 0;
-  /** Its heartbeats arrive, but answers and commands do not reach it. */
+  /** True if heartbeats arrive, but answers and direct calls do not reach this worker. */
   losesAnswers = false;
-  /** Its heartbeats reach no controller; direct calls reach it. */
+  /** True if heartbeats reach no controller; direct calls still reach this worker. */
   losesHeartbeats = false;
-  /** Duplicates of its heartbeats arrive this much later, at any controller. */
+  /** Delays in ms after which duplicates of a heartbeat arrive, each at a random controller. */
   heartbeatDuplicatesAfterMs: number[] = [];
-  /** Commands and answers that were rejected because their fencing token is older than one seen before. */
+  /** Number of direct calls and answers with a fencing token older than the latest one received. */
   staleCommands = 0;
   private isHeartbeatInFlight = false;
   private hungUntil = 0;
@@ -54,7 +54,7 @@
     this.tick();
   }
 
-  /** The machine is back at once, without memory of agent epochs, fencing tokens and tasks. */
+  /** Restarts the machine at once; its worker epoch, fencing token and tasks are lost. */
   restart(): void {
     this.tasks.clear();
     this.workerEpoch = 1;
@@ -68,35 +68,38 @@
     this.tasks.clear();
   }
 
-  /** Tasks that have their image and have not ended, those that wait for their gang included. */
+  /** Yields the tasks that have their image and have not ended: they run or wait for their gang. */
   *onMachine(): Generator<[string, SimTask]> {
     for (const entry of this.tasks) {
       if (entry[1].state === 'running' || entry[1].state === 'gathering') yield entry;
     }
   }
 
-  /** A direct call: carried out if fencing token and agent epoch match, perhaps late. */
+  /** Executes a direct call, but refuses an old fencing token or a different worker epoch. */
   command(
     fencingToken: number,
     workerEpoch: number,
     calls: WireCommand[],
   ): { status: number; body: string } {
     if (fencingToken < this.fencingToken) this.staleCommands++;
-    const match =
+    const isAccepted =
       !this.isDead && fencingToken >= this.fencingToken && workerEpoch === this.workerEpoch;
-    if (match) {
+    if (isAccepted) {
       this.fencingToken = fencingToken;
       for (const call of calls) this.execute(call);
     }
-    return { status: match ? 200 : 409, body: this.heartbeatBody() };
+    return { status: isAccepted ? 200 : 409, body: this.heartbeatBody() };
   }
 
-  /** Hangs: no heartbeats, direct calls are carried out when it goes on; its lease runs out as ever. */
+  /**
+   * Hangs the worker for some seconds: no heartbeats are sent, and direct calls are executed after
+   * the hang. The worker's lease still expires.
+   */
   hang(seconds: number): void {
     this.hungUntil = this.world.clock.now() + seconds * 1000;
   }
 
-  /** ms until it goes on; 0: it does not hang. */
+  /** Remaining ms of a hang; 0: the worker does not hang. */
   get hungMs(): number {
     return Math.max(0, this.hungUntil - this.world.clock.now());
   }
@@ -166,7 +169,10 @@
     if (workerEpoch === this.workerEpoch) this.applyAnswer(parsed, sentAt);
   }
 
-  /** The answer to a heartbeat of this agent epoch renews the lease, unless its fencing token is older. */
+  /**
+   * Renews the lease and executes the commands of an answer to a heartbeat. An answer with an older
+   * fencing token than the latest one is ignored.
+   */
   private applyAnswer(answer: WireAnswer | null, sentAt: number): void {
     const fencingToken = answer?.mandate ?? -1;
     if (fencingToken < this.fencingToken) {
@@ -179,21 +185,21 @@
     for (const command of answer?.calls ?? []) this.execute(command);
   }
 
-  /** Sends a heartbeat to a controller, with its duplicates; null: no answer in time. */
+  /** Sends a heartbeat and its duplicates; returns null if the answer does not come in time. */
   private send(name: string, body: string): Promise<Answer | null> {
     const { world } = this;
-    const held = this.heartbeatDelayMs;
+    const heartbeatDelayMs = this.heartbeatDelayMs;
     const entry = world.nodes.get(name);
     const isReachable =
       entry !== undefined && !this.losesHeartbeats && !world.isCut(name, this.machine.name);
     for (const delayMs of this.heartbeatDuplicatesAfterMs) {
-      const [copyTo = ''] = world.members[world.randomBelow(world.members.length)] ?? [];
-      world.clock.after(delayMs, () => void world.nodes.get(copyTo)?.node.handleHeartbeat(body));
+      const [receiver = ''] = world.members[world.randomBelow(world.members.length)] ?? [];
+      world.clock.after(delayMs, () => void world.nodes.get(receiver)?.node.handleHeartbeat(body));
     }
     return new Promise<Answer | null>((resolve) => {
       world.clock.after(ANSWER_TIMEOUT_MS, () => resolve(null));
       if (!isReachable || !entry) return;
-      world.clock.after(world.linkDelayMs + held, () => {
+      world.clock.after(world.linkDelayMs + heartbeatDelayMs, () => {
         world.deliver(name, () => {
           void entry.node.handleHeartbeat(body).then((reply) => {
             if (!world.isCut(name, this.machine.name) && !this.losesAnswers)
@@ -211,31 +217,31 @@
   }
 
   private forget(command: WireCommand): void {
-    const known = this.tasks.get(command.larva);
-    if (known?.state === 'exited' && known.attempt === command.try) {
+    const existing = this.tasks.get(command.larva);
+    if (existing?.state === 'exited' && existing.attempt === command.try) {
       this.tasks.delete(command.larva);
     }
   }
 
   private halt(command: WireCommand): void {
-    const known = this.tasks.get(command.larva);
-    if (!known || known.state === 'exited' || known.attempt !== command.try) return;
+    const existing = this.tasks.get(command.larva);
+    if (!existing || existing.state === 'exited' || existing.attempt !== command.try) return;
     if (this.jobOf(command.larva)?.gang) {
-      this.world.gangs.halt(this, command.larva, known, command.settleS ?? 0);
-    } else this.exit(known, 'stopped');
+      this.world.gangs.halt(this, command.larva, existing, command.settleS ?? 0);
+    } else this.exit(existing, 'stopped');
   }
 
   private launch(command: WireCommand): void {
-    const known = this.tasks.get(command.larva);
+    const existing = this.tasks.get(command.larva);
     const job = this.jobOf(command.larva);
-    if (known?.attempt === command.try || (known && known.state !== 'exited')) return;
+    if (existing?.attempt === command.try || (existing && existing.state !== 'exited')) return;
     if (!job) return;
     const task: SimTask = { attempt: command.try, state: 'pulling', cpus: job.cpus };
     this.tasks.set(command.larva, task);
     // Tasks that fetch their image or wait for their gang occupy the machine as well.
-    const held = [...this.tasks.values()].filter((one) => one.state !== 'exited');
-    const free = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
-    if (held.reduce((sum, one) => sum + one.cpus, 0) > free + 1e-6) {
+    const unfinished = [...this.tasks.values()].filter((one) => one.state !== 'exited');
+    const machineCpus = TYPES.find((type) => type.name === this.machine.type)?.cpus ?? 0;
+    if (unfinished.reduce((sum, one) => sum + one.cpus, 0) > machineCpus + 1e-6) {
       this.exit(task, 'full');
       return;
     }
@@ -247,9 +253,9 @@
     });
   }
 
-  /** The image of a gang's task is there: it waits for the others. */
+  /** Lets a gang's task whose image was fetched wait for the gang's other tasks. */
   private joinGang(name: string, task: SimTask): void {
-    // The result of what is done is kept.
+    // A task that completed in an earlier attempt does not run again.
     if (this.world.completed.has(name)) {
       this.exit(task, 'done');
       return;
@@ -260,7 +266,7 @@
     this.world.gangs.gather(this, name, task);
   }
 
-  /** The image of an ordinary task is there: it runs, a service for ever. */
+  /** Runs a task whose image was fetched; the task of a service runs until it is stopped. */
   private runTask(name: string, task: SimTask, job: SimJob): void {
     task.state = 'running';
     this.hasChanged = true;
@@ -278,7 +284,7 @@
     return this.world.jobs.get(name.split('/')[0] ?? '');
   }
 
-  /** All of a task's gang have their image. */
+  /** Sets a gang's task to running; called once all tasks of the gang have their image. */
   markRunning(task: SimTask): void {
     task.state = 'running';
     this.hasChanged = true;
