--- a/test/api/accepted-job-lookups.test.ts
+++ b/test/api/accepted-job-lookups.test.ts
@@ -34,8 +34,8 @@
     // The check of another job delays the next transaction, so that both checks share it.
     const other = fixture.request('poll', 'j-000001');
     await fixture.clock.run(fixture.clock.now() + 50);
-    fixture.state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
-    const { revision } = fixture.state;
+    fixture.store.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
+    const { revision } = fixture.store;
     const before = fixture.request(first, JOB);
     await Promise.resolve();
     fixture.replica.applyOwnChanges([{ key: jobKey(JOB), value: recordOf(JOB), revision }]);
@@ -62,7 +62,7 @@
 }
 
 /** Lets another controller accept the job, while this one's replica no longer receives changes. */
-function acceptElsewhere({ state, replica }: Fixture): void {
+function acceptElsewhere({ store: state, replica }: Fixture): void {
   replica.stop();
   state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
 }
@@ -83,7 +83,7 @@
     name: 'a conflict that names no key',
     prepare: (fixture) => {
       acceptElsewhere(fixture);
-      fixture.state.alterTransactionAnswer = reportFailedKeys(() => []);
+      fixture.store.alterTransactionAnswer = reportFailedKeys(() => []);
     },
     expected: UNAVAILABLE,
   },
@@ -91,7 +91,7 @@
     name: 'a conflict that names another key',
     prepare: (fixture) => {
       acceptElsewhere(fixture);
-      fixture.state.alterTransactionAnswer = reportFailedKeys(() => [jobKey('j-000009')]);
+      fixture.store.alterTransactionAnswer = reportFailedKeys(() => [jobKey('j-000009')]);
     },
     expected: UNAVAILABLE,
   },
@@ -99,8 +99,8 @@
     name: 'a conflict that names one of two jobs',
     prepare: (fixture) => {
       acceptElsewhere(fixture);
-      fixture.state.change([{ key: jobKey('j-000001'), value: recordOf('j-000001') }]);
-      fixture.state.alterTransactionAnswer = reportFailedKeys((failed) => failed.slice(0, 1));
+      fixture.store.change([{ key: jobKey('j-000001'), value: recordOf('j-000001') }]);
+      fixture.store.alterTransactionAnswer = reportFailedKeys((failed) => failed.slice(0, 1));
     },
     expected: FOUND,
   },
@@ -109,9 +109,9 @@
     prepare: (fixture) => {
       acceptElsewhere(fixture);
       fixture.replica.applyOwnChanges([
-        { key: jobKey(JOB), value: recordOf(JOB), revision: fixture.state.revision },
+        { key: jobKey(JOB), value: recordOf(JOB), revision: fixture.store.revision },
       ]);
-      fixture.state.change([{ key: jobKey(JOB), remove: true }]);
+      fixture.store.change([{ key: jobKey(JOB), remove: true }]);
     },
     expected: UNAVAILABLE,
   },
@@ -120,7 +120,7 @@
     prepare: (fixture) => {
       acceptElsewhere(fixture);
       // A final record still fits.
-      fixture.state.valueBytes = 40;
+      fixture.store.valueBytes = 40;
     },
     expected: FOUND,
     isLogged: true,
@@ -129,7 +129,7 @@
     name: 'a finished job',
     prepare: (fixture) => {
       fixture.replica.stop();
-      fixture.state.change([{ key: finalKey(JOB), value: { state: 'done', tasks: 1 } }]);
+      fixture.store.change([{ key: finalKey(JOB), value: { state: 'done', tasks: 1 } }]);
     },
     expected: FOUND,
   },
@@ -159,10 +159,10 @@
 // together got 503.
 test('accepted jobs: many polls of finished jobs that the replica lacks are all answered within 2 s', async () => {
   const jobs = Array.from({ length: 40 }, (_, number) => `j-${String(700_000 + number)}`);
-  const fixture = await userRequestsFixture({ checkMs: 375, rps: 27 });
+  const fixture = await userRequestsFixture({ checkIntervalMs: 375, rps: 27 });
   fixture.replica.stop();
-  fixture.state.answerMs = 150;
-  fixture.state.change(
+  fixture.store.answerMs = 150;
+  fixture.store.change(
     jobs.map((id) => ({ key: finalKey(id), value: { state: 'done', tasks: 1 } })),
   );
   const startedAt = fixture.clock.now();
@@ -178,7 +178,7 @@
 
 test('accepted jobs: a request that was rejected because of a full queue is answered when repeated', async () => {
   const fixture = await userRequestsFixture();
-  fixture.state.answerMs = 1000;
+  fixture.store.answerMs = 1000;
   const pollAll = (): Promise<number[]> =>
     Promise.all(
       Array.from({ length: 600 }, async (_, number) => {
@@ -192,7 +192,7 @@
   await fixture.clock.run(fixture.clock.now() + 5000);
   const rejected = (await first).flatMap((status, number) => (status === 404 ? [] : [number]));
   assert.ok(rejected.length > 0);
-  fixture.state.answerMs = 5;
+  fixture.store.answerMs = 5;
   const second = rejected
     .slice(0, 100)
     .map((number) => fixture.request('poll', `j-${String(800_000 + number)}`));
@@ -201,18 +201,18 @@
 
 test('accepted jobs: checks that the store refused with 429 are retried together with later checks', async () => {
   const fixture = await userRequestsFixture();
-  fixture.state.limits = { rps: 0.1, writeRps: 0.1 };
+  fixture.store.limits = { rps: 0.1, writeRps: 0.1 };
   const first = fixture.request('poll', JOB);
   await fixture.clock.run(fixture.clock.now() + 340);
   const second = fixture.request('poll', JOB);
   await fixture.clock.run(fixture.clock.now() + 300);
-  fixture.state.limits = null;
+  fixture.store.limits = null;
   const replies = await fixture.settle(first, second);
   assert.deepEqual(
     replies.map(({ status }) => status),
     [404, 404],
   );
-  assert.ok(fixture.state.rateLimitRejections > 0);
+  assert.ok(fixture.store.rateLimitRejections > 0);
 });
 
 // The guards of the check hold, because the job is open when the transaction is executed. The job's
@@ -220,13 +220,13 @@
 test('accepted jobs: a cancellation that reaches the replica before the answer to a check is returned', async () => {
   for (const kind of ['repeat', 'malformed', 'unfit'] as const) {
     const fixture = await userRequestsFixture();
-    fixture.state.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
+    fixture.store.change([{ key: jobKey(JOB), value: recordOf(JOB) }]);
     await fixture.clock.run(fixture.clock.now() + 500);
-    fixture.state.transactionAnswerDelayMs = () => 1000;
+    fixture.store.transactionAnswerDelayMs = () => 1000;
     const reply = fixture.request(kind, JOB);
     await fixture.clock.run(fixture.clock.now() + 500);
     const finalRecord = { state: 'cancelled', tasks: 1 };
-    fixture.state.change([
+    fixture.store.change([
       { key: jobKey(JOB), remove: true },
       { key: finalKey(JOB), value: finalRecord },
     ]);
--- a/test/api/job-answers.test.ts
+++ b/test/api/job-answers.test.ts
@@ -91,7 +91,7 @@
     await world.run(1);
     const poll = await awaitReply(world, world.poll('j-000001', 'n1'));
     if (stage(poll) !== 'done') continue;
-    assert.equal(world.completed.size, 6);
+    assert.equal(world.completedTasks.size, 6);
     return;
   }
   assert.fail('never done');
--- a/test/cluster/gang-rules-restarts.test.ts
+++ b/test/cluster/gang-rules-restarts.test.ts
@@ -64,7 +64,7 @@
       const { world } = scenario;
       await scenario.submitAndRun(CHECKPOINTED_GANG, 25);
       scenario.cutOff(scenario.machineOf());
-      await scenario.runUntil('all tasks are complete', 20, () => world.completed.size === 4);
+      await scenario.runUntil('all tasks are complete', 20, () => world.completedTasks.size === 4);
       const starts = world.starts.length;
       await world.run(15);
       assert.equal(world.starts.length, starts);
@@ -81,7 +81,7 @@
       await scenario.submitAndRun(CHECKPOINTED_GANG, 25);
       const lost = scenario.machineOf();
       scenario.cutOff(lost);
-      await scenario.runUntil('all tasks are complete', 20, () => world.completed.size === 4);
+      await scenario.runUntil('all tasks are complete', 20, () => world.completedTasks.size === 4);
       if (fate === 'dies') lost.die();
       await world.run(LEASE_S + 16);
       world.cutLinks.clear();
--- a/test/cluster/gang-rules-stops.test.ts
+++ b/test/cluster/gang-rules-stops.test.ts
@@ -23,13 +23,15 @@
       const { world } = scenario;
       await scenario.submitAccepted(GANG, CHECKPOINTED_GANG);
       await scenario.runUntil('a task waits', 20, () =>
-        scenario.machinesOf().some((one) => [...one.onMachine()].length > 0 || one.tasks.size > 0),
+        scenario
+          .machinesOf()
+          .some((one) => [...one.tasksOnMachine()].length > 0 || one.tasks.size > 0),
       );
       scenario.machineOf().die();
       await scenario.awaitGangStart(120);
       const [start] = scenario.starts();
       for (const worker of scenario.machinesOf()) {
-        for (const [task, held] of worker.onMachine()) {
+        for (const [task, held] of worker.tasksOnMachine()) {
           assert.equal(held.attempt, start?.attempt, task);
         }
       }
--- a/test/cluster/overlapping-faults-leaders.test.ts
+++ b/test/cluster/overlapping-faults-leaders.test.ts
@@ -203,7 +203,7 @@
   await world.run(1);
   // n0 holds the shard of zone b, whose controller stays down, and from now on the store refuses n0.
   const countRunning = (): number =>
-    [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]).length;
+    [...world.workers.values()].flatMap((worker) => [...worker.tasksOnMachine()]).length;
   assert.equal(countRunning(), 2);
   world.store.refusedControllers.add('n0');
   assert.equal(stageOf(await cancel(world, 'j-000001', ['n1'])), 'withdrawn');
--- a/test/cluster/overlapping-faults-machines.test.ts
+++ b/test/cluster/overlapping-faults-machines.test.ts
@@ -103,7 +103,7 @@
       await cancel(world, 'j-000002', controllerNames(world));
       await world.run(3);
       const remaining = silent.flatMap((one) =>
-        [...one.onMachine()].filter(([task]) => task.startsWith('j-000002/')),
+        [...one.tasksOnMachine()].filter(([task]) => task.startsWith('j-000002/')),
       );
       assert.deepEqual(remaining, [], 'direct stops did not arrive');
       await world.run(70);
--- a/test/election/failover.test.ts
+++ b/test/election/failover.test.ts
@@ -44,7 +44,7 @@
   await world.run(60);
   const isRented = [cut1, cut2, dead1, dead2].map((machine) => world.workers.has(machine));
   assert.deepEqual(isRented, [true, true, false, false]);
-  const running = [...world.workers.values()].flatMap((worker) => [...worker.onMachine()]);
+  const running = [...world.workers.values()].flatMap((worker) => [...worker.tasksOnMachine()]);
   assert.equal(running.length, 12);
   assert.deepEqual(world.violations, []);
 });
--- a/test/failure-detection/failover-on-suspicion.test.ts
+++ b/test/failure-detection/failover-on-suspicion.test.ts
@@ -3,12 +3,12 @@
 import { test } from 'node:test';
 import { nodeKey } from '../../src/storage/keys.js';
 import {
-  playSuspicionCase,
+  runFailureDetectionCase,
   partition,
   roleTerms,
   worldWithFailureDetection,
   WITH_FAILURE_DETECTION,
-  type SuspicionCase,
+  type FailureDetectionCase,
   type ObservedWorld,
 } from '../world/failure-detection-case.js';
 import type { World } from '../world/world.js';
@@ -19,7 +19,7 @@
 
 const controllerNames = (world: World): string[] => world.members.map(([name]) => name);
 
-const ROWS: SuspicionCase[] = [
+const ROWS: FailureDetectionCase[] = [
   ...[1, 3].map((seconds) => ({
     name: `roles stay with a leader that is paused for ${seconds} s`,
     keepsTerms: true,
@@ -132,7 +132,7 @@
 
 for (const row of ROWS) {
   test(`suspicion: ${row.name}`, async () => {
-    for (const seed of [1, 2]) await playSuspicionCase(row, seed);
+    for (const seed of [1, 2]) await runFailureDetectionCase(row, seed);
   });
 }
 
--- a/test/failure-detection/partitions.test.ts
+++ b/test/failure-detection/partitions.test.ts
@@ -3,10 +3,10 @@
 import { test } from 'node:test';
 import type { RoleTenure } from '../../src/protocol/peer-messages.js';
 import {
-  playSuspicionCase,
+  runFailureDetectionCase,
   partition,
   roleTerms,
-  type SuspicionCase,
+  type FailureDetectionCase,
 } from '../world/failure-detection-case.js';
 import type { World } from '../world/world.js';
 
@@ -29,7 +29,7 @@
   }
 }
 
-const ROWS: SuspicionCase[] = [
+const ROWS: FailureDetectionCase[] = [
   {
     name: 'no role fails over when no peer reaches another but all reach the key-value store',
     keepsTerms: true,
@@ -181,6 +181,6 @@
 
 for (const row of ROWS) {
   test(`suspicion: ${row.name}`, async () => {
-    for (const seed of [1, 2]) await playSuspicionCase(row, seed);
+    for (const seed of [1, 2]) await runFailureDetectionCase(row, seed);
   });
 }
--- a/test/leader/fair-share-reclaim.test.ts
+++ b/test/leader/fair-share-reclaim.test.ts
@@ -132,7 +132,7 @@
   for (const { name, reclaim, delayMs = 0, kind = 'array', want } of cases) {
     const world = await shardFixture({
       spec: { kind: 'gang', tasks: 2 },
-      held: [
+      records: [
         {
           key: jobKey(ARRAY_JOB),
           value: { spec: { ...SPEC, kind, team: 'blue', tasks: 3 }, at: ACCEPTED_AT },
@@ -140,10 +140,10 @@
         { key: assignmentKey('p', ARRAY_JOB, 5), value: ARRAY },
       ],
     });
-    world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
+    world.store.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
     await world.clock.run(world.clock.now() + 300);
     const assignment = { ...GANG_ASSIGNMENT, ...(reclaim && { reclaim }) };
-    world.state.change([{ key: assignmentKey('p', JOB, 1), value: assignment }]);
+    world.store.change([{ key: assignmentKey('p', JOB, 1), value: assignment }]);
     await world.clock.run(world.clock.now() + 300 + delayMs);
     const tasks = [0, 1, 2].map(arrayTask);
     world.heartbeat({}, tasks);
--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -53,7 +53,7 @@
   readonly nodes: Map<string, HeartbeatTarget>;
   readonly workers = new Map<string, SimWorker>();
   readonly jobs = new Map<string, SimJob>();
-  readonly completed = new Set<string>();
+  readonly completedTasks = new Set<string>();
   readonly gangs: SimGangs = new SimGangs(this);
   readonly overrides = {};
   readonly linkDelayMs = 0;
@@ -198,13 +198,13 @@
     return this.machineAddresses[machine % MACHINE_ADDRESSES] ?? '';
   }
 
-  taskStarted(worker: SimWorker, task: string): void {
+  recordTaskStart(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name });
-    this.invariants.taskStarted(worker, task);
+    this.invariants.recordTaskStart(worker, task);
   }
 
-  gangStarted(job: string, attempt: number): void {
-    this.invariants.gangStarted(job, attempt);
+  recordGangStart(job: string, attempt: number): void {
+    this.invariants.recordGangStart(job, attempt);
   }
 
   // --- Sockets -------------------------------------------------------------------------------
--- a/test/loopback/mixed-versions.ts
+++ b/test/loopback/mixed-versions.ts
@@ -160,7 +160,7 @@
   /** Whether a task of the job is on a machine. */
   isRunning(id: string): boolean {
     return [...this.cluster.workers.values()].some((worker) =>
-      [...worker.onMachine()].some(([task]) => task.startsWith(`${id}/`)),
+      [...worker.tasksOnMachine()].some(([task]) => task.startsWith(`${id}/`)),
     );
   }
 
--- a/test/packages/failure-detector.test.ts
+++ b/test/packages/failure-detector.test.ts
@@ -30,7 +30,7 @@
 const slowed =
   (names: string[], network: DetectorNetwork) =>
   ({ from, to }: Delivery): number =>
-    names.includes(from) || names.includes(to) ? 150 + 250 * network.random01() : 2;
+    names.includes(from) || names.includes(to) ? 150 + 250 * network.randomFraction() : 2;
 
 const lostOneWay =
   (from: string, to: string) =>
--- a/test/shard/assignment-splitting.test.ts
+++ b/test/shard/assignment-splitting.test.ts
@@ -76,9 +76,9 @@
     assert.deepEqual(ops(world.heartbeat({}, heartbeat(0))), [], name);
     world.heartbeat({}, heartbeat(1));
     await world.reconcile(5000);
-    checkAssignments(world.state, tasks);
-    assert.equal(assignmentsOf(world.state).length > 1, fitsAtOnce, name);
-    for (const [, record] of assignmentsOf(world.state)) {
+    checkAssignments(world.store, tasks);
+    assert.equal(assignmentsOf(world.store).length > 1, fitsAtOnce, name);
+    for (const [, record] of assignmentsOf(world.store)) {
       if (fitsAtOnce) assert.ok(storedBytes(record) <= SMALL_VALUE_BYTES, name);
     }
     // A task that has ended is forgotten once its end is stored; the machine gets no other command.
@@ -92,11 +92,11 @@
       const commands = world.heartbeat({}, heartbeat(done));
       assert.ok(!ops(commands).some((op) => op !== 'forget'), name);
       await world.reconcile(5000);
-      checkAssignments(world.state, tasks);
+      checkAssignments(world.store, tasks);
     }
-    const done = assignmentsOf(world.state).flatMap(([, record]) => readRanges(record.done));
+    const done = assignmentsOf(world.store).flatMap(([, record]) => readRanges(record.done));
     assert.equal(done.length, tasks, name);
-    assert.deepEqual(world.state.rejectedTransactions, [], name);
+    assert.deepEqual(world.store.rejectedTransactions, [], name);
     assert.equal(
       world.sent.flatMap((one) => ops(one.commands)).filter((op) => op === 'start').length,
       0,
@@ -115,20 +115,20 @@
   });
   const heartbeat = (done: number): TaskStatus[] => heartbeatsOf(90, done);
   world.heartbeat({}, heartbeat(1));
-  world.state.delayNextTransactionMs.set('p', 3000);
+  world.store.delayNextTransactionMs.set('p', 3000);
   await world.reconcile(12_000);
-  checkAssignments(world.state, 90);
-  assert.ok(assignmentsOf(world.state).length > 1);
+  checkAssignments(world.store, 90);
+  assert.ok(assignmentsOf(world.store).length > 1);
   assert.deepEqual(ops(world.heartbeat({}, heartbeat(1))), ['forget']);
   world.heartbeat({}, heartbeat(90).slice(1));
   await world.reconcile(8000);
-  checkAssignments(world.state, 90);
-  const done = assignmentsOf(world.state).flatMap(([, record]) => readRanges(record.done));
+  checkAssignments(world.store, 90);
+  const done = assignmentsOf(world.store).flatMap(([, record]) => readRanges(record.done));
   assert.equal(done.length, 90);
   // The job is cancelled, so that all pieces are removed.
-  world.state.change([{ key: jobKey(JOB), remove: true }]);
+  world.store.change([{ key: jobKey(JOB), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   world.heartbeat();
   await world.reconcile(3000);
-  assert.deepEqual(assignmentsOf(world.state), []);
+  assert.deepEqual(assignmentsOf(world.store), []);
 });
--- a/test/shard/gang-shard.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -30,10 +30,10 @@
   const world = await shardFixture({
     spec: { kind: 'gang', tasks, checkpointS: 5, saveS: SAVE_S },
   });
-  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
+  world.store.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   const live: AssignmentRecord['live'] = { '2': ['m-8', ATTEMPT], '3': ['m-9', ATTEMPT] };
-  world.state.change([
+  world.store.change([
     { key: assignmentKey('p', JOB, 1), value: { ...subset, ...change } },
     ...(otherSubset
       ? [
--- a/test/shard/gang-subsets.test.ts
+++ b/test/shard/gang-subsets.test.ts
@@ -27,9 +27,9 @@
   otherSubset?: Partial<AssignmentRecord>,
 ): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS: 5, saveS: 2 } });
-  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
+  world.store.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
-  world.state.change([
+  world.store.change([
     { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
     ...(otherSubset
       ? [
@@ -74,7 +74,7 @@
       assert.equal(Object.keys(world.stored()?.live ?? {}).length, 2);
       assert.deepEqual([...sent(world), ...ops(world.heartbeat())], []);
       const live = { '2': ['m-8', GANG_ATTEMPT], '3': ['m-9', GANG_ATTEMPT] };
-      world.state.change([
+      world.store.change([
         { key: assignmentKey('q', JOB, 2), value: { ...GANG_ASSIGNMENT, ids: '2-3', live } },
       ]);
       await world.reconcile();
@@ -116,7 +116,7 @@
       await world.reconcile();
       world.heartbeat({}, [statusOf(0), statusOf(1)]);
       const value = { ...GANG_ASSIGNMENT, ids: '2-3', live, stopping: true };
-      world.state.change([{ key: assignmentKey('q', JOB, 2), value }]);
+      world.store.change([{ key: assignmentKey('q', JOB, 2), value }]);
       await world.reconcile(500);
       const stops = world.heartbeat({}, [statusOf(0), statusOf(1)]);
       assert.deepEqual(ops(stops), ['stop', 'stop']);
@@ -136,8 +136,8 @@
       const laterJob = { ...SPEC, id: 'j-000003', tasks: 4 };
       const { attempt, ...plain } = GANG_ASSIGNMENT;
       assert.equal(attempt, GANG_ATTEMPT);
-      world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
-      world.state.change([
+      world.store.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
+      world.store.change([
         { key: jobKey(runningJob.id), value: { spec: runningJob, at: world.clock.wall() } },
         { key: jobKey(laterJob.id), value: { spec: laterJob, at: world.clock.wall() } },
         {
@@ -166,7 +166,7 @@
       await world.reconcile();
       const countLaterPlaced = (): number =>
         Object.keys(
-          (world.state.entries.get(assignmentKey('p', laterJob.id, 6))?.value as AssignmentRecord)
+          (world.store.entries.get(assignmentKey('p', laterJob.id, 6))?.value as AssignmentRecord)
             .live,
         ).length;
       assert.equal(countLaterPlaced(), 0);
@@ -176,7 +176,7 @@
         runningJobStatus(2),
       ]);
       await world.reconcile();
-      const subset = world.state.entries.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
+      const subset = world.store.entries.get(assignmentKey('p', JOB, 5))?.value as AssignmentRecord;
       assert.equal(Object.keys(subset.live).length, 2);
     },
   },
--- a/test/shard/gang-timing.test.ts
+++ b/test/shard/gang-timing.test.ts
@@ -39,9 +39,9 @@
   otherSubset?: AssignmentRecord,
 ): Promise<ShardFixture> {
   const world = await shardFixture({ spec: { kind: 'gang', tasks, checkpointS, saveS: 2 } });
-  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
+  world.store.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
-  world.state.change([
+  world.store.change([
     { key: assignmentKey('p', JOB, 1), value: GANG_ASSIGNMENT },
     ...(otherSubset ? [{ key: assignmentKey('q', JOB, 2), value: otherSubset }] : []),
   ]);
@@ -105,11 +105,11 @@
   const world = await shardWithGang(4, 5, { ...GANG_ASSIGNMENT, ids: '2-3', live });
   answerCalls(world, [statusOf(0), statusOf(1)]);
   await stopsWithin(world, 2, [statusOf(0), statusOf(1)]);
-  world.state.hasOutage = true;
+  world.store.hasOutage = true;
   const statuses = [statusOf(0, 'exited'), statusOf(1)];
   assert.deepEqual(await stopsWithin(world, 6, statuses), [], 'during the outage');
   assert.equal(world.stored()?.stopping, undefined);
-  world.state.endOutage();
+  world.store.endOutage();
   assert.deepEqual(await stopsWithin(world, 6, statuses), ['stop']);
   assert.equal(world.stored()?.stopping, true);
 });
@@ -141,7 +141,7 @@
     if (reachable) answerCalls(world, tasks);
     await stopsWithin(world, ranS, tasks);
     const urgent = { ...SPEC, id: URGENT_JOB, priority: 'high' as const, cpus: 3 };
-    world.state.change([
+    world.store.change([
       { key: jobKey(URGENT_JOB), value: { spec: urgent, at: world.clock.wall() } },
       { key: assignmentKey('p', URGENT_JOB, 9), value: { ...PLAIN_ASSIGNMENT, ids: '0', cpus: 3 } },
     ]);
--- a/test/shard/heartbeat-acknowledgement.test.ts
+++ b/test/shard/heartbeat-acknowledgement.test.ts
@@ -83,7 +83,7 @@
     name: 'a duplicate heartbeat of a machine that was returned to the cloud is not answered and adds no machine',
     check: async (world) => {
       const value: MachineRecord = { state: 'gone', type: 'small', zone: 'a', spot: false, at: 0 };
-      world.state.change([{ key: machineKey('m-1'), value }]);
+      world.store.change([{ key: machineKey('m-1'), value }]);
       await world.clock.run(world.clock.now() + 300);
       assert.equal(world.answer().ok, false);
       await world.reconcile();
@@ -95,9 +95,9 @@
     check: async (world) => {
       world.heartbeat({ sequence: 50 });
       await world.reconcile(0);
-      world.state.hasOutage = true;
+      world.store.hasOutage = true;
       await world.clock.run(world.clock.now() + 120_000);
-      world.state.endOutage();
+      world.store.endOutage();
       const assignment = {
         ids: '0',
         done: '',
@@ -110,7 +110,7 @@
       await world.reconcile(3000);
       assert.equal(world.shard.counts().machines, 0);
       // The waiting task was returned to the leader meanwhile. The leader assigns it again.
-      world.state.change([
+      world.store.change([
         { key: assignmentKey('p', JOB, 1), value: { ...assignment, zone: 'a' } },
       ]);
       await world.clock.run(world.clock.now() + 300);
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -22,11 +22,11 @@
 test('a start is sent only after its placement is committed', async () => {
   const world = await shardFixture();
   world.heartbeat();
-  world.state.hasOutage = true;
+  world.store.hasOutage = true;
   await world.reconcile();
   assert.deepEqual(ops(world.heartbeat()), []);
   assert.equal(world.sent.length, 0);
-  world.state.endOutage();
+  world.store.endOutage();
   await world.reconcile(3000);
   assert.equal(world.stored()?.live['0']?.[0], 'm-1');
   assert.deepEqual(ops(world.heartbeat()), ['start']);
@@ -35,7 +35,7 @@
 test('a placement made after the role was lost is neither committed nor sent', async () => {
   const world = await shardFixture();
   world.heartbeat();
-  world.state.change([{ key: roleKey('part-p'), value: { owner: 'q' } }]);
+  world.store.change([{ key: roleKey('part-p'), value: { owner: 'q' } }]);
   await world.reconcile(1000);
   assert.deepEqual(world.stored()?.live, {});
   assert.deepEqual(ops(world.heartbeat()), []);
@@ -81,11 +81,11 @@
 test('an ended attempt is forgotten only after its end is committed', async () => {
   const world = await shardFixture({ placed: true });
   world.heartbeat({}, [running(77)]);
-  world.state.hasOutage = true;
+  world.store.hasOutage = true;
   world.heartbeat({}, [ended(77)]);
   await world.reconcile();
   assert.deepEqual(ops(world.heartbeat({}, [ended(77)])), []);
-  world.state.endOutage();
+  world.store.endOutage();
   await world.reconcile(3000);
   assert.equal(world.stored()?.done, '0');
   assert.deepEqual(ops(world.heartbeat({}, [ended(77)])), ['forget']);
@@ -120,7 +120,7 @@
   const world = await shardFixture({ placed: true, spec: { kind: 'service' } });
   const job: JobRecord = { spec: { ...SPEC, id: 'j-000002', kind: 'service' }, at: 0 };
   const assignment = { ...world.stored(), ids: '0-2', live: { '0': ['m-2', 7], '1': ['m-2', 8] } };
-  world.state.change([
+  world.store.change([
     { key: jobKey('j-000002'), value: job },
     { key: assignmentKey('p', 'j-000002', 2), value: { ...assignment, ids: '0-1' } },
   ]);
@@ -171,10 +171,10 @@
 // ever started.
 test('an assignment on more machines than one transaction can guard is written in several transactions', async () => {
   const world = await shardFixture({ ids: '0-39', spec: { tasks: 40 } });
-  world.state.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
+  world.store.change([{ key: assignmentKey('p', JOB, 1), remove: true }]);
   await world.clock.run(world.clock.now() + 300);
   const record = { ids: '0-39', done: '', live: {}, team: 'red', gpus: 0, memoryGb: 1, zone: 'a' };
-  world.state.change([{ key: assignmentKey('p', JOB, 1), value: { ...record, cpus: 4 } }]);
+  world.store.change([{ key: assignmentKey('p', JOB, 1), value: { ...record, cpus: 4 } }]);
   await world.clock.run(world.clock.now() + 300);
   for (let at = 0; at < 40; at++) world.heartbeat({ machine: `m-${100 + at}` });
   await world.reconcile(3000);
@@ -188,7 +188,7 @@
     const world = await shardFixture({
       spec: { tasks: 4 },
       ids: '0-3',
-      agedMs: waited ? 200_000 : 0,
+      jobAgeMs: waited ? 200_000 : 0,
     });
     const assignment = { ids: '0', done: '', live: {}, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 };
     world.heartbeat();
@@ -200,7 +200,7 @@
     }));
     assert.equal(tasks.length, 4);
     const spec: JobSpec = { ...SPEC, id: 'j-000002', kind: 'service', priority: 'high' };
-    world.state.change([
+    world.store.change([
       { key: jobKey('j-000002'), value: { spec, at: world.clock.wall() } },
       { key: assignmentKey('p', 'j-000002', 2), value: { ...assignment, zone: 'a' } },
     ]);
@@ -227,7 +227,7 @@
   world.sent.at(-1)?.done(heartbeat);
   const spec: JobSpec = { ...SPEC, id: 'j-000002', kind: 'service', priority: 'high' };
   const assignment = { ids: '0', done: '', live: {}, team: 'red', cpus: 1, gpus: 0, memoryGb: 1 };
-  world.state.change([
+  world.store.change([
     { key: jobKey('j-000002'), value: { spec, at: world.clock.wall() } },
     { key: assignmentKey('p', 'j-000002', 2), value: { ...assignment, zone: 'a' } },
   ]);
@@ -251,8 +251,8 @@
   const world = await shardFixture();
   world.heartbeat();
   // The job's record is removed from the store without a change that the replica's watch returns.
-  world.state.revision++;
-  world.state.entries.delete(jobKey(JOB));
+  world.store.revision++;
+  world.store.entries.delete(jobKey(JOB));
   await world.reconcile();
   assert.deepEqual(world.stored()?.live, {});
   assert.deepEqual(ops(world.heartbeat()), []);
--- a/test/stand-ins/gang-starts.test.ts
+++ b/test/stand-ins/gang-starts.test.ts
@@ -33,7 +33,7 @@
       assert.deepEqual(reportedStates(), allThree('running'));
       await world.run(2);
       assert.deepEqual(reportedStates(), allThree('exited done'));
-      assert.equal(world.completed.size, 3);
+      assert.equal(world.completedTasks.size, 3);
     },
   },
   {
@@ -42,9 +42,9 @@
     act: async ({ world, worker, start }) => {
       start(0, 1, 2, 3);
       await world.run(0.5);
-      assert.equal([...worker(0).onMachine()].length, 0);
+      assert.equal([...worker(0).tasksOnMachine()].length, 0);
       await world.run(1);
-      assert.equal([...worker(0).onMachine()].length, 1);
+      assert.equal([...worker(0).tasksOnMachine()].length, 1);
       // The team's quota is 12.
       assert.deepEqual(world.violations, ['quota blue 16']);
       world.violations.length = 0;
--- a/test/stand-ins/invariant-checker.test.ts
+++ b/test/stand-ins/invariant-checker.test.ts
@@ -100,7 +100,7 @@
     await world.run(5);
     await begin?.(world);
     if (alterReply) world.alterReply = alterReply;
-    if (isOver) world.faultsOver();
+    if (isOver) world.startChecksAfterFaults();
     for (let second = 0; second < forS; second++) {
       if (second % 5 === 0) {
         for (const id of [JOB, OTHER]) {
--- a/test/storage/multi-value-records.test.ts
+++ b/test/storage/multi-value-records.test.ts
@@ -157,17 +157,17 @@
     const fixture = await shardFixture({
       transactionOps,
       valueBytes: SMALL_VALUE_BYTES,
-      held: [{ key: statusKey('p', 0), value: { machines } }],
+      records: [{ key: statusKey('p', 0), value: { machines } }],
     });
     assert.ok(storedBytes({ machines }) > SMALL_VALUE_BYTES);
     // The machine of the fixture sends heartbeats; the others are known from the stored status
     // only.
     fixture.heartbeat();
-    const from = fixture.state.log.length;
+    const from = fixture.store.log.length;
     await fixture.reconcile(8000);
     // Checked after each change, not only after each pass of the shard.
     const machinesByKey = new Map<string, string[]>([[statusKey('p', 0), Object.keys(machines)]]);
-    const written = fixture.state.log
+    const written = fixture.store.log
       .slice(from)
       .filter((one) => one.key.startsWith('mb/live/status/p/'));
     for (const { key, value } of written) {
@@ -177,15 +177,15 @@
         assert.ok(storedMachines.has(name), `${name} after ${key}`);
     }
     assert.ok(written.length >= 2 && written.length < 20, `${written.length}`);
-    const pages = machinesByPage(fixture.state);
+    const pages = machinesByPage(fixture.store);
     assert.ok(pages.length >= 2);
     assert.equal(new Set(pages.flat()).size, pages.flat().length, 'each machine is in one page');
     assert.ok(new Set(pages.flat()).has('m-1'));
     for (let at = 0; at < pages.length; at++) {
-      const value = fixture.state.entries.get(statusKey('p', at))?.value as StatusRecord;
+      const value = fixture.store.entries.get(statusKey('p', at))?.value as StatusRecord;
       assert.deepEqual(Object.keys(value), ['machines']);
       assert.ok(storedBytes(value) <= SMALL_VALUE_BYTES);
     }
-    assert.deepEqual(fixture.state.rejectedTransactions, []);
+    assert.deepEqual(fixture.store.rejectedTransactions, []);
   }
 });
--- a/test/upgrade/assignment-crossings.test.ts
+++ b/test/upgrade/assignment-crossings.test.ts
@@ -76,23 +76,23 @@
     transactionOps,
     valueBytes: LIMIT,
     spec: { tasks, cpus: 0.01, memoryGb: 0.01, kind: gang ? 'gang' : 'array' },
-    held: [...stored].map(([key, value]) => ({ key, value })),
+    records: [...stored].map(([key, value]) => ({ key, value })),
   });
-  if (writeRps !== null) world.state.limits = { rps: 50, writeRps };
-  const from = world.state.log.length;
+  if (writeRps !== null) world.store.limits = { rps: 50, writeRps };
+  const from = world.store.log.length;
   await run(world);
-  const log = world.state.log.slice(from);
+  const log = world.store.log.slice(from);
   assertEachTaskOnce(log, stored, tasks);
   assertReadableByOlderVersions(log.filter(({ key }) => key.startsWith(ASSIGNMENTS)));
-  assert.deepEqual(world.state.rejectedTransactions, []);
+  assert.deepEqual(world.store.rejectedTransactions, []);
   const sentOps = [...world.sent.flatMap(({ commands }) => ops(commands))];
   assert.ok(!sentOps.includes('start'), 'no running task is started again');
-  for (const [key, value] of assignmentsOf(world.state)) {
+  for (const [key, value] of assignmentsOf(world.store)) {
     if (!log.some((one) => one.key === key)) continue;
     const bytes = Buffer.byteLength(JSON.stringify(value));
     assert.ok(bytes <= LIMIT, `${key} takes ${bytes}`);
   }
-  return new Map(assignmentsOf(world.state));
+  return new Map(assignmentsOf(world.store));
 }
 
 /** Sends a heartbeat of each machine with its tasks; those in `done` are reported as done. */
@@ -159,9 +159,9 @@
   stored = await heldByThisVersion(row, stored, async (world) => {
     reportAll(world, placements, indexesBelow(64));
     await world.reconcile(4000);
-    assert.ok(assignmentsOf(world.state).length > 1);
-    assert.deepEqual(doneIn(new Map(assignmentsOf(world.state))), [...indexesBelow(64)]);
-    for (const [key, value] of assignmentsOf(world.state)) {
+    assert.ok(assignmentsOf(world.store).length > 1);
+    assert.deepEqual(doneIn(new Map(assignmentsOf(world.store))), [...indexesBelow(64)]);
+    for (const [key, value] of assignmentsOf(world.store)) {
       assert.deepEqual(value.later, [1], `${key}: field of a later version`);
       assert.equal(value.attempt, gang ? ATTEMPT : undefined, `${key}: attempt of a gang`);
       assert.equal(value.stopping, undefined, key);
--- a/test/upgrade/older-records.test.ts
+++ b/test/upgrade/older-records.test.ts
@@ -159,7 +159,7 @@
       const [[key = '', value] = []] = Object.entries(records);
       for (const state of ['rented', 'drain', 'gone', null]) {
         const held = state === null ? [] : [{ key, value: { ...(value as object), state } }];
-        const world = await shardFixture({ held });
+        const world = await shardFixture({ records: held });
         world.heartbeat();
         await world.reconcile();
         const placed = Object.keys(world.stored()?.live ?? {}).length;
@@ -177,15 +177,15 @@
     },
     check: async (records) => {
       const held = Object.entries(records).map(([key, value]) => ({ key, value }));
-      const world = await shardFixture({ held });
-      const from = world.state.log.length;
+      const world = await shardFixture({ records: held });
+      const from = world.store.log.length;
       world.heartbeat({ machine: 'm-4' });
       await world.reconcile(8000);
-      assert.ok(world.state.log.slice(from).some(({ key }) => key.startsWith('mb/live/status/p/')));
+      assert.ok(world.store.log.slice(from).some(({ key }) => key.startsWith('mb/live/status/p/')));
       const machines = Object.assign(
         {},
         ...['0', '1'].map((page) => {
-          return valueOf<{ machines: object }>(world.state, `mb/live/status/p/${page}`).machines;
+          return valueOf<{ machines: object }>(world.store, `mb/live/status/p/${page}`).machines;
         }),
       ) as Record<string, unknown[]>;
       assert.deepEqual(Object.keys(machines).sort(), ['m-1', 'm-2', 'm-3', 'm-4']);
--- a/test/upgrade/written-records.test.ts
+++ b/test/upgrade/written-records.test.ts
@@ -77,18 +77,18 @@
       const subset = { ...ASSIGNMENT, done: '', attempt: 7 };
       const world = await shardFixture({
         spec: { kind: 'gang', tasks: 4 },
-        held: [
+        records: [
           { key: `mb/live/chunk/p/${JOB}/1`, value: { ...subset, ids: '0-1', live: {} } },
           { key: `mb/live/chunk/q/${JOB}/2`, value: { ...subset, ids: '2-3', live: {} } },
         ],
       });
-      const from = world.state.log.length;
+      const from = world.store.log.length;
       world.heartbeat();
       await world.reconcile();
       const value = { ...subset, ids: '2-3', live: {}, stopping: true };
-      world.state.change([{ key: `mb/live/chunk/q/${JOB}/2`, value }]);
+      world.store.change([{ key: `mb/live/chunk/q/${JOB}/2`, value }]);
       await world.reconcile();
-      const written = world.state.log.slice(from);
+      const written = world.store.log.slice(from);
       const own = written.filter(({ key }) => key.startsWith('mb/live/chunk/p/'));
       const values = own.map((one) => one.value as Records | undefined);
       assert.ok(values.some((one) => one?.stopping === true));
@@ -130,13 +130,13 @@
         Array.from({ length: 90 }, (_, at) => [`m-${1000 + at}`, ['small', 'a', 0, 'ok']]),
       );
       const held = [{ key: 'mb/live/status/p/0', value: { machines } }];
-      const world = await shardFixture({ valueBytes: 1024, held });
-      const from = world.state.log.length;
+      const world = await shardFixture({ valueBytes: 1024, records: held });
+      const from = world.store.log.length;
       world.heartbeat();
       await world.reconcile(20_000);
       // 89f79d3 counts the existing pages and empties those beyond the ones that it writes, so that
       // their numbers must have no gaps.
-      const pages = [...world.state.entries.keys()]
+      const pages = [...world.store.entries.keys()]
         .filter((key) => key.startsWith('mb/live/status/p/'))
         .map((key) => Number(key.slice('mb/live/status/p/'.length)));
       assert.deepEqual(
@@ -144,7 +144,7 @@
         pages.map((_, at) => at),
       );
       assert.ok(pages.length > 2);
-      return world.state.log.slice(from);
+      return world.store.log.slice(from);
     },
   },
   {
--- a/test/world/detector-network.ts
+++ b/test/world/detector-network.ts
@@ -126,7 +126,7 @@
   }
 
   /** Returns a random number in [0, 1), determined by the seed. */
-  random01(): number {
+  randomFraction(): number {
     return uniformFloat64(this.random);
   }
 
--- a/test/world/failure-detection-case.ts
+++ b/test/world/failure-detection-case.ts
@@ -49,7 +49,7 @@
 }
 
 /** A fault and its expected effects. */
-export interface SuspicionCase {
+export interface FailureDetectionCase {
   name: string;
   fault: (observed: ObservedWorld) => Promise<void>;
   /** True if each role must have the same holder and term before and after the fault. */
@@ -61,7 +61,10 @@
 }
 
 /** Runs a case: the invariants hold, the array completes, and only `restarts` tasks start again. */
-export async function playSuspicionCase(row: SuspicionCase, seed: number): Promise<void> {
+export async function runFailureDetectionCase(
+  row: FailureDetectionCase,
+  seed: number,
+): Promise<void> {
   const observed = await worldWithFailureDetection(seed);
   const { world, records } = observed;
   const before = roleTerms(world);
@@ -71,7 +74,7 @@
   world.settingsFor = () => WITH_FAILURE_DETECTION;
   for (const [node] of world.members) if (!world.nodes.has(node)) world.boot(node);
   await world.run(25);
-  world.faultsOver();
+  world.startChecksAfterFaults();
   await world.run(60);
   assert.deepEqual(world.violations, []);
   const { body } = await world.poll('j-000001', 'n0');
--- a/test/world/fault-case.ts
+++ b/test/world/fault-case.ts
@@ -52,7 +52,7 @@
   await fault(world);
   const cancelled = await awaitReply(world, world.cancel('j-000002'));
   assert.equal(stage(cancelled), 'withdrawn');
-  world.faultsOver();
+  world.startChecksAfterFaults();
   await world.run(150);
   assert.deepEqual(world.violations, []);
   for (const id of ['j-000001', 'j-000003', 'j-000004']) {
--- a/test/world/fault-sweep.ts
+++ b/test/world/fault-sweep.ts
@@ -211,7 +211,7 @@
   begin(world);
   users.start();
   await world.run(FAULT_END_S + 5);
-  world.faultsOver();
+  world.startChecksAfterFaults();
   await world.run(size.recoveryS);
   assert.deepEqual(world.violations, []);
   assert.ok(users.accepted.length > jobs * 0.9, `${users.accepted.length} of ${jobs} accepted`);
--- a/test/world/gang-recorder.ts
+++ b/test/world/gang-recorder.ts
@@ -78,7 +78,7 @@
     const attempts = new Map<string, number>();
     for (const worker of this.world.workers.values()) {
       if (!this.recordedWorkers.has(worker)) this.recordEnds(worker);
-      for (const [task, simTask] of worker.onMachine()) {
+      for (const [task, simTask] of worker.tasksOnMachine()) {
         const job = jobOf(task);
         if (!this.world.jobs.get(job)?.gang) continue;
         const other = attempts.get(job);
@@ -102,7 +102,7 @@
         attempt: simTask.attempt,
         machine: worker.machine.name,
         cause,
-        isProgressSaved: simTask.stored === true,
+        isProgressSaved: simTask.isProgressSaved === true,
         at: this.world.clock.now(),
       });
     };
--- a/test/world/gang-scenario.ts
+++ b/test/world/gang-scenario.ts
@@ -147,7 +147,7 @@
    * is left of `runS`, within 1 s.
    */
   async assertResumedFrom(savedS: number, runS: number): Promise<void> {
-    await this.runUntil('all is complete', 120, () => this.world.completed.has(`${GANG}/0`));
+    await this.runUntil('all is complete', 120, () => this.world.completedTasks.has(`${GANG}/0`));
     const [first, second] = this.starts();
     assert.ok(first && second && second.attempt > first.attempt, 'a new attempt');
     const last = this.recorder.endsOf(GANG, second.attempt).find((end) => end.cause === 'done');
--- a/test/world/gang.ts
+++ b/test/world/gang.ts
@@ -114,7 +114,7 @@
       ...{ job: id, attempt, members, progressMs },
       ...{ peerLostAt: null, hasLostTask: false, stopRequestedAt: null },
     });
-    this.world.gangStarted(id, attempt);
+    this.world.recordGangStart(id, attempt);
   }
 
   /** Advances a run by one step; returns false once all its tasks have ended. */
@@ -139,7 +139,7 @@
       if (run.progressMs >= job.runS * 1000) {
         for (const { worker, task, name } of live) {
           worker.exit(task, 'done');
-          this.world.completed.add(name);
+          this.world.completedTasks.add(name);
         }
         return false;
       }
@@ -150,7 +150,7 @@
     ) {
       this.savedProgressMs.set(run.job, run.progressMs);
       for (const { worker, task } of live) {
-        task.stored = true;
+        task.isProgressSaved = true;
         worker.exit(task, 'stopped');
       }
       return false;
--- a/test/world/invariant-checker.ts
+++ b/test/world/invariant-checker.ts
@@ -41,10 +41,10 @@
   }
 
   /** Starts the checks that apply after all faults: polls are answered, no job waits needlessly. */
-  faultsOver(): void {
+  startChecksAfterFaults(): void {
     const now = this.world.clock.now();
-    this.pollOutcomes.faultsOver(now);
-    this.waitingJobs.faultsOver();
+    this.pollOutcomes.recordEndOfFaults(now);
+    this.waitingJobs.startChecks();
   }
 
   private recordPoll(kind: RequestKind, id: string, isAnswered: boolean): void {
@@ -101,15 +101,15 @@
   /** Checks that each task of a job that is reported as done has completed. */
   private checkDone(id: string, job: SimJob | undefined): void {
     for (let index = 0; index < (job?.tasks ?? 0); index++) {
-      if (!this.world.completed.has(`${id}/${index}`))
+      if (!this.world.completedTasks.has(`${id}/${index}`))
         this.violations.push(`not_done ${id}/${index}`);
     }
   }
 
   /** Checks that no running task of a gang belongs to another attempt. */
-  gangStarted(id: string, attempt: number): void {
+  recordGangStart(id: string, attempt: number): void {
     for (const worker of this.world.workers.values()) {
-      for (const [name, task] of worker.onMachine()) {
+      for (const [name, task] of worker.tasksOnMachine()) {
         if (name.startsWith(`${id}/`) && task.state === 'running' && task.attempt !== attempt) {
           this.violations.push(`two_attempts ${name}: ${task.attempt} and ${attempt}`);
         }
@@ -118,13 +118,13 @@
   }
 
   /** Checks that a task is on one machine only, in an allowed place and within its team's quota. */
-  taskStarted(worker: SimWorker, task: string): void {
+  recordTaskStart(worker: SimWorker, task: string): void {
     const [id = ''] = task.split('/');
     const job = this.world.jobs.get(id);
     let usedCpus = 0;
     const zones = new Map<string, number>();
     for (const other of this.world.workers.values()) {
-      for (const [name, otherTask] of other.onMachine()) {
+      for (const [name, otherTask] of other.tasksOnMachine()) {
         if (name === task && other !== worker) this.violations.push(`ran_twice ${task}`);
         const otherJob = this.world.jobs.get(name.split('/')[0] ?? '');
         if (otherJob?.team === job?.team) usedCpus += otherTask.cpus;
@@ -171,7 +171,7 @@
   /** Checks that tasks of cancelled jobs are on no machine after `cancelS`. */
   private checkCancelledTasks(cancelS: number): void {
     for (const worker of this.world.workers.values()) {
-      for (const [name] of worker.onMachine()) {
+      for (const [name] of worker.tasksOnMachine()) {
         const cancelledAt = this.world.jobs.get(name.split('/')[0] ?? '')?.cancelledAt ?? null;
         if (cancelledAt !== null && this.world.clock.now() > cancelledAt + cancelS * 1000) {
           this.violations.push(`ran_cancelled ${name}`);
--- a/test/world/jobs.ts
+++ b/test/world/jobs.ts
@@ -112,5 +112,5 @@
    */
   savedAt?: number;
   /** True if the progress was saved when the task was stopped. */
-  stored?: boolean;
+  isProgressSaved?: boolean;
 }
--- a/test/world/overlapping-faults.ts
+++ b/test/world/overlapping-faults.ts
@@ -118,7 +118,7 @@
   for (const zone of zones) world.addMachine('small', zone, false, 500);
   await world.run(7);
   await script(world);
-  world.faultsOver();
+  world.startChecksAfterFaults();
   await world.run(recoveryS);
   t.diagnostic(`starts after a confirmed cancellation: ${world.startsAfterCancel.length}`);
   assert.deepEqual(world.violations, []);
--- a/test/world/poll-outcomes.ts
+++ b/test/world/poll-outcomes.ts
@@ -20,7 +20,7 @@
   private faultsOverAt: number | null = null;
 
   /** Records that all faults are over. */
-  faultsOver(at: number): void {
+  recordEndOfFaults(at: number): void {
     this.faultsOverAt = at;
   }
 
--- a/test/world/shard-fixture.ts
+++ b/test/world/shard-fixture.ts
@@ -64,14 +64,14 @@
   zone?: string;
   ids?: string;
   /** ms since the submission of the job. */
-  agedMs?: number;
+  jobAgeMs?: number;
   transactionOps?: number;
   valueBytes?: number;
   /** Placements of further tasks. */
   live?: AssignmentRecord['live'];
   done?: string;
   /** Further records that are stored when the shard starts. */
-  held?: { key: string; value: unknown }[];
+  records?: { key: string; value: unknown }[];
 }
 
 /** Stores the first records: the role, the catalogue, a job and its only assignment. */
@@ -95,14 +95,14 @@
   };
   const job: JobRecord = {
     spec: { ...SPEC, ...options.spec },
-    at: clock.wall() - (options.agedMs ?? 0),
+    at: clock.wall() - (options.jobAgeMs ?? 0),
   };
   simStore.change([
     { key: roleKey('part-p'), value: { owner: 'p' } },
     { key: CATALOG, value: TYPES },
     { key: jobKey(JOB), value: job },
     { key: assignmentKey('p', JOB, 1), value: assignment },
-    ...(options.held ?? []),
+    ...(options.records ?? []),
   ]);
 }
 
@@ -188,7 +188,7 @@
   };
   return {
     clock,
-    state: simStore,
+    store: simStore,
     shard,
     answer,
     heartbeat,
--- a/test/world/simulation-host.ts
+++ b/test/world/simulation-host.ts
@@ -18,7 +18,7 @@
   readonly nodes: ReadonlyMap<string, HeartbeatTarget>;
   readonly workers: Map<string, SimWorker>;
   readonly jobs: Map<string, SimJob>;
-  readonly completed: Set<string>;
+  readonly completedTasks: Set<string>;
   readonly gangs: SimGangs;
   readonly overrides: Partial<Settings>;
   /** Delay in ms of a message between a controller and a worker, in each direction. */
@@ -34,7 +34,7 @@
   /** Returns the address of the machine with this number. */
   addressOf(machine: number): string;
   /** Records that a task has its image and occupies its machine. */
-  taskStarted(worker: SimWorker, task: string): void;
+  recordTaskStart(worker: SimWorker, task: string): void;
   /** Records that all tasks of a gang run. */
-  gangStarted(job: string, attempt: number): void;
+  recordGangStart(job: string, attempt: number): void;
 }
--- a/test/world/user-requests-fixture.ts
+++ b/test/world/user-requests-fixture.ts
@@ -27,7 +27,7 @@
 /** Options of the fixture. */
 export interface UserRequestsFixtureOptions {
   /** ms between two transactions that check jobs. */
-  checkMs?: number;
+  checkIntervalMs?: number;
   /** Limit of this controller's requests and writes per second. */
   rps?: number;
   /** Changes the key-value store before the controller reads it. */
@@ -36,7 +36,7 @@
 
 /** Returns one controller's request handlers, whose replica follows the key-value store. */
 export async function userRequestsFixture({
-  checkMs = 300,
+  checkIntervalMs: checkMs = 300,
   rps = 100,
   prepare,
 }: UserRequestsFixtureOptions = {}) {
@@ -81,7 +81,7 @@
   return {
     ...store,
     clock,
-    state: simStore,
+    store: simStore,
     users,
     request,
     settle,
--- a/test/world/waiting-jobs.ts
+++ b/test/world/waiting-jobs.ts
@@ -26,7 +26,7 @@
   ) {}
 
   /** Starts the check; before, jobs may wait for any time. */
-  faultsOver(): void {
+  startChecks(): void {
     this.areFaultsOver = true;
   }
 
@@ -79,7 +79,7 @@
 
   private hasDoneTask(id: string, job: SimJob): boolean {
     for (let index = 0; index < job.tasks; index++) {
-      if (this.world.completed.has(`${id}/${index}`)) return true;
+      if (this.world.completedTasks.has(`${id}/${index}`)) return true;
     }
     return false;
   }
--- a/test/world/worker.ts
+++ b/test/world/worker.ts
@@ -69,7 +69,7 @@
   }
 
   /** Yields the tasks that have their image and have not ended: they run or wait for their gang. */
-  *onMachine(): Generator<[string, SimTask]> {
+  *tasksOnMachine(): Generator<[string, SimTask]> {
     for (const entry of this.tasks) {
       if (entry[1].state === 'running' || entry[1].state === 'gathering') yield entry;
     }
@@ -139,7 +139,7 @@
         try: task.attempt,
         stage: task.state,
         ...(task.cause ? { cause: task.cause } : {}),
-        ...(task.stored ? { stored: true } : {}),
+        ...(task.isProgressSaved ? { stored: true } : {}),
       })),
     });
   }
@@ -256,13 +256,13 @@
   /** Lets a gang's task whose image was fetched wait for the gang's other tasks. */
   private joinGang(name: string, task: SimTask): void {
     // A task that completed in an earlier attempt does not run again.
-    if (this.world.completed.has(name)) {
+    if (this.world.completedTasks.has(name)) {
       this.exit(task, 'done');
       return;
     }
     task.state = 'gathering';
     this.hasChanged = true;
-    this.world.taskStarted(this, name);
+    this.world.recordTaskStart(this, name);
     this.world.gangs.gather(this, name, task);
   }
 
@@ -270,12 +270,12 @@
   private runTask(name: string, task: SimTask, job: SimJob): void {
     task.state = 'running';
     this.hasChanged = true;
-    this.world.taskStarted(this, name);
+    this.world.recordTaskStart(this, name);
     if (job.service) return;
     this.world.clock.after(job.runS * 1000, () => {
       if (this.tasks.get(name) === task && task.state === 'running') {
         this.exit(task, 'done');
-        this.world.completed.add(name);
+        this.world.completedTasks.add(name);
       }
     });
   }
--- a/test/world/world.ts
+++ b/test/world/world.ts
@@ -30,7 +30,7 @@
   readonly nodes = new Map<string, { node: ControllerCore; kill: () => void }>();
   readonly workers = new Map<string, SimWorker>();
   readonly jobs = new Map<string, SimJob>();
-  readonly completed = new Set<string>();
+  readonly completedTasks = new Set<string>();
   readonly starts: { task: string; machine: string; at: number }[] = [];
   /** Attempts of gangs whose tasks all ran at the same time; `at`: ms of simulated time. */
   readonly gangStarts: { job: string; attempt: number; at: number }[] = [];
@@ -268,20 +268,20 @@
   }
 
   /** Starts the checks that apply only after all faults are over. */
-  faultsOver(): void {
-    this.invariants.faultsOver();
+  startChecksAfterFaults(): void {
+    this.invariants.startChecksAfterFaults();
   }
 
   /** Records that all tasks of a gang run. */
-  gangStarted(id: string, attempt: number): void {
+  recordGangStart(id: string, attempt: number): void {
     this.gangStarts.push({ job: id, attempt, at: this.clock.now() });
-    this.invariants.gangStarted(id, attempt);
+    this.invariants.recordGangStart(id, attempt);
   }
 
   /** Records that a task has its image and occupies its machine; called by the worker. */
-  taskStarted(worker: SimWorker, task: string): void {
+  recordTaskStart(worker: SimWorker, task: string): void {
     this.starts.push({ task, machine: worker.machine.name, at: this.clock.now() });
-    this.invariants.taskStarted(worker, task);
+    this.invariants.recordTaskStart(worker, task);
   }
 
   /** Runs simulated time for `seconds` and checks the invariants after each second. */
