--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -29,7 +29,7 @@
     const holder = election.holderOf(role);
     if (holder === null || holder === controllerName) return;
     const notification: PeerMessage = {
-      kind: 'poke',
+      kind: 'storeChanged',
       node: controllerName,
       revision: replica.newestRevision,
     };
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -29,7 +29,7 @@
   receive(message: PeerMessage, respond: (message: PeerMessage) => void): void {
     const { detection, peerRelay, replica } = this.options;
     switch (message.kind) {
-      case 'poke':
+      case 'storeChanged':
         if (message.cancelled) this.applyCancellation(message.cancelled, message.revision);
         replica.watchSoon(message.revision);
         return;
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -70,11 +70,11 @@
 export type TaskState = 'fetching' | 'gathering' | 'running' | 'saving' | 'exited';
 
 /**
- * The cause of a task's exit. `noRoom`: the machine lacked free capacity. `peerLost`: another task
+ * The cause of a task's exit. `noCapacity`: the machine lacked free capacity. `peerLost`: another task
  * of its gang ended. `timedOut`: its gang was not complete in time.
  */
 export type ExitCause =
-  'done' | 'stopped' | 'error' | 'noRoom' | 'busy' | 'unknown' | 'peerLost' | 'timedOut';
+  'done' | 'stopped' | 'error' | 'noCapacity' | 'busy' | 'unknown' | 'peerLost' | 'timedOut';
 
 /** The status of a task in a heartbeat. */
 export interface TaskStatus {
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -18,7 +18,7 @@
  */
 export type PeerMessage =
   /** The store has changes up to this revision; `cancelled`: a job that was cancelled by them. */
-  | { kind: 'poke'; node: string; revision: number; cancelled?: CancelledJob }
+  | { kind: 'storeChanged'; node: string; revision: number; cancelled?: CancelledJob }
   /**
    * A request of a worker or user that the sender can't serve itself. `id`: chosen by the sender to
    * match the response. `jobId`: the job that the request is about, or ''.
@@ -57,7 +57,7 @@
 export type RelayOperation = (typeof RELAY_OPERATIONS)[number];
 
 /** Field numbers of the frame, one for each kind of message. */
-const POKE = 1;
+const STORE_CHANGED = 1;
 const RELAY = 2;
 const RELAYED = 3;
 const DETECTOR = 4;
@@ -66,8 +66,8 @@
 
 type Message<Kind extends PeerMessage['kind']> = Extract<PeerMessage, { kind: Kind }>;
 
-function writeStoreChanged(writer: protobuf.Writer, message: Message<'poke'>): void {
-  writer.uint32(delimited(POKE)).fork();
+function writeStoreChanged(writer: protobuf.Writer, message: Message<'storeChanged'>): void {
+  writer.uint32(delimited(STORE_CHANGED)).fork();
   writer.uint32(delimited(1)).string(message.node);
   writer.uint32(varint(2)).uint64(message.revision);
   if (!message.cancelled) return;
@@ -112,7 +112,7 @@
   const writer = Writer.create();
   writer.fork();
   switch (message.kind) {
-    case 'poke':
+    case 'storeChanged':
       writeStoreChanged(writer, message);
       break;
     case 'relay':
@@ -161,8 +161,8 @@
   const text = (field: number): string => String(fields[field] ?? '');
   const integer = (field: number): number => Number(fields[field] ?? 0);
   switch (kind) {
-    case POKE: {
-      const notification = { kind: 'poke' as const, node: text(1), revision: integer(2) };
+    case STORE_CHANGED: {
+      const notification = { kind: 'storeChanged' as const, node: text(1), revision: integer(2) };
       return fields[3] === undefined
         ? notification
         : { ...notification, cancelled: { job: text(3), tasks: integer(4) } };
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -49,7 +49,7 @@
   done: 'done',
   stopped: 'stopped',
   error: 'error',
-  full: 'noRoom',
+  full: 'noCapacity',
   busy: 'busy',
   unknown: 'unknown',
   mates_gone: 'peerLost',
--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -52,7 +52,7 @@
   assert.ok(parsed.ok);
   assert.deepEqual(parsed.value.tasks, [
     { task: { job: 'j-000412', index: 3 }, attempt: 2, state: 'running', cause: null },
-    { task: { job: 'j-000398', index: 0 }, attempt: 1, state: 'exited', cause: 'noRoom' },
+    { task: { job: 'j-000398', index: 0 }, attempt: 1, state: 'exited', cause: 'noCapacity' },
   ]);
   for (const invalid of [
     { moth: '' },
@@ -81,7 +81,7 @@
 
 test('peer messages are decoded however the stream is split; long frames are rejected', () => {
   const messages: PeerMessage[] = [
-    { kind: 'poke', node: 'n1', revision: 2 ** 40 },
+    { kind: 'storeChanged', node: 'n1', revision: 2 ** 40 },
     { kind: 'relay', id: 7, operation: 'cancel', jobId: 'j-000001', body: 'ä'.repeat(300) },
     { kind: 'relayed', id: 7, status: 200, body: '{}', isProven: false },
     { kind: 'relayed', id: 8, status: 404, body: '{}', isProven: true },
--- a/test/protocol/fixed-forms.test.ts
+++ b/test/protocol/fixed-forms.test.ts
@@ -163,7 +163,16 @@
     ],
   });
   assert.ok(parsed.ok);
-  const causes = ['done', 'stopped', 'error', 'noRoom', 'busy', 'unknown', 'peerLost', 'timedOut'];
+  const causes = [
+    'done',
+    'stopped',
+    'error',
+    'noCapacity',
+    'busy',
+    'unknown',
+    'peerLost',
+    'timedOut',
+  ];
   assert.deepEqual(valuesOf(parsed.value), [
     'm-000231',
     '10.1.0.232:9000',
--- a/test/shard/gang-shard.test.ts
+++ b/test/shard/gang-shard.test.ts
@@ -108,7 +108,7 @@
       assert.deepEqual([...commands, ...sent(world)], []);
     },
   },
-  ...(['timedOut', 'peerLost', 'error', 'noRoom', 'stopped'] as const).map((cause) => ({
+  ...(['timedOut', 'peerLost', 'error', 'noCapacity', 'stopped'] as const).map((cause) => ({
     name: `when a task exits with ${cause}, the other is stopped, none restarts, and both are returned`,
     check: async () => {
       const world = await loadStoredSubset({});
--- a/test/upgrade/peer-messages.test.ts
+++ b/test/upgrade/peer-messages.test.ts
@@ -146,14 +146,14 @@
 const ROWS: Row[] = [
   {
     name: 'poke',
-    message: { kind: 'poke', node: 'n1', revision: REVISION },
+    message: { kind: 'storeChanged', node: 'n1', revision: REVISION },
     numbers: [1, [1, DELIMITED], [2, VARINT]],
     production: { poke: { node: 'n1', revision: REVISION } },
   },
   {
     name: 'poke with a cancelled job',
     message: {
-      kind: 'poke',
+      kind: 'storeChanged',
       node: 'n1',
       revision: REVISION,
       cancelled: { job: 'j-1', tasks: 300 },
@@ -163,7 +163,7 @@
     withGangs: {
       poke: { node: 'n1', revision: REVISION, cancelledJob: 'j-1', cancelledTasks: 300 },
     },
-    fromProduction: { kind: 'poke', node: 'n1', revision: REVISION },
+    fromProduction: { kind: 'storeChanged', node: 'n1', revision: REVISION },
   },
   // An operation is sent as a number, in the order that both older versions have.
   relayRow('heartbeat'),
--- a/test/world/written-forms.ts
+++ b/test/world/written-forms.ts
@@ -20,9 +20,9 @@
 
 const TENURE = { node: 'n1', role: 'part-n2', term: 2 ** 33, incarnation: 'n1-7' };
 const PEER_MESSAGES: Record<string, PeerMessage> = {
-  poke: { kind: 'poke', node: 'n1', revision: 2 ** 40 },
+  poke: { kind: 'storeChanged', node: 'n1', revision: 2 ** 40 },
   'poke, cancelled': {
-    kind: 'poke',
+    kind: 'storeChanged',
     node: 'n1',
     revision: 41,
     cancelled: { job: 'j-000412', tasks: 16 },
