--- a/src/constants/leader.ts
+++ b/src/constants/leader.ts
@@ -1,49 +1,49 @@
 /**
- * Constants, each with unit and reason. Assignment of tasks to shards, scheduling order, quotas.
+ * Constants of the leader: assignment of tasks to shards, scheduling order, deadlines and quotas.
  */
 
 /**
- * ms; length of the past period whose arrivals of non-urgent arrays are used to forecast the CPUs
+ * Length in ms of the past period whose arrivals of non-urgent arrays are used to forecast the CPUs
  * that the next ones need. Some dozens of jobs arrive in it.
  */
 export const ARRIVAL_WINDOW_MS = 90_000;
 
 /**
- * Bytes that one placed task may take in its assignment's record: task number, machine name, and an
- * attempt number of up to 14 digits. It limits the tasks per assignment. An assignment gets as many
- * tasks as fit in one value, because fewer, larger assignments need fewer writes.
+ * Number of bytes that one placed task may take in its assignment's record: task number, machine
+ * name, and an attempt number of up to 14 digits. It limits the tasks per assignment. An assignment
+ * gets as many tasks as fit in one value, because fewer, larger assignments need fewer writes.
  */
 export const ASSIGNMENT_TASK_BYTES = 36;
 
 /**
- * Bytes that an assignment's record takes besides its placed tasks: its other fields, and the
- * ranges of its task numbers.
+ * Number of bytes that an assignment's record takes besides its placed tasks: its other fields, and
+ * the ranges of its task numbers.
  */
 export const ASSIGNMENT_BASE_BYTES = 250;
 
 /**
- * s; non-urgent arrays are assigned to a shard ahead of its free capacity, up to the capacity that
- * running tasks are expected to release within this time. This time is longer than the interval
- * from the end of a task until the leader has assigned a new one. With a shorter time, machines
- * would idle during that interval and assignments would be small.
+ * Time in s for which non-urgent arrays are assigned to a shard ahead of its free capacity, up to
+ * the capacity that running tasks are expected to release within this time. It is longer than the
+ * interval from the end of a task until the leader has assigned a new one. With a shorter time,
+ * machines would idle during that interval and assignments would be small.
  */
 export const QUEUE_AHEAD_S = 8;
 
 /**
- * A shard zone's queue is refilled when its waiting CPUs are at most this many times the CPUs that
- * may still be added to it. With 1, it is refilled when it is at most half full.
+ * Maximum of the waiting CPUs at which a shard zone's queue is refilled, as a multiple of the CPUs
+ * that may still be added to it. With 1, the queue is refilled when it is at most half full.
  */
 export const QUEUE_REFILL_FACTOR = 1;
 
 /**
- * ms; minimum interval between two assignments of the same non-urgent job, by the supply of writes
- * to the key-value store. Longer intervals give larger assignments and fewer writes. No machine
- * idles meanwhile, because shards have `QUEUE_AHEAD_S` of work in their queues.
+ * Minimum interval in ms between two assignments of the same non-urgent job, by the supply of
+ * writes to the key-value store. Longer intervals give larger assignments and fewer writes. No
+ * machine idles meanwhile, because shards have `QUEUE_AHEAD_S` of work in their queues.
  */
 export const ASSIGN_INTERVAL_MS = { plenty: 1_000, scarce: 1_500, short: 3_000 };
 
 /**
- * s; a job of which no task was assigned for this long after its acceptance precedes the other jobs
+ * Time in s since its acceptance after which a job without an assigned task precedes the other jobs
  * of its priority. The largest jobs, which smaller ones may precede, must start within 4 minutes,
  * and most of that time may pass while the team is at its quota or during an outage.
  */
@@ -53,8 +53,9 @@
 export const OVERDUE_TASK_FRACTION = 0.05;
 
 /**
- * ms; a non-urgent job that had no task placed or assigned for this long may use quota that is
- * reserved for urgent work. Users accept a far longer wait than this while machines are idle.
+ * Time in ms without a placed or newly assigned task after which a non-urgent job may use quota
+ * that is reserved for urgent work. Users accept a far longer wait than this while machines are
+ * idle.
  */
 export const STARVATION_MS = 30_000;
 
@@ -84,8 +85,8 @@
 export const URGENT_RESERVE_QUOTA_FRACTION = 0.25;
 
 /**
- * A job that cannot meet its deadline is scheduled after those that can, until it is late by more
- * than this many times its deadline. From then on it is scheduled in the order of deadlines again,
- * in which it is among the first because its deadline has passed long ago.
+ * Lateness of a job, as a multiple of its deadline, up to which it is scheduled after the jobs that
+ * can meet their deadlines. A job that is later than that is scheduled in the order of deadlines
+ * again, in which it is among the first because its deadline has passed long ago.
  */
 export const LATE_JOB_PRIORITY_DEADLINES = 3;
--- a/src/constants/scheduling.ts
+++ b/src/constants/scheduling.ts
@@ -1,34 +1,35 @@
 /** Constants of task placement on a shard's machines: bandit, preemption and consolidation. */
 
 /**
- * Task classes with an entry of their own in the bandit's contexts; all others share one entry. The
- * limit bounds the size of the stored matrices.
+ * Maximum number of task classes with an entry of their own in the bandit's contexts. All others
+ * share one entry, because the stored matrices grow with the number of entries.
  */
 export const MAX_TASK_CLASSES = 20;
 
 /**
- * Fraction of a start target that an image fetch may take; the rest is for scheduling and for
+ * Fraction of a start target that an image fetch may take. The rest is for scheduling and for
  * sending the start command.
  */
 export const START_TARGET_FETCH_FRACTION = 0.6;
 
-/** ms; interval between two searches for machines with low CPU use whose services could move. */
+/** Interval in ms between two searches for machines with low CPU use whose services could move. */
 export const CONSOLIDATION_INTERVAL_MS = 15_000;
 
 /**
- * ms; run time up to which a task is not moved by consolidation, and not preempted if its job
- * started late, because a stop would waste its start.
+ * Run time in ms up to which consolidation does not move a task, and up to which a task is not
+ * preempted if its job started late (none of its tasks was done `START_OVERDUE_S` after its
+ * acceptance). A stop would waste the task's start.
  */
 export const MIN_RUN_BEFORE_STOP_MS = 35_000;
 
 /**
- * Tasks; added to the cost of preemption on a machine without the job's image, because the fetch
- * delays urgent work as much as this many preempted tasks delay other work.
+ * Number of tasks that is added to the cost of preemption on a machine without the job's image,
+ * because the fetch delays urgent work as much as this many preempted tasks delay other work.
  */
 export const IMAGE_FETCH_COST_TASKS = 3;
 
 /**
- * Fraction of a shard's used machines whose services may move in one run of consolidation; one
+ * Fraction of a shard's used machines whose services may move in one run of consolidation. One
  * machine is always allowed, so that small fleets are consolidated too.
  */
 export const CONSOLIDATION_MAX_MACHINE_FRACTION = 0.05;
