--- a/src/coordination/autoscaling/autoscaling-context.ts
+++ b/src/coordination/autoscaling/autoscaling-context.ts
@@ -50,12 +50,15 @@
 /** The options, and the state that several steps of a pass use. */
 export interface AutoscalingContext extends AutoscalerOptions {
   readonly cloudRequests: CloudRequestBudget;
-  /** Machine names and keys whose changes the store rejected as invalid. */
+  /** Pauses, by machine name or store key, of changes that the store rejected as invalid. */
   readonly rejectedChangeBackoff: RejectedChangeBackoff;
   readonly headroom: Headroom;
 }
 
-/** The autoscaler's part of the cloud's request limit, as a token bucket. */
+/**
+ * The cloud requests that the autoscaler may send: a token bucket that is filled at
+ * `CLOUD_REQUEST_FRACTION` of the cloud's limit.
+ */
 export class CloudRequestBudget {
   private readonly budget: TokenBucket;
 
--- a/src/coordination/autoscaling/capacity-demand.ts
+++ b/src/coordination/autoscaling/capacity-demand.ts
@@ -29,7 +29,7 @@
 interface QueueState {
   /** CPUs of the fleet, booting machines included. */
   readonly fleetCpus: number;
-  /** Boot time of the machine type that boots fastest. */
+  /** Seconds that the machine type with the fastest boot takes to boot. */
   readonly bootS: number;
   /** Wall-clock time in ms. */
   readonly wallMs: number;
@@ -37,12 +37,12 @@
   readonly precedingCpuS: number;
 }
 
-/** Boot time of the machine type that boots fastest. */
+/** Seconds that the type with the fastest boot takes to boot; Infinity if there is no type. */
 function fastestBootS(types: readonly MachineType[]): number {
   return types.reduce((least, type) => Math.min(least, type.bootS), Infinity);
 }
 
-/** CPU seconds that running preemptible work is assumed to have left. */
+/** CPU seconds that the running preemptible tasks are assumed to need until they end. */
 function remainingCpuS({ machines }: FleetSnapshot): number {
   let cpuS = 0;
   for (const machine of machines) cpuS += machine.preemptibleCpus * ASSUMED_REMAINING_RUN_S;
@@ -95,7 +95,10 @@
   return expected ? [...demand, expected] : demand;
 }
 
-/** Number of concurrent tasks of a job with a deadline for which to rent machines. */
+/**
+ * Number of a job's tasks that rented machines should run at the same time, because the fleet can't
+ * finish them by the job's deadline; 0: the fleet can.
+ */
 function countTasksBeyondFleet(unmet: UnmetDemand, queue: QueueState): number {
   const { spec, count } = unmet;
   const { fleetCpus, bootS, wallMs, precedingCpuS } = queue;
@@ -119,8 +122,9 @@
 }
 
 /**
- * Returns tasks like those of the last array, enough to use the CPUs by which `neededCpus` exceeds
- * the CPUs of the fleet and of the demand so far; null if it does not exceed them.
+ * Returns tasks like those of the array that arrived last, enough to use the CPUs by which
+ * `neededCpus` exceeds the CPUs of the fleet and of `demand`. Null if it does not exceed them, or
+ * if no array has arrived.
  */
 function expectedDemand(
   { snapshot, types }: DemandInput,
--- a/src/coordination/autoscaling/catalog-refresh.ts
+++ b/src/coordination/autoscaling/catalog-refresh.ts
@@ -14,8 +14,8 @@
   constructor(private readonly context: AutoscalingContext) {}
 
   /**
-   * Refreshes the catalog if a refresh is due and the request budget allows it. Commits the changes
-   * in order and stops at the first failure.
+   * Refreshes the stored catalog if a refresh is due and the request budget allows it. Commits the
+   * changed records in order, and stops at the first transaction that is not committed.
    */
   async run(): Promise<void> {
     const { clock, cloud, cloudRequests, rejectedChangeBackoff, replica, valueBytes, writer } =
--- a/src/coordination/autoscaling/headroom.ts
+++ b/src/coordination/autoscaling/headroom.ts
@@ -21,18 +21,24 @@
     this.lastOpenJobAt = clock.now();
   }
 
-  /** Records the current time if a job is open; called in each pass. */
+  /** If a job is open, records that one is open now; called in each pass of the autoscaler. */
   update(): void {
     const [openJob] = this.replica.openJobs();
     if (openJob !== undefined) this.lastOpenJobAt = this.clock.now();
   }
 
-  /** Free CPUs of on-demand machines to be kept for urgent work. */
+  /**
+   * Free CPUs of on-demand machines to be kept for urgent work; 0 once the headroom is released, or
+   * if none is configured.
+   */
   get cpus(): number {
     return this.isReleased ? 0 : this.configuredCpus;
   }
 
-  /** Recent gangs; capacity is kept free for future gangs like them. */
+  /**
+   * Recent gangs, for which capacity is kept free because future gangs may be like them; empty once
+   * the headroom is released.
+   */
   gangs(snapshot: FleetSnapshot): readonly JobSpec[] {
     return this.isReleased ? [] : snapshot.recentGangs;
   }
--- a/src/coordination/autoscaling/heartbeat-timeouts.ts
+++ b/src/coordination/autoscaling/heartbeat-timeouts.ts
@@ -10,12 +10,14 @@
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
 
 /**
- * Selects silent machines, those whose heartbeats stopped, to be returned. A return proves that the
- * machine's tasks have ended, so that they can restart before the machine's lease expires. Up to
- * `SILENT_RETURN_MAX_MACHINES` machines, including those returned within the last period, are
- * returned after `SILENT_CONFIRMATION_MS` of silence. More of them indicate a network partition
- * between them and their shard, so they are returned only after a whole lease of silence, when
- * their tasks have ended in any case. The number of returns in a period is limited.
+ * Selects silent machines, those whose heartbeats stopped, to be returned to the cloud. A return
+ * proves that the machine's tasks have ended, so that they can restart before the machine's lease
+ * expires. While at most `SILENT_RETURN_MAX_MACHINES` machines are silent or were selected within
+ * the last `SILENT_RETURN_PERIOD_MS`, a machine is selected after `SILENT_CONFIRMATION_MS` of
+ * silence. A greater number indicates a network partition between the machines and their shard, so
+ * a machine is then selected only after a whole lease of silence, when its tasks have ended in any
+ * case. In each period at most `SILENT_RETURN_MAX_MACHINES` machines are selected, or
+ * `SILENT_RETURN_MAX_FLEET_FRACTION` of the fleet if that is more.
  */
 export class HeartbeatTimeouts {
   /** Steady time at which this leader first found each silent machine to be silent, by name. */
@@ -34,7 +36,7 @@
     return this.namesToReturn.has(name);
   }
 
-  /** Updates the selection of machines to be returned. */
+  /** Updates the selection from the health of `machines`, which are all machines of the fleet. */
   update(machines: readonly MachineCapacity[]): void {
     const now = this.clock.now();
     this.trackSilence(machines, now);
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -36,7 +36,11 @@
     }
   }
 
-  /** Idle machines that neither the headroom nor the needed CPUs require, most expensive first. */
+  /**
+   * Machines that have been idle for longer than their limit, and without which the fleet still has
+   * the free CPUs of the headroom and the CPUs that preemptible work needs. The highest price per
+   * CPU comes first.
+   */
   private unneededMachines(snapshot: FleetSnapshot): MachineCapacity[] {
     const { clock, idleMs, replica } = this.context;
     const now = clock.now();
@@ -110,7 +114,7 @@
   return cpus;
 }
 
-/** Price per CPU of a machine; 0 if its type is not in the catalog. */
+/** Price of a machine per CPU and hour; 0 if its type is not in the catalog. */
 function cpuPrice(machine: MachineCapacity, types: readonly MachineType[]): number {
   const type = types.find(({ name }) => name === machine.type);
   if (!type) return 0;
--- a/src/coordination/autoscaling/machine-list.ts
+++ b/src/coordination/autoscaling/machine-list.ts
@@ -27,14 +27,14 @@
     return this.failedNames.has(name);
   }
 
-  /** Removes a machine from the failed ones; called after its return. */
+  /** Removes a machine from the failed ones; called after its return to the cloud. */
   clearFailed(name: string): void {
     this.failedNames.delete(name);
   }
 
   /**
-   * Continues the current reading, or starts one if it is due. If the request budget runs out, the
-   * reading continues with the next page in the next pass.
+   * Continues the current reading of the cloud's list, or starts one if it is due. If the request
+   * budget runs out, the reading continues with the next page in the next pass.
    */
   async refresh(): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
@@ -61,7 +61,7 @@
     await this.records.removeExpired(new Set(listed.map((machine) => machine.name)));
   }
 
-  /** Starts a reading; returns null if none is due yet. */
+  /** Starts a reading and returns its empty list of machines; null if no reading is due yet. */
   private startIfDue(): ListedMachine[] | null {
     const { clock, listLagS } = this.context;
     const now = clock.now();
@@ -76,7 +76,7 @@
     return listed.filter((machine) => !this.context.replica.get(machineKey(machine.name)));
   }
 
-  /** Records the machines that have failed and have not been returned yet. */
+  /** Records the machines that the cloud lists as failed, except those already returned. */
   private recordFailed(listed: readonly ListedMachine[]): void {
     for (const { name, state } of listed) {
       const record = this.context.replica.machine(name);
--- a/src/coordination/autoscaling/machine-records.ts
+++ b/src/coordination/autoscaling/machine-records.ts
@@ -64,7 +64,8 @@
 
   /**
    * Removes the records of machines that were returned at least `RETURNED_RECORD_RETENTION_MS` ago
-   * and are not in the newest list. `listed`: the names in that list.
+   * and are not in the cloud's newest list, at most `transactionOps` of them. `listed`: the names
+   * in that list.
    */
   async removeExpired(listed: ReadonlySet<string>): Promise<void> {
     const { clock, rejectedChangeBackoff, replica, transactionOps, writer } = this.context;
--- a/src/coordination/autoscaling/offers.ts
+++ b/src/coordination/autoscaling/offers.ts
@@ -7,7 +7,7 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import type { Member } from '../election/rendezvous-hashing.js';
 
-/** A machine type in a zone, on demand or as spot instance, with its price. */
+/** A machine type in a zone, on demand or as spot instance, with its price per hour. */
 export interface Offer {
   readonly type: MachineType;
   readonly zone: string;
@@ -25,7 +25,10 @@
   return isEligible(spec, { type: type.name, zone, spot });
 }
 
-/** The offer with the lowest price per task if at most `count` tasks run on a machine. */
+/**
+ * The offer with the lowest price per task, where a machine counts for at most `count` tasks; null
+ * if no offer is eligible and large enough for a task.
+ */
 export function cheapestOffer(
   offers: readonly Offer[],
   spec: JobSpec,
@@ -78,7 +81,7 @@
     private readonly isSpotAllowed: boolean,
   ) {}
 
-  /** Returns the offers that may be requested now. */
+  /** Returns the offers of these types that are not paused, spot instances only if allowed. */
   available(types: readonly MachineType[]): Offer[] {
     const now = this.clock.now();
     const offers: Offer[] = [];
@@ -91,7 +94,10 @@
     return offers.filter((offer) => (this.pausedUntil.get(offerKey(offer)) ?? 0) <= now);
   }
 
-  /** Excludes an offer for `NO_CAPACITY_PAUSE_MS`, after the cloud had less than requested. */
+  /**
+   * Excludes an offer for `NO_CAPACITY_PAUSE_MS`, after the cloud had fewer machines of it than
+   * were requested.
+   */
   pause(offer: Offer): void {
     this.pausedUntil.set(offerKey(offer), this.clock.now() + NO_CAPACITY_PAUSE_MS);
   }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -31,7 +31,7 @@
     this.heartbeatTimeouts = new HeartbeatTimeouts(context.clock, context.leaseS);
   }
 
-  /** Returns machines to the cloud, at most as many as one request may name. */
+  /** Returns the returnable machines to the cloud, at most as many as one request may name. */
   async run(snapshot: FleetSnapshot): Promise<void> {
     const { cloud, cloudRequests, log } = this.context;
     this.heartbeatTimeouts.update(snapshot.machines);
@@ -39,7 +39,7 @@
     if (returned.length === 0 || !cloudRequests.trySpend()) return;
     const names = returned.map(({ name }) => name);
     if (!(await cloud.returnMachines(names))) return;
-    log.info({ machines: names }, 'machines returned');
+    log.info({ machines: names }, 'machines returned to the cloud');
     await this.records.recordState(
       returned.map(({ name, record }) => ({ name, ...record })),
       'gone',
--- a/src/coordination/autoscaling/scale-out-plan.ts
+++ b/src/coordination/autoscaling/scale-out-plan.ts
@@ -31,7 +31,10 @@
   readonly maxMachines: number;
 }
 
-/** Subtracts tasks from the capacities in order; returns the number of tasks that don't fit. */
+/**
+ * Takes the resources of `count` tasks from the free capacities of machines, one machine after the
+ * other; returns the number of tasks that fit on none.
+ */
 function fillMachines(capacities: readonly Resources[], spec: JobSpec, count: number): number {
   let remainingCount = count;
   for (const capacity of capacities) {
@@ -86,8 +89,9 @@
   }
 
   /**
-   * Adds on-demand machines if urgent work could use fewer than `headroomCpus` on them now, so that
-   * it doesn't have to wait for a boot. `healthy`: the healthy machines of the fleet.
+   * Adds on-demand machines to the plan if fewer than `headroomCpus` CPUs of on-demand machines are
+   * free or preemptible, so that urgent work doesn't have to wait for a boot. `healthy`: the
+   * healthy machines of the fleet.
    */
   addHeadroom(headroomCpus: number, healthy: readonly MachineCapacity[]): void {
     const missing = headroomCpus - this.onDemandCpus(healthy);
@@ -103,7 +107,10 @@
     );
   }
 
-  /** CPUs of on-demand machines that are free or preemptible, planned machines included. */
+  /**
+   * CPUs of on-demand machines that are free or, in part, preemptible. Healthy, booting and planned
+   * machines count.
+   */
   private onDemandCpus(healthy: readonly MachineCapacity[]): number {
     let cpus = 0;
     for (const machine of [...healthy, ...this.options.booting]) {
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -41,7 +41,10 @@
     }
   }
 
-  /** Logs the result of a rent request; pauses the offer if the cloud had less than requested. */
+  /**
+   * Logs the result of a rent request; pauses the offer if the cloud had fewer machines than
+   * requested.
+   */
   private handleResult({ offer, count }: Rental, result: RentResult): void {
     const { type, zone, spot } = offer;
     const rentedCount = result.kind === 'rented' ? result.machines.length : 0;
@@ -61,7 +64,10 @@
     }
   }
 
-  /** Plans rentals of the cheapest offers for demand that doesn't fit on booting machines. */
+  /**
+   * Plans rentals of the cheapest offers for demand that doesn't fit on booting machines, for gangs
+   * like recent ones, and for the headroom's CPUs.
+   */
   private plan(snapshot: FleetSnapshot): Rental[] {
     const { clock, headroom, maxMachines, members, replica } = this.context;
     const types = machineTypes(replica);
