--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -11,7 +11,7 @@
 export interface AssignmentPiece {
   key: string;
   record: AssignmentRecord;
-  /** The tasks that move to this piece; empty if the assignment is written as a whole. */
+  /** The tasks that this piece's record contains; empty if the assignment is written as a whole. */
   tasks: Task[];
 }
 
@@ -51,8 +51,8 @@
 }
 
 /**
- * The largest end (exclusive) of a piece that begins at `from` and fits, at most `last`; `from + 1`
- * if not even one task fits.
+ * The end (exclusive, as a position in the sorted tasks) of the longest piece that begins at `from`
+ * and for which `fits` returns true, at most `last`; `from + 1` if not even one task fits.
  */
 function lastFittingEnd(from: number, last: number, fits: (end: number) => boolean): number {
   let end = from + 1;
@@ -70,8 +70,8 @@
 
 /**
  * The assignment's current record, in as many pieces as are needed so that each fits `maxBytes`.
- * The previous version may have stored a record that is larger than the key-value store accepts
- * now.
+ * The previous version of this program may have stored a record that is larger than the key-value
+ * store accepts now.
  */
 export function splitAssignment(assignment: Assignment, limits: SplitLimits): AssignmentPiece[] {
   const { newMachines, maxBytes, isKeyTaken } = limits;
@@ -116,7 +116,10 @@
     for (const { key } of pieces.slice(1)) this.byKey.delete(key);
   }
 
-  /** The pieces that were split off together with the one that has this key. */
+  /**
+   * The split assignment and all of its pieces, if a piece with this key is being written and the
+   * key is not the assignment's own; otherwise undefined.
+   */
   get(key: string): { source: Assignment; pieces: AssignmentPiece[] } | undefined {
     return this.byKey.get(key);
   }
--- a/src/coordination/shard-state/assignment.ts
+++ b/src/coordination/shard-state/assignment.ts
@@ -38,6 +38,7 @@
   number: number;
   /** The record as it was read; its resources, team, zone and attempt never change. */
   record: AssignmentRecord;
+  /** All tasks of the assignment, whatever their state, by their index in the job. */
   tasks: Map<number, Task>;
   /** Tasks that wait for a machine. */
   waitingTasks: Set<Task>;
@@ -95,7 +96,7 @@
   });
 }
 
-/** Resets all fields that describe a task's placement. */
+/** Resets the fields of a task that describe its run on a machine; its attempt number stays. */
 export function clearPlacement(task: Task): void {
   task.machine = '';
   task.runningAt = null;
@@ -106,7 +107,10 @@
   task.banditContext = null;
 }
 
-/** Whether the key-value store holds this placement; the start may be sent only then. */
+/**
+ * Whether the key-value store holds a task's placement under its current attempt; the task's start
+ * may be sent only then.
+ */
 export function isCommitted(assignment: Assignment, task: Task): boolean {
   return assignment.committedRecord.live[String(task.index)]?.[1] === task.attempt;
 }
--- a/src/coordination/shard-state/changed-assignments.ts
+++ b/src/coordination/shard-state/changed-assignments.ts
@@ -8,7 +8,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** The changed assignments, in the order of their changes. */
+  /** The changed assignments, in the order of their oldest unwritten changes. */
   get all(): ReadonlySet<Assignment> {
     return this.changed;
   }
--- a/src/coordination/shard-state/fencing-tokens.ts
+++ b/src/coordination/shard-state/fencing-tokens.ts
@@ -13,7 +13,7 @@
 export class FencingTokens {
   /** The lowest token of the term. */
   readonly base: number;
-  /** The offset at which the entry of a new machine begins. */
+  /** The fencing offset that the next new machine's entry starts with. */
   private nextInitialOffset = 0;
   /** The highest offset that was issued to any machine in this term. */
   private highestOffset = 0;
@@ -22,12 +22,17 @@
     this.base = term * FENCING_TOKENS_PER_TERM;
   }
 
-  /** Whether the shard needs a new term, before its tokens reach those of the next term. */
+  /**
+   * Whether half of the term's tokens are used. The shard then needs a new term, before its tokens
+   * reach those of the next term.
+   */
   get isRunningOut(): boolean {
     return isRunningOut(this.highestOffset, FENCING_TOKENS_PER_TERM);
   }
 
-  /** The offset at which the entry of a new machine begins, above those of all removed entries. */
+  /**
+   * The fencing offset that a new machine's entry starts with, above those of all removed entries.
+   */
   get initialOffset(): number {
     return this.nextInitialOffset;
   }
@@ -53,7 +58,10 @@
     this.highestOffset = Math.max(this.highestOffset, machine.fencingOffset);
   }
 
-  /** Raises a machine's token and makes the machine unacknowledged until a heartbeat shows it. */
+  /**
+   * Raises a machine's token, and makes the machine unacknowledged until one of its heartbeats
+   * shows the raised token.
+   */
   requireAcknowledgement(machine: Machine): void {
     this.raise(machine);
     machine.requiredFencingOffset = machine.fencingOffset;
--- a/src/coordination/shard-state/machine-health.ts
+++ b/src/coordination/shard-state/machine-health.ts
@@ -18,7 +18,12 @@
   heartbeatIntervalS: number;
 }
 
-/** A machine's health as it is stored in the shard's status records. */
+/**
+ * A machine's health as it is stored in the shard's status records. It is `faulty` once tasks of
+ * `FAULTY_MACHINE_FAILED_JOBS` jobs have failed there since its last success. It is `silent` if for
+ * `MAX_MISSED_HEARTBEATS` intervals the worker sent no heartbeat on its own, or no heartbeat
+ * acknowledged the machine.
+ */
 export function machineHealth(machine: Machine, times: LeaseTimes, now: number): MachineHealth {
   if (machine.isLeaving) return 'leaving';
   if (machine.failedJobs.size >= FAULTY_MACHINE_FAILED_JOBS) return 'faulty';
--- a/src/coordination/shard-state/machine.ts
+++ b/src/coordination/shard-state/machine.ts
@@ -32,27 +32,35 @@
 
   /** The machine's current fencing token, less the base of the shard's term. */
   fencingOffset: number;
-  /** The first offset of this entry; lower ones may have been issued to an entry removed before. */
+  /**
+   * The fencing offset that this entry started with; lower ones may have been issued to the
+   * machine's earlier entry, which was removed.
+   */
   initialFencingOffset: number;
-  /** The lowest offset with which a heartbeat acknowledges the machine. */
+  /** The lowest fencing offset with which a heartbeat acknowledges the machine. */
   requiredFencingOffset: number;
   /**
-   * The newest heartbeat shows a token of this entry, so leases of former holders no longer count.
+   * The newest heartbeat shows a fencing token issued to this entry, so leases granted by former
+   * holders no longer count.
    */
   hasShownTokenOfEntry: boolean;
   /**
-   * The newest heartbeat shows the required token, so the machine receives this shard's answers.
+   * The newest heartbeat shows the required fencing token, so the machine receives the answers of
+   * this shard's holder.
    */
   isAcknowledged: boolean;
   /** Steady time of the last heartbeat that acknowledged the machine. */
   acknowledgedAt: number;
   /**
-   * Steady time of the first answer after the last acknowledgement, and the number of answers
-   * since.
+   * Steady time of the first answer to a heartbeat since the machine became unacknowledged, and the
+   * number of such answers.
    */
   unacknowledgedSince: number;
   unacknowledgedAnswers: number;
-  /** Steady time of the last answer with 200, which may have renewed the worker's lease. */
+  /**
+   * Steady time of the last answer with 200 to a heartbeat, which may have renewed the worker's
+   * lease.
+   */
   answeredAt: number;
   /**
    * A start was sent directly under the current token, so a late duplicate would be carried out.
--- a/src/coordination/shard-state/machines.ts
+++ b/src/coordination/shard-state/machines.ts
@@ -48,7 +48,10 @@
     this.fencingTokens.retire(machine);
   }
 
-  /** Removes machines that were returned to the cloud, or whose lease expired a whole lease ago. */
+  /**
+   * Removes machines that were returned to the cloud, or whose lease expired more than `leaseS`
+   * ago.
+   */
   sweep(): void {
     const now = this.clock.now();
     for (const machine of this.all.values()) {
@@ -70,7 +73,10 @@
     return this.replica.machine(name)?.state ?? 'rented';
   }
 
-  /** Whether tasks may be started on the machine. */
+  /**
+   * Whether tasks may be started on the machine: it is acknowledged and not leaving, and the
+   * leader's record does not say that it is drained or returned.
+   */
   isSchedulable(machine: Machine): boolean {
     return (
       machine.isAcknowledged && !machine.isLeaving && this.recordedState(machine.name) === 'rented'
--- a/src/coordination/shard-state/stored-assignments.ts
+++ b/src/coordination/shard-state/stored-assignments.ts
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Replaces an assignment's state by its stored record. Later heartbeats show again which of its
-   * tasks run or have ended.
+   * Replaces an assignment's tasks by those of its stored record; removes the assignment if it has
+   * no record. Later heartbeats show again which of its tasks run or have ended.
    */
   reload(assignment: Assignment): void {
     const stored = this.dependencies.replica.get<AssignmentRecord>(assignment.key);
--- a/src/coordination/shard-state/task-index.ts
+++ b/src/coordination/shard-state/task-index.ts
@@ -15,6 +15,7 @@
   /** Gang subsets: assignments of gangs. */
   readonly gangs = new Set<Assignment>();
   private readonly byJob = new Map<string, Set<Assignment>>();
+  /** The placed tasks with their assignments, by the name of the machine. */
   private readonly byMachine = new Map<string, Map<Task, Assignment>>();
 
   /** Adds an assignment that has no tasks yet. */
@@ -39,7 +40,7 @@
     return !this.byJob.has(assignment.job);
   }
 
-  /** Adds a task to the tasks placed on its machine. */
+  /** Adds a placed task to the index by machine, under its machine's name. */
   addPlacement(assignment: Assignment, task: Task): void {
     assignment.placedCount++;
     const group = this.byMachine.get(task.machine);
@@ -47,7 +48,7 @@
     else this.byMachine.set(task.machine, new Map([[task, assignment]]));
   }
 
-  /** Removes a task from the tasks placed on its machine. */
+  /** Removes a task from the index by machine, before its machine's name is reset. */
   removePlacement(assignment: Assignment, task: Task): void {
     assignment.placedCount--;
     const group = this.byMachine.get(task.machine);
@@ -66,7 +67,10 @@
     return this.byJob.get(job) ?? [];
   }
 
-  /** Names of the machines on which tasks are placed. */
+  /**
+   * Names of the machines on which at least one task of the shard is placed; tasks that are not
+   * placed have no entry.
+   */
   machines(): Iterable<string> {
     return this.byMachine.keys();
   }
--- a/src/coordination/shard-state/task-transitions.ts
+++ b/src/coordination/shard-state/task-transitions.ts
@@ -46,7 +46,7 @@
     this.changed.mark(assignment);
   }
 
-  /** Returns a waiting task to the leader. */
+  /** Returns a waiting task to the leader by removing it from its assignment. */
   returnToLeader(assignment: Assignment, task: Task): void {
     this.endPlacement(assignment, task);
     assignment.tasks.delete(task.index);
--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -73,7 +73,7 @@
     return null;
   }
 
-  /** Names of the machines on which tasks are placed. */
+  /** Names of the machines on which at least one task of the shard is placed. */
   occupiedMachines(): Iterable<string> {
     return this.index.machines();
   }
@@ -83,7 +83,10 @@
     return this.index.onMachine(machine);
   }
 
-  /** Whether the key-value store holds this placement; the start may be sent only then. */
+  /**
+   * Whether the key-value store holds a task's placement under its current attempt; the task's
+   * start may be sent only then.
+   */
   isCommitted(assignment: Assignment, task: Task): boolean {
     return isCommitted(assignment, task);
   }
@@ -101,12 +104,18 @@
 
   // --- Changes of stored records -------------------------------------------------------------
 
-  /** Handles a changed key of the replica: adds or removes its assignment. */
+  /**
+   * Handles a changed key of the replica: adds its assignment if a record is new, and removes it if
+   * the record was removed.
+   */
   handleChange(key: string): void {
     this.storedAssignments.handleChange(key);
   }
 
-  /** Replaces an assignment's state by its stored record. */
+  /**
+   * Replaces an assignment's tasks by those of its stored record; removes the assignment if it has
+   * no record.
+   */
   reload(assignment: Assignment): void {
     this.storedAssignments.reload(assignment);
   }
@@ -159,7 +168,7 @@
     this.transitions.markDone(assignment, task);
   }
 
-  /** Returns a waiting task to the leader. */
+  /** Returns a waiting task to the leader by removing it from its assignment. */
   returnToLeader(assignment: Assignment, task: Task): void {
     this.transitions.returnToLeader(assignment, task);
   }
