--- a/src/coordination/shard/assignment-transaction.ts
+++ b/src/coordination/shard/assignment-transaction.ts
@@ -33,7 +33,7 @@
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Adds an assignment's changes; `isRemoved`: the assignment is removed. */
+  /** Adds the changes that write an assignment; `isRemoved`: those that remove its record. */
   add(assignment: Assignment, isRemoved: boolean): AddResult {
     const { options, tasks } = this.context;
     this.estimatedBytes +=
--- a/src/coordination/shard/assignment-writer.ts
+++ b/src/coordination/shard/assignment-writer.ts
@@ -9,7 +9,10 @@
 
 /** Functions of the shard that the writer calls. */
 export interface AssignmentWriterCallbacks {
-  /** Called when placements on these machines are committed, so that their starts may be sent. */
+  /**
+   * Called after a transaction was committed, so that the starts of its new placements, which are
+   * on these machines, may be sent. `urgent`: the transaction wrote urgent assignments.
+   */
   readonly onCommitted: (machines: ReadonlySet<string>, urgent: boolean) => void;
 }
 
@@ -19,7 +22,10 @@
  * is larger than the store's limit for values is split.
  */
 export class AssignmentWriter {
-  /** Assignments that are paused, because the store rejected them or they are too large for now. */
+  /**
+   * Assignments that are not written for now, because the store rejected them or their pieces do
+   * not fit one transaction.
+   */
   private readonly withheld: RejectedChangeBackoff;
   private readonly schedule: WriteSchedule;
 
@@ -36,7 +42,11 @@
     this.withheld.removeExpired();
   }
 
-  /** Writes all assignments that are due. */
+  /**
+   * Writes the assignments that are due, one transaction after the other. Ends early if a
+   * transaction is not committed, if non-urgent assignments must wait for the rate limit, or if
+   * this controller no longer holds the shard.
+   */
   async flush(): Promise<void> {
     const { committer, options } = this.context;
     for (;;) {
@@ -68,7 +78,10 @@
     }
   }
 
-  /** Builds the next transaction from the first due assignments that have this urgency. */
+  /**
+   * Builds the next transaction from the first due assignments, up to the first one that has
+   * another urgency or no longer fits.
+   */
   private build(due: readonly Assignment[], urgent: boolean): AssignmentTransaction {
     const { log, options } = this.context;
     const transaction = new AssignmentTransaction(this.context);
--- a/src/coordination/shard/bandit-snapshot.ts
+++ b/src/coordination/shard/bandit-snapshot.ts
@@ -35,7 +35,10 @@
     this.nextAt = dependencies.clock.now() + options.snapshotMs;
   }
 
-  /** Writes the changed arms of these machine types, if a snapshot is due. */
+  /**
+   * Writes the arms of these machine types that differ from the stored ones, if a snapshot is due;
+   * none while `bandit` is null.
+   */
   async writeIfDue(bandit: Bandit | null, types: readonly string[]): Promise<void> {
     const now = this.dependencies.clock.now();
     if (now < this.nextAt || !bandit) return;
@@ -59,7 +62,7 @@
     return Math.max(1, Math.min(this.options.transactionOps, fitting));
   }
 
-  /** The key of one of an arm's records; number 0 is the main record. */
+  /** The key of one of the records of a machine type's arm; number 0 is the main record. */
   private keyOf(type: string, number: number): string {
     return armKey(this.options.shard, number === 0 ? type : `${type}+${number}`);
   }
--- a/src/coordination/shard/cost-learning.ts
+++ b/src/coordination/shard/cost-learning.ts
@@ -16,7 +16,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Reports the cost of a task that ended successfully on the machine. */
+  /**
+   * Reports the cost of a task that is done, if the bandit placed it on the machine and a heartbeat
+   * showed it running.
+   */
   recordSuccess(machine: Machine, { assignment, task }: AssignedTask): void {
     if (!task.banditContext || task.runningAt === null || !this.bandit) return;
     const runTimeS = (this.clock.now() - task.runningAt) / 1000;
@@ -27,16 +30,16 @@
     );
   }
 
-  /** Reports a task that failed on the machine. */
+  /** Reports a task that failed on the machine, if the bandit placed it there. */
   recordFailure(machine: Machine, { task }: AssignedTask): void {
     if (task.banditContext) this.bandit?.recordFailure(machine.type, task.banditContext);
   }
 
   /**
-   * The cost per second of a task on a machine. In the paper on which the bandit is based, a worker
-   * runs one task at a time. Here tasks share a machine, so a task is charged a fraction of the
-   * machine's price: the largest of the fractions that it takes of the machine's CPUs, GPUs and
-   * memory.
+   * The cost per second of a task on a machine; 0 if the catalog lacks the machine's type. In the
+   * paper on which the bandit is based, a worker runs one task at a time. Here tasks share a
+   * machine, so a task is charged a fraction of the machine's price: the largest of the fractions
+   * that it takes of the machine's CPUs, GPUs and memory.
    */
   private pricePerS(machine: Machine, task: Resources): number {
     const type = this.machines.machineType(machine.type);
--- a/src/coordination/shard/gang-stop-cost.ts
+++ b/src/coordination/shard/gang-stop-cost.ts
@@ -18,7 +18,8 @@
   /**
    * Whether the gang may be stopped for other work. Its progress is saved only if all of its tasks
    * receive the stop within `gang_peer_s`. Otherwise the progress since its last checkpoint is
-   * lost, and the gang may be stopped only if that is at most `GANG_MAX_LOST_PROGRESS_S`.
+   * lost, and the gang may be stopped only if this progress is at most `GANG_MAX_LOST_PROGRESS_S`.
+   * A gang whose job has ended may always be stopped.
    */
   mayStop(assignment: Assignment): boolean {
     const spec = jobSpec(this.context, assignment.job);
@@ -37,7 +38,10 @@
     );
   }
 
-  /** Whether a call to the machine is likely to be carried out at once. */
+  /**
+   * Whether a call to the machine is likely to be carried out at once: the machine is acknowledged,
+   * its health is `ok`, and no earlier call is unconfirmed.
+   */
   private isLikelyReachable(machine: Machine | undefined): boolean {
     if (!machine?.isAcknowledged || machine.unconfirmedCall) return false;
     return this.context.machines.health(machine) === 'ok';
--- a/src/coordination/shard/gang-subsets.ts
+++ b/src/coordination/shard/gang-subsets.ts
@@ -41,13 +41,16 @@
     return this.dependencies.replica.job(assignment.job)?.spec ?? null;
   }
 
-  /** Whether tasks of this assignment may start now; always true for one that is not of a gang. */
+  /** Whether the tasks of this assignment may start now; always true if its job is not a gang. */
   mayStart(assignment: Assignment): boolean {
     if (assignment.record.attempt === undefined) return true;
     return !assignment.hasFailed && this.isFullyPlaced(assignment);
   }
 
-  /** Whether the stored records of all shards show a placement for each task of the gang. */
+  /**
+   * Whether the stored records of all shards show each task of the gang as placed or done, all
+   * under the attempt of this assignment, and none of the subsets as stopping.
+   */
   private isFullyPlaced(assignment: Assignment): boolean {
     let placed = 0;
     for (const subset of this.dependencies.replica.assignmentsOf(assignment.job)) {
@@ -97,8 +100,8 @@
   /**
    * Fails a subset if another shard stops its own subset of the gang, and marks a failed subset to
    * be written as stopping. Returns whether the key-value store shows the stop to the other shards.
-   * No task is stopped before that, because progress is saved only if all tasks of the gang are
-   * stopped at about the same time, which an outage of the store could prevent.
+   * No task is stopped before the store shows it, because progress is saved only if all tasks of
+   * the gang are stopped at about the same time, which an outage of the store could prevent.
    */
   private propagateFailure(assignment: Assignment, spec: JobSpec): boolean {
     const { replica, tasks } = this.dependencies;
@@ -111,9 +114,9 @@
   }
 
   /**
-   * Whether the subset's tasks have waited for the others until shortly before they time out one by
-   * one. If they are stopped together instead, their machines become free sooner, and no progress
-   * is lost because none of them has run.
+   * Whether the subset's tasks have waited for the gang's other tasks until shortly before they
+   * time out one by one. If they are stopped together instead, their machines become free sooner,
+   * and no progress is lost because none of them has run.
    */
   private hasWaitedTooLong(assignment: Assignment, now: number): boolean {
     const { gangWaitS, heartbeatIntervalS } = this.options;
@@ -153,8 +156,9 @@
   }
 
   /**
-   * Returns a subset to the leader if it has waited too long for machines; urgent and infeasible
-   * ones wait less.
+   * Returns a subset to the leader if it has waited too long for machines: for
+   * `UNPLACED_RELEASE_MS` if it is urgent or infeasible, otherwise for
+   * `GANG_RESERVATION_TIMEOUT_MS`.
    */
   private returnIfTimedOut(assignment: Assignment, spec: JobSpec, now: number): void {
     const isUrgent = rankOf(spec.priority) >= LOWEST_URGENT_RANK;
--- a/src/coordination/shard/lost-machines.ts
+++ b/src/coordination/shard/lost-machines.ts
@@ -8,7 +8,10 @@
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Requeues the tasks of lost machines, if a sweep is due. */
+  /**
+   * Requeues the tasks of machines that were returned to the cloud or whose lease has expired, if a
+   * sweep is due.
+   */
   sweep(): void {
     const { clock, log, machines, tasks } = this.context;
     const now = clock.now();
--- a/src/coordination/shard/machine-commands.ts
+++ b/src/coordination/shard/machine-commands.ts
@@ -11,7 +11,10 @@
 /** The commands for one machine while they are being collected. */
 interface CommandBatch {
   readonly machine: Machine;
-  /** Whether commands that were sent before are sent again if they still have had no effect. */
+  /**
+   * Whether commands that were sent before are sent again, if the newest heartbeat shows no effect
+   * of them.
+   */
   readonly resend: boolean;
   /** Resources of the machine that are not taken by the tasks counted so far. */
   readonly free: Resources;
@@ -62,7 +65,8 @@
   }
 
   /**
-   * Adds a stop for a placed task if its job has ended, or if it must stop and does not save yet.
+   * Adds a stop for a placed task if its job has ended, or if the task is being stopped and the
+   * heartbeat does not show it as saving its progress.
    */
   private addStop(
     batch: CommandBatch,
@@ -94,7 +98,10 @@
     }
   }
 
-  /** Adds starts for tasks that are placed on the machine but missing there, as far as they fit. */
+  /**
+   * Adds starts for tasks that are placed on the machine but missing from its newest heartbeat, as
+   * far as the machine's free resources suffice.
+   */
   private addStarts({ machine, resend, free, listed, commands }: CommandBatch): void {
     const { gangSubsets, tasks } = this.context;
     const missing = [...tasks.placedOn(machine.name)].filter(([task]) => !listed.has(task));
--- a/src/coordination/shard/scheduler-loader.ts
+++ b/src/coordination/shard/scheduler-loader.ts
@@ -22,7 +22,7 @@
     return this.loaded;
   }
 
-  /** Creates the scheduler; null: there is no catalog yet. */
+  /** Creates the scheduler; null: no catalog of machine types is stored yet. */
   async load(): Promise<Scheduler | null> {
     const types = machineTypeNames(this.context);
     if (types.length === 0) return null;
--- a/src/coordination/shard/shard-context.ts
+++ b/src/coordination/shard/shard-context.ts
@@ -53,7 +53,7 @@
   startWithinS: Readonly<Record<string, number>>;
   /** Whether this controller still holds the shard, according to the replica. */
   isHolder: () => boolean;
-  /** Whether the replica is current enough for commands to be sent to workers. */
+  /** Whether the replica is current enough for commands to be sent directly to workers. */
   isReplicaCurrent: () => boolean;
   /** The capacity that the store's rate limits leave for this controller's writes. */
   limiter: Pick<RateLimiter, 'supply' | 'hasCapacity'>;
@@ -82,7 +82,7 @@
   readonly costLearning: CostLearning;
   /** Machines for which there may be commands that have not been sent yet. */
   readonly machinesToCommand: Set<string>;
-  /** Assignments of jobs that have ended. */
+  /** Assignments of ended jobs, each until its record is removed. */
   readonly assignmentsOfEndedJobs: Set<Assignment>;
 }
 
--- a/src/coordination/shard/shard-status.ts
+++ b/src/coordination/shard/shard-status.ts
@@ -27,7 +27,7 @@
 
 /** Keeps a shard's status records, which are numbered pages, in line with its machines. */
 export class ShardStatus {
-  /** The pages as last read or written, by number. */
+  /** The status pages as last read from the store or written to it, by page number. */
   private readonly storedPages = new Map<number, StatusEntries>();
   private lastWriteAt = -Infinity;
 
@@ -56,7 +56,10 @@
     }
   }
 
-  /** Writes the changed pages, if a write is due. */
+  /**
+   * Writes the status pages that have changed, if a write is due; stops at the first page that
+   * cannot be written.
+   */
   async writeIfDue(): Promise<void> {
     const { clock, records } = this.dependencies;
     const now = clock.now();
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -132,8 +132,9 @@
   }
 
   /**
-   * Marks the machines of a gang for commands if another shard's subset of it changed, because this
-   * shard's subset may start now. Returns whether there are such machines.
+   * Marks the machines of a gang for commands if another shard's subset of the gang changed,
+   * because this shard's subset may start now. Returns whether this shard has machines with tasks
+   * of the gang.
    */
   private handleOtherSubsetChange(key: string): boolean {
     const { gangSubsets, options } = this.context;
--- a/src/coordination/shard/status-pages.ts
+++ b/src/coordination/shard/status-pages.ts
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Moves the machines of the last page in use to earlier pages, once these have enough free bytes
-   * for all of them and for a full page besides.
+   * Moves the machines of the last page in use to earlier pages, once the earlier pages have enough
+   * free bytes for all of these machines and for a full page besides.
    */
   private emptyLastPage(): void {
     const { pageCapacityBytes, pages } = this;
@@ -111,10 +111,11 @@
   }
 
   /**
-   * Assigns new machines and machines that move to pages, in the order of their names and
-   * preferring the last pages. The names of newer machines sort after those of older ones, and the
-   * previous version of this program orders its pages by name. When a controller of that version
-   * becomes the holder, it therefore moves few machines between pages, and none to a later page.
+   * Puts new machines, and those that must leave their page, into pages, in the order of their
+   * names and preferring the last pages. The names of newer machines sort after those of older
+   * ones, and the previous version of this program orders its pages by name. When a controller of
+   * that version becomes the holder, it therefore moves few machines between pages, and none to a
+   * later page.
    */
   private addMovingMachines(): void {
     for (const name of this.entries.keys())
--- a/src/coordination/shard/task-release.ts
+++ b/src/coordination/shard/task-release.ts
@@ -1,9 +1,13 @@
-/** Returns tasks for which the shard has no capacity to the leader. */
+/** Returns to the leader those tasks for which the shard has no capacity. */
 import { QUEUED_RELEASE_MS, UNPLACED_RELEASE_MS } from '../../constants/shard.js';
 import { rankOf } from '../../protocol/model.js';
 import { jobSpec, type ShardContext } from './shard-context.js';
 
-/** Returns array and service tasks that have waited too long for a machine to the leader. */
+/**
+ * Returns to the leader the array and service tasks that have waited for a machine for
+ * `UNPLACED_RELEASE_MS` if they are urgent, or for `QUEUED_RELEASE_MS` if not. Tasks of paused jobs
+ * stay.
+ */
 export function releaseWaitingTasks(context: ShardContext): void {
   const { clock, jobFailureBackoff, tasks } = context;
   const now = clock.now();
--- a/src/coordination/shard/write-schedule.ts
+++ b/src/coordination/shard/write-schedule.ts
@@ -14,7 +14,8 @@
   constructor(
     private readonly context: ShardContext,
     /**
-     * Assignments that are paused, because the store rejected them or they are too large for now.
+     * Assignments that are not written for now, because the store rejected them or their pieces do
+     * not fit one transaction.
      */
     private readonly withheld: RejectedChangeBackoff,
   ) {}
@@ -34,8 +35,8 @@
   }
 
   /**
-   * Whether non-urgent assignments may be written now: one of them is overdue, or the store's rate
-   * limits have free capacity for them.
+   * Whether non-urgent assignments may be written now: one of them has a change older than
+   * `MAX_WRITE_DELAY_MS`, or the store's rate limits leave capacity for them.
    */
   mayWriteNonUrgent(due: readonly Assignment[]): boolean {
     const { clock, options } = this.context;
