--- a/src/constants/api.ts
+++ b/src/constants/api.ts
@@ -42,8 +42,8 @@
 export const MAX_WAITING_CHECKS = 512;
 
 /**
- * Maximum number of jobs of one failed check that are read again at a time, so that most of the sockets to the
- * key-value store stay free for other requests.
+ * Maximum number of jobs of one failed check that are read again at a time, so that most of the
+ * sockets to the key-value store stay free for other requests.
  */
 export const MAX_CONCURRENT_REREADS = 4;
 
--- a/src/constants/controller.ts
+++ b/src/constants/controller.ts
@@ -32,8 +32,9 @@
 export const AUTOSCALER_INTERVAL_MS = 600;
 
 /**
- * Minimum pause of a woken loop, as a multiple of the CPU time of its last pass. With many machines a
- * pass takes long, and the pause leaves most of a slow processor to heartbeats and users' requests.
+ * Minimum pause of a woken loop, as a multiple of the CPU time of its last pass. With many machines
+ * a pass takes long, and the pause leaves most of a slow processor to heartbeats and users'
+ * requests.
  */
 export const PAUSE_PER_CPU_TIME = 9;
 
@@ -65,8 +66,8 @@
 export const SHORT_OF_WRITES_RELAY_TIMING = { nextPeerDelayMs: 2_500, timeoutMs: 2_500 };
 
 /**
- * Time in ms after a redirect. A worker that sends a heartbeat to the same controller within this
- * time is assumed not to reach the shard's holder.
+ * Time in ms after the redirect or relay of a heartbeat. If the worker sends its next heartbeat to
+ * the same controller within this time, it is assumed not to reach the shard's holder.
  */
 export const REDIRECT_RETRY_MS = 12_000;
 
@@ -90,9 +91,9 @@
 export const DIRECT_SOCKET_FRACTION = 0.125;
 
 /**
- * Maximum number of direct calls in flight at a time. The answers to this many calls are processed well within
- * the duration of one call, and some dozens of unresponsive machines leave enough calls for the
- * others.
+ * Maximum number of direct calls in flight at a time. The answers to this many calls are processed
+ * well within the duration of one call, and some dozens of unresponsive machines leave enough calls
+ * for the others.
  */
 export const MAX_CONCURRENT_DIRECT_CALLS = 64;
 
--- a/src/constants/failure-detection.ts
+++ b/src/constants/failure-detection.ts
@@ -1,8 +1,8 @@
 /** Constants of failure detection between controllers and of flap damping. */
 
 /**
- * Time in ms since the replica was last confirmed as current, within which the key-value store counts
- * as reachable. Watches return every second, and three in a row may fail.
+ * Time in ms since the replica was last confirmed as current, within which the key-value store
+ * counts as reachable. Watches return every second, and three in a row may fail.
  */
 export const STORE_REACHABLE_MS = 3_000;
 
@@ -13,8 +13,8 @@
 export const FLAP_HALF_LIFE_MS = 60_000;
 
 /**
- * Penalty from which a controller leaves its shard with the current holder. The second loss within a
- * minute reaches it.
+ * Penalty from which a controller leaves its shard with the current holder. The second loss of its
+ * registration within a minute reaches it.
  */
 export const FLAP_SUPPRESS_PENALTY = 1.5;
 
--- a/src/constants/storage.ts
+++ b/src/constants/storage.ts
@@ -50,14 +50,21 @@
 export const MAX_CACHED_FINAL_RECORDS = 20_000;
 
 /**
- * Minimum rate that a controller keeps after refusals, as a fraction of its equal share of a limit.
+ * Minimum rate that a controller keeps after refusals, as a fraction of its equal share of one of
+ * the store's rate limits.
  */
 export const STORE_LIMIT_MIN_FRACTION = 0.5;
 
-/** Maximum rate of one controller as a fraction of a limit, if the other controllers use less. */
+/**
+ * Maximum rate of one controller as a fraction of one of the store's rate limits, if the other
+ * controllers use less.
+ */
 export const STORE_LIMIT_MAX_FRACTION = 0.8;
 
-/** Fraction of a limit by which a controller's rate grows in a second in which requests wait. */
+/**
+ * Growth of a controller's rate in a second in which requests wait, as a fraction of the store's
+ * rate limit.
+ */
 export const STORE_LIMIT_GROWTH_FRACTION = 0.1;
 
 /** Fraction of its equal share of writes above which a controller delays changes to batch them. */
@@ -76,7 +83,7 @@
 export const ANNOUNCED_WATCH_SPACING_FRACTION = 0.25;
 
 /**
- * Time in ms since the last success after which the store counts as unreachable, if the last request
- * failed.
+ * Time in ms since the last successful request after which the store counts as unreachable, if the
+ * last request failed.
  */
 export const UNREACHABLE_AFTER_MS = 700;
--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -8,7 +8,10 @@
 /** Returned instead of a reason while the machine types are not known yet. */
 export const MACHINE_TYPES_UNKNOWN = 'unknown';
 
-/** Returns the reason why a job can never run, or MACHINE_TYPES_UNKNOWN; null: it may run. */
+/**
+ * Returns the reason why a job can never run, or MACHINE_TYPES_UNKNOWN; null: it may run. `types`:
+ * the machine types; null: not known yet.
+ */
 export function reasonNeverRunnable(
   spec: JobSpec,
   teams: readonly Team[],
@@ -28,7 +31,7 @@
   return null;
 }
 
-/** Returns whether a task of the job may run on machines of the type, and fits an empty one. */
+/** Returns whether a task of the job may run on machines of the type, and fits an empty machine. */
 function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
@@ -40,8 +43,8 @@
 }
 
 /**
- * Returns whether a gang that must be spread can use too few zones. At most half of its tasks may be
- * in one zone, and all of them run at the same time.
+ * Returns whether a gang that must be spread can use too few zones. At most half of its tasks may
+ * be in one zone, and all of them run at the same time.
  */
 function lacksZonesToSpread(spec: JobSpec, fittingTypes: readonly MachineType[]): boolean {
   if (spec.kind !== 'gang' || !spec.spread || spec.tasks <= 1) return false;
--- a/src/coordination/api/cancellations.ts
+++ b/src/coordination/api/cancellations.ts
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Answers while the replica is being loaded. Only jobs that have finished or never existed get a
-   * final reply.
+   * Answers a cancellation while the replica is being loaded. Jobs that have finished or never
+   * existed get a final reply; for all others the reply is 503, and the user tries again.
    */
   private async cancelWhileLoading(id: string): Promise<HttpReply> {
     const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
@@ -74,7 +74,10 @@
     return null;
   }
 
-  /** Does the same as `attempt` for a job whose record the replica does not hold. */
+  /**
+   * Answers the cancellation of a job whose record the replica does not hold, after a check with
+   * the key-value store. Null: the job is open, so the cancellation is attempted again.
+   */
   private async cancelWithoutRecord(id: string): Promise<HttpReply | null> {
     const lookup = await this.options.checks.check(id, JOB_CHECK_TIMEOUT_MS);
     if (lookup.kind === 'unknown') return notCommittedInTime();
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -5,7 +5,10 @@
 
 /** A request that waits for the result of a check. */
 interface Waiter {
-  /** The awaited check; replaced when it is merged into a later one of the same job. */
+  /**
+   * Check whose result the request awaits; replaced when `requeue` moves the request to a newer
+   * check of the same job.
+   */
   check: JobCheck;
   resolve: (lookup: JobLookup) => void;
   /** Cancels the time-out; otherwise thousands of unneeded timers would wake the process. */
@@ -22,7 +25,7 @@
 export class JobCheckQueue {
   /** Checks that are not sent yet, by the job's id. */
   private readonly pending = new Map<string, JobCheck>();
-  /** Number of waiters of all checks, including those that were sent. */
+  /** Number of waiters of all checks, including checks that were sent and have no result yet. */
   private waiterCount = 0;
 
   constructor(private readonly clock: Clock) {}
@@ -32,7 +35,10 @@
     return this.pending.size;
   }
 
-  /** Returns whether another request may wait for the check of a job. */
+  /**
+   * Returns whether another request may wait for a check of a job: one is queued already, or fewer
+   * than `MAX_WAITING_CHECKS` requests wait for checks of any job.
+   */
   mayWaitFor(id: string): boolean {
     return this.pending.has(id) || this.waiterCount < MAX_WAITING_CHECKS;
   }
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -17,9 +17,12 @@
 
 /** Dependencies and limits of job checks. */
 export interface JobChecksOptions {
-  /** Changes that one transaction may hold. */
+  /** Maximum number of changes in one transaction. */
   transactionOps: number;
-  /** Time in ms between two transactions that check jobs. Checks in between share the next one. */
+  /**
+   * Time in ms between two transactions that check jobs. Checks that arrive in between share the
+   * later one.
+   */
   checkIntervalMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
@@ -48,8 +51,9 @@
   }
 
   /**
-   * Returns what the key-value store holds on a job now; unknown after `timeoutMs`, or if too many
-   * requests wait.
+   * Looks up a job in the key-value store, by a request that is sent after this call. The result is
+   * unknown if there is none within `timeoutMs`. It is unknown at once if `MAX_WAITING_CHECKS`
+   * requests wait already and no check of this job is queued.
    */
   check(id: string, timeoutMs: number): Promise<JobLookup> {
     if (!this.queue.mayWaitFor(id)) return Promise.resolve(UNKNOWN_LOOKUP);
@@ -58,7 +62,10 @@
     return lookup;
   }
 
-  /** Schedules the next transaction, without waiting for the last one, which may be slow. */
+  /**
+   * Schedules the next transaction that checks jobs, without waiting for the response to the last
+   * one, which may be slow.
+   */
   private schedule(): void {
     if (this.isScheduled || this.queue.size === 0) return;
     this.isScheduled = true;
--- a/src/coordination/api/job-lookup.ts
+++ b/src/coordination/api/job-lookup.ts
@@ -20,10 +20,16 @@
   | { kind: 'found'; job: KnownJob }
   /** The key-value store held no record of the job at the time of the lookup. */
   | { kind: 'absent'; proof: AbsenceProof }
-  /** The lookup had no result: no conclusive answer came in time, or too many requests wait. */
+  /**
+   * No conclusive response of the store came in time, or the lookup was refused at once because too
+   * many requests waited for checks.
+   */
   | { kind: 'unknown' };
 
-/** The result when nothing is known about the job. */
+/**
+ * Result that says neither that the job exists nor that it is absent: returned after a time-out,
+ * for example, or at once if the queue of checks is full.
+ */
 export const UNKNOWN_LOOKUP: JobLookup = { kind: 'unknown' };
 
 /** Returns the result for a job that has finished, from its final record. */
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -11,7 +11,7 @@
 
 /** A poll that waits for the response to a watch that is sent after the poll arrived. */
 interface FreshReplicaWaiter {
-  /** Steady time at which the poll arrived. */
+  /** Steady time in ms at which the poll arrived. */
   arrivedAt: number;
   resolve: (isFresh: boolean) => void;
   cancelTimer: () => void;
--- a/src/coordination/api/job-verifier.ts
+++ b/src/coordination/api/job-verifier.ts
@@ -14,7 +14,10 @@
   readonly limiter: RateLimiter;
 }
 
-/** Compares jobs in the replica with the key-value store, and reads those that differ. */
+/**
+ * Builds the guards that compare jobs with the key-value store, derives the results of the jobs,
+ * and reads the jobs whose guards failed.
+ */
 export class JobVerifier {
   constructor(private readonly options: JobVerifierOptions) {}
 
--- a/src/coordination/api/submission-queue.ts
+++ b/src/coordination/api/submission-queue.ts
@@ -24,7 +24,7 @@
 
 /** Dependencies and limits of the queue. */
 export interface SubmissionQueueOptions {
-  /** Changes that one transaction may hold. */
+  /** Maximum number of changes in one transaction. */
   transactionOps: number;
   committer: Committer;
   clock: Clock;
@@ -47,7 +47,7 @@
 
   constructor(private readonly options: SubmissionQueueOptions) {}
 
-  /** Whether the queue is at its limit, so that no further submission should be added. */
+  /** Whether `MAX_QUEUED_SUBMISSIONS` submissions wait, so that no further one should be added. */
   get isFull(): boolean {
     return this.queue.length >= MAX_QUEUED_SUBMISSIONS;
   }
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Removes and returns the submissions for one transaction, within its limits. Each id occurs
-   * once; a repeated id ends the group.
+   * Removes and returns the submissions for one transaction, within `transactionOps` changes and
+   * `MAX_TRANSACTION_BYTES`. Each id occurs once; a repeated id ends the group.
    */
   private takeGroup(): Submission[] {
     const group: Submission[] = [];
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Resolves the submissions whose jobs exist, after guards of a group failed on these keys;
-   * returns the submissions that are left to commit.
+   * Resolves the submissions whose jobs exist, and returns those that are left to commit. `failed`:
+   * the keys whose guards failed in the transaction of the group.
    */
   private withoutExistingJobs(group: Submission[], failed: Set<string>): Submission[] {
     const exists = ({ spec }: Submission): boolean =>
--- a/src/coordination/api/submissions.ts
+++ b/src/coordination/api/submissions.ts
@@ -1,5 +1,6 @@
 /**
- * Handles submissions: answers repeats, refuses jobs that can't be accepted, commits the others.
+ * Handles submissions: replies with the state of jobs that exist, refuses malformed submissions
+ * (400) and jobs that can never run or whose record is too large (422), and commits the others.
  */
 import { JOB_CHECK_TIMEOUT_MS } from '../../constants/api.js';
 import type { JobSpec } from '../../protocol/model.js';
@@ -67,7 +68,7 @@
     const { teams, replica, queue, valueBytes } = this.options;
     const reason = reasonNeverRunnable(spec, teams, readCatalog(replica));
     if (reason !== null) return reason;
-    // A larger record can never be written. Without this reason, its user would retry without end.
+    // A larger record can never be written. Without this refusal, its user would retry without end.
     return queue.recordBytes(spec) > valueBytes ? RECORD_TOO_LARGE : null;
   }
 
--- a/src/coordination/api/user-requests.ts
+++ b/src/coordination/api/user-requests.ts
@@ -17,11 +17,14 @@
 /** Dependencies and limits of users' requests. */
 export interface UserRequestsOptions {
   teams: readonly Team[];
-  /** Changes that one transaction may hold. */
+  /** Maximum number of changes in one transaction. */
   transactionOps: number;
   /** Largest size in bytes of a job's record in the key-value store. */
   valueBytes: number;
-  /** Time in ms between two transactions that check jobs. Checks in between share the next one. */
+  /**
+   * Time in ms between two transactions that check jobs. Checks that arrive in between share the
+   * later one.
+   */
   checkIntervalMs: number;
   replica: StoreReplica;
   keyValueStore: KeyValueStore;
--- a/src/coordination/controller/active-roles.ts
+++ b/src/coordination/controller/active-roles.ts
@@ -64,7 +64,10 @@
     return roles;
   }
 
-  /** Runs one scheduling cycle; notifies the holders of shards that got urgent work. */
+  /**
+   * Runs one scheduling cycle and notifies the holders of shards that got urgent work; does nothing
+   * unless this controller is the leader.
+   */
   async reconcileLeader(): Promise<void> {
     const written = await this.activeLeader?.reconcile();
     for (const shard of written ?? []) this.services.holderNotifier.notify(shardRole(shard));
--- a/src/coordination/controller/control-loop.ts
+++ b/src/coordination/controller/control-loop.ts
@@ -17,7 +17,7 @@
   readonly reconcile: () => Promise<void>;
   /**
    * Returns the CPU time of the last pass in ms. A woken loop pauses in proportion to this time
-   * before the next pass.
+   * before the next pass, and at least `LOOP_COALESCE_MS`.
    */
   readonly lastCycleCpuMs?: () => number;
   /** Returns the ms between two passes while nothing wakes the loop. Default: `LOOP_INTERVAL_MS`. */
--- a/src/coordination/controller/controller-core.ts
+++ b/src/coordination/controller/controller-core.ts
@@ -222,7 +222,10 @@
     };
   }
 
-  /** Runs one pass of the election, then renews the terms that are running out of numbers. */
+  /**
+   * Runs one pass of the election, then claims a new term for each held role that has used half of
+   * its term's attempt numbers or fencing tokens.
+   */
   private async reconcileElection(): Promise<void> {
     const { election } = this.services;
     await election.reconcile();
--- a/src/coordination/controller/controller-services.ts
+++ b/src/coordination/controller/controller-services.ts
@@ -81,8 +81,8 @@
 }
 
 /**
- * Returns the time in ms between two requests of one controller. If all controllers keep to this time,
- * their requests together take `fraction` of the key-value store's limit of requests.
+ * Returns the time in ms between two requests of one controller. If all controllers keep to this
+ * time, their requests together take `fraction` of the key-value store's limit of requests.
  */
 function requestSpacingMs({ peers, storeRps }: Settings, fraction: number): number {
   const memberCount = peers.length + 1;
--- a/src/coordination/controller/heartbeat-endpoint.ts
+++ b/src/coordination/controller/heartbeat-endpoint.ts
@@ -35,8 +35,8 @@
 
   /**
    * Answers a heartbeat if this controller holds the machine's shard. Otherwise redirects the
-   * worker to the holder, or relays the heartbeat if the worker's last one was redirected or relayed
-   * within `REDIRECT_RETRY_MS`.
+   * worker to the holder, or relays the heartbeat if the worker's last one was redirected or
+   * relayed within `REDIRECT_RETRY_MS`. `text`: the body; null: it was longer than the limit.
    */
   async handle(text: string | null): Promise<HttpReply> {
     const parsed = readHeartbeat(text);
@@ -64,7 +64,10 @@
     return relayed ?? unavailable('no owner acts');
   }
 
-  /** Answers a relayed heartbeat; null: it is invalid, or this controller may not answer it. */
+  /**
+   * Answers a relayed heartbeat; null: it is invalid, or this controller does not hold the
+   * machine's shard, or its replica is not current.
+   */
   handleRelayed(text: string): HttpReply | null {
     const parsed = readHeartbeat(text);
     if (!parsed.ok) return null;
@@ -72,7 +75,10 @@
     return this.replyAsHolder(shardOf(machine, zone, this.options.members), parsed.value);
   }
 
-  /** Removes entries older than `REDIRECT_RETRY_MS`, because only newer ones cause a relay. */
+  /**
+   * Removes the times of heartbeats that were redirected or relayed more than `REDIRECT_RETRY_MS`
+   * ago, because only a later time causes a relay.
+   */
   removeExpiredForwardTimes(): void {
     const now = this.options.clock.now();
     for (const [machine, at] of this.lastForwardedAt) {
--- a/src/coordination/controller/holder-notifier.ts
+++ b/src/coordination/controller/holder-notifier.ts
@@ -1,4 +1,7 @@
-/** Notifies the holders of roles of changes in the key-value store that concern them. */
+/**
+ * Sends the holders of roles a message when this controller has changed records in the key-value
+ * store that concern their roles.
+ */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { CancelledJob, PeerMessage } from '../../protocol/peer-messages.js';
 import { LEADER, shardRole, type RoleElection } from '../election/role-election.js';
@@ -14,15 +17,18 @@
 }
 
 /**
- * Sends change notifications to peers. If one is lost, its receiver reads the change a little
- * later, with its next regular watch.
+ * Sends change notifications to the holders of roles. A receiver sends its next watch request
+ * early, and so reads the changed records sooner. If a notification is lost, the holder reads them
+ * a little later, with its next regular watch.
  */
 export class HolderNotifier {
   constructor(private readonly options: HolderNotifierOptions) {}
 
   /**
-   * Notifies the holder of a role, unless this controller holds it or there is no holder.
-   * `cancelled`: the job that the change cancelled.
+   * Sends the holder of a role the newest revision of the key-value store that this controller has
+   * received, so that the holder reads the changes up to this revision with an early watch. Sends
+   * nothing if this controller holds the role itself, or if there is no holder. `cancelled`: a job
+   * whose cancellation this controller has committed; the holder applies it to its replica at once.
    */
   notify(role: string, cancelled?: CancelledJob): void {
     const { environment, controllerName, replica, election } = this.options;
@@ -37,8 +43,9 @@
   }
 
   /**
-   * Notifies the leader and the holders of the shards to which the jobs are assigned.
-   * `cancellation`: `jobs` holds a single job, which was cancelled and has this many tasks.
+   * Notifies the leader and the holders of the shards to which the jobs are assigned, after a
+   * commit that created or cancelled the jobs. `cancellation`: `jobs` holds a single job, which was
+   * cancelled and has this many tasks.
    */
   notifyOfJobs(jobs: readonly string[], cancellation?: { tasks: number }): void {
     const shards = new Set<string>();
--- a/src/coordination/controller/peer-relay.ts
+++ b/src/coordination/controller/peer-relay.ts
@@ -12,7 +12,10 @@
   readonly body: string;
 }
 
-/** Statuses of final replies: there is no such job, or the job can't be accepted. */
+/**
+ * Statuses of replies that refuse a request for good: there is no such job (404), or the job can't
+ * be accepted (400, 422).
+ */
 const REFUSAL_STATUSES: readonly number[] = [400, 404, 422];
 
 /** Request to test whether a peer replies. No job has an empty id, so peers reply at once. */
@@ -41,7 +44,7 @@
 
   /**
    * Relays a request to one peer and returns its reply; null: there is no connection, the request
-   * timed out, or the reply is a refusal without a proof.
+   * timed out, or the reply has one of `REFUSAL_STATUSES` without `isProven`.
    */
   request(peer: string, { operation, jobId, body }: RelayRequest): Promise<HttpReply | null> {
     const { environment, pendingRequests } = this;
@@ -88,10 +91,10 @@
   }
 
   /**
-   * Relays a request to the connected peers one after the other, unresponsive ones last. The request
-   * is sent to the next peer when one gives no acceptable reply, or none within `nextPeerDelayMs`,
-   * because that peer's process may be suspended, or a network fault may drop the packets. Returns
-   * null if no acceptable reply was received in time.
+   * Relays a request to the connected peers one after the other, unresponsive ones last. The
+   * request is sent to the next peer when one gives no acceptable reply, or none within
+   * `nextPeerDelayMs`, because that peer's process may be suspended, or a network fault may drop
+   * the packets. Returns null if no acceptable reply was received within `timeoutMs`.
    */
   requestFromAny(request: RelayRequest, policy: RelayPolicy): Promise<HttpReply | null> {
     const { clock } = this.environment;
@@ -132,8 +135,9 @@
   }
 
   /**
-   * Handles a peer's reply, and ignores it if its request has timed out. A refusal without a proof
-   * counts as no reply, because older versions may refuse a job that was accepted.
+   * Passes a peer's reply to the pending request, and ignores it if the request has timed out. A
+   * reply with one of `REFUSAL_STATUSES` and without `isProven` counts as no reply, because peers
+   * of older versions may refuse a job that was accepted.
    */
   receiveReply({ id, status, body, isProven }: Extract<PeerMessage, { kind: 'relayed' }>): void {
     const isUnproven = REFUSAL_STATUSES.includes(status) && !isProven;
--- a/src/coordination/controller/user-endpoint.ts
+++ b/src/coordination/controller/user-endpoint.ts
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Serves a user's request in the time that users wait. A reply on a job that took longer is
-   * replaced by 503, because this process may have been suspended while other controllers gave
-   * newer replies.
+   * Serves a user's request; replies 503 if there is no reply by the deadline. A reply about a job
+   * that comes after the time that users wait (2 s or 5 s) is also replaced by 503, because this
+   * process may have been suspended while other controllers gave newer replies.
    */
   async handle(request: UserRequest): Promise<HttpReply> {
     const { clock } = this.options.environment;
@@ -75,7 +75,7 @@
     return isOutdated && !isTemporary(reply) ? unavailable('too late') : reply;
   }
 
-  /** Serves a request without peers. */
+  /** Serves a request in this controller, without relaying it to peers. */
   handleLocally({ operation, jobId, body }: UserRequest): Promise<HttpReply> {
     const { userRequests } = this.options;
     switch (operation) {
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -39,14 +39,23 @@
 
   constructor(private readonly options: CandidateOrderOptions) {}
 
-  /** Returns whether the process that holds a role is registered as a member. */
+  /**
+   * Returns whether the process that holds a role is registered as a member; false if the role was
+   * never held (null).
+   */
   isHolderRegistered(holder: RoleRecord | null): boolean {
     if (holder === null) return false;
     const registered = this.options.replica.get<NodeRecord>(nodeKey(holder.owner));
     return registered?.value.incarnation === holder.incarnation;
   }
 
-  /** Returns whether to claim a role now, and records since when the role has been free. */
+  /**
+   * Returns whether to claim a role now. No registered process may hold the role, unless this
+   * member is its preferred holder and may reclaim it. The candidates that rank before this member
+   * must have had time to claim it, and the failover policy must allow it. A role that this process
+   * holds itself is claimed again only after a step-down, if no other controller has claimed it.
+   * Records since when the role has been free.
+   */
   shouldClaim(role: string, preferredHolder: Member | null): boolean {
     const { incarnation, rejectedChangeBackoff, replica, self, steppedDown } = this.options;
     const holder = replica.get<RoleRecord>(roleKey(role))?.value ?? null;
@@ -67,7 +76,10 @@
     return holder === null || this.isHolderRegistered(holder) || this.mayFailOverFrom(role, holder);
   }
 
-  /** Returns whether a role may be claimed from a holder whose lease has expired. */
+  /**
+   * Returns whether a role may be claimed from a holder whose lease has expired: the process that
+   * holds the role is known to have ended, or the failover policy allows it.
+   */
   mayFailOverFrom(role: string, holder: RoleRecord): boolean {
     const { policy, replica, self } = this.options;
     const { incarnation, owner: node, term } = holder;
@@ -78,15 +90,18 @@
     return hasEnded || policy.mayFailOver({ role, node, incarnation, term, expiredSince });
   }
 
-  /** Returns true if this member has run long enough to reclaim its shard and is not damped. */
+  /**
+   * Returns whether this member started more than `PREFERRED_HOLDER_SETTLE_MS` ago and has not lost
+   * its registration too often to reclaim its shard.
+   */
   private mayReclaimAsPreferredHolder(): boolean {
     const { clock, policy, startedAt } = this.options;
     return clock.now() - startedAt > PREFERRED_HOLDER_SETTLE_MS && !policy.isDamped();
   }
 
   /**
-   * Returns the steady time in ms at which this process first saw that a role is free. The first call
-   * records this time.
+   * Returns the steady time in ms at which this process first saw that a role is free. The first
+   * call records this time.
    */
   private trackFreeSince(role: string): number {
     const freeSince = this.freeSince.get(role) ?? this.options.clock.now();
--- a/src/coordination/election/election-context.ts
+++ b/src/coordination/election/election-context.ts
@@ -34,7 +34,10 @@
 /** A role for which the members are candidates. */
 export interface ElectableRole {
   readonly role: string;
-  /** The member that holds the role whenever it is able to; null if all members rank equally. */
+  /**
+   * The member that holds the role whenever it is able to; null: there is none, as for the role of
+   * the leader.
+   */
   readonly preferredHolder: Member | null;
 }
 
--- a/src/coordination/election/member-registration.ts
+++ b/src/coordination/election/member-registration.ts
@@ -8,7 +8,8 @@
 import { claimRecord } from './role-claims.js';
 
 /**
- * Key of the registration in `rejectedChangeBackoff`, next to the names of roles. No role has this name.
+ * Key of the registration in `rejectedChangeBackoff`, next to the names of roles. No role has this
+ * name.
  */
 const REGISTRATION = 'registration';
 
@@ -18,7 +19,8 @@
   private lease: number | null = null;
   private renewedAt = -Infinity;
   /**
-   * True from a registration until its loss is counted, so that further attempts do not count it.
+   * True from a registration until its loss is counted, so that further attempts to register do not
+   * count the same loss again.
    */
   private hasRegistered = false;
 
@@ -74,7 +76,10 @@
     log.info({ keys: guards.map((guard) => guard.key) }, 'member registered');
   }
 
-  /** Builds the transaction that registers this process and claims roles that need no waiting. */
+  /**
+   * Builds the transaction that registers this process and claims the roles for which
+   * `isClaimedWithRegistration` returns true.
+   */
   private buildTransaction(lease: number): GuardedChanges {
     const { incarnation, replica, self, transactionOps } = this.context;
     const key = nodeKey(self.node);
@@ -109,7 +114,10 @@
     return preferredHolder?.node === this.context.self.node;
   }
 
-  /** Returns whether a role is claimed together with the registration. */
+  /**
+   * Returns whether a role is claimed together with the registration: an earlier process of this
+   * member holds it, or this member is its preferred holder and may claim it now.
+   */
   private isClaimedWithRegistration(
     electableRole: ElectableRole,
     holder: RoleRecord | null,
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Returns the candidate with the greatest hash of candidate and name. Equal hashes are ordered by
- * the candidate's name.
+ * Returns the candidate with the greatest hash of candidate and `name`, which is a machine or a
+ * role; null: there are no candidates. Equal hashes are ordered by the candidate's name.
  */
 function highestRanked(name: string, candidates: readonly string[]): string | null {
   let best: string | null = null;
--- a/src/coordination/election/role-claims.ts
+++ b/src/coordination/election/role-claims.ts
@@ -52,6 +52,7 @@
 
   /**
    * Returns a guard that makes the claim fail if a holder with an expired lease registers again.
+   * Returns none if the role was never held or its holder is registered.
    */
   private holderGuards(holder: RoleRecord | null): Guard[] {
     const { candidateOrder, replica } = this.context;
--- a/src/coordination/election/term-numbers.ts
+++ b/src/coordination/election/term-numbers.ts
@@ -5,7 +5,10 @@
 /** Fraction of a term's numbers after whose use the holder should continue under a new term. */
 const TERM_RENEWAL_FRACTION = 0.5;
 
-/** Returns whether so many of a term's numbers are used that the holder needs a new term. */
+/**
+ * Returns whether at least `TERM_RENEWAL_FRACTION` of the `size` numbers of a term are used, so
+ * that the holder needs a new term.
+ */
 export const isRunningOut = (used: number, size: number): boolean =>
   used >= size * TERM_RENEWAL_FRACTION;
 
--- a/src/coordination/failure-detection/detection-service.ts
+++ b/src/coordination/failure-detection/detection-service.ts
@@ -24,7 +24,10 @@
   readonly roles: () => RoleElection;
   /** Called when this process has stepped down from a role, so that it stops acting in the role. */
   readonly onSteppedDown: () => void;
-  /** Called after a change that may allow a failover. */
+  /**
+   * Called when the state of a member changed or a holder confirmed its step-down, since a failover
+   * may be allowed now.
+   */
   readonly onChanged: () => void;
 }
 
@@ -45,13 +48,16 @@
   stop(): void;
   /** Processes a peer's message; `sendReply` sends a message back to that peer. */
   receive(message: PeerMessage, sendReply: (message: PeerMessage) => void): void;
-  /** Returns whether the leader may assign new tasks to a shard. */
+  /**
+   * Returns whether the leader may assign new tasks to a shard; false while its holder is
+   * suspected, for at most `holdNewWorkMs`.
+   */
   acceptsNewWork(shard: string): boolean;
   /**
    * Records probe round-trip times if `PROBE_TIMES_PERIOD_MS` have passed since the last record.
    */
   recordProbeTimesIfDue(): void;
-  /** Returns the history as JSON lines. */
+  /** Returns the stored records of detected failures and failover decisions as JSON lines. */
   export(): string;
 }
 
