--- a/src/constants/election.ts
+++ b/src/constants/election.ts
@@ -43,8 +43,8 @@
 export const CANCEL_MARGIN_MAX_FRACTION = 0.4;
 
 /**
- * Fraction of the grace within which a watch returns, so that a working holder's replica stays
- * current.
+ * Maximum duration of a watch without changes, as a fraction of the grace, so that a working
+ * holder's replica stays current.
  */
 export const WATCH_GRACE_FRACTION = 0.25;
 
--- a/src/constants/storage.ts
+++ b/src/constants/storage.ts
@@ -67,13 +67,19 @@
  */
 export const STORE_LIMIT_GROWTH_FRACTION = 0.1;
 
-/** Fraction of its equal share of writes above which a controller delays changes to batch them. */
+/**
+ * A controller that uses more than this fraction of its equal share of the store's write limit
+ * delays changes to batch them.
+ */
 export const WRITES_SCARCE_FRACTION = 0.5;
 
-/** Fraction of its equal share of writes above which a controller delays changes the longest. */
+/**
+ * A controller that uses more than this fraction of its equal share of the store's write limit
+ * delays changes the longest.
+ */
 export const WRITES_SHORT_FRACTION = 0.85;
 
-/** Factor by which a refusal lowers a controller's rate. */
+/** Factor by which a refusal of a request by the store lowers a controller's rate. */
 export const STORE_LIMIT_REFUSAL_FACTOR = 0.7;
 
 /** Fraction of the store's request limit that the watches of all members may use together. */
--- a/src/coordination/api/job-check-queue.ts
+++ b/src/coordination/api/job-check-queue.ts
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Returns whether another request may wait for a check of a job: one is queued already, or fewer
-   * than `MAX_WAITING_CHECKS` requests wait for checks of any job.
+   * Returns whether another request may wait for a check of a job: a check of this job is queued
+   * already, or fewer than `MAX_WAITING_CHECKS` requests wait for checks of any job.
    */
   mayWaitFor(id: string): boolean {
     return this.pending.has(id) || this.waiterCount < MAX_WAITING_CHECKS;
--- a/src/coordination/api/job-checks.ts
+++ b/src/coordination/api/job-checks.ts
@@ -40,7 +40,7 @@
   private readonly verifier: JobVerifier;
   private readonly checksPerTransaction: number;
   private isScheduled = false;
-  /** Steady time of the last transaction that checked jobs. */
+  /** Steady time in ms at which the last transaction that checked jobs was sent. */
   private lastCheckedAt = -Infinity;
 
   constructor(private readonly options: JobChecksOptions) {
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Looks up a job in the key-value store, by a request that is sent after this call. The result is
-   * unknown if there is none within `timeoutMs`. It is unknown at once if `MAX_WAITING_CHECKS`
-   * requests wait already and no check of this job is queued.
+   * Looks up a job as the key-value store holds it at some moment after this call. The result is
+   * `UNKNOWN_LOOKUP` after `timeoutMs` without a result. It is `UNKNOWN_LOOKUP` at once if
+   * `MAX_WAITING_CHECKS` requests wait already and no check of this job is queued.
    */
   check(id: string, timeoutMs: number): Promise<JobLookup> {
     if (!this.queue.mayWaitFor(id)) return Promise.resolve(UNKNOWN_LOOKUP);
