--- a/src/coordination/leader/assignment-factory.ts
+++ b/src/coordination/leader/assignment-factory.ts
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Whether so many of this term's assignment numbers are used that the leader should continue
+   * Whether half of this term's assignment numbers are used, so that the leader should continue
    * under a new term.
    */
   get needsTermRenewal(): boolean {
--- a/src/coordination/leader/assignment-planner.ts
+++ b/src/coordination/leader/assignment-planner.ts
@@ -37,7 +37,8 @@
   /** Returns how scarce writes to the key-value store currently are for this controller. */
   readonly supply: () => Supply;
   /**
-   * Returns whether a shard may get new tasks. It may not while its holder is suspected of failure.
+   * Returns whether a shard may get new tasks; false while the shard's holder is suspected of
+   * failure.
    */
   readonly acceptsNewWork: (shard: string) => boolean;
   readonly accounting: CapacityAccounting;
@@ -99,14 +100,14 @@
   }
 
   /**
-   * Whether so many of this term's assignment or attempt numbers are used that the leader should
-   * continue under a new term.
+   * Whether half of this term's assignment numbers or half of its attempt numbers are used, so that
+   * the leader should continue under a new term.
    */
   get needsTermRenewal(): boolean {
     return this.assignmentFactory.needsTermRenewal || this.gangHistory.needsTermRenewal;
   }
 
-  /** Plans a scheduling cycle with the remaining capacity and quotas. */
+  /** Returns a scheduling cycle with new assignments, as far as capacity and team quotas remain. */
   plan(): SchedulingCycle {
     const { clock, supply } = this.options;
     const startedAt = clock.now();
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -14,7 +14,10 @@
 import { countFittingTasks } from '../capacity/resources.js';
 import type { ShardZone } from '../capacity/shard-zone.js';
 
-/** Allocates free capacity machine by machine. Returns how many tasks found none. */
+/**
+ * Allocates free capacity for `count` tasks, machine by machine. Returns how many of them found
+ * none.
+ */
 function allocateFirstFit(
   spec: JobSpec,
   count: number,
@@ -34,7 +37,7 @@
 
 /**
  * Allocates free capacity, first on machines with placed tasks and then on idle machines. Returns
- * how many tasks found none.
+ * how many of the `count` tasks found no free capacity.
  */
 function allocateFree(spec: JobSpec, count: number, machines: readonly MachineCapacity[]): number {
   let remaining = count;
--- a/src/coordination/leader/capacity-search.ts
+++ b/src/coordination/leader/capacity-search.ts
@@ -15,7 +15,9 @@
   readonly count: number;
 }
 
-/** Sums of capacity by shard zone, in the order in which the shard zones were added. */
+/**
+ * Numbers of fitting tasks, summed by shard zone, in the order in which the shard zones were added.
+ */
 class CapacitySums {
   private readonly sums = new Map<string, ShardZone & { count: number }>();
 
--- a/src/coordination/leader/deadline-selection.ts
+++ b/src/coordination/leader/deadline-selection.ts
@@ -1,4 +1,6 @@
-/** Selects the jobs that may miss their deadlines when not all jobs can meet theirs. */
+/**
+ * Selects the jobs that are left to miss their deadlines if the CPUs do not suffice for all jobs.
+ */
 
 /** Work that a job still needs before its deadline. */
 export interface DeadlineDemand {
@@ -25,10 +27,11 @@
 }
 
 /**
- * Selects the demands that are to be late, such that as many demands as possible are on time. This
- * is the Moore-Hodgson algorithm: demands are added in the order of their deadlines, and whenever
- * the demands added so far cannot all be done by the latest deadline among them, the one with the
- * most work is removed.
+ * Selects the demands that are to be late, such that as many demands as possible are on time. A
+ * demand with less time left than one of its tasks takes is always late. For the others, this is
+ * the Moore-Hodgson algorithm: demands are added in the order of their deadlines, and whenever the
+ * demands added so far cannot all be done by the latest deadline among them, the one with the most
+ * work is removed.
  */
 export function selectLateDemands(
   demands: readonly DeadlineDemand[],
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -36,7 +36,9 @@
   return excesses.reduce((sum, { cpus }) => sum + cpus, 0);
 }
 
-/** Returns the CPUs that a gang lacks in a shard zone. */
+/**
+ * Returns the CPUs of a gang's tasks that do not fit into a shard zone's free capacity; 0: all fit.
+ */
 function missingCpus(spec: JobSpec, { immediate }: GangCapacity): number {
   return Math.max(0, spec.tasks - immediate) * spec.cpus;
 }
@@ -60,8 +62,9 @@
 }
 
 /**
- * Finds capacity that gangs may reclaim from other teams. The underlying counts are reused for
- * `RECLAIM_RECOUNT_MS`, and CPUs granted to a gang in that time are deducted from them.
+ * Finds capacity that gangs may reclaim from other teams. Each team's excess and reclaimable
+ * resources are recounted at most once per `RECLAIM_RECOUNT_MS`. Until the next count, CPUs that a
+ * gang may preempt are deducted from the excess of their team.
  */
 export class FairShareReclaim {
   private countedAt = -Infinity;
@@ -81,8 +84,8 @@
 
   /**
    * Returns a plan for a shard zone in which all of the gang fits once arrays of teams with an
-   * excess are preempted, and deducts the CPUs that the gang may preempt; null: there is no such
-   * shard zone.
+   * excess are preempted, and deducts the CPUs that the gang may preempt from the excesses of these
+   * teams; null: there is no such shard zone.
    */
   find(spec: JobSpec, machines: readonly MachineCapacity[]): ReclaimPlan | null {
     this.refresh();
@@ -133,7 +136,10 @@
     return deducted;
   }
 
-  /** Recalculates the counts if they are at least `RECLAIM_RECOUNT_MS` old. */
+  /**
+   * Recounts the excesses and the reclaimable resources if the last count is at least
+   * `RECLAIM_RECOUNT_MS` ago.
+   */
   private refresh(): void {
     const now = this.clock.now();
     if (now - this.countedAt < RECLAIM_RECOUNT_MS) return;
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -56,7 +56,8 @@
   assign(job: OpenJob, cycle: SchedulingCycle): void {
     const { gangHistory, teamQuota } = this.options;
     const { id, spec } = job;
-    // The gang is assigned again only after no shard has any task of the previous attempt.
+    // A gang is assigned only while all of its tasks are unassigned, that is, once no shard has any
+    // task of the previous attempt.
     if (job.unassigned < spec.tasks || !gangHistory.isRetryDue(id, cycle.startedAt)) return;
     const reservesCapacity = gangHistory.reservesCapacity(id, cycle.startedAt);
     const exceedsQuota = teamQuota.wouldExceed(spec.team, resourcesOf(spec, spec.tasks));
@@ -130,7 +131,11 @@
     return this.options.fairShareReclaim.find(spec, machines);
   }
 
-  /** Returns where the image of a gang was used last, and which machine types fetch it in time. */
+  /**
+   * Returns the shard zone to which a gang with this image was last assigned, and a check whether a
+   * machine type fetches the image within `START_TARGET_FETCH_FRACTION` of the start-time objective
+   * of the gang's class. Without an objective, and for unknown types, the check returns true.
+   */
   private imageHints(spec: JobSpec): ImageHints {
     const { gangHistory, replica, startWithinS } = this.options;
     const startLimitS = startWithinS[spec.class];
--- a/src/coordination/leader/gang-history.ts
+++ b/src/coordination/leader/gang-history.ts
@@ -12,7 +12,7 @@
 import { shardZoneKey } from '../capacity/shard-zone.js';
 import { TermNumbers } from '../election/term-numbers.js';
 
-/** Number of times that a gang was assigned, and the time of the last one. */
+/** Number of times that a gang was assigned, and the time of its last assignment. */
 interface AssignmentTries {
   count: number;
   lastTriedAt: number;
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Whether so many of this term's attempt numbers are used that the leader should continue under a
-   * new term.
+   * Whether half of this term's attempt numbers are used, so that the leader should continue under
+   * a new term.
    */
   get needsTermRenewal(): boolean {
     return this.attempts.isRunningOut;
@@ -77,8 +77,9 @@
   }
 
   /**
-   * Returns whether the pause since a gang's last assignment has passed. The pause doubles with
-   * each assignment up to `GANG_RETRY_MAX_MS`.
+   * Returns whether the pause after a gang's last assignment has passed; true if it was never
+   * assigned. The pause is twice `GANG_RETRY_MIN_MS` after the first assignment and doubles with
+   * each further one, up to `GANG_RETRY_MAX_MS`.
    */
   isRetryDue(job: string, now: number): boolean {
     const { count, lastTriedAt } = this.triesByJob.get(job) ?? { count: 0, lastTriedAt: -Infinity };
@@ -87,7 +88,7 @@
 
   /**
    * Returns whether capacity is reserved for a waiting gang now. The first call starts its waiting
-   * time. After a delay, periods with and without a reservation alternate, each
+   * time. After `GANG_RESERVATION_DELAY_MS`, periods with and without a reservation alternate, each
    * `GANG_RESERVATION_MS` long, so that a gang that cannot start soon does not block other work
    * permanently.
    */
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -74,7 +74,10 @@
     }
   }
 
-  /** Returns the completed jobs, and removes candidates that are not complete. */
+  /**
+   * Returns the completion candidates with enough done tasks, and removes the others from the
+   * candidates. Skips jobs that are paused because the key-value store rejected a change of theirs.
+   */
   private completedJobs(): CompletedJob[] {
     const { rejectedChangeBackoff, accounting, replica } = this.options;
     const completed: CompletedJob[] = [];
--- a/src/coordination/leader/scheduling-order.ts
+++ b/src/coordination/leader/scheduling-order.ts
@@ -22,9 +22,9 @@
   isWithinFairShare: boolean;
   /**
    * 0: the job is expected to meet its deadline, has none, or is late by more than
-   * `LATE_JOB_PRIORITY_DEADLINES` times its deadline; 1: the job will miss its deadline, or would
-   * make others miss theirs. Among jobs equal in priority, fair share and kind, those of tier 0
-   * precede those of tier 1.
+   * `LATE_JOB_PRIORITY_DEADLINES` times its `deadlineS`; 1: the job will miss its deadline, or
+   * would make others miss theirs. Among jobs equal in priority, fair share and kind, those of tier
+   * 0 precede those of tier 1.
    */
   deadlineTier: number;
   /**
@@ -41,7 +41,10 @@
   readonly teams: ReadonlyMap<string, Team>;
   /** Resources of assigned tasks that are not done, by team. */
   readonly usage: ReadonlyMap<string, Usage>;
-  /** CPUs for non-urgent work that are assumed available when deadlines are calculated. */
+  /**
+   * CPUs for non-urgent work that are assumed available when the leader calculates which jobs will
+   * miss their deadlines.
+   */
   readonly cpus: number;
   /** Current wall-clock time in ms. */
   readonly wallClockMs: number;
@@ -94,9 +97,9 @@
 }
 
 /**
- * Sets the deadline tier of jobs that would be late to 1. Jobs that are late by more than
- * `LATE_JOB_PRIORITY_DEADLINES` times their deadline keep tier 0, because a large job whose team is
- * always at its quota would otherwise never end.
+ * Sets `deadlineTier` to 1 for the jobs that `selectLateDemands` selects to be late. Of these, jobs
+ * that are already late by more than `LATE_JOB_PRIORITY_DEADLINES` times their `deadlineS` keep
+ * tier 0, because a large job whose team is always at its quota would otherwise never end.
  */
 function setDeadlineTiers(jobs: readonly OpenJob[], { cpus, wallClockMs }: SchedulingState): void {
   const demands = new Map<DeadlineDemand, OpenJob>();
@@ -113,7 +116,8 @@
 }
 
 /**
- * Marks the jobs that fit into the fair shares of their teams. `jobs` are in order of acceptance.
+ * Marks each job that fits into its team's fair share together with all jobs of the team before it.
+ * `jobs` are in order of acceptance.
  */
 function setWithinFairShare(jobs: readonly OpenJob[], teams: ReadonlyMap<string, Team>): void {
   const usageByTeam = new Map<string, Usage>();
@@ -161,7 +165,8 @@
 function compareDeadlines(a: SchedulingKey, b: SchedulingKey): number {
   return (
     a.job.deadlineTier - b.job.deadlineTier ||
-    // Among late jobs, the one with the least work is first, so that most of them end soon.
+    // Tier 1: jobs that will miss their deadlines, or would make others miss theirs. The one with
+    // the least unassigned work is first, so that a small late job does not wait for a large one.
     (a.job.deadlineTier === 1 ? a.workCpuS - b.workCpuS : 0) ||
     (a.dueAt === b.dueAt ? 0 : a.dueAt - b.dueAt) ||
     a.fairShareUsedFraction - b.fairShareUsedFraction ||
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -31,8 +31,9 @@
       teamQuota.recordWaiting(job);
       return;
     }
-    // Tasks that end one after the other would each cause an assignment of a single task.
-    // Therefore, a non-urgent job gets no tasks within `ASSIGN_INTERVAL_MS` of its last assignment.
+    // When tasks of a job end one after the other, each end would cause an assignment of a single
+    // new task. Therefore, a non-urgent job gets no tasks within `ASSIGN_INTERVAL_MS` of its last
+    // assignment.
     const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
     const tasksWithoutCapacity = recent
       ? Math.min(allowed, recent.tasksWithoutCapacity)
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -1,4 +1,4 @@
-/** Computes how much work may be assigned to shard zones ahead of their free capacity. */
+/** Computes how much work may be assigned to a shard zone to wait there until capacity is free. */
 
 import { QUEUE_REFILL_FACTOR, QUEUE_AHEAD_S } from '../../constants/leader.js';
 import type { MachineCapacity } from '../capacity/machine-capacity.js';
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -55,7 +55,10 @@
     private readonly createAssignments: (shardZone: ShardZone, ids: number[]) => NewAssignment[],
   ) {}
 
-  /** Assigns up to `limit` tasks to a shard zone, within its zone's limit. Returns how many. */
+  /**
+   * Assigns up to `limit` tasks to a shard zone, within its zone's limit. Returns how many were
+   * assigned.
+   */
   assign(shardZone: ShardZone, limit: number): number {
     const count = Math.min(this.remaining, limit, this.zoneLimits.remaining(shardZone.zone));
     if (count <= 0) return 0;
--- a/src/coordination/leader/team-quota.ts
+++ b/src/coordination/leader/team-quota.ts
@@ -62,7 +62,7 @@
     return this.urgentReserves.get(team) ?? 0;
   }
 
-  /** Returns whether `more` resources on top of its usage would exceed a team's quota. */
+  /** Returns whether a team's usage plus `more` would exceed the team's quota of CPUs or GPUs. */
   wouldExceed(name: string, more: Resources): boolean {
     const team = this.options.teams.get(name);
     const usage = this.usageOf(name);
--- a/src/coordination/leader/waiting-tasks.ts
+++ b/src/coordination/leader/waiting-tasks.ts
@@ -12,7 +12,10 @@
 import type { SchedulingCycle } from './scheduling-cycle.js';
 import { allocateInShardZone } from './capacity-allocation.js';
 
-/** A shard zone's list of machines is filtered once this fraction of them has no free CPUs left. */
+/**
+ * If one assignment uses up the free CPUs of more than this fraction of a shard zone's listed
+ * machines, all machines without free CPUs are removed from the list.
+ */
 const FULL_MACHINES_FRACTION = 1 / 4;
 
 /** Machines with free CPUs, by the key of their shard zone. */
@@ -35,8 +38,8 @@
 }
 
 /**
- * Allocates free capacity of an assignment's shard zone, first fit, as the shard itself does.
- * Returns how many tasks found none.
+ * Allocates free capacity of an assignment's shard zone to its waiting tasks, by first fit as the
+ * shard itself does. Returns how many of these tasks found no free capacity.
  */
 function allocateInShardOrder(
   spec: JobSpec,
--- a/src/coordination/leader/zone-limits.ts
+++ b/src/coordination/leader/zone-limits.ts
@@ -1,4 +1,4 @@
-/** Limits how many tasks of a job each zone may get, according to its `oneZone` and `spread`. */
+/** Limits how many tasks of a job each zone may get, by the job's `oneZone` and `spread`. */
 import type { StoreReplica } from '../../storage/store-replica.js';
 import type { OpenJob } from './scheduling-order.js';
 
@@ -38,7 +38,10 @@
   return best?.[0];
 }
 
-/** Number of further tasks of a job that each zone with capacity may get. */
+/**
+ * Number of further tasks of a job that each zone with capacity may get. With `spread`, a zone has
+ * at most half of the job's tasks at a time, rounded up. With `oneZone`, only one zone gets any.
+ */
 export class ZoneLimits {
   private readonly limits = new Map<string, number>();
 
