--- a/src/coordination/capacity/capacity-accounting.ts
+++ b/src/coordination/capacity/capacity-accounting.ts
@@ -57,7 +57,10 @@
   assignment: AssignmentSummary;
   isPreemptible: boolean;
   isArray: boolean;
-  /** CPUs of its placed tasks that are expected to become free per second. */
+  /**
+   * CPUs of the assignment's placed tasks that are expected to become free per second; 0 for a
+   * service, whose tasks do not end, and for a job that is not open.
+   */
   endingCpusPerS: number;
 }
 
@@ -78,7 +81,10 @@
   readonly endingCpusPerS = new Map<string, number>();
   /** Assignments of open jobs that have tasks waiting to be placed, by key. */
   readonly waiting = new Map<string, AssignmentSummary>();
-  /** Jobs that may be complete. */
+  /**
+   * Open jobs that had enough done tasks to be complete when an assignment of theirs was last
+   * counted.
+   */
   readonly completionCandidates = new Set<string>();
   private rebuiltAt = -Infinity;
 
--- a/src/coordination/capacity/gang-capacity.ts
+++ b/src/coordination/capacity/gang-capacity.ts
@@ -96,8 +96,8 @@
 /**
  * Returns the key of the shard zone that reserves capacity for a gang like this one, which is the
  * shard zone with the most eligible on-demand machines; null: no machine is eligible. The leader
- * and the shards both call this function. While their data differ, their results may differ too,
- * which only delays some arrays.
+ * and the shards both call this function. While the leader and a shard have read different records,
+ * their results may differ, which only delays some arrays.
  */
 export function reservingShardZone(
   spec: JobSpec,
@@ -121,8 +121,10 @@
 }
 
 /**
- * Returns the names of the machines that are reserved for a gang like this one. Arrays may not use
- * these machines.
+ * Returns the names of the machines that are reserved for a gang like this one: on-demand machines
+ * of the gang's reserving shard zone, as many as hold all of its tasks once the arrays on these
+ * machines have ended. Machines on which the most tasks fit now are reserved first. Arrays may not
+ * use these machines.
  */
 export function reservedMachines(spec: JobSpec, machines: readonly MachineCapacity[]): Set<string> {
   const shardZone = reservingShardZone(spec, machines);
--- a/src/coordination/capacity/machine-capacity.ts
+++ b/src/coordination/capacity/machine-capacity.ts
@@ -4,7 +4,10 @@
 import { isUrgent } from './priorities.js';
 import { resourcesOf, type Resources } from './resources.js';
 
-/** Resources of a machine, and the parts used by tasks from which other work may reclaim them. */
+/**
+ * Resources of a machine (the free ones in `MachineCapacity`, the used ones in `MachineUsage`), and
+ * resources of its placed tasks that other work may reclaim.
+ */
 export interface MachineResources extends Resources {
   /** Number of placed tasks. */
   tasks: number;
@@ -75,13 +78,14 @@
   isUrgent(spec) ? 'preempt' : 'awaitCompletion';
 
 /**
- * Returns the modes for a job, the cheapest first. Preempting a task of an array loses the work of
- * that task, preempting a task of a gang loses the work of the whole gang.
+ * Returns the modes in which a job may reclaim capacity, the cheapest first. Preempting a task of
+ * an array loses the work of that task, preempting a task of a gang loses the work of the whole
+ * gang.
  */
 export const reclaimModesByCost = (spec: JobSpec): readonly ReclaimMode[] =>
   broadestReclaimMode(spec) === 'preempt' ? ['preemptArrays', 'preempt'] : ['awaitCompletion'];
 
-/** Returns the CPUs and memory that reclaiming frees on a machine. */
+/** Returns the CPUs and memory that reclaiming in this mode frees on a machine. */
 function reclaimableAmounts(
   machine: MachineCapacity,
   mode: ReclaimMode,
@@ -93,8 +97,8 @@
     case 'awaitCompletion':
       return { cpus: arrayCpus, memoryGb: arrayMemoryGb };
     case 'preemptArrays':
-      // The sums for arrays include urgent arrays, which are not preempted. The smaller of the two
-      // sums therefore limits what can be freed.
+      // The sums for arrays include urgent arrays, which are not preempted. The smaller of the
+      // preemptible sum and the array sum therefore limits what can be freed.
       return {
         cpus: Math.min(preemptibleCpus, arrayCpus),
         memoryGb: Math.min(preemptibleMemoryGb, arrayMemoryGb),
--- a/src/coordination/capacity/machine-inventory.ts
+++ b/src/coordination/capacity/machine-inventory.ts
@@ -29,7 +29,9 @@
   }
 }
 
-/** Fields of a machine that do not depend on its capacity. */
+/**
+ * Fields of a machine that are read from its records, unlike its free and reclaimable resources.
+ */
 type MachineIdentity = Readonly<
   Pick<MachineCapacity, 'name' | 'shard' | 'type' | 'zone' | 'spot' | 'health'>
 >;
@@ -37,8 +39,8 @@
 /** The machines of the fleet, computed from the replica's records and the leader's accounting. */
 export class MachineInventory {
   /**
-   * Decoded machines by the versioned record that lists them. A change of a key replaces its entry
-   * in the replica, so that a scheduling cycle decodes only records that changed.
+   * Decoded machines by the versioned record that lists them. The replica holds a changed record as
+   * a new object, so a scheduling cycle decodes only records that changed since the last one.
    */
   private readonly identitiesByRecord = new WeakMap<VersionedValue, readonly MachineIdentity[]>();
 
--- a/src/coordination/capacity/resources.ts
+++ b/src/coordination/capacity/resources.ts
@@ -22,7 +22,7 @@
   );
 }
 
-/** Subtracts the resources of `times` tasks; a negative `times` adds them. */
+/** Subtracts the resources of `times` tasks from `free`; a negative `times` adds them to it. */
 export function allocate(free: Resources, required: Resources, times = 1): void {
   free.cpus -= required.cpus * times;
   free.gpus -= required.gpus * times;
@@ -36,7 +36,9 @@
   memoryGb: task.memoryGb * count,
 });
 
-/** Returns how many tasks of one kind fit into the free resources. */
+/**
+ * Returns how many tasks like `task` fit into the free resources; Infinity: `task` requires none.
+ */
 export function countFittingTasks(free: Resources, task: Resources): number {
   let count = Infinity;
   if (task.cpus > 0) count = Math.min(count, Math.floor(free.cpus / task.cpus + ROUNDING_SLACK));
--- a/src/coordination/leader/capacity-allocation.ts
+++ b/src/coordination/leader/capacity-allocation.ts
@@ -15,8 +15,8 @@
 import type { ShardZone } from '../capacity/shard-zone.js';
 
 /**
- * Allocates free capacity for `count` tasks, machine by machine. Returns how many of them found
- * none.
+ * Allocates free capacity for `count` tasks, machine by machine. Returns how many of these tasks
+ * found no free capacity.
  */
 function allocateFirstFit(
   spec: JobSpec,
--- a/src/coordination/leader/fair-share-reclaim.ts
+++ b/src/coordination/leader/fair-share-reclaim.ts
@@ -64,7 +64,7 @@
 /**
  * Finds capacity that gangs may reclaim from other teams. Each team's excess and reclaimable
  * resources are recounted at most once per `RECLAIM_RECOUNT_MS`. Until the next count, CPUs that a
- * gang may preempt are deducted from the excess of their team.
+ * gang may preempt are deducted from the excess of the team that uses them.
  */
 export class FairShareReclaim {
   private countedAt = -Infinity;
--- a/src/coordination/leader/gang-plan.ts
+++ b/src/coordination/leader/gang-plan.ts
@@ -193,7 +193,8 @@
 }
 
 /**
- * Returns the shortfall of a gang that must stay in one zone, in the zone with the most capacity.
+ * Returns a plan without subsets for a gang that must stay in one zone: the zone with the most
+ * capacity, free or reclaimable, and the number of tasks without free capacity there.
  */
 function shortfallInBestZone(
   spec: JobSpec,
--- a/src/coordination/leader/shard-queues.ts
+++ b/src/coordination/leader/shard-queues.ts
@@ -34,10 +34,11 @@
 }
 
 /**
- * Returns how many tasks of a job may be added to a queue: as many as fit into the capacity that
- * becomes free within `QUEUE_AHEAD_S`, less the tasks that wait already. For a job whose start is
- * overdue, the waiting tasks are not deducted, so that it need not wait until the queue is short.
- * The shard places waiting tasks of equal priority in the order of their assignment.
+ * Returns how many tasks of a job may be added to a queue (0 or less: none): as many as fit into
+ * the capacity that becomes free within `QUEUE_AHEAD_S`, less the tasks that wait already. For a
+ * job whose start is overdue, the waiting tasks are not deducted, so that it need not wait until
+ * the queue is short. The shard places waiting tasks of equal priority in the order of their
+ * assignment.
  */
 export function queueCapacity(job: OpenJob, queue: ShardZoneQueue): number {
   const waitingCpus = job.isStartOverdue ? 0 : queue.waitingCpus;
--- a/src/coordination/scheduling/arm-records.ts
+++ b/src/coordination/scheduling/arm-records.ts
@@ -9,10 +9,12 @@
 type VectorEntries = [row: number, value: number][];
 
 /**
- * An arm as it is stored: the non-zero cells of A's lower triangle, and b. Data that exceeds the
- * size of one value is in further records, where `classes`, `types`, `a` and `b` are empty. The
- * previous version of this program reads further records as arms too; it ignores them because their
- * `types` differ from its own. The main record alone is a valid arm.
+ * An arm as it is stored: `a` holds the non-zero cells of the lower triangle of the symmetric
+ * matrix A, and `b` the non-zero entries of the vector b. A and b are the state of the bandit's
+ * ridge regression for one machine type. Data that exceeds the size of one value is in further
+ * records, where `classes`, `types`, `a` and `b` are empty. The previous version of this program
+ * reads further records as arms too, but ignores them because their empty `types` differ from its
+ * own list of machine types. The main record alone is a valid arm.
  */
 export interface ArmRecord {
   classes: string[];
@@ -47,8 +49,8 @@
 const FURTHER_COUNT_PLACEHOLDER = 9999;
 
 /**
- * Divides an arm among records, the main one first. Returns none if not even the diagonal of A fits
- * into the main record.
+ * Divides an arm among records, the main one first. Returns an empty list if not even the diagonal
+ * of A fits into the main record.
  */
 export function splitArm(arm: ArmRecord, options: SplitOptions): ArmRecord[] {
   if (bytesOf(arm) <= options.maxBytes) return [arm];
@@ -66,8 +68,8 @@
 }
 
 /**
- * Returns the main record: the diagonal of A, and b, for as many classes as fit. The other classes
- * get the diagonal cells of a new arm. Returns null if the record is too large even without
+ * Returns the main record: the diagonal of A, and b, for as many classes as fit. The diagonal cells
+ * of the other classes are 1, as in a new arm. Returns null if the record is too large even without
  * classes.
  */
 function mainRecord(arm: ArmRecord, { maxBytes, stamp }: SplitOptions): ArmRecord | null {
--- a/src/coordination/scheduling/bandit.ts
+++ b/src/coordination/scheduling/bandit.ts
@@ -118,8 +118,9 @@
 
   /**
    * Returns a type's arm in records of at most `maxBytes` bytes of JSON each, the main one first.
-   * `stamp` identifies the records of one snapshot. Returns none if nothing was learned about the
-   * type or if not even the diagonal of A fits.
+   * `stamp` identifies the records of one snapshot. Returns an empty list if there is no arm for
+   * the type, because nothing was learned about it, or if not even the diagonal of A fits into the
+   * main record.
    */
   records(type: string, maxBytes: number, stamp: number): ArmRecord[] {
     const arm = this.arms.get(type);
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -13,7 +13,7 @@
   machine: Machine;
   /** Free resources, reduced by each task that the cycle assigns. */
   free: Resources;
-  /** Whether no task is placed on it. */
+  /** Whether no task is placed on the machine. */
   isEmpty: boolean;
   /** Whether its free resources are reserved for a gang that does not fit yet. */
   isReserved: boolean;
@@ -28,8 +28,9 @@
 export type JobLookup = (id: string) => { spec: JobSpec; at: number } | null;
 
 /**
- * Lists the healthy machines of a shard in their fixed order. The resources of tasks that are being
- * stopped count as free.
+ * Lists the healthy machines of a shard that may get new tasks, in their fixed order. Machines that
+ * consolidation is emptying are left out. The resources of tasks that are being stopped count as
+ * free.
  */
 export function listCandidates(machines: Machines, tasks: Tasks): CandidateMachine[] {
   const candidates: CandidateMachine[] = [];
@@ -47,7 +48,10 @@
   return candidates;
 }
 
-/** Whether a machine is in an assignment's zone and its job allows the machine. */
+/**
+ * Whether a machine is in an assignment's zone, and the job may run there by the machine's type,
+ * zone and whether it is a spot instance.
+ */
 export function mayRunOn(machine: Machine, spec: JobSpec, assignment: Assignment): boolean {
   return machine.zone === assignment.record.zone && isEligible(spec, machine);
 }
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,4 +1,7 @@
-/** Consolidation: moves services off machines with low CPU use, so that these can be returned. */
+/**
+ * Consolidation: moves services off machines with low CPU use, so that the emptied machines can be
+ * returned to the cloud.
+ */
 
 import {
   CONSOLIDATION_MAX_CPU_FRACTION,
@@ -69,7 +72,10 @@
     return emptied;
   }
 
-  /** Stops all tasks of a machine if all may move and fit on the others; returns whether it did. */
+  /**
+   * Stops all tasks of a machine if all may move and fit on the other machines; returns whether
+   * they were stopped.
+   */
   private moveAll({ machine }: CandidateMachine, others: readonly CandidateMachine[]): boolean {
     const { tasks, log } = this.dependencies;
     const placed = [...tasks.placedOn(machine.name)];
@@ -92,7 +98,10 @@
     return isService && hasMinimumRunTime(task, this.dependencies.clock) && !task.isStopping;
   }
 
-  /** Reserves resources for one task of each entry on the targets; returns false if not all fit. */
+  /**
+   * Reserves resources on the target machines for one task per entry of `assignments`; returns
+   * false and reserves none if not all of these tasks fit.
+   */
   private reserveCapacity(
     assignments: readonly Assignment[],
     targets: readonly CandidateMachine[],
@@ -112,7 +121,10 @@
     return true;
   }
 
-  /** The first machine that has enough free capacity for a task, and its image. */
+  /**
+   * Returns the first target machine that may run a task of the assignment, has enough free
+   * resources for it and has the image of its job; undefined: there is none.
+   */
   private targetFor(
     assignment: Assignment,
     targets: readonly CandidateMachine[],
@@ -127,7 +139,7 @@
     );
   }
 
-  /** Fraction of a machine's CPUs in use. */
+  /** Fraction of a machine's CPUs in use; 1 if the catalog does not contain the machine's type. */
   private cpuUtilization({ machine, free }: CandidateMachine): number {
     const { cpus } = this.dependencies.machines.capacity(machine.type);
     return cpus > 0 ? 1 - free.cpus / cpus : 1;
--- a/src/coordination/scheduling/gang-layout.ts
+++ b/src/coordination/scheduling/gang-layout.ts
@@ -21,8 +21,8 @@
   group: readonly CandidateMachine[],
 ): GangLayout | null {
   const hasImage = ({ machine }: CandidateMachine): boolean => machine.images.has(spec.image);
-  // On-demand machines precede spot instances. Among machines of the same kind, those with the image
-  // come first, then those in use.
+  // On-demand machines precede spot instances. Among machines of the same kind, those with the
+  // gang's image come first, then those in use.
   const preference = (candidate: CandidateMachine): number =>
     (candidate.machine.spot ? 0 : 4) + (hasImage(candidate) ? 2 : 0) + (candidate.isEmpty ? 0 : 1);
   const sorted = [...group].sort((a, b) => preference(b) - preference(a));
@@ -34,7 +34,10 @@
   return null;
 }
 
-/** Fills the machines one after the other with `taskCount` tasks; null if not all of them fit. */
+/**
+ * Returns a machine for each of `taskCount` tasks, filling one machine after the other; null if not
+ * all tasks fit.
+ */
 function fillInOrder(
   candidates: readonly CandidateMachine[],
   task: Resources,
--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -7,13 +7,17 @@
 import { layOutInFreeCapacity, type GangLayout } from './gang-layout.js';
 import type { GangPreemption } from './gang-preemption.js';
 
-/** Checks whether a machine fetches a gang's image in time. */
+/** Checks of the time that a machine takes to fetch the image of one gang. */
 interface ImageFetches {
-  /** Whether the fetch is short enough for the start target of the gang's class. */
+  /**
+   * Whether a machine has the gang's image, or fetches it early enough for the start target of the
+   * gang's class. True if the class has no start target.
+   */
   isInTime: (machine: Machine) => boolean;
   /**
-   * Whether a fetch, even a slow one, ends before the gang's tasks on machines that have the image
-   * stop waiting for the other tasks.
+   * Whether a machine's fetch of the gang's image, even a slow one, ends before the gang's tasks on
+   * machines that have the image stop waiting for the other tasks. True if the machine has the
+   * image.
    */
   isWithinGangWait: (machine: Machine) => boolean;
 }
@@ -48,8 +52,9 @@
       if (layout) return layout;
     }
     if (withinWait.length === candidates.length) return null;
-    // On the remaining machines a fetch may take longer than tasks that have the image wait for the
-    // others. All tasks must fetch the image then, on machines of one type, which are equally fast.
+    // On the machines that are not in `withinWait`, the image fetch may take longer than tasks on
+    // machines with the image wait for the other tasks. A layout with these machines therefore uses
+    // only machines without the image, all of one type, which fetch equally fast.
     const withoutImage = candidates.filter(({ machine }) => !machine.images.has(spec.image));
     for (const type of types) {
       const sameType = withoutImage.filter(({ machine }) => machine.type === type);
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -35,7 +35,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Places the tasks one by one, each at the lowest preemption cost; null if not all fit. */
+  /**
+   * Returns a layout for the waiting tasks of a gang subset. Selects machines task by task, each at
+   * the lowest preemption cost; null if not all tasks fit.
+   */
   layOut(
     spec: JobSpec,
     assignment: Assignment,
@@ -64,8 +67,8 @@
   }
 
   /**
-   * CPUs of arrays that a gang may preempt, by team: those of teams above their fair shares. None
-   * once `RECLAIM_VALID_MS` have passed since the gang was assigned to the shard.
+   * Returns the CPUs of arrays that a gang may preempt, by team, for teams above their fair shares.
+   * Empty once `RECLAIM_VALID_MS` have passed since the gang was assigned to the shard.
    */
   private reclaimableArrayCpus(assignment: Assignment): Record<string, number> {
     const [first] = assignment.waitingTasks;
@@ -84,7 +87,10 @@
   return findCheapest(machines, 0, (machine) => selectVictims(machine, task, rights));
 }
 
-/** Adds an option's victims to the plan, and subtracts the CPUs of arrays from the rights. */
+/**
+ * Adds an option's victims to the plan, and subtracts the CPUs of victims that do not rank lower,
+ * which are arrays, from the rights.
+ */
 function applyOption(
   { machine, victims }: PreemptionOption<PlannedMachine>,
   { arrayCpus }: GangPreemptionRights,
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -35,11 +35,15 @@
     for (const candidate of selected) candidate.excludesArrays = true;
   }
 
-  /** Reserves machines for a gang subset; returns false if it wouldn't fit after arrays end. */
+  /**
+   * Reserves machines for a gang subset. Returns false and reserves none if the subset would not
+   * fit on the candidates even after all arrays there have ended.
+   */
   reserve(assignment: Assignment, candidates: readonly CandidateMachine[]): boolean {
     const taskCount = assignment.waitingTasks.size;
-    // More capacity than needed, so that the gang can start when the first of the arrays have
-    // ended. With just enough capacity it would have to wait for all of them.
+    // Capacity for more tasks than the subset has is reserved, so that the gang can start when the
+    // first of the arrays have ended. With just enough capacity it would have to wait for all of
+    // them.
     const reservedCount = taskCount * GANG_RESERVATION_FACTOR;
     const selection = this.select(assignment.record, candidates, reservedCount);
     // A gang that won't fit even after the arrays have ended must not delay other work.
--- a/src/coordination/scheduling/machine-choice.ts
+++ b/src/coordination/scheduling/machine-choice.ts
@@ -23,7 +23,10 @@
   score: number;
 }
 
-/** GB/s; fetch rate assumed for a type without one, so slow that its fetches are never in time. */
+/**
+ * GB/s; fetch rate assumed for a machine type without a known rate, so slow that its image fetches
+ * are never in time.
+ */
 const MIN_FETCH_GB_PER_S = 1e-6;
 
 /** The bandit's class of a job's tasks, from the job's class and the CPUs and GPUs of a task. */
@@ -74,7 +77,8 @@
   }
 
   /**
-   * Whether the fetch of a job's image is short enough for the start target of its class, if any.
+   * Whether a machine has a job's image, or fetches it within `START_TARGET_FETCH_FRACTION` of the
+   * start target of the job's class. True if the class has no start target.
    */
   fetchesInTime(machine: Machine, spec: JobSpec): boolean {
     const withinS = this.options.startWithinS[spec.class];
@@ -119,9 +123,9 @@
 
 /**
  * Selects a machine by first fit. Machines with the image are preferred, then machines in use,
- * because an empty machine may soon be returned. Services fill the fixed order of machines from its
- * start, arrays from its end, where the spot instances are. Services, which run for long,
- * therefore share machines, and the machines in the middle of the order become idle.
+ * because an empty machine may soon be returned to the cloud. Services fill the fixed order of
+ * machines from its start, arrays from its end, where the spot instances are. Services, which run
+ * for long, therefore share machines, and the machines in the middle of the order become idle.
  */
 function firstFit(spec: JobSpec, candidates: readonly CandidateMachine[]): CandidateMachine | null {
   let selected: CandidateMachine | null = null;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -13,9 +13,14 @@
 /** Rules on which tasks may be preempted. */
 export interface PreemptionRules {
   findJob: JobLookup;
-  /** Whether a job waited long for its start and none of its tasks is done yet. */
+  /**
+   * Whether a job was accepted at least `START_OVERDUE_S` ago and none of its tasks is done yet.
+   */
   hasStartedLate: (id: string) => boolean;
-  /** Whether a gang may be preempted. */
+  /**
+   * Whether a gang may be preempted: a stop reaches all of its tasks in time to save its progress,
+   * or it would lose at most `GANG_MAX_LOST_PROGRESS_S` of progress.
+   */
   mayStopGang: (assignment: Assignment) => boolean;
 }
 
@@ -65,7 +70,8 @@
   machine: Machine;
   victims: PreemptionCandidate[];
   /**
-   * Sum of the victims' costs, plus `IMAGE_FETCH_COST_TASKS` if the machine must fetch the image.
+   * Sum of the victims' costs, plus `IMAGE_FETCH_COST_TASKS` if the machine must fetch the job's
+   * image. The latter is not added for gangs.
    */
   cost: number;
 }
@@ -128,7 +134,10 @@
     );
   }
 
-  /** Returns a task as preemption candidate; null if these rights don't cover it. */
+  /**
+   * Returns a task as preemption candidate; null if the rights don't cover the task, or if it must
+   * not be preempted now.
+   */
   private preemptionCandidateFor(
     task: Task,
     assignment: Assignment,
@@ -173,9 +182,9 @@
 }
 
 /**
- * Selects victims from the preemption candidates, in their order, until one task fits; null if it
- * doesn't fit even then. Arrays that don't rank lower are selected only up to their team's
- * `arrayCpus`.
+ * Selects victims from the preemption candidates, in their order, until `task` fits; null if it
+ * doesn't fit even with all victims that may be selected. Arrays that don't rank lower are selected
+ * only up to their team's `arrayCpus`.
  */
 export function selectVictims<Machine extends PreemptibleMachine>(
   machine: Machine,
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -70,7 +70,8 @@
   }
 
   /**
-   * Whether the shard needs a new term soon, because this one is running out of attempt numbers.
+   * Whether half of this term's attempt numbers are used, so that the shard's holder should
+   * continue under a new term.
    */
   get isRunningOut(): boolean {
     return this.attempts.isRunningOut;
@@ -99,7 +100,7 @@
       const isPlaced = isGang ? this.placeGang(entry, cycle) : this.placeTasks(entry, cycle);
       if (!isPlaced) isCapacityShort = true;
     }
-    // If capacity is short, machines that consolidation is emptying may take tasks again.
+    // If some tasks found no machine, machines that consolidation is emptying may take tasks again.
     if (isCapacityShort) {
       for (const machine of machines.all.values()) machine.isConsolidating = false;
     }
--- a/src/coordination/scheduling/scheduling-cycle.ts
+++ b/src/coordination/scheduling/scheduling-cycle.ts
@@ -17,7 +17,10 @@
 /** Rules on which work a cycle considers, and which machines that work may use. */
 export interface SchedulingCycleRules {
   findJob: JobLookup;
-  /** Whether a job was accepted long ago and none of its tasks is placed. */
+  /**
+   * Whether a job was accepted at least `ARRAY_USES_RESERVED_AFTER_MS` ago and none of its tasks is
+   * placed.
+   */
   hasWaitedLong: (id: string) => boolean;
   /**
    * The largest recent gang that is not urgent, if this shard keeps arrays off some machines so that
@@ -93,7 +96,10 @@
     this.lowestRank = lowestPlacedRank(tasks, rules.findJob);
   }
 
-  /** The machines that an assignment may use, without those that are reserved for gangs. */
+  /**
+   * The machines that an assignment may use, without those that are reserved for gangs. For an
+   * array that has not waited long, also without those that are kept for the expected gang.
+   */
   candidatesFor({ assignment, spec }: WaitingAssignment): CandidateMachine[] {
     const isExcludedArray =
       this.expectedGang !== null &&
