--- a/src/coordination/leader/assignment-commit.ts
+++ b/src/coordination/leader/assignment-commit.ts
@@ -32,9 +32,9 @@
   constructor(private readonly options: AssignmentCommitOptions) {}
 
   /**
-   * Commits assignments until a transaction fails. `urgentAssignmentKeys` contains the keys of the
-   * assignments of urgent work and of gangs. A transaction with at least one such key is urgent.
-   * Returns the shards with an assignment in an urgent transaction.
+   * Commits assignments until a transaction ends without a confirmed commit. `urgentAssignmentKeys`
+   * contains the keys of the assignments of urgent work and of gangs. A transaction with at least
+   * one such key is urgent. Returns the shards with an assignment in an urgent transaction.
    */
   async run(
     assignments: readonly NewAssignment[],
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -51,7 +51,10 @@
     this.jobsPerTransaction = Math.max(1, Math.floor(options.transactionOps / CHANGES_PER_JOB));
   }
 
-  /** Completes the jobs whose tasks are done. Stops early if a transaction is abandoned. */
+  /**
+   * Completes the jobs whose tasks are done. Stops early if a transaction is abandoned because this
+   * controller no longer holds the leader role.
+   */
   async run(): Promise<void> {
     const { rejectedChangeBackoff, log, writer } = this.options;
     const completed = this.completedJobs();
--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -82,7 +82,8 @@
 
   /**
    * Returns the machines that a job may use. An array may use machines reserved for the next gang
-   * only if it has no placed task `ARRAY_USES_RESERVED_AFTER_MS` after its acceptance.
+   * only if none of its tasks is placed although it was accepted more than
+   * `ARRAY_USES_RESERVED_AFTER_MS` ago.
    */
   private usableMachines(job: OpenJob, cycle: SchedulingCycle): readonly MachineCapacity[] {
     const waitsLong =
