--- a/src/coordination/leader/shard-assignment.ts
+++ b/src/coordination/leader/shard-assignment.ts
@@ -31,8 +31,9 @@
       teamQuota.recordWaiting(job);
       return;
     }
-    // Tasks that end one after the other would each cause an assignment of a single task.
-    // Therefore, a non-urgent job gets no tasks within `ASSIGN_INTERVAL_MS` of its last assignment.
+    // When tasks of a job end one after the other, each end would cause an assignment of a single
+    // new task. Therefore, a non-urgent job gets no tasks within `ASSIGN_INTERVAL_MS` of its last
+    // assignment.
     const recent = isUrgent(job.spec) ? undefined : history.recentOf(job.id);
     const tasksWithoutCapacity = recent
       ? Math.min(allowed, recent.tasksWithoutCapacity)
@@ -81,7 +82,8 @@
 
   /**
    * Returns the machines that a job may use. An array may use machines reserved for the next gang
-   * only if it has no placed task `ARRAY_USES_RESERVED_AFTER_MS` after its acceptance.
+   * only if none of its tasks is placed although it was accepted more than
+   * `ARRAY_USES_RESERVED_AFTER_MS` ago.
    */
   private usableMachines(job: OpenJob, cycle: SchedulingCycle): readonly MachineCapacity[] {
     const waitsLong =
