--- a/packages/detection-report/src/plots.ts
+++ b/packages/detection-report/src/plots.ts
@@ -17,7 +17,7 @@
   range: ['#d0d0d0', '#4c9f70', '#e9b44c', '#b3365b'],
 };
 
-/** A period in which an observer saw a member in one state. */
+/** A period in which an observer saw a member in one state; `lane`: `OBSERVER > MEMBER`. */
 interface StateSpan {
   readonly lane: string;
   readonly from: Date;
--- a/packages/detection-report/src/probe-quantiles.ts
+++ b/packages/detection-report/src/probe-quantiles.ts
@@ -8,7 +8,7 @@
 export interface ProbeQuantiles {
   /** `OBSERVER > MEMBER`, or `all > MEMBER`. */
   readonly lane: string;
-  /** Number of probes. */
+  /** Number of probe times from which the quantiles were computed. */
   readonly count: number;
   /** Probe times in ms, in the order of `QUANTILES`. */
   readonly values: readonly number[];
--- a/packages/detection-report/src/records.ts
+++ b/packages/detection-report/src/records.ts
@@ -59,10 +59,13 @@
 /** A controller's decision about a role whose holder's lease has expired. */
 export type DecisionRecord = Extract<DetectionRecord, { type: 'decision' }>;
 
-/** The records of a file, and the numbers of the lines that could not be read. */
+/**
+ * The records of a file, and the lines that should hold a record but could not be read: a line is
+ * cut off, or its field `detection` does not match the schema.
+ */
 export interface ParsedLines {
   readonly records: readonly DetectionRecord[];
-  /** Line numbers, counted from 1. */
+  /** Numbers of these lines, counted from 1. */
   readonly unreadable: readonly number[];
 }
 
@@ -75,7 +78,10 @@
   }
 }
 
-/** Reads the records from a log or an export. Lines without a record are skipped. */
+/**
+ * Reads the records from a log or an export. Other lines of a log, which do not begin with `{` or
+ * have no field `detection`, are skipped and are not listed in `unreadable`.
+ */
 export function parseLines(text: string): ParsedLines {
   const records: DetectionRecord[] = [];
   const unreadable: number[] = [];
--- a/packages/failure-detector/src/delegated-probes.ts
+++ b/packages/failure-detector/src/delegated-probes.ts
@@ -1,4 +1,7 @@
-/** Probes that this member sends on behalf of other members. */
+/**
+ * Probes that this member sends on behalf of other members: a requester asks this member to ping a
+ * target that did not answer the requester's own ping.
+ */
 
 import { MAX_DELEGATED_PROBES } from './constants.js';
 import type { DetectorBody } from './messages.js';
@@ -11,21 +14,27 @@
   /** Sequence number that the requester has given its own probe. */
   readonly sequence: number;
   readonly target: string;
-  /** Monotonic time in ms at which the requester is sent a negative answer. */
+  /**
+   * Monotonic time in ms at which this member reports to the requester that the target was not
+   * reached, if the target has not answered the ping by then.
+   */
   readonly answerBy: number;
 }
 
 /** Dependencies of `DelegatedProbes`. */
 export interface DelegatedProbesOptions {
   readonly now: () => number;
-  /** Time in ms without an answer after which the requester is sent a negative answer. */
+  /**
+   * Time in ms for the target to answer the ping. After it, this member reports to the requester
+   * that the target was not reached.
+   */
   readonly answerWithinMs: number;
   readonly send: (member: string, body: DetectorBody) => boolean;
 }
 
 /**
- * Pings targets for other members and forwards the answers. Without an answer in time, the requester is
- * sent a negative one.
+ * Pings targets for other members and reports to these requesters whether the target answered the
+ * ping in time.
  */
 export class DelegatedProbes {
   private readonly pending = new Map<number, DelegatedProbe>();
@@ -34,7 +43,7 @@
 
   constructor(private readonly options: DelegatedProbesOptions) {}
 
-  /** Number of probes that wait for an answer. */
+  /** Number of probes that wait for the target's answer. */
   get size(): number {
     return this.pending.size;
   }
@@ -53,7 +62,10 @@
     if (!send(target, { kind: 'ping', sequence: ownSequence })) this.refuse(ownSequence);
   }
 
-  /** Forwards a target's answer to the requester; false: it answers none of these probes. */
+  /**
+   * Handles an answer to a ping. If a pending delegated probe has this sequence number and target,
+   * its requester is sent the report that the target was reached; false: there is no such probe.
+   */
   receiveAck(sequence: number, from: string, instance: string, incarnation: number): boolean {
     const probe = this.pending.get(sequence);
     if (probe?.target !== from) return false;
@@ -62,7 +74,7 @@
     return true;
   }
 
-  /** Sends a negative answer to the requesters whose targets did not answer in time. */
+  /** Reports to the requesters of timed-out probes that the target was not reached. */
   refuseTimedOut(): void {
     const now = this.options.now();
     for (const [sequence, probe] of this.pending) {
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -24,7 +24,7 @@
   readonly roundTripsMs: readonly number[];
 }
 
-/** Sends an answer over the connection on which the message was received. */
+/** Answers a received message with `message`, over the connection on which the former came. */
 export type Reply = (message: DetectorMessage) => void;
 
 /**
@@ -119,7 +119,7 @@
     return this.probes.counts;
   }
 
-  /** Returns the round-trip times by member, and clears them. */
+  /** Returns the round-trip times of the direct probes since the last call, by probed member. */
   takeProbeTimes(): ProbeTimes[] {
     return [...this.memberTable.all()].map((member) => ({
       member: member.name,
--- a/packages/failure-detector/src/dissemination.ts
+++ b/packages/failure-detector/src/dissemination.ts
@@ -41,7 +41,7 @@
 
   /**
    * Returns the updates of the next message: those about its receiver first, then those that were sent
-   * the fewest times. An update that has been sent often enough is removed.
+   * the fewest times. An update that has been sent `maxSends` times is removed.
    */
   takeUpdatesFor(receiver: string): MemberUpdate[] {
     const receiverFirst = (entry: QueuedUpdate): number => Number(entry.update.member !== receiver);
--- a/packages/failure-detector/src/gossip.ts
+++ b/packages/failure-detector/src/gossip.ts
@@ -52,7 +52,10 @@
     else this.applySuspicion(update, member);
   }
 
-  /** Removes queued updates that are older than a member's answer to a probe. */
+  /**
+   * Removes the queued updates that a member's answer to a probe supersedes: those about another
+   * instance of the member or about a lower incarnation than the answer's.
+   */
   onProbeAnswered(member: string, instance: string, incarnation: number): void {
     this.dissemination.removeSuperseded(member, instance, incarnation);
   }
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Returns the updates of the next message. A suspected receiver is always sent its suspicion, so that
-   * it can refute it.
+   * Returns the updates of the next message. If the receiver is suspected, an update about this is
+   * always among them, so that the receiver can refute the suspicion.
    */
   takeUpdatesFor(receiver: string): MemberUpdate[] {
     const updates = this.dissemination.takeUpdatesFor(receiver);
--- a/packages/failure-detector/src/history.ts
+++ b/packages/failure-detector/src/history.ts
@@ -10,7 +10,10 @@
   failures: number;
   /** Failures that the member refuted afterwards. */
   falseFailures: number;
-  /** Sum over all failures of the ms between the last answered probe and the detection. */
+  /**
+   * Sum over all failures, in ms, of the time from the sending of the last answered probe to the
+   * detection.
+   */
   detectionMs: number;
   messagesSent: number;
   messagesReceived: number;
--- a/packages/failure-detector/src/local-health.ts
+++ b/packages/failure-detector/src/local-health.ts
@@ -2,7 +2,10 @@
 
 import { LATE_TICK_MS, MAX_LOCAL_HEALTH_SCORE } from './constants.js';
 
-/** A score from 0 (healthy) upwards. The higher it is, the longer this member's probe time-outs. */
+/**
+ * A score from 0 (healthy) to `MAX_LOCAL_HEALTH_SCORE`. The higher it is, the longer this member's
+ * probe time-outs.
+ */
 export class LocalHealth {
   private currentScore = 0;
 
--- a/packages/failure-detector/src/probes.ts
+++ b/packages/failure-detector/src/probes.ts
@@ -1,4 +1,7 @@
-/** This member's probes: first directly, then through other members. */
+/**
+ * This member's own probes: a ping to the probed member and, if that is not answered in time,
+ * requests to other members (helpers) to ping it.
+ */
 
 import { INDIRECT_PROBE_HELPERS, MAX_TIMED_OUT_PROBES } from './constants.js';
 import type { LocalHealth } from './local-health.js';
@@ -66,7 +69,7 @@
     });
   }
 
-  /** Handles a direct answer, in time or late. */
+  /** Handles the probed member's answer to the direct ping, in time or late. */
   receiveAck(sequence: number, from: string, instance: string, incarnation: number): void {
     const probe = this.pending.get(sequence) ?? this.timedOut.get(sequence);
     if (probe?.member !== from) return;
@@ -74,7 +77,7 @@
     this.succeed(sequence, { instance, incarnation, sentAt: probe.sentAt }, roundTripMs);
   }
 
-  /** Handles a helper's answer: the member was reached, or it was not. */
+  /** Handles a helper's report whether its ping reached the probed member. */
   receiveIndirectAck(helper: string, body: Extract<DetectorBody, { kind: 'indirectAck' }>): void {
     const { incarnation, instance, isReached, sequence, target } = body;
     const probe = this.pending.get(sequence);
--- a/packages/failure-detector/src/remote-member.ts
+++ b/packages/failure-detector/src/remote-member.ts
@@ -5,18 +5,21 @@
 import type { MemberState } from './types.js';
 import { WitnessReports } from './witness-reports.js';
 
-/** An answer to a probe. */
+/** Another member's answer to a probe of this member. */
 export interface ProbeAnswer {
   readonly instance: string;
   readonly incarnation: number;
-  /** Monotonic time in ms at which the probe was sent. The member was alive after it. */
+  /** Monotonic time in ms at which the probe was sent; the instance was alive after this time. */
   readonly sentAt: number;
 }
 
 /** Another member as this one sees it: its current instance, its state and the evidence on it. */
 export class RemoteMember {
   state: MemberState = 'unknown';
-  /** The current instance, which answered last; null: the member has never answered. */
+  /**
+   * The current instance of the member: the process that last answered a probe of this member, late
+   * answers of ended processes aside; null: the member has never answered.
+   */
   instance: string | null = null;
   incarnation = 0;
   suspicion: Suspicion | null = null;
@@ -32,7 +35,11 @@
 
   constructor(readonly name: string) {}
 
-  /** Returns whether an answer came from an instance before the current one. */
+  /**
+   * Returns whether an answer came from an instance before the current one: from one that has
+   * ended, or from another one to a probe that was sent before the latest probe that the current
+   * one answered.
+   */
   isOutdated(answer: ProbeAnswer): boolean {
     if (this.endedInstances.includes(answer.instance)) return true;
     const isOther = this.instance !== null && answer.instance !== this.instance;
@@ -51,8 +58,8 @@
   }
 
   /**
-   * Returns whether an instance has certainly ended, because another one of this member answered after
-   * it, or answered a probe that was sent at `since` or later.
+   * Returns whether an instance has certainly ended, because another one of this member answered
+   * after it, or answered a probe that was sent at `since` or later.
    */
   hasEnded(instance: string, since: number): boolean {
     if (this.endedInstances.includes(instance)) return true;
--- a/packages/failure-detector/src/verdict.ts
+++ b/packages/failure-detector/src/verdict.ts
@@ -4,9 +4,12 @@
 
 /** One observation of a member's instance. `at`: monotonic time in ms of the deciding member. */
 export type Evidence =
-  /** The deciding member's own probe, direct or through helpers. */
+  /**
+   * A probe by the deciding member, sent at `at`: a ping to the instance and, if that is not
+   * answered, pings by other members on request. `isReached`: any of these pings was answered.
+   */
   | { readonly kind: 'own probe'; readonly isReached: boolean; readonly at: number }
-  /** The report of another member that could not reach the instance. */
+  /** The report, received at `at`, of another member that could not reach the instance. */
   | {
       readonly kind: 'witness';
       readonly witness: string;
--- a/src/protocol/cloud-api.ts
+++ b/src/protocol/cloud-api.ts
@@ -6,7 +6,8 @@
 
 /**
  * The outcome of a rental request. `rented`: these machines were rented. `noCapacity`: the cloud
- * has no capacity for it. `later`: the cloud is busy or limits requests; to be retried later.
+ * has no capacity for the rental. `later`: the cloud is busy or limits requests, so the rental is
+ * to be retried later.
  */
 export type RentResult =
   { kind: 'rented'; machines: string[] } | { kind: 'noCapacity' } | { kind: 'later' };
@@ -28,7 +29,9 @@
   types(): Promise<MachineType[] | null>;
   /** Rents up to `count` machines. Throws if the response does not show whether any were rented. */
   rent(rental: Rental): Promise<RentResult>;
-  /** Returns machines to the cloud, whatever runs on them; false: the cloud did not accept this. */
+  /**
+   * Returns machines to the cloud, even while tasks run on them; false: the cloud did not accept.
+   */
   returnMachines(machines: string[]): Promise<boolean>;
   /**
    * Fetches one page of the rented machines, those after the machine named `after` ('': the first
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -58,7 +58,10 @@
   }
 }
 
-/** The store's reason of the only 400 that a valid transaction can get: its lease has expired. */
+/**
+ * The reason in the store's 400 response to a transaction whose lease has expired. No other valid
+ * transaction gets a 400.
+ */
 export const NO_SUCH_LEASE = 'no such lease';
 
 /** The operations of the key-value store that the program uses; tests pass a stand-in. */
@@ -66,7 +69,8 @@
   /** Reads a key; null: it does not exist. */
   get(key: string): Promise<{ value: unknown; revision: number } | null>;
   /**
-   * Reads a page of the keys with a prefix that come after the key `after`; null: the first page.
+   * Reads a page of the keys with a prefix that come after the key `after`. If `after` is null,
+   * reads the first page.
    */
   list(prefix: string, after: string | null): Promise<EntryPage>;
   /** Applies all changes in one transaction if all guards hold, otherwise none. */
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,5 +1,6 @@
 /**
- * The types of jobs, tasks, machines and workers. The codecs translate them to the wire's names.
+ * Data types of jobs, tasks, machines, and workers' heartbeats and commands. The codecs and API
+ * clients translate their fields to the names in requests and responses.
  */
 
 /** The priorities in ascending order. */
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -1,4 +1,7 @@
-/** A controller's part of one of the key-value store's rate limits, adapted to the actual use. */
+/**
+ * This controller's part of one of the key-value store's two rate limits (requests or writes per
+ * second), adapted to the actual use.
+ */
 
 import {
   STORE_LIMIT_REFUSAL_FACTOR,
@@ -12,24 +15,27 @@
 import type { Clock } from '../transport/clock.js';
 
 /**
- * Recent use of a limit compared with the equal share of this controller: `plenty` below
- * `WRITES_SCARCE_FRACTION` of it, `scarce` below `WRITES_SHORT_FRACTION`, `short` above.
+ * This controller's recent use of a rate limit compared with its equal share, which is the limit
+ * divided by the number of controllers: `plenty` up to `WRITES_SCARCE_FRACTION` of the equal share,
+ * `scarce` up to `WRITES_SHORT_FRACTION`, `short` above.
  */
 export type Supply = 'plenty' | 'scarce' | 'short';
 
-/** A rate limit that all members share. */
+/** A rate limit of the key-value store that all controllers share. */
 export interface SharedLimit {
-  /** Requests or writes per second for all members together. */
+  /** Requests or writes per second for all controllers together. */
   perSecond: number;
+  /** Number of controllers. */
   members: number;
   /** Minimum size of the token bucket; 0 if tokens for one second suffice. */
   burst: number;
 }
 
 /**
- * This controller's part of one limit. All members together must stay below the limit, and members
- * that need more should use what others leave. Each member therefore begins with an equal share,
- * raises its rate while requests wait and the store refuses none, and lowers it after a refusal.
+ * This controller's part of one rate limit of the key-value store. All controllers together must
+ * stay below the limit, and one that needs more should use what others leave. Each controller
+ * therefore begins with an equal share of the limit, raises its rate while requests wait and the
+ * store refuses none, and lowers it after a refusal.
  */
 export class AdaptiveLimit {
   readonly budget: TokenBucket;
--- a/src/storage/assignment-index.ts
+++ b/src/storage/assignment-index.ts
@@ -52,7 +52,7 @@
     return found;
   }
 
-  /** Updates the index after a change of a record; undefined if the record was removed. */
+  /** Updates the index after a change of an assignment's record; `record` undefined: removed. */
   update(key: string, record: AssignmentRecord | undefined): void {
     const name = readAssignmentKey(key);
     if (!name) return;
--- a/src/storage/catalog.ts
+++ b/src/storage/catalog.ts
@@ -7,7 +7,10 @@
 import { CATALOG, CATALOG_OVERFLOW } from './keys.js';
 import type { StoreReplica } from './store-replica.js';
 
-/** The last result for each replica, because the catalog is read for every machine. */
+/**
+ * The last result of `readCatalog` for each replica, cached because the catalog is read for every
+ * machine.
+ */
 const cachedCatalogs = new WeakMap<
   StoreReplica,
   { version: number; types: MachineType[] | null }
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -24,14 +24,14 @@
   | { kind: 'conflict'; failed: string[] }
   /**
    * The transaction was abandoned because it was no longer wanted. `mayCommitLater`: an earlier
-   * attempt may commit.
+   * attempt got no response and may still commit.
    */
   | { kind: 'abandoned'; mayCommitLater: boolean }
   /** An attempt got no response, but was certainly not committed and never will be. */
   | { kind: 'neverCommitted' }
   /**
    * The store rejected the transaction as invalid, for example as too large. `mayCommitLater`: an
-   * earlier attempt may commit.
+   * earlier attempt got no response and may still commit.
    */
   | { kind: 'rejected'; mayCommitLater: boolean };
 
@@ -206,7 +206,8 @@
   }
 
   /**
-   * Logs an error for the operators, because the cause is a bug or an unknown limit of the store.
+   * Logs that the store rejected a transaction as invalid. This is an error for the operators,
+   * because its cause is a bug or an unknown limit of the store.
    */
   private logRejected({ purpose, guards, changes }: Transaction, reason: string | null): void {
     const sizes = changes.map((change) => ('remove' in change ? 0 : bytesOf(change.value)));
--- a/src/storage/live-key-reader.ts
+++ b/src/storage/live-key-reader.ts
@@ -35,10 +35,10 @@
   ) {}
 
   /**
-   * Returns all live keys. The pages may have different revisions, which the watch afterwards
-   * brings up to the same one, so that a call can continue where an earlier one failed. If more
-   * changes than the store keeps for watches were made since the first page, the listing starts
-   * again.
+   * Returns all live keys. A call continues with the page on which an earlier call failed, so the
+   * pages may have different revisions; a watch from `firstRevision` on then returns the changes
+   * that are missing. If `STORE_CHANGES_KEPT` changes were made since the first page, the store may
+   * no longer keep all of them for that watch, so the listing starts again.
    */
   async readAll(): Promise<KeyListing> {
     for (;;) {
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -7,7 +7,10 @@
 export type { Supply } from './adaptive-limit.js';
 export type { Purpose } from './request-queues.js';
 
-/** The key-value store's limits for all members together. */
+/**
+ * The key-value store's limits for all controllers together: requests (`rps`) and writes per
+ * second.
+ */
 export interface StoreLimits {
   rps: number;
   writeRps: number;
--- a/src/storage/record-index.ts
+++ b/src/storage/record-index.ts
@@ -28,14 +28,14 @@
   else map.set(key, value);
 }
 
-/** Known live keys of the key-value store, and the final records that were read. */
+/** The live keys of the key-value store that were read, and the cached final records. */
 export class RecordIndex {
   private readonly valuesByKey = new Map<string, VersionedValue>();
   /** The same values by kind of key, so that a scan of one kind does not visit the others. */
   private readonly valuesByKind = new Map<string, Map<string, VersionedValue>>();
   /**
-   * Revisions at which keys were removed before the watch reported it, so that older events of the
-   * watch do not restore these keys.
+   * Revisions at which keys were removed, by key, for removals that the watch has not reported yet.
+   * Older events of the watch must not restore these keys.
    */
   private readonly removalRevisions = new Map<string, number>();
   /** Jobs by id, which are looked up most often. */
@@ -177,7 +177,10 @@
       this.assignmentIndex.update(key, value as AssignmentRecord | undefined);
   }
 
-  /** Discards removals up to `revision`, because the watch returns no older event any more. */
+  /**
+   * Discards the removals up to `revision`, because the watch returns no events before `revision`
+   * any more.
+   */
   protected discardOldRemovals(): void {
     for (const [key, removedAt] of this.removalRevisions) {
       if (removedAt <= this.revision) this.removalRevisions.delete(key);
--- a/src/storage/store-reachability.ts
+++ b/src/storage/store-reachability.ts
@@ -1,10 +1,16 @@
-/** Determines whether this controller reaches the key-value store. */
+/**
+ * Determines from the outcomes of this controller's requests whether it reaches the key-value
+ * store.
+ */
 
 import { UNREACHABLE_AFTER_MS } from '../constants/storage.js';
 import { StoreRejectedError, type KeyValueStore } from '../protocol/key-value-store.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Reachability of the key-value store, derived from the outcomes of all requests to it. */
+/**
+ * Reachability of the key-value store. Any response except status 503 is a success, also a
+ * rejection. Status 503, or no valid response, is a failure.
+ */
 export class StoreReachability {
   private lastSuccessAt = -Infinity;
   private lastFailureAt = -Infinity;
@@ -12,8 +18,8 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * False if the last request failed and the last success was `UNREACHABLE_AFTER_MS` ago. The store
-   * may be unreachable for a single controller.
+   * False if the last request failed and the last success was `UNREACHABLE_AFTER_MS` ago or
+   * earlier. Other controllers may still reach the store then.
    */
   get isReachable(): boolean {
     return (
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -34,9 +34,9 @@
 }
 
 /**
- * This controller's replica of the live keys. The replica contains all changes up to `revision` and
- * was current at `knownCurrentAt`. This is the time at which the last answered watch was sent, not
- * the time of its response, because the response may have been delayed.
+ * This controller's replica of the store's live keys. The replica contains all changes up to
+ * `revision` and was current at `knownCurrentAt`. This is the time at which the last answered watch
+ * was sent, not the time of its response, because the response may have been delayed.
  */
 export class StoreReplica extends RecordIndex {
   private readonly keyValueStore: KeyValueStore;
@@ -74,8 +74,8 @@
   }
 
   /**
-   * False after a listing of all keys until the watch has reached the revision of the newest page.
-   * Until then the replica contains older values from earlier pages.
+   * False until all keys have been read and the watch has reached the revision of the newest page
+   * that was read. Until then the values from earlier pages may be older than those from that page.
    */
   get isSynced(): boolean {
     return this.isLoaded && this.revision >= this.reader.newestPageRevision;
@@ -152,7 +152,7 @@
         if (result === null) {
           this.log.info(
             { sinceRevision: this.revision },
-            'watch compacted, reading all keys again',
+            'watched revision compacted, reading all keys again',
           );
           await this.load();
           continue;
--- a/src/storage/watch-pause.ts
+++ b/src/storage/watch-pause.ts
@@ -1,9 +1,12 @@
-/** Waits between two watch requests. */
+/** Waits between two watch requests to the key-value store, less if a change was announced. */
 
 import { ANNOUNCED_WATCH_SPACING_FRACTION } from '../constants/storage.js';
 import type { Clock } from '../transport/clock.js';
 
-/** Pauses between watch requests, so that changes that are close together share one response. */
+/**
+ * Pauses between two watch requests, so that several changes that are made during the pause come in
+ * one response.
+ */
 export class WatchPause {
   private shortenCurrent: (() => void) | null = null;
 
@@ -14,7 +17,7 @@
 
   /**
    * Waits for `spacingMs`. If `isChangeAnnounced` is true or `shorten` is called, the wait is
-   * reduced to `ANNOUNCED_WATCH_SPACING_FRACTION` of that.
+   * reduced to `ANNOUNCED_WATCH_SPACING_FRACTION` of `spacingMs`.
    */
   wait(isChangeAnnounced: boolean): Promise<void> {
     return new Promise((resolve) => {
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -37,7 +37,8 @@
   method: 'GET' | 'POST';
   path: string;
   /**
-   * Connections stay open up to the hard limit; those of other routes only up to the soft limit.
+   * True: after a response of this route the connection stays open up to the hard limit of
+   * connections, and not only up to the soft limit as after responses of other routes.
    */
   keepsConnection?: boolean;
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -5,7 +5,7 @@
 import type { Clock } from './clock.js';
 import { FrameTooLongError } from './errors.js';
 
-/** Number of bits at which a length prefix is rejected: those of 5 varint bytes with 7 bits each. */
+/** A varint length prefix of 5 bytes, with 7 bits each, or more is rejected as too long. */
 const PREFIX_BITS_LIMIT = 35;
 /** Idle timeout of an outgoing connection, as a multiple of the pause before it is reopened. */
 const OUTGOING_IDLE_RETRY_INTERVALS = 5;
@@ -132,7 +132,8 @@
   }
 
   /**
-   * Sends a frame; false: not sent, because there is no connection or too much waits to be sent.
+   * Sends a frame; false: not sent, because there is no connection, or because more than
+   * `maxFrameBytes` bytes wait to be sent and the connection was closed for that.
    */
   send(frame: Uint8Array): boolean {
     if (!this.isOpen || !this.socket) return false;
