--- a/packages/failure-detector/src/member-table.ts
+++ b/packages/failure-detector/src/member-table.ts
@@ -50,7 +50,7 @@
     return this.members.values();
   }
 
-  /** Records an answered probe; false: the answer came from an instance before the current one. */
+  /** Records an answered probe; false: ignored, as the answer came from an earlier instance. */
   recordReached(member: RemoteMember, answer: ProbeAnswer): boolean {
     if (member.isOutdated(answer)) return false;
     const isOtherInstance = answer.instance !== member.instance;
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -50,14 +50,20 @@
   };
 }
 
-/** Returns a number of the response; throws if it is missing, since the outcome is unknown then. */
+/**
+ * Returns the number in a field of the store's response. Throws `OutcomeUnknownError` if it is missing,
+ * because the request may have been executed all the same.
+ */
 function requireNumber(body: Body, field: string): number {
   const value = body[field];
   if (typeof value === 'number') return value;
   throw new OutcomeUnknownError(`key-value store's answer: ${field} is missing or not a number`);
 }
 
-/** Returns a list of the response; throws if it is missing, since the outcome is unknown then. */
+/**
+ * Returns the list in a field of the store's response. Throws `OutcomeUnknownError` if it is missing,
+ * because the request may have been executed all the same.
+ */
 function requireList<Item>(body: Body, field: string): Item[] {
   const value = body[field];
   if (Array.isArray(value)) return value as Item[];
--- a/src/protocol/operator-settings.ts
+++ b/src/protocol/operator-settings.ts
@@ -20,7 +20,10 @@
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-/** Strict, because a misspelt key would otherwise silently leave its setting at the default. */
+/**
+ * The section `suspicion`. Unknown keys are rejected, because a misspelt key would otherwise
+ * silently leave its setting at the default.
+ */
 const suspicionSchema = v.strictObject({
   enabled: v.optional(v.boolean(), true),
   probe_interval_s: v.optional(positive, 1),
@@ -74,7 +77,11 @@
    * Independent witnesses that must confirm a failure; null: derived from the number of members.
    */
   readonly quorum: number | null;
-  /** Longest wait of a failover for confirmation; then an expired registration alone is enough. */
+  /**
+   * Longest time after the expiry of a holder's registration for which a failover waits for
+   * confirmation that the holder has failed. After it, the expired registration alone is
+   * sufficient.
+   */
   readonly confirmWithinMs: number;
   /** Longest time for which the shard of a suspected holder gets no new work. */
   readonly holdNewWorkMs: number;
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -17,7 +17,7 @@
  * nothing that the state of the key-value store would not permit.
  */
 export type PeerMessage =
-  /** The store has changes up to this revision; `cancelled`: a job that was cancelled by them. */
+  /** The store has changes up to `revision`; `cancelled`: a job that one of them cancelled. */
   | { kind: 'storeChanged'; node: string; revision: number; cancelled?: CancelledJob }
   /**
    * A request of a worker or user that the sender can't serve itself. `id`: chosen by the sender to
--- a/src/protocol/platform-settings.ts
+++ b/src/protocol/platform-settings.ts
@@ -72,7 +72,10 @@
 /** The section `params` of the platform's file, with the parameters of the cluster. */
 export type PlatformParams = PlatformFile['params'];
 
-/** Checks conditions that involve several fields. */
+/**
+ * Checks that a worker's lease is shorter than the time limit of a cancellation, that the names of
+ * controllers differ, and that there are fewer controllers than `SHARDS_PER_TERM`.
+ */
 function checkRelations(file: string, raw: PlatformFile): void {
   const { workers } = raw.params;
   if (workers.lease_s >= workers.cancel_s) {
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -101,7 +101,10 @@
   'storeRps' | 'storeWriteRps' | 'valueBytes' | 'transactionOps'
 >;
 
-/** Returns the stricter limits, because announced limits may come into force at any moment. */
+/**
+ * Returns the stricter one of each present and announced limit of the key-value store, because the
+ * announced limits may come into force at any moment.
+ */
 function readStoreLimits(state: PlatformParams['state']): StoreLimitSettings {
   const { next, ...present } = state;
   const stricter = (name: keyof typeof present): number =>
--- a/src/protocol/worker-codec.ts
+++ b/src/protocol/worker-codec.ts
@@ -101,7 +101,9 @@
   return { mandate: fencingToken, calls: encodeCommands(commands) };
 }
 
-/** Encodes direct commands to a worker, which executes them only in the given worker epoch. */
+/**
+ * Encodes direct commands to a worker, which executes them only while `workerEpoch` is its epoch.
+ */
 export function encodeDirectCommands(
   fencingToken: number,
   workerEpoch: number,
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -110,7 +110,7 @@
 
   /**
    * Releases the requests that the limits allow now. Returns the time in ms until the next one may
-   * be sent, or 0 if none is left.
+   * be sent, or 0 if no request waits any more.
    */
   private dispatchReady(): number {
     let writesWaitMs = 0;
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -47,7 +47,7 @@
    * for each team that exceeds its fair share.
    */
   reclaim?: Record<string, number>;
-  /** Only for gangs: the attempt is ending, so the other shards stop their tasks of it as well. */
+  /** Only for gangs: this attempt of the gang is ending, so all shards stop its tasks. */
   stopping?: true;
 }
 
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -90,7 +90,8 @@
   }
 
   /**
-   * Calls `listener` with the changed keys after each change, and with none after an empty watch.
+   * Calls `listener` with the changed keys after each change, and with an empty list after a watch
+   * without changes.
    */
   onChange(listener: (keys: string[]) => void): void {
     this.changeListeners.push(listener);
@@ -130,7 +131,8 @@
   }
 
   /**
-   * Shortens the pause before the next watch, because a peer announced a change of this revision.
+   * Shortens the pause before the next watch if a peer has announced a change at `revision` that
+   * the watch has not reached.
    */
   watchSoon(revision: number): void {
     if (revision <= this.revision) return;
