--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -51,7 +51,7 @@
 }
 
 /**
- * Returns the number in a field of the store's response. Throws `OutcomeUnknownError` if it is missing,
+ * Returns the number in a field of the response. Throws `OutcomeUnknownError` if it is missing,
  * because the request may have been executed all the same.
  */
 function requireNumber(body: Body, field: string): number {
@@ -61,7 +61,7 @@
 }
 
 /**
- * Returns the list in a field of the store's response. Throws `OutcomeUnknownError` if it is missing,
+ * Returns the list in a field of the response. Throws `OutcomeUnknownError` if it is missing,
  * because the request may have been executed all the same.
  */
 function requireList<Item>(body: Body, field: string): Item[] {
