--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -7,7 +7,10 @@
 export type { Supply } from './adaptive-limit.js';
 export type { Purpose } from './request-queues.js';
 
-/** The key-value store's limits for all members together. */
+/**
+ * The key-value store's limits for all controllers together: requests (`rps`) and writes per
+ * second.
+ */
 export interface StoreLimits {
   rps: number;
   writeRps: number;
@@ -107,7 +110,7 @@
 
   /**
    * Releases the requests that the limits allow now. Returns the time in ms until the next one may
-   * be sent, or 0 if none is left.
+   * be sent, or 0 if no request waits any more.
    */
   private dispatchReady(): number {
     let writesWaitMs = 0;
