--- a/packages/failure-detector/src/witness-reports.ts
+++ b/packages/failure-detector/src/witness-reports.ts
@@ -4,7 +4,10 @@
 
 type WitnessEvidence = Extract<Evidence, { kind: 'witness' }>;
 
-/** The latest report of each witness on one instance. */
+/**
+ * The reports that one instance, which is one process of a member, can't be reached: the latest
+ * report of each witness.
+ */
 export class WitnessReports {
   private readonly reports = new Map<string, WitnessEvidence & { readonly incarnation: number }>();
 
--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -9,7 +9,9 @@
  * attempt is proven to have ended.
  */
 export const GANG_RETRY_MIN_MS = 250;
-/** Longest pause in ms between two assignments of the same gang. */
+/**
+ * Longest pause in ms after an assignment of a gang, before the same gang may be assigned again.
+ */
 export const GANG_RETRY_MAX_MS = 20_000;
 
 /**
--- a/src/coordination/api/absence-proof.ts
+++ b/src/coordination/api/absence-proof.ts
@@ -16,7 +16,7 @@
     this.#job = job;
   }
 
-  /** Id of the absent job. */
+  /** Id of the job that has no record in the key-value store. */
   get job(): string {
     return this.#job;
   }
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -70,7 +70,7 @@
     return unneeded;
   }
 
-  /** Idle machines, the highest price per CPU first; stops tracking machines that aren't idle. */
+  /** Returns the idle machines, highest price per CPU first, and stops tracking all others. */
   private listIdle(snapshot: FleetSnapshot, types: readonly MachineType[]): MachineCapacity[] {
     const present = new Set(snapshot.machines.map((machine) => machine.name));
     for (const name of this.idleSince.keys()) {
--- a/src/coordination/controller/peer-endpoint.ts
+++ b/src/coordination/controller/peer-endpoint.ts
@@ -1,4 +1,7 @@
-/** Handles the messages of peers. */
+/**
+ * Handles the messages of peers: notices of changes in the key-value store, relayed requests and
+ * their replies, and messages of failure detection.
+ */
 import { finalKey, jobKey } from '../../storage/keys.js';
 import type { FinalRecord } from '../../storage/records.js';
 import type { StoreReplica } from '../../storage/store-replica.js';
--- a/src/coordination/election/candidate-order.ts
+++ b/src/coordination/election/candidate-order.ts
@@ -91,8 +91,9 @@
   }
 
   /**
-   * Returns whether this member started more than `PREFERRED_HOLDER_SETTLE_MS` ago and has not lost
-   * its registration too often to reclaim its shard.
+   * Returns whether this member may reclaim the shard whose preferred holder it is: it started more
+   * than `PREFERRED_HOLDER_SETTLE_MS` ago, and the policy does not damp it for losing its
+   * registration too often.
    */
   private mayReclaimAsPreferredHolder(): boolean {
     const { clock, policy, startedAt } = this.options;
--- a/src/coordination/leader/task-distribution.ts
+++ b/src/coordination/leader/task-distribution.ts
@@ -22,7 +22,7 @@
   readonly assignments: readonly NewAssignment[];
   /** Number of tasks that were assigned. */
   readonly assigned: number;
-  /** Number of these tasks that have to wait in their shard until other tasks end. */
+  /** Number of the assigned tasks that have to wait in their shard until other tasks end. */
   readonly queued: number;
 }
 
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -15,11 +15,11 @@
   free: Resources;
   /** Whether no task is placed on the machine. */
   isEmpty: boolean;
-  /** Whether its free resources are reserved for a gang that does not fit yet. */
+  /** Whether the machine's free resources are reserved for a waiting gang that does not fit yet. */
   isReserved: boolean;
   /**
-   * Whether its free resources are reserved for a future gang. Then arrays may use them only after
-   * a long wait.
+   * Whether the machine's free resources are kept for the expected gang, which has not arrived yet.
+   * Then arrays may use them only after a long wait.
    */
   excludesArrays: boolean;
 }
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -78,7 +78,10 @@
   }
 }
 
-/** The cheapest way to place one more task; null if it fits on none of the machines. */
+/**
+ * The way to place one more task whose victims have the lowest sum of costs; null if the task fits
+ * on none of the machines.
+ */
 function cheapestOption(
   machines: readonly PlannedMachine[],
   task: Resources,
--- a/src/coordination/shard-state/assignment-pieces.ts
+++ b/src/coordination/shard-state/assignment-pieces.ts
@@ -25,7 +25,10 @@
   isKeyTaken: (key: string) => boolean;
 }
 
-/** The record of these tasks in their current state; new placements only on `newMachines`. */
+/**
+ * The record of these tasks in their current state. A placement that is not committed yet is
+ * included only if its machine is one of `newMachines`.
+ */
 function buildRecord(
   assignment: Assignment,
   newMachines: ReadonlySet<string>,
--- a/src/coordination/shard-state/tasks.ts
+++ b/src/coordination/shard-state/tasks.ts
@@ -39,7 +39,7 @@
 
   // --- Look-ups ------------------------------------------------------------------------------
 
-  /** All assignments by key. */
+  /** All assignments of the shard, by their key in the key-value store. */
   get assignments(): ReadonlyMap<string, Assignment> {
     return this.index.assignments;
   }
@@ -138,8 +138,8 @@
   }
 
   /**
-   * The assignment's current record, in pieces of at most `maxBytes` bytes. New placements are
-   * included only on `newMachines`.
+   * The assignment's current record, in pieces of at most `maxBytes` bytes. A placement that is not
+   * committed yet is included only if its machine is one of `newMachines`.
    */
   split(
     assignment: Assignment,
--- a/src/storage/committer.ts
+++ b/src/storage/committer.ts
@@ -197,7 +197,7 @@
       } catch (error) {
         this.log.debug(
           { error: String(error), purpose },
-          'read after unanswered transaction failed, retrying',
+          'outcome of an unanswered transaction could not be read, retrying',
         );
         await sleep(this.clock, backoff.nextPauseMs());
       }
--- a/src/storage/rate-limiter.ts
+++ b/src/storage/rate-limiter.ts
@@ -118,7 +118,8 @@
       for (let next = requests[0]; next; next = requests[0]) {
         const waitMs = this.requestLimit.waitFor(1);
         if (waitMs > 0) return waitMs;
-        // No write is sent before one that precedes it; reads do not wait for writes.
+        // Writes keep the order of the queues: a write that waits for the write limit holds up all
+        // later writes. Reads do not wait for writes.
         if (next.writes > 0 && writesWaitMs === 0) {
           writesWaitMs = this.writeLimit.waitFor(next.writes);
         }
--- a/src/storage/request-queues.ts
+++ b/src/storage/request-queues.ts
@@ -42,7 +42,7 @@
   writes: RequestQueue;
 }
 
-/** The queues of all purposes. */
+/** The queues of requests that wait for the rate limits, for all purposes. */
 export class RequestQueues {
   private readonly byPurpose = new Map<Purpose, PurposeQueues>(
     PURPOSES_BY_PRECEDENCE.map((purpose) => [
