--- a/packages/failure-detector/src/witness-reports.ts
+++ b/packages/failure-detector/src/witness-reports.ts
@@ -11,7 +11,10 @@
 export class WitnessReports {
   private readonly reports = new Map<string, WitnessEvidence & { readonly incarnation: number }>();
 
-  /** Adds a report; it replaces the witness's earlier one unless that has a higher incarnation. */
+  /**
+   * Adds a report. It replaces the earlier report of the same witness, unless the earlier one has a
+   * higher incarnation.
+   */
   add(report: WitnessEvidence, incarnation: number): void {
     const previous = this.reports.get(report.witness);
     if (previous && previous.incarnation > incarnation) return;
--- a/src/constants/gangs.ts
+++ b/src/constants/gangs.ts
@@ -73,7 +73,7 @@
 /**
  * Time in ms after which a shard that has placed its gang subset returns it to the leader if the
  * other shards have not placed theirs. It is longer than `GANG_RESERVATION_TIMEOUT_MS`, within
- * which they either find capacity or return their subsets.
+ * which the other shards either find capacity or return their subsets.
  */
 export const GANG_PLACED_TIMEOUT_MS = 25_000;
 
--- a/src/coordination/autoscaling/idle-machines.ts
+++ b/src/coordination/autoscaling/idle-machines.ts
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Machines that have been idle for longer than their limit, and without which the fleet still has
-   * the free CPUs of the headroom and the CPUs that preemptible work needs. The highest price per
-   * CPU comes first.
+   * Machines that have been idle for at least `idleMs`, cheap ones up to `IDLE_TIME_MAX_FACTOR`
+   * times as long, and without which the fleet still has the free CPUs of the headroom and the CPUs
+   * that preemptible work needs. The highest price per CPU comes first.
    */
   private unneededMachines(snapshot: FleetSnapshot): MachineCapacity[] {
     const { clock, idleMs, replica } = this.context;
@@ -70,7 +70,10 @@
     return unneeded;
   }
 
-  /** Returns the idle machines, highest price per CPU first, and stops tracking all others. */
+  /**
+   * Returns the idle machines, which are healthy and have no tasks, highest price per CPU first.
+   * Stops tracking all others.
+   */
   private listIdle(snapshot: FleetSnapshot, types: readonly MachineType[]): MachineCapacity[] {
     const present = new Set(snapshot.machines.map((machine) => machine.name));
     for (const name of this.idleSince.keys()) {
--- a/src/coordination/election/failover-policy.ts
+++ b/src/coordination/election/failover-policy.ts
@@ -20,7 +20,10 @@
   mayFailOver(holder: ExpiredHolder): boolean;
   /** Called when this process detects that its own registration is gone. */
   onRegistrationLost(): void;
-  /** Returns whether this member lost its registration too often to reclaim its shard. */
+  /**
+   * Returns whether this member may not reclaim its shard now, because it has lost its registration
+   * too often.
+   */
   isDamped(): boolean;
 }
 
--- a/src/coordination/failure-detection/flap-damping.ts
+++ b/src/coordination/failure-detection/flap-damping.ts
@@ -29,7 +29,10 @@
     if (this.penalty >= FLAP_SUPPRESS_PENALTY) this.isSuppressed = true;
   }
 
-  /** Whether this controller leaves its shard with the current holder. */
+  /**
+   * Whether this controller leaves its shard with the current holder, because it has lost its
+   * registration too often.
+   */
   get isDamped(): boolean {
     if (this.isSuppressed && this.decayedPenalty() < FLAP_REUSE_PENALTY) this.isSuppressed = false;
     return this.isSuppressed;
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -18,8 +18,8 @@
   /** Whether the machine's free resources are reserved for a waiting gang that does not fit yet. */
   isReserved: boolean;
   /**
-   * Whether the machine's free resources are kept for the expected gang, which has not arrived yet.
-   * Then arrays may use them only after a long wait.
+   * Whether the machine's free resources are kept for a gang that is expected but has not arrived
+   * yet. Then arrays may use them only after a long wait.
    */
   excludesArrays: boolean;
 }
--- a/src/coordination/scheduling/gang-preemption.ts
+++ b/src/coordination/scheduling/gang-preemption.ts
@@ -91,8 +91,8 @@
 }
 
 /**
- * Adds an option's victims to the plan, and subtracts the CPUs of victims that do not rank lower,
- * which are arrays, from the rights.
+ * Adds an option's victims to the plan. Victims that do not rank lower than the gang are tasks of
+ * arrays; their CPUs are subtracted from those that the gang may preempt of their team's arrays.
  */
 function applyOption(
   { machine, victims }: PreemptionOption<PlannedMachine>,
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -18,7 +18,7 @@
 /** Machines selected for a reservation. */
 interface Selection {
   selected: CandidateMachine[];
-  /** Number of tasks that will fit on them once the arrays there have ended. */
+  /** Number of the gang's tasks that will fit on `selected` once the arrays there have ended. */
   fittingLater: number;
 }
 
@@ -29,7 +29,7 @@
     private readonly findJob: JobLookup,
   ) {}
 
-  /** Keeps arrays off machines that a future gang like this one would need. */
+  /** Keeps arrays off machines that a future gang with the specification `spec` would need. */
   excludeArrays(spec: JobSpec, candidates: readonly CandidateMachine[]): void {
     const { selected } = this.select(spec, candidates, spec.tasks);
     for (const candidate of selected) candidate.excludesArrays = true;
--- a/src/coordination/shard-state/fencing-tokens.ts
+++ b/src/coordination/shard-state/fencing-tokens.ts
@@ -7,9 +7,9 @@
  * The fencing tokens of a shard's term. Each machine has its own token: the term's base plus the
  * machine's offset, which grows by 1 each time the token is raised. The machine's worker refuses
  * every command whose token is lower than the highest that it has received, and reports that
- * highest token in its heartbeats. Once it has received a raised token, it therefore refuses all
- * commands sent before. A heartbeat with the raised token proves that the machine has received an
- * answer or command that this holder sent after raising the token.
+ * highest token in its heartbeats. Once the worker has received a raised token, it therefore
+ * refuses all commands sent before. A heartbeat with the raised token proves that the machine has
+ * received an answer or command that this holder sent after raising the token.
  */
 export class FencingTokens {
   /** The lowest token of the term. */
--- a/src/storage/request-queues.ts
+++ b/src/storage/request-queues.ts
@@ -35,7 +35,7 @@
 
 /**
  * The queues of one purpose. Reads have their own queue because the write limit does not apply to
- * them.
+ * reads.
  */
 interface PurposeQueues {
   reads: RequestQueue;
