--- a/src/constants/autoscaling.ts
+++ b/src/constants/autoscaling.ts
@@ -77,7 +77,10 @@
  */
 export const SILENT_RETURN_MAX_FLEET_FRACTION = 0.1;
 
-/** Period in ms in which the number of machines returned for silence is limited. */
+/**
+ * Time in ms for which a machine returned for silence counts towards
+ * `SILENT_RETURN_MAX_FLEET_FRACTION` and `SILENT_RETURN_MAX_MACHINES`.
+ */
 export const SILENT_RETURN_PERIOD_MS = 60_000;
 
 /**
--- a/src/constants/failure-detection.ts
+++ b/src/constants/failure-detection.ts
@@ -13,15 +13,21 @@
 export const FLAP_HALF_LIFE_MS = 60_000;
 
 /**
- * Penalty from which a controller leaves its shard with the current holder. The second loss of its
- * registration within a minute reaches it.
+ * Penalty from which on a controller does not reclaim its own shard from the controller that holds
+ * it. A controller has this penalty once it loses its registration twice within a minute.
  */
 export const FLAP_SUPPRESS_PENALTY = 1.5;
 
-/** Decayed penalty below which a controller reclaims its shard again: 85 s after two losses. */
+/**
+ * Penalty below which a controller reclaims its own shard again. If it lost its
+ * registration twice in quick succession, the penalty falls to this value in 85 s.
+ */
 export const FLAP_REUSE_PENALTY = 0.75;
 
-/** Maximum penalty, which limits the damping to two minutes after the last loss. */
+/**
+ * Maximum penalty. It decays to `FLAP_REUSE_PENALTY` in two minutes, so that a controller may
+ * reclaim its own shard at the latest two minutes after it last lost its registration.
+ */
 export const FLAP_PENALTY_MAX = 3;
 
 /** Interval in ms at which probe round-trip times are recorded. */
--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -5,7 +5,10 @@
 import type { JobSpec, MachineType } from '../../protocol/model.js';
 import type { Team } from '../../protocol/settings.js';
 
-/** Returned instead of a reason while the machine types are not known yet. */
+/**
+ * Result of `reasonNeverRunnable` if it can't tell whether a job can run, as the machine types are
+ * not known yet.
+ */
 export const MACHINE_TYPES_UNKNOWN = 'unknown';
 
 /**
--- a/src/coordination/api/job-queries.ts
+++ b/src/coordination/api/job-queries.ts
@@ -9,9 +9,9 @@
 import { finishedJobLookup, openJobLookup, type JobLookup } from './job-lookup.js';
 import type { JobChecks } from './job-checks.js';
 
-/** A poll that waits for the response to a watch that is sent after the poll arrived. */
+/** A user's poll that waits for the response to a watch that is sent after the poll arrived. */
 interface FreshReplicaWaiter {
-  /** Steady time in ms at which the poll arrived. */
+  /** Steady time in ms at which the user's poll for a job's state arrived. */
   arrivedAt: number;
   resolve: (isFresh: boolean) => void;
   cancelTimer: () => void;
--- a/src/coordination/election/rendezvous-hashing.ts
+++ b/src/coordination/election/rendezvous-hashing.ts
@@ -73,9 +73,9 @@
 }
 
 /**
- * Orders the candidates for the leader role. Members of the zones with the most members come first,
- * because their zone's machines are divided among more shards, so that their own shards take the
- * least work.
+ * Orders the candidates for the leader role. Members of the zones with the most members come first:
+ * there, a zone's machines are divided among the most shards, so that a member has the least work
+ * with its own shard.
  */
 export function orderForLeader(
   role: string,
--- a/src/coordination/election/role-election.ts
+++ b/src/coordination/election/role-election.ts
@@ -37,7 +37,10 @@
   private readonly claims: RoleClaims;
   private readonly heldRoles: HeldRoles;
   private readonly reconcileFlight = new SingleFlight();
-  /** Time in ms for which this process may act after its replica was last confirmed as current. */
+  /**
+   * Time in ms after the replica was last confirmed as current, within which this process answers
+   * workers and sends commands for its held roles.
+   */
   private readonly graceMs: number;
 
   constructor(options: RoleElectionOptions) {
--- a/src/coordination/election/stepped-down-roles.ts
+++ b/src/coordination/election/stepped-down-roles.ts
@@ -1,4 +1,4 @@
-/** Records from which roles, and under which term, this process stepped down. */
+/** Keeps, for each role from which this process stepped down, the term under which it did. */
 
 import { STEP_DOWN_UNCLAIMED_MS } from '../../constants/election.js';
 import type { Clock } from '../../transport/clock.js';
@@ -18,7 +18,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Records a step-down. */
+  /** Records that this process stepped down from the role under this term. */
   add(role: string, term: number): void {
     this.terms.set(role, { term, steppedDownAt: this.clock.now() });
   }
--- a/src/coordination/failure-detection/flap-damping.ts
+++ b/src/coordination/failure-detection/flap-damping.ts
@@ -1,6 +1,6 @@
 /**
- * Flap damping, which stops a controller that often loses its registration from reclaiming its
- * shard.
+ * Flap damping, which stops a controller that often loses its registration from reclaiming its own
+ * shard from the controller that holds it.
  */
 
 import {
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Whether this controller leaves its shard with the current holder, because it has lost its
-   * registration too often.
+   * Whether this controller does not reclaim its own shard from the controller that holds it,
+   * because it has lost its registration too often.
    */
   get isDamped(): boolean {
     if (this.isSuppressed && this.decayedPenalty() < FLAP_REUSE_PENALTY) this.isSuppressed = false;
--- a/src/coordination/leader/gang-assignment.ts
+++ b/src/coordination/leader/gang-assignment.ts
@@ -29,10 +29,10 @@
   readonly startWithinS: Readonly<Record<string, number>>;
 }
 
-/** A plan for a gang for which there is capacity, free or after reclaiming. */
+/** A gang plan that names subsets, as opposed to one that states the capacity that is lacking. */
 type PlannedSubsets = Extract<GangPlan, { subsets: GangSubset[] }>;
 
-/** The plan by which a gang is assigned, or which states the capacity that it lacks. */
+/** A gang's plan, with subsets or without, and the reclaiming that it may need. */
 interface GangDecision {
   readonly plan: GangPlan;
   /** Plan by which the gang reclaims capacity from other teams; null: it reclaims none. */
--- a/src/coordination/leader/job-completion.ts
+++ b/src/coordination/leader/job-completion.ts
@@ -78,8 +78,9 @@
   }
 
   /**
-   * Returns the completion candidates with enough done tasks, and removes the others from the
-   * candidates. Skips jobs that are paused because the key-value store rejected a change of theirs.
+   * Returns the jobs among the completion candidates that have enough done tasks, and removes the
+   * others from the candidates. Jobs that are paused because the key-value store rejected their
+   * last assignment or completion are not returned, but stay candidates.
    */
   private completedJobs(): CompletedJob[] {
     const { rejectedChangeBackoff, accounting, replica } = this.options;
--- a/src/storage/adaptive-limit.ts
+++ b/src/storage/adaptive-limit.ts
@@ -93,7 +93,7 @@
     );
   }
 
-  /** Lowers the rate after the store refused a request because the limit was exceeded. */
+  /** Lowers the rate after the key-value store refused a request because its limit was exceeded. */
   lowerRate(): void {
     this.rateChangedAt = this.clock.now();
     this.setRate(Math.max(this.minRate, this.rate * STORE_LIMIT_REFUSAL_FACTOR));
